--- a/crates/config/src/router.rs
+++ b/crates/config/src/router.rs
@@ -146,7 +146,7 @@
 /// What is unanswered this long after the signal to stop is failed; the program then ends. A machine's stop
 /// takes the longest deadline (three seconds at most) and 0.7 s.
 pub fn stop_limit(site: &Site) -> Time {
-    let longest = site.settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
+    let longest = site.settings.classes.iter().map(|c| c.client_timeout).max().unwrap_or_default();
     longest.min(Time::ms(3000)).plus(Time::ms(500))
 }
 
@@ -273,18 +273,18 @@
     let s = &site.settings;
     let mut above_0 = vec![
         ("quantum".to_string(), s.tick.secs()),
-        ("rules.fallMultiple".into(), s.fall_multiple),
+        ("rules.fallMultiple".into(), s.overload_multiple),
         ("bounds.maxAttempts".into(), f64::from(s.max_attempts)),
         ("bounds.connectTimeout".into(), site.connect_timeout.secs()),
     ];
     for (i, class) in s.classes.iter().enumerate() {
-        above_0.push((format!("profiles[{i}].aim"), class.aim.secs()));
-        above_0.push((format!("profiles[{i}].deadline"), class.deadline.secs()));
+        above_0.push((format!("profiles[{i}].aim"), class.latency_objective.secs()));
+        above_0.push((format!("profiles[{i}].deadline"), class.client_timeout.secs()));
     }
     if let Some((key, value)) = above_0.into_iter().find(|(_, value)| *value <= 0.0) {
         return Err(ConfigError::new(key, format!("must be above 0, not {value}")));
     }
-    match (0.0..=1.0).contains(&s.cold_from) {
+    match (0.0..=1.0).contains(&s.slow_start_capacity) {
         true => Ok(()),
         false => Err(ConfigError::new("rules.coldFrom", "must lie from 0 to 1")),
     }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -192,20 +192,20 @@
     let mut classes = Vec::new();
     for (i, p) in t.profiles.iter().enumerate() {
         let consistency = match f.consistency[i].as_str() {
-            "eventual" => Consistency::Any,
+            "eventual" => Consistency::Eventual,
             "lag_bound" => {
                 let missing = || ConfigError::new(format!("familyInfo.lagAllowed[{i}]"), "is missing");
-                Consistency::Bounded(Time(f.lag_allowed.get(i).copied().ok_or_else(missing)?))
+                Consistency::BoundedStaleness(Time(f.lag_allowed.get(i).copied().ok_or_else(missing)?))
             }
             "causal" => Consistency::Session,
-            "strong" => Consistency::Fresh,
+            "strong" => Consistency::Strong,
             "mutate" => Consistency::Write,
             other => return Err(unknown(format!("familyInfo.consistency[{i}]"), other)),
         };
         let effect = match p.effect.as_str() {
-            "idempotent" => Effect::Safe,
-            "deduplicated" => Effect::Keyed,
-            "at_most_once" => Effect::Unsafe,
+            "idempotent" => Effect::Idempotent,
+            "deduplicated" => Effect::IdempotentByKey,
+            "at_most_once" => Effect::NonIdempotent,
             other => return Err(unknown(format!("profiles[{i}].effect"), other)),
         };
         let scope = match p.key_scope.as_str() {
@@ -219,10 +219,10 @@
             effect,
             scope,
             window: Time(p.window),
-            aim: Time(p.aim),
-            deadline: Time(p.deadline),
-            worth: p.credit,
-            late_worth: p.late_worth,
+            latency_objective: Time(p.aim),
+            client_timeout: Time(p.deadline),
+            priority_weight: p.credit,
+            late_weight: p.late_worth,
         });
     }
     let reports = match t.reporting.via.as_str() {
@@ -233,14 +233,14 @@
     };
     let column = |name: &str| reports != Reports::None && t.reporting.columns.iter().any(|c| c == name);
     let settings = Settings {
-        me: RouterId(t.me),
+        router: RouterId(t.me),
         routers: t.balancers.max(1),
         zone: ZoneId(t.zone),
         tick: Time(t.quantum),
         classes,
         tenants: t.parties.iter().map(|p| Tenant { quota_per_s: p.quota_per_s }).collect(),
-        over_share_worth: t.over_share_worth,
-        list_on_request: t.discovery == "subscribe",
+        over_quota_weight: t.over_share_worth,
+        poll_endpoint_list: t.discovery == "subscribe",
         list_role: match f.role_listed.as_str() {
             "trailing" => ListRole::Late,
             "static" => ListRole::Start,
@@ -252,13 +252,13 @@
         probe_positions: column("x0"),
         probe_roles: column("x1"),
         when_behind: match f.when_behind.as_str() {
-            "none" => WhenBehind::Answers,
-            "bounce" => WhenBehind::Refuses,
-            "await" => WhenBehind::Waits(Time(f.patience)),
+            "none" => WhenBehind::ServeStale,
+            "bounce" => WhenBehind::Reject,
+            "await" => WhenBehind::Wait(Time(f.patience)),
             other => return Err(unknown("familyInfo.whenBehind".into(), other)),
         },
         max_attempts: t.bounds.max_attempts,
-        second_copies: t.bounds.parallel_tries,
+        hedging: t.bounds.parallel_tries,
         cancel: t.bounds.cancel,
         conn_idle: Time(t.bounds.conn_idle),
         probes: t.bounds.probes,
@@ -266,11 +266,11 @@
         max_retry_after: Time(t.bounds.max_retry_after),
         drain_grace: Time(t.rules.drain_grace),
         only_draining_binds: t.rules.soft_removal,
-        cold_from: t.rules.cold_from,
-        warm_within: Time(t.rules.warm_within),
-        fall_multiple: t.rules.fall_multiple,
-        fall: Time(t.rules.fall),
-        ask_every: Time(t.rules.ask_every),
+        slow_start_capacity: t.rules.cold_from,
+        slow_start_window: Time(t.rules.warm_within),
+        overload_multiple: t.rules.fall_multiple,
+        overload_window: Time(t.rules.fall),
+        poll_interval: Time(t.rules.ask_every),
         price_cross_zone: t.prices.cross_zone,
         price_waste: t.prices.waste,
     };
--- a/crates/config/tests/config.rs
+++ b/crates/config/tests/config.rs
@@ -48,7 +48,7 @@
     let classes = &c.site.settings.classes;
     assert_eq!(
         (classes[0].effect, classes[1].consistency),
-        (Effect::Unsafe, Consistency::Bounded(Time(3000)))
+        (Effect::NonIdempotent, Consistency::BoundedStaleness(Time(3000)))
     );
     assert_eq!(stop_limit(&c.site), Time::ms(3500), "deadlines past three seconds count as three");
     let mut bare = sound();
--- a/crates/extproc/src/desk.rs
+++ b/crates/extproc/src/desk.rs
@@ -47,7 +47,7 @@
     /// How far that may lie ahead of a replica which is waited for.
     pub lead: Time,
     /// The client says that it is repeating.
-    pub repeat: bool,
+    pub client_retry: bool,
 }
 
 /// Why a call gets no decision.
@@ -150,8 +150,8 @@
             return say(Say::Refused(None));
         }
         let write = match (effect, call.id) {
-            (Effect::Unsafe, None) => return say(Say::Invalid(Why::NoId)),
-            (Effect::Unsafe, id) => id,
+            (Effect::NonIdempotent, None) => return say(Say::Invalid(Why::NoId)),
+            (Effect::NonIdempotent, id) => id,
             _ => None, // a repeat does no harm, or is dropped by its key
         };
         match write.map(|w| (w, self.decided.ask(now, w))) {
@@ -176,8 +176,8 @@
         self.rows.insert(id, row);
         self.by_stream.insert(stream, id);
         self.by_write.extend(write.map(|w| (w, id)));
-        let Call { class, tenant, group, deadline, floor, lead, repeat, .. } = call;
-        let request = Request { id, class, tenant, give_up: deadline, group, floor, lead, repeat };
+        let Call { class, tenant, group, deadline, floor, lead, client_retry, .. } = call;
+        let request = Request { id, class, tenant, deadline, group, floor, lead, client_retry };
         out.push(Out::Event(Event::Request(request)));
     }
 
@@ -186,7 +186,7 @@
     pub fn act(&mut self, now: Time, action: &Action, until: Option<Time>, out: &mut Vec<Out>) {
         match *action {
             Action::Send(id, member, limit) => self.send(now, id, member, limit, until, out),
-            Action::Refuse(id, after) => {
+            Action::Reject(id, after) => {
                 // The module refuses only where nothing has run.
                 self.close(id, true, Say::Refused(after), out);
             }
@@ -227,7 +227,7 @@
                 given: now,
                 ends: now,
             };
-            let ended = Ended { lease, status: Status::Moot, standing: Standing::default() };
+            let ended = Ended { lease, status: Status::NotSent, replication: ReplicationState::default() };
             return self.outcome(now, ended, !self.rows.contains_key(&id), out);
         };
         let stream = row.waiting.remove(0);
@@ -253,10 +253,10 @@
         stream: StreamId,
         lease: LeaseId,
         told: Told,
-        standing: Standing,
+        replication: ReplicationState,
         out: &mut Vec<Out>,
     ) {
-        let Some(ended) = self.leases.told(now, stream, lease, told, standing) else { return };
+        let Some(ended) = self.leases.told(now, stream, lease, told, replication) else { return };
         if ended.status == Status::Ok {
             self.forget(ended.lease.request, false);
             return self.outcome(now, ended, true, out);
@@ -278,7 +278,7 @@
             // Nothing is out, and all that was has been proved not to have run, or the module would have
             // failed it.
             self.forget(id, true);
-            out.push(Out::Event(Event::Lapsed(id)));
+            out.push(Out::Event(Event::ClientGone(id)));
         }
     }
 
@@ -303,9 +303,9 @@
                 row.waiting.push(stream);
             }
         }
-        let (status, standing, took) = (ended.status, ended.standing, now.since(given));
-        let (ended, report) = (over, Standing::default());
-        let outcome = Outcome { request, attempt, member, status, took, ended, standing, report };
+        let (status, replication, took) = (ended.status, ended.replication, now.since(given));
+        let (ended, report) = (over, ReplicationState::default());
+        let outcome = Outcome { request, attempt, member, status, took, ended, replication, report };
         out.push(Out::Event(Event::Outcome(outcome)));
     }
 
--- a/crates/extproc/src/lease.rs
+++ b/crates/extproc/src/lease.rs
@@ -1,6 +1,6 @@
 //! What is out at other proxies: each lease ends exactly once, and each end is one [`Status`].
 
-use basalthill_policy::api::{Attempt, MemberId, RequestId, Standing, Status, Time};
+use basalthill_policy::api::{Attempt, MemberId, ReplicationState, RequestId, Status, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A lease, by a number that is never used again.
@@ -33,11 +33,11 @@
     pub fn status(self) -> Status {
         match self {
             Told::Served => Status::Ok,
-            Told::Miss => Status::Miss,
-            Told::TurnedAway => Status::Full,
+            Told::Miss => Status::Misdirected,
+            Told::TurnedAway => Status::Overloaded,
             Told::Error => Status::Error,
             Told::NoConnection => Status::ConnectFailed,
-            Told::NotSent => Status::Moot,
+            Told::NotSent => Status::NotSent,
         }
     }
 }
@@ -67,7 +67,7 @@
     /// What that means to the decisions.
     pub status: Status,
     /// What the member's answer says of it.
-    pub standing: Standing,
+    pub replication: ReplicationState,
 }
 
 /// Reports that change nothing, since they were last taken.
@@ -115,7 +115,7 @@
         stream: StreamId,
         id: LeaseId,
         told: Told,
-        standing: Standing,
+        replication: ReplicationState,
     ) -> Option<Ended> {
         match self.out.get(&id) {
             Some(lease) if lease.ends <= now => return None,
@@ -130,13 +130,13 @@
             }
         }
         let lease = self.take(id)?;
-        Some(Ended { lease, status: told.status(), standing })
+        Some(Ended { lease, status: told.status(), replication })
     }
 
     /// The decisions call a lease off: they wait for it no longer, and it may run all the same.
     pub fn call_off(&mut self, id: LeaseId) -> Option<Ended> {
         let lease = self.take(id)?;
-        Some(Ended { lease, status: Status::Cancelled, standing: Standing::default() })
+        Some(Ended { lease, status: Status::Cancelled, replication: ReplicationState::default() })
     }
 
     /// A stream has ended with nothing more said: what it had may have been sent.
@@ -144,7 +144,9 @@
         let span = (stream, LeaseId(0))..=(stream, LeaseId(u64::MAX));
         let ids: Vec<LeaseId> = self.by_stream.range(span).map(|(_, id)| *id).collect();
         let leases = ids.into_iter().filter_map(|id| self.take(id));
-        leases.map(|lease| Ended { lease, status: Status::Reset, standing: Standing::default() }).collect()
+        leases
+            .map(|lease| Ended { lease, status: Status::Reset, replication: ReplicationState::default() })
+            .collect()
     }
 
     /// Leases whose end has come.
@@ -152,7 +154,8 @@
         let mut over = Vec::new();
         while let Some((_, id)) = self.by_end.first().copied().filter(|(ends, _)| *ends <= now) {
             let lease = self.take(id);
-            let timed_out = |lease| Ended { lease, status: Status::Timeout, standing: Standing::default() };
+            let timed_out =
+                |lease| Ended { lease, status: Status::Timeout, replication: ReplicationState::default() };
             over.extend(lease.map(timed_out));
         }
         over
--- a/crates/extproc/tests/desk.rs
+++ b/crates/extproc/tests/desk.rs
@@ -24,28 +24,31 @@
         effect,
         scope: KeyScope::Group,
         window: Time(0),
-        aim: Time::ms(400),
-        deadline: Time::ms(1500),
-        worth: 1.0,
-        late_worth: 0.5,
+        latency_objective: Time::ms(400),
+        client_timeout: Time::ms(1500),
+        priority_weight: 1.0,
+        late_weight: 0.5,
     };
     Settings {
         routers: 2,
         tick: Time::ms(5),
-        classes: vec![class(Consistency::Write, Effect::Unsafe), class(Consistency::Any, Effect::Safe)],
+        classes: vec![
+            class(Consistency::Write, Effect::NonIdempotent),
+            class(Consistency::Eventual, Effect::Idempotent),
+        ],
         list_role: ListRole::Late,
-        when_behind: WhenBehind::Refuses,
+        when_behind: WhenBehind::Reject,
         max_attempts: 5,
-        second_copies: false,
+        hedging: false,
         cancel: true,
         retry_after: true,
         max_retry_after: Time::ms(300),
         drain_grace: Time::ms(1000),
-        cold_from: 0.2,
-        warm_within: Time::ms(15_000),
-        fall_multiple: 3.0,
-        fall: Time::ms(1500),
-        ask_every: Time::ms(10_000),
+        slow_start_capacity: 0.2,
+        slow_start_window: Time::ms(15_000),
+        overload_multiple: 3.0,
+        overload_window: Time::ms(1500),
+        poll_interval: Time::ms(10_000),
         ..Settings::default()
     }
 }
@@ -65,17 +68,17 @@
         let set = settings();
         let (desk, policy) = (Desk::new(now, &set, LIMITS), Policy::new(set, seed));
         let mut b = Bench { policy, desk, now, timers: BTreeSet::new(), said: Vec::new(), seed };
-        let entry = |n| Entry {
+        let entry = |n| Endpoint {
             member: MemberId(n),
             zone: ZoneId(0),
             group: GroupId(0),
-            listed: Listed::Ready,
+            state: EndpointState::Ready,
             weight: 1.0,
             primary: n == 1,
             started: None,
-            told: Time(u64::MAX),
+            notified_at: Time(u64::MAX),
         };
-        b.run(vec![Out::Event(Event::List(ListForm::Cached, (1..=3).map(entry).collect()))]);
+        b.run(vec![Out::Event(Event::Endpoints(EndpointUpdate::Cached, (1..=3).map(entry).collect()))]);
         b
     }
 
@@ -107,7 +110,7 @@
     fn ask(&mut self, stream: u64, class: ClassId, id: Option<WriteId>, ms: u64) {
         let (tenant, group, deadline) = (TenantId(0), GroupId(0), self.now.plus(Time::ms(ms)));
         let (floor, lead) = (Time(0), Time(0));
-        let call = Call { id, class, tenant, group, deadline, floor, lead, repeat: false };
+        let call = Call { id, class, tenant, group, deadline, floor, lead, client_retry: false };
         let mut out = Vec::new();
         self.desk.ask(self.now, StreamId(stream), call, &mut out);
         self.run(out);
@@ -115,9 +118,9 @@
 
     fn told(&mut self, stream: u64, lease: LeaseId, told: Told) {
         let role = if told == Told::Served { Some(Role::Primary) } else { None };
-        let standing = Standing { position: Some(self.now), role };
+        let replication = ReplicationState { position: Some(self.now), role };
         let mut out = Vec::new();
-        self.desk.told(self.now, StreamId(stream), lease, told, standing, &mut out);
+        self.desk.told(self.now, StreamId(stream), lease, told, replication, &mut out);
         self.run(out);
     }
 
@@ -325,7 +328,7 @@
                 // Now and then about another's.
                 let from = if below(8) == 0 { at + 1 } else { at };
                 // What is held has not ended, so it is heard; a proof takes the doubt away.
-                if let Some(w) = asks[&at].filter(|_| from == at && what.status().proves_unrun()) {
+                if let Some(w) = asks[&at].filter(|_| from == at && what.status().proves_not_executed()) {
                     *doubt.entry(w).or_default() -= 1;
                 }
                 if from == at {
--- a/crates/extproc/tests/lease.rs
+++ b/crates/extproc/tests/lease.rs
@@ -16,26 +16,33 @@
 fn each_end_of_a_lease_is_one_status_and_proves_what_the_note_says() {
     let told = [
         (Told::Served, Status::Ok, false),
-        (Told::Miss, Status::Miss, true),
-        (Told::TurnedAway, Status::Full, true),
+        (Told::Miss, Status::Misdirected, true),
+        (Told::TurnedAway, Status::Overloaded, true),
         (Told::Error, Status::Error, false),
         (Told::NoConnection, Status::ConnectFailed, true),
-        (Told::NotSent, Status::Moot, true),
+        (Told::NotSent, Status::NotSent, true),
     ];
     let mut leases = Leases::default();
     for (told, status, unrun) in told {
         let id = leases.give(lease(1, START, 500));
-        let ended = leases.told(START, StreamId(1), id, told, Standing::default()).unwrap();
-        assert_eq!((ended.status, ended.status.proves_unrun()), (status, unrun), "{told:?}");
-        assert_eq!(leases.told(START, StreamId(1), id, told, Standing::default()), None, "once");
+        let ended = leases.told(START, StreamId(1), id, told, ReplicationState::default()).unwrap();
+        assert_eq!((ended.status, ended.status.proves_not_executed()), (status, unrun), "{told:?}");
+        assert_eq!(leases.told(START, StreamId(1), id, told, ReplicationState::default()), None, "once");
     }
     let id = leases.give(lease(1, START, 500));
-    assert_eq!(leases.told(START, StreamId(2), id, Told::NotSent, Standing::default()), None, "another's");
-    assert_eq!(leases.told(START, StreamId(1), LeaseId(999), Told::Served, Standing::default()), None);
+    assert_eq!(
+        leases.told(START, StreamId(2), id, Told::NotSent, ReplicationState::default()),
+        None,
+        "another's"
+    );
+    assert_eq!(
+        leases.told(START, StreamId(1), LeaseId(999), Told::Served, ReplicationState::default()),
+        None
+    );
     assert_eq!(leases.take_strays(), Strays { unknown: 7, others: 1 });
     // Told in the very moment of its end: it has timed out, and what is told late proves nothing.
     let ends = START.plus(Time::ms(500));
-    assert_eq!(leases.told(ends, StreamId(1), id, Told::NotSent, Standing::default()), None);
+    assert_eq!(leases.told(ends, StreamId(1), id, Told::NotSent, ReplicationState::default()), None);
     let over = leases.expire(ends);
     assert_eq!((over.len(), over[0].status), (1, Status::Timeout));
     leases.give(lease(3, START, 500));
@@ -67,7 +74,7 @@
                 let id = LeaseId(below(given.len() as u64 + 3));
                 let stream = given.get(&id).map_or(StreamId(0), |l| l.stream);
                 let stream = if below(5) == 0 { StreamId(below(40)) } else { stream };
-                leases.told(now, stream, id, Told::Served, Standing::default()).into_iter().collect()
+                leases.told(now, stream, id, Told::Served, ReplicationState::default()).into_iter().collect()
             }
             8 => leases.stream_ended(StreamId(below(40))),
             _ => leases.expire(now),
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -63,11 +63,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Repeating does no harm.
-    Safe,
+    Idempotent,
     /// Repeats are dropped by key, within a window and a scope.
-    Keyed,
+    IdempotentByKey,
     /// Must never run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// Where repeats of a keyed request are dropped.
@@ -85,13 +85,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
     /// Any member will do.
-    Any,
+    Eventual,
     /// Data no older than this when it is sent.
-    Bounded(Time),
+    BoundedStaleness(Time),
     /// All that the session has written.
     Session,
     /// All that was written before the request came in.
-    Fresh,
+    Strong,
     /// A write: only the primary takes it.
     Write,
 }
@@ -108,13 +108,13 @@
     /// How long repeats are dropped, from the first attempt that may have run.
     pub window: Time,
     /// An answer inside this earns the full worth.
-    pub aim: Time,
+    pub latency_objective: Time,
     /// The client's whole wait, over all its tries.
-    pub deadline: Time,
+    pub client_timeout: Time,
     /// The worth of one request.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// The share of the worth earned between aim and deadline.
-    pub late_worth: f64,
+    pub late_weight: f64,
 }
 
 /// A tenant.
@@ -129,11 +129,11 @@
 pub enum WhenBehind {
     /// It answers from what it holds.
     #[default]
-    Answers,
+    ServeStale,
     /// It misses at once.
-    Refuses,
+    Reject,
     /// It waits up to this long for the log, then misses.
-    Waits(Time),
+    Wait(Time),
 }
 
 /// How the list of members tells the primary.
@@ -152,7 +152,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// This router.
-    pub me: RouterId,
+    pub router: RouterId,
     /// Routers in the tier.
     pub routers: u32,
     /// This router's zone.
@@ -164,9 +164,9 @@
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// The part of its worth that a request past its tenant's share keeps.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// The list must be asked for.
-    pub list_on_request: bool,
+    pub poll_endpoint_list: bool,
     /// How the list tells roles.
     pub list_role: ListRole,
     /// Whether weights say anything.
@@ -182,7 +182,7 @@
     /// Attempts a request may have.
     pub max_attempts: u32,
     /// Two attempts of a request may be out together.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Attempts may be cancelled.
     pub cancel: bool,
     /// A connection that has idled for longer is closed by its host.
@@ -198,15 +198,15 @@
     /// Only a notice to drain binds, removal alone does not.
     pub only_draining_binds: bool,
     /// Capacity share of a member that has just started, at least.
-    pub cold_from: f64,
+    pub slow_start_capacity: f64,
     /// It is warm within this.
-    pub warm_within: Time,
+    pub slow_start_window: Time,
     /// Sent more than this multiple of its capacity...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ...for this long, a cold member falls over.
-    pub fall: Time,
+    pub overload_window: Time,
     /// Where the list is asked for: an answer older than this counts as told.
-    pub ask_every: Time,
+    pub poll_interval: Time,
     /// Points for attempts crossing zones.
     pub price_cross_zone: f64,
     /// Points for work wasted.
@@ -215,18 +215,18 @@
 
 /// A member's state as the list has it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
+pub enum EndpointState {
     /// In service.
     Ready,
     /// Finishing its work.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// A line of the list of members.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct Endpoint {
     /// The member.
     pub member: MemberId,
     /// Its zone.
@@ -234,7 +234,7 @@
     /// Its group.
     pub group: GroupId,
     /// Its state.
-    pub listed: Listed,
+    pub state: EndpointState,
     /// Its weight.
     pub weight: f64,
     /// Whether the list takes it for the primary.
@@ -242,12 +242,12 @@
     /// When it last started, if lately.
     pub started: Option<Time>,
     /// Since when this line may count as told: earlier than it came, where it may have waited for a watch.
-    pub told: Time,
+    pub notified_at: Time,
 }
 
 /// What kind of list came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListForm {
+pub enum EndpointUpdate {
     /// Only what changed.
     Delta,
     /// All of it.
@@ -269,7 +269,7 @@
 
 /// What an answer or a report says of its member.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Standing {
+pub struct ReplicationState {
     /// All commits up to this time are applied.
     pub position: Option<Time>,
     /// Its role.
@@ -282,11 +282,11 @@
     /// Served.
     Ok,
     /// Turned away untouched: not primary, or too far behind.
-    Miss,
+    Misdirected,
     /// The member failed at it.
     Error,
     /// Turned away unseen.
-    Full,
+    Overloaded,
     /// No answer in time.
     Timeout,
     /// No connection.
@@ -296,13 +296,13 @@
     /// Called off.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 impl Status {
     /// Whether it proves that nothing ran.
-    pub fn proves_unrun(self) -> bool {
-        matches!(self, Status::Miss | Status::Full | Status::ConnectFailed | Status::Moot)
+    pub fn proves_not_executed(self) -> bool {
+        matches!(self, Status::Misdirected | Status::Overloaded | Status::ConnectFailed | Status::NotSent)
     }
 }
 
@@ -316,7 +316,7 @@
     /// Its tenant.
     pub tenant: TenantId,
     /// The time at which its client gives up.
-    pub give_up: Time,
+    pub deadline: Time,
     /// Its group.
     pub group: GroupId,
     /// The position that a session read must see at least; zero if any will do.
@@ -324,7 +324,7 @@
     /// How far ahead of a replica's position the floor may lie for that replica to be waited for.
     pub lead: Time,
     /// The client says that it is repeating.
-    pub repeat: bool,
+    pub client_retry: bool,
 }
 
 /// How one attempt ended.
@@ -343,36 +343,62 @@
     /// The request has ended.
     pub ended: bool,
     /// What the answer says of the member.
-    pub standing: Standing,
+    pub replication: ReplicationState,
     /// What a report inside the answer says, possibly out of date.
-    pub report: Standing,
+    pub report: ReplicationState,
 }
 
 /// What happens to a router.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The list of members, or a change to it.
-    List(ListForm, Vec<Entry>),
+    Endpoints(EndpointUpdate, Vec<Endpoint>),
     /// A request.
     Request(Request),
     /// A request that limits count which hold over all routers: how much of them is open, as a share, and
     /// when it may come back if it is turned away for them.
-    Scarce(Request, f64, Time),
+    LimitedRequest {
+        /// The request.
+        request: Request,
+        /// The open fraction of the limits' tokens, 0 to 1.
+        open_fraction: f64,
+        /// When the client may retry if the request is rejected for these limits.
+        retry_after: Time,
+    },
     /// So many further attempts of requests, and probes, are left by budgets over all routers; none where
     /// there is no such budget. They count until the next such event.
-    Left(Option<u32>, Option<u32>),
+    Budgets {
+        /// Retries left; none without such a budget.
+        retries: Option<u32>,
+        /// Health checks left; none without such a budget.
+        probes: Option<u32>,
+    },
     /// So many more attempts may be out at a member, as a limit over all routers has it.
-    Room(MemberId, u32),
+    MemberCapacity {
+        /// The member.
+        member: MemberId,
+        /// Further attempts that may be in flight there.
+        attempts: u32,
+    },
     /// An attempt's answer has begun to flow: it belongs to the client now.
-    Started(RequestId, Attempt),
+    ResponseStarted(RequestId, Attempt),
     /// An attempt ended.
     Outcome(Outcome),
     /// The client has left.
-    Lapsed(RequestId),
+    ClientGone(RequestId),
     /// A timer came due.
     Timer(u64),
     /// A probe ended: member, status, how long it took, what the report says.
-    Probed(MemberId, Status, Time, Standing),
+    ProbeFinished {
+        /// The member.
+        member: MemberId,
+        /// How the health check ended.
+        status: Status,
+        /// How long it took.
+        took: Time,
+        /// What the member's load report says.
+        report: ReplicationState,
+    },
     /// The system's clock has been set: a position told so far may be anywhere.
     ClockSet,
     /// A message from another router.
@@ -385,7 +411,7 @@
     /// Begin an attempt; its time-out, or none but the client's own.
     Send(RequestId, MemberId, Option<Time>),
     /// Turn the request away: trying again does no harm, after the time given if any.
-    Refuse(RequestId, Option<Time>),
+    Reject(RequestId, Option<Time>),
     /// End the request without a promise.
     Fail(RequestId),
     /// Stop waiting for an attempt.
@@ -397,9 +423,9 @@
     /// Close the idle connections to a member.
     CloseIdle(MemberId),
     /// Ask discovery to follow the list.
-    Watch,
+    WatchEndpoints,
     /// Ask discovery for the whole list once.
-    Fetch,
+    PollEndpoints,
     /// A line for the operators.
     Log(String),
 }
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -152,7 +152,7 @@
         self.tries.iter().filter(|t| t.status.is_none()).count()
     }
     fn may_have_run(&self) -> Option<&Try> {
-        self.tries.iter().find(|t| t.status.is_none_or(|s| !s.proves_unrun()))
+        self.tries.iter().find(|t| t.status.is_none_or(|s| !s.proves_not_executed()))
     }
     /// What a window, counted from the first attempt that may have run, leaves of itself: all of time if none
     /// may have run.
@@ -163,7 +163,7 @@
 
 /// 1 for what only the primary takes, else 0.
 fn needs(class: &Class) -> usize {
-    usize::from(matches!(class.consistency, Consistency::Write | Consistency::Fresh))
+    usize::from(matches!(class.consistency, Consistency::Write | Consistency::Strong))
 }
 
 /// Whether a member may be the primary as far as is known: it is up, and stays.
@@ -209,9 +209,10 @@
 impl Policy {
     /// A router that has just started and knows nothing.
     pub fn new(set: Settings, seed: u64) -> Policy {
-        let bound = |c: &Class| if let Consistency::Bounded(bound) = c.consistency { bound } else { MARGIN };
+        let bound =
+            |c: &Class| if let Consistency::BoundedStaleness(bound) = c.consistency { bound } else { MARGIN };
         let margin = set.classes.iter().map(bound).max().unwrap_or(MARGIN).max(MARGIN);
-        let base: Vec<f64> = set.classes.iter().map(|c| c.aim.secs() * 0.2).collect();
+        let base: Vec<f64> = set.classes.iter().map(|c| c.latency_objective.secs() * 0.2).collect();
         let usual = vec![[(Time(0), 0); 3]; base.len()];
         let (next, weight) = (Time(u64::MAX), 1.0);
         Policy { set, random: seed, margin, base, usual, next, weight, ..Policy::default() }
@@ -227,22 +228,29 @@
         self.now = now;
         if self.begun.is_none() {
             (self.begun, self.asked) = (Some(now), now);
-            if self.set.list_on_request {
-                out.push(Action::Watch);
+            if self.set.poll_endpoint_list {
+                out.push(Action::WatchEndpoints);
             }
         }
         match event {
             Event::Timer(_) if now >= self.next => self.sweep(out),
-            Event::List(ListForm::Failed, _) | Event::Started(..) | Event::Message(..) | Event::Timer(_) => {}
-            Event::List(form, entries) => self.list(form, entries, out),
+            Event::Endpoints(EndpointUpdate::Failed, _)
+            | Event::ResponseStarted(..)
+            | Event::Message(..)
+            | Event::Timer(_) => {}
+            Event::Endpoints(form, entries) => self.list(form, entries, out),
             Event::Request(req) => self.request(req, out),
-            Event::Scarce(req, open, back) => self.scarce(req, open, back, out),
-            Event::Left(retries, probes) => self.left = [retries, probes],
-            Event::Room(id, most) => self.members.get_mut(&id).into_iter().for_each(|m| m.most = Some(most)),
+            Event::LimitedRequest { request, open_fraction, retry_after } => {
+                self.scarce(request, open_fraction, retry_after, out)
+            }
+            Event::Budgets { retries, probes } => self.left = [retries, probes],
+            Event::MemberCapacity { member: id, attempts: most } => {
+                self.members.get_mut(&id).into_iter().for_each(|m| m.most = Some(most))
+            }
             Event::Outcome(o) => self.outcome(o, out),
-            Event::Lapsed(id) => self.forget(id, out),
+            Event::ClientGone(id) => self.forget(id, out),
             Event::ClockSet => self.clock_set(),
-            Event::Probed(m, status, _, report) => self.probed(m, status, report, out),
+            Event::ProbeFinished { member, status, report, .. } => self.probed(member, status, report, out),
         }
         let due = now.plus(if self.held.is_empty() { REST_SWEEP } else { SWEEP });
         if due < self.next {
@@ -260,8 +268,8 @@
         self.jobs.values_mut().filter(|j| j.floor > Time(0)).for_each(|j| j.floor = j.floor.max(self.now));
     }
 
-    fn list(&mut self, form: ListForm, entries: Vec<Entry>, out: &mut Vec<Action>) {
-        if form != ListForm::Delta && !self.set.only_draining_binds {
+    fn list(&mut self, form: EndpointUpdate, entries: Vec<Endpoint>, out: &mut Vec<Action>) {
+        if form != EndpointUpdate::Delta && !self.set.only_draining_binds {
             let named: BTreeSet<_> = entries.iter().map(|e| e.member).collect();
             for (_, m) in self.members.iter_mut().filter(|(id, _)| !named.contains(id)) {
                 m.draining = m.draining.or(Some(self.now));
@@ -286,14 +294,14 @@
                 (m.failures, m.draining) = (0, None);
                 m.restarted(e.started, self.now);
             }
-            match e.listed {
-                Listed::Ready => m.draining = None,
-                Listed::Gone if self.set.only_draining_binds => {}
-                _ => m.draining = m.draining.or(Some(e.told.min(self.now))),
+            match e.state {
+                EndpointState::Ready => m.draining = None,
+                EndpointState::Removed if self.set.only_draining_binds => {}
+                _ => m.draining = m.draining.or(Some(e.notified_at.min(self.now))),
             }
             // Late: counts where no answer has told since, never against one if members don't check reads.
             let as_of = self.now.minus(LIST_AGE);
-            let strict = self.set.when_behind == WhenBehind::Answers;
+            let strict = self.set.when_behind == WhenBehind::ServeStale;
             let told = m.role.is_some_and(|(r, at)| at >= as_of || (strict && r == Role::Replica));
             if e.primary && self.set.list_role != ListRole::None && !told {
                 m.role = Some((Role::Primary, as_of));
@@ -308,7 +316,7 @@
         self.wanted.retain(|group, _| self.groups.contains_key(group));
         let there = self.members.values().filter(|m| m.draining.is_none());
         self.weight = there.map(|m| m.weight).sum::<f64>().max(1.0);
-        if form == ListForm::Cached {
+        if form == EndpointUpdate::Cached {
             self.earn(self.members.len() as f64 * self.few());
             let mut ids: Vec<MemberId> = self.members.keys().copied().collect();
             let first = (dice(&mut self.random) * ids.len() as f64) as usize;
@@ -327,8 +335,8 @@
         }
     }
 
-    /// Notes a standing: positions never go back, and the newest evidence of a role wins.
-    fn learn(&mut self, id: MemberId, s: Standing, as_of: Time) {
+    /// Notes a replication: positions never go back, and the newest evidence of a role wins.
+    fn learn(&mut self, id: MemberId, s: ReplicationState, as_of: Time) {
         let now = self.now;
         let Some(m) = self.members.get_mut(&id) else { return };
         if let Some(role) = s.role {
@@ -407,11 +415,11 @@
     fn crowded(&self, job: &Job, m: &Member) -> bool {
         let (class, took) = (&self.set.classes[job.c], self.base[job.c] + self.wait(m));
         let late =
-            class.late_worth == 0.0 && took * HOLD_TIMES > self.useful_until(job).since(self.now).secs();
+            class.late_weight == 0.0 && took * HOLD_TIMES > self.useful_until(job).since(self.now).secs();
         // With nothing in flight one tries it all the same; of many routers few do, once it seems too late.
         let tries = m.in_flight == 0 && dice(&mut { job.req.id.0 }) < self.few();
         let share = if m.in_flight > 0 { CROWDED } else { CROWDED_ALONE };
-        !tries && (late || took > share * class.aim.secs() * job.worth / class.worth)
+        !tries && (late || took > share * class.latency_objective.secs() * job.worth / class.priority_weight)
     }
 
     // ---- The one place that every send and refusal passes ----
@@ -419,7 +427,7 @@
     fn legal(&self, job: &Job, id: MemberId) -> bool {
         let (Some(m), class) = (self.members.get(&id), &self.set.classes[job.c]) else { return false };
         let (out, spent) = (job.out(), self.spent(job));
-        let copy = out > 0 && (!self.set.second_copies || class.effect == Effect::Unsafe || out > 1);
+        let copy = out > 0 && (!self.set.hedging || class.effect == Effect::NonIdempotent || out > 1);
         let drained =
             m.draining.is_some_and(|at| at.plus(self.set.drain_grace) <= self.now.plus(self.set.tick));
         if m.group != job.req.group || spent || copy || drained || m.most == Some(0) {
@@ -429,14 +437,14 @@
             // All attempts are in one group, so the key's scope can only end at a zone's border.
             let zone = self.members.get(&first.member).map(|f| f.zone);
             let near = class.scope != KeyScope::Zone || zone == Some(m.zone);
-            if class.effect != Effect::Safe && !(near && self.repeatable(job)) {
+            if class.effect != Effect::Idempotent && !(near && self.repeatable(job)) {
                 return false;
             }
         }
-        let stale = self.set.when_behind == WhenBehind::Answers && !self.passes(job, id, m, false);
+        let stale = self.set.when_behind == WhenBehind::ServeStale && !self.passes(job, id, m, false);
         // A part is of requests, not of sends: one that is drawn has one there, however often it is sent.
         let reached =
-            |t: &Try| t.member == id && !matches!(t.status, Some(Status::ConnectFailed | Status::Moot));
+            |t: &Try| t.member == id && !matches!(t.status, Some(Status::ConnectFailed | Status::NotSent));
         let drawn =
             || dice(&mut { job.req.id.0 }) < self.cold_part(job, id, m) && !job.tries.iter().any(reached);
         !stale && (self.warmth(m) >= 1.0 || self.credit(m) >= 0.0 || drawn())
@@ -446,7 +454,7 @@
     fn repeatable(&self, job: &Job) -> bool {
         let class = &self.set.classes[job.c];
         let left = job.window_left(self.now.plus(self.set.tick), class.window);
-        class.effect == Effect::Keyed && left.secs() > self.base[job.c]
+        class.effect == Effect::IdempotentByKey && left.secs() > self.base[job.c]
     }
 
     /// Ends a request that has no attempt out: refused where that is harmless, else failed.
@@ -455,11 +463,11 @@
         let class = &self.set.classes[job.c];
         // A client that comes again when it is told to, or by itself, still has to meet the window.
         let back = self.now.plus(self.set.max_retry_after);
-        let kept = class.effect == Effect::Keyed && class.scope == KeyScope::All;
+        let kept = class.effect == Effect::IdempotentByKey && class.scope == KeyScope::All;
         let kept = |t: &Try| kept && back < t.sent.plus(class.window);
-        let harmless = class.effect == Effect::Safe || job.may_have_run().is_none_or(kept);
+        let harmless = class.effect == Effect::Idempotent || job.may_have_run().is_none_or(kept);
         let after = self.set.retry_after.then_some(self.set.max_retry_after);
-        out.push(if harmless { Action::Refuse(id, after) } else { Action::Fail(id) });
+        out.push(if harmless { Action::Reject(id, after) } else { Action::Fail(id) });
         self.forget(id, out);
     }
 
@@ -467,7 +475,7 @@
         if let Some(job) = self.jobs.remove(&id) {
             self.held.remove(&(job.req.group, id));
             for (n, t) in job.tries.iter().enumerate().filter(|(_, t)| t.status.is_none()) {
-                if self.set.cancel && self.set.classes[job.c].effect == Effect::Safe {
+                if self.set.cancel && self.set.classes[job.c].effect == Effect::Idempotent {
                     out.push(Action::Cancel(id, Attempt(n as u16)));
                 }
                 if let Some(m) = self.members.get_mut(&t.member) {
@@ -485,22 +493,22 @@
         let at = if estimated { self.estimate(m) } else { m.position.map(|p| p.0) };
         let unknown = estimated && m.position.is_none();
         match self.set.classes[job.c].consistency {
-            Consistency::Any | Consistency::Write => true,
+            Consistency::Eventual | Consistency::Write => true,
             _ if is_primary => true,
-            Consistency::Fresh => false,
+            Consistency::Strong => false,
             Consistency::Session => {
-                let waits = estimated && matches!(self.set.when_behind, WhenBehind::Waits(_));
+                let waits = estimated && matches!(self.set.when_behind, WhenBehind::Wait(_));
                 let floor = job.floor.minus(if waits { job.req.lead } else { Time(0) });
                 job.floor == Time(0) || unknown || at.is_some_and(|p| p >= floor)
             }
-            Consistency::Bounded(bound) => unknown || at.is_some_and(|p| self.now.since(p) <= bound),
+            Consistency::BoundedStaleness(bound) => unknown || at.is_some_and(|p| self.now.since(p) <= bound),
         }
     }
 
     /// Whether the breaker lets a read to this member; lag ejects from reads that need freshness only.
     fn admits(&self, job: &Job, m: &Member) -> bool {
         let needs = self.set.classes[job.c].consistency;
-        let fresh = needs != Consistency::Any && (needs != Consistency::Session || job.floor > Time(0));
+        let fresh = needs != Consistency::Eventual && (needs != Consistency::Session || job.floor > Time(0));
         match m.breaker {
             Breaker::Closed => true,
             Breaker::Open(why, _) => why == Why::Lag && !fresh,
@@ -514,22 +522,23 @@
     fn choose(&mut self, job: &Job) -> Option<MemberId> {
         let needs = self.set.classes[job.c].consistency;
         let primary = self.primary(job.req.group);
-        if matches!(needs, Consistency::Write | Consistency::Fresh) {
+        if matches!(needs, Consistency::Write | Consistency::Strong) {
             return primary.filter(|id| self.primary_takes(job, *id));
         }
-        let estimated = self.set.when_behind != WhenBehind::Answers;
+        let estimated = self.set.when_behind != WhenBehind::ServeStale;
         // Long any-reads stop the log where they run: all go to the one furthest behind, or of the lowest id.
         let own = self.base[job.c];
-        let long = needs == Consistency::Any
+        let long = needs == Consistency::Eventual
             && own > LONG_TIMES * self.base.iter().copied().fold(f64::MAX, f64::min);
-        let again = |s| matches!(s, Some(Status::Full | Status::ConnectFailed));
+        let again = |s| matches!(s, Some(Status::Overloaded | Status::ConnectFailed));
         let (mut some, mut soon, mut best): (bool, bool, Option<(f64, MemberId)>) = (false, false, None);
         for id in self.groups.get(&job.req.group).into_iter().flatten() {
             let Some(m) = self.members.get(id) else { continue };
             let tried = job.tries.iter().any(|t| t.member == *id && !again(t.status));
             // Reads take CPU from the apply thread: the further behind, the fewer at a time.
             let lag = self.estimate(m).map_or(0.0, |p| self.now.since(p).secs());
-            let near = if needs == Consistency::Any { 1.0 } else { 1.0 - (lag / self.margin.secs()).powi(2) };
+            let near =
+                if needs == Consistency::Eventual { 1.0 } else { 1.0 - (lag / self.margin.secs()).powi(2) };
             let room = self.room(m, self.warmth(m) * near) && !tried && m.draining.is_none();
             let passes = Some(*id) != primary && self.admits(job, m) && self.passes(job, *id, m, estimated);
             some |= passes;
@@ -564,7 +573,7 @@
 
     /// An aged replica that turns away what it is too far behind for: one read at a time, the furthest on.
     fn trial(&self, job: &Job, primary: Option<MemberId>) -> Option<MemberId> {
-        let refuses = self.set.when_behind == WhenBehind::Refuses;
+        let refuses = self.set.when_behind == WhenBehind::Reject;
         let fits = self.in_group(job.req.group).filter(|(id, m)| {
             let aged = m.position.is_none_or(|(_, at)| self.now.since(at).times(self.few()) > KNOWN_FRESH);
             let well = !m.suspect && matches!(m.breaker, Breaker::Closed | Breaker::HalfOpen(Why::Lag));
@@ -590,16 +599,17 @@
         let Some(m) = self.members.get(&id) else { return false };
         let (wait, classes) = (self.wait(m), self.set.classes.iter().zip(&self.base));
         let writes = classes.filter(|(c, _)| c.consistency == Consistency::Write);
-        let crowding = writes.map(|(c, base)| (base + wait) / c.aim.secs()).fold(0.0, f64::max);
-        let limit = (SPILL_LEAST + self.value(job.c, SPILL_SPAN)) * job.worth / self.set.classes[job.c].worth;
+        let crowding = writes.map(|(c, base)| (base + wait) / c.latency_objective.secs()).fold(0.0, f64::max);
+        let limit = (SPILL_LEAST + self.value(job.c, SPILL_SPAN)) * job.worth
+            / self.set.classes[job.c].priority_weight;
         crowding <= limit && !self.crowded(job, m) && self.primary_takes(job, id)
     }
 
     /// A class's worth for its work, times a figure, as a share of the best class's.
     fn value(&self, c: usize, times: f64) -> f64 {
         let classes = self.set.classes.iter().zip(&self.base);
-        let best = classes.map(|(c, base)| c.worth / base).fold(1e-9, f64::max);
-        times * self.set.classes[c].worth / self.base[c] / best
+        let best = classes.map(|(c, base)| c.priority_weight / base).fold(1e-9, f64::max);
+        times * self.set.classes[c].priority_weight / self.base[c] / best
     }
 
     /// Of what is open under limits over all routers, the last part is for what is worth most for its work.
@@ -608,19 +618,20 @@
             return self.request(req, out);
         }
         let after = back.min(self.set.max_retry_after);
-        out.push(Action::Refuse(req.id, self.set.retry_after.then_some(after)));
+        out.push(Action::Reject(req.id, self.set.retry_after.then_some(after)));
     }
 
     fn request(&mut self, req: Request, out: &mut Vec<Action>) {
         let c = usize::from(req.class.0);
         let Some(class) = self.set.classes.get(c) else { return out.push(Action::Fail(req.id)) };
         let floor = match class.consistency {
-            Consistency::Fresh => self.now,
+            Consistency::Strong => self.now,
             Consistency::Session => req.floor,
             _ => Time(0),
         };
-        let (id, left) = (req.id, req.give_up.since(self.now));
-        let worth = class.worth * if req.repeat { class.late_worth.max(REPEAT_WORTH) } else { 1.0 };
+        let (id, left) = (req.id, req.deadline.since(self.now));
+        let worth =
+            class.priority_weight * if req.client_retry { class.late_weight.max(REPEAT_WORTH) } else { 1.0 };
         let needs = needs(class);
         let (arrived, untried) = (self.now.minus(self.age(c, left)), self.now.plus(left.times(HOLD_SHARE)));
         self.ask(req.group, needs, self.base[c]);
@@ -673,9 +684,9 @@
     /// The time until which an answer still earns something.
     fn useful_until(&self, job: &Job) -> Time {
         let class = &self.set.classes[job.c];
-        let last = job.req.give_up.minus(self.set.tick.times(2.0));
-        let aim = job.arrived.plus(class.aim).minus(self.set.tick);
-        last.min(if class.late_worth > 0.0 { last } else { aim })
+        let last = job.req.deadline.minus(self.set.tick.times(2.0));
+        let aim = job.arrived.plus(class.latency_objective).minus(self.set.tick);
+        last.min(if class.late_weight > 0.0 { last } else { aim })
     }
 
     /// Whether a request may have no further attempt.
@@ -687,7 +698,8 @@
     /// Held only while an attempt may still be made and can still be answered in time.
     fn worth_holding(&self, job: &Job) -> bool {
         let (class, spent) = (&self.set.classes[job.c], self.spent(job));
-        let again = class.effect == Effect::Safe || job.may_have_run().is_none() || self.repeatable(job);
+        let again =
+            class.effect == Effect::Idempotent || job.may_have_run().is_none() || self.repeatable(job);
         // The first list is on its way to a router that has just started.
         let unlisted = self.members.is_empty() && self.early();
         let some = !spent && again && (unlisted || self.groups.contains_key(&job.req.group));
@@ -702,10 +714,10 @@
         let credit = self.members.get(&member).map_or(0.0, |m| self.credit(m));
         let (Some(job), Some(m)) = (self.jobs.get_mut(&id), self.members.get_mut(&member)) else { return };
         self.held.remove(&(group, id));
-        let limit = job.req.give_up.since(now.plus(self.set.tick)).max(self.set.tick);
+        let limit = job.req.deadline.since(now.plus(self.set.tick)).max(self.set.tick);
         // A repeat that its member takes up past the window would be a second effect: it is given up by then.
         let class = &self.set.classes[job.c];
-        let keyed = class.effect == Effect::Keyed;
+        let keyed = class.effect == Effect::IdempotentByKey;
         let left = job.window_left(now.plus(self.set.tick), class.window);
         let limit = if keyed { limit.min(left) } else { limit };
         self.left[0] = self.left[0].map(|n| n - u32::from(!job.tries.is_empty() && n > 0));
@@ -717,8 +729,8 @@
 
     fn outcome(&mut self, o: Outcome, out: &mut Vec<Action>) {
         let (now, sent) = (self.now, self.now.minus(o.took));
-        if matches!(o.status, Status::Ok | Status::Miss | Status::Error | Status::Full) {
-            self.learn(o.member, o.standing, now);
+        if matches!(o.status, Status::Ok | Status::Misdirected | Status::Error | Status::Overloaded) {
+            self.learn(o.member, o.replication, now);
         }
         let mut class = None;
         if let Some(job) = self.jobs.get_mut(&o.request) {
@@ -736,7 +748,7 @@
             m.refused = if refused { now } else { m.refused };
             let idle = m.in_flight == 0 && self.short > Time(0) && now.since(self.short) < SHORT_FOR;
             out.extend(idle.then_some(Action::CloseIdle(o.member)));
-            if matches!(o.status, Status::Ok | Status::Miss) {
+            if matches!(o.status, Status::Ok | Status::Misdirected) {
                 self.notice_connection_want(o.member, out);
             }
         }
@@ -771,7 +783,7 @@
         let waits = self.waits.map(|w| self.faded(w, WAITS_FADE_S));
         let Some(m) = self.members.get_mut(&o.member) else { return };
         match o.status {
-            Status::Ok | Status::Miss | Status::Full => {
+            Status::Ok | Status::Misdirected | Status::Overloaded => {
                 m.heard(now, Why::Silent);
                 m.answered = now;
             }
@@ -786,16 +798,17 @@
         }
         match (o.status, class) {
             (Status::ConnectFailed, _) => m.backoff_until = now.plus(FULL_BACKOFF),
-            (Status::Full, _) => {
+            (Status::Overloaded, _) => {
                 (m.backoff_until, m.cap) =
                     (now.plus(FULL_BACKOFF), (f64::from(m.in_flight) * CAP_CUT).max(1.0));
             }
-            (Status::Miss, _) if write && m.role.is_none_or(|(_, at)| at < now) => {
+            (Status::Misdirected, _) if write && m.role.is_none_or(|(_, at)| at < now) => {
                 m.role = Some((Role::Replica, now));
             }
             (Status::Timeout, _) if m.answered >= sent => {} // lost: it says nothing of the member's load
             (Status::Ok | Status::Timeout, Some(c)) if self.stood == Time(0) => {
-                let (took, aim, leads) = (o.took.secs(), self.set.classes[c].aim.secs(), m.leads());
+                let (took, aim, leads) =
+                    (o.took.secs(), self.set.classes[c].latency_objective.secs(), m.leads());
                 let off = took - self.base[c];
                 let shortest = self.base.iter().copied().fold(f64::MAX, f64::min);
                 let gain = WAIT_GAIN * (2.0 * shortest / self.base[c]).clamp(0.4, 1.0);
@@ -817,17 +830,18 @@
         }
     }
 
-    fn probed(&mut self, id: MemberId, status: Status, report: Standing, out: &mut Vec<Action>) {
+    fn probed(&mut self, id: MemberId, status: Status, report: ReplicationState, out: &mut Vec<Action>) {
         let Some(m) = self.members.get_mut(&id) else { return };
         let (now, group) = (self.now, m.group);
         m.probe = None;
         if status == Status::Ok {
             m.heard(now, Why::Transport);
             let aged = |times| now.minus(REPORT_AGE.times(times));
-            self.learn(id, Standing { position: None, ..report }, aged(2.0));
-            self.learn(id, Standing { role: None, ..report }, aged(1.0));
+            self.learn(id, ReplicationState { position: None, ..report }, aged(2.0));
+            self.learn(id, ReplicationState { role: None, ..report }, aged(1.0));
             self.notice_connection_want(id, out);
-        } else if !matches!(status, Status::Error | Status::Moot) && now.since(m.answered) >= SILENT_LEAST {
+        } else if !matches!(status, Status::Error | Status::NotSent) && now.since(m.answered) >= SILENT_LEAST
+        {
             m.lost = now;
             m.missed(now, true);
         }
@@ -853,9 +867,9 @@
     fn sweep(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
         self.next = Time(u64::MAX);
-        if self.set.list_on_request && now.since(self.asked).0 > self.set.ask_every.0 / 2 {
+        if self.set.poll_endpoint_list && now.since(self.asked).0 > self.set.poll_interval.0 / 2 {
             self.asked = now;
-            out.push(Action::Fetch);
+            out.push(Action::PollEndpoints);
         }
         let ids = self.held.iter().map(|h| h.1);
         let expired: Vec<_> = ids.filter(|id| !self.worth_holding(&self.jobs[id])).collect();
--- a/crates/policy/src/policy/cold.rs
+++ b/crates/policy/src/policy/cold.rs
@@ -13,8 +13,8 @@
     /// Share of its full capacity that a member has at least, by the rules' slowest warm-up.
     pub(super) fn warmth(&self, m: &Member) -> f64 {
         let Some(started) = m.started else { return 1.0 };
-        let part = self.now.since(started).secs() / self.set.warm_within.secs().max(1e-9);
-        (self.set.cold_from + (1.0 - self.set.cold_from) * part).min(1.0)
+        let part = self.now.since(started).secs() / self.set.slow_start_window.secs().max(1e-9);
+        (self.set.slow_start_capacity + (1.0 - self.set.slow_start_capacity) * part).min(1.0)
     }
 
     /// The part of what it is asked for in a cold member's group that one of many routers sends there: one
@@ -33,9 +33,10 @@
         };
         let there = self.wanted.get(&m.group).map_or(0.0, |a| rate(a, ASKED_OVER_S));
         // A rush, or the end of a quiet time, is seen within the time in which it could push the member over.
-        let all = rate(&self.wanted_all, ASKED_OVER_S).max(rate(&self.wanted_now, self.set.fall.secs()));
+        let all =
+            rate(&self.wanted_all, ASKED_OVER_S).max(rate(&self.wanted_now, self.set.overload_window.secs()));
         let asked = there.max(all / self.groups.len().max(1) as f64);
-        let part = COLD_SHARE * self.set.fall_multiple * self.warmth(m) * self.own(m) / asked.max(1e-9);
+        let part = COLD_SHARE * self.set.overload_multiple * self.warmth(m) * self.own(m) / asked.max(1e-9);
         part * (1.0 - self.few())
     }
 
@@ -53,13 +54,13 @@
     /// Work a second for a cold member, by its least warmth and this router's rate at members: rates add up.
     fn cold_rate(&self, m: &Member) -> f64 {
         let least = COLD_LEAST / f64::from(self.set.routers).max(FEW_ROUTERS);
-        (self.own(m) * self.few()).max(least) * COLD_SHARE * self.set.fall_multiple * self.warmth(m)
+        (self.own(m) * self.few()).max(least) * COLD_SHARE * self.set.overload_multiple * self.warmth(m)
     }
 
     /// What a cold member may be sent by now; each router begins at another point of its first wait.
     pub(super) fn credit(&self, m: &Member) -> f64 {
         let (rate, since) = (self.cold_rate(m), self.now.since(m.credit.1).secs());
-        (m.credit.0 + rate * since).min(m.dither.max(rate * self.set.fall.secs()))
+        (m.credit.0 + rate * since).min(m.dither.max(rate * self.set.overload_window.secs()))
     }
 
     /// Counts work that is asked for.
@@ -70,7 +71,7 @@
                 (self.faded(before, ASKED_OVER_S), self.faded(self.wanted_all[needs], ASKED_OVER_S));
             self.wanted.entry(group).or_default()[needs] = (there + work, self.now);
             self.wanted_all[needs] = (all + work, self.now);
-            let recent = self.faded(self.wanted_now[needs], self.set.fall.secs());
+            let recent = self.faded(self.wanted_now[needs], self.set.overload_window.secs());
             self.wanted_now[needs] = (recent + work, self.now);
         }
     }
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -76,7 +76,7 @@
         let attempt = Attempt(*tries);
         *tries += 1;
         let (status, took) =
-            if write && !leads(member) { (Status::Miss, Time::ms(1)) } else { (Status::Ok, TOOK) };
+            if write && !leads(member) { (Status::Misdirected, Time::ms(1)) } else { (Status::Ok, TOOK) };
         self.due.push(Answer { at: now.plus(took), request, attempt, member, status });
     }
 }
@@ -90,7 +90,7 @@
     Some(if leads(member) { Role::Primary } else { Role::Replica })
 }
 
-fn members() -> Vec<Entry> {
+fn members() -> Vec<Endpoint> {
     (0..GROUPS).flat_map(|g| (0..3).map(move |n| entry(1 + 10 * g + n, g, n == 0))).collect()
 }
 
@@ -117,7 +117,8 @@
         let mut set = settings();
         set.routers = ROUTERS as u32;
         if self == Fleet::Colder {
-            (set.cold_from, set.fall_multiple, set.fall) = (0.05, 2.0, Time::ms(1000));
+            (set.slow_start_capacity, set.overload_multiple, set.overload_window) =
+                (0.05, 2.0, Time::ms(1000));
         }
         set
     }
@@ -162,13 +163,13 @@
             if ms >= CHANGE {
                 // It takes the place of its group's replicas: all of their reads want to go there.
                 let first = usize::from(!headless);
-                list[first..3].iter_mut().for_each(|e| e.listed = Listed::Draining);
-                list.push(Entry { started: Some(Time::ms(CHANGE)), ..entry(COLD.0, 0, false) });
+                list[first..3].iter_mut().for_each(|e| e.state = EndpointState::Draining);
+                list.push(Endpoint { started: Some(Time::ms(CHANGE)), ..entry(COLD.0, 0, false) });
             }
             if ms == router.from {
-                events.push(Event::List(ListForm::Cached, list));
+                events.push(Event::Endpoints(EndpointUpdate::Cached, list));
             } else if ms == CHANGE {
-                events.push(Event::List(ListForm::Delta, list));
+                events.push(Event::Endpoints(EndpointUpdate::Delta, list));
             }
             let due = std::mem::take(&mut router.due);
             for answer in due {
@@ -184,8 +185,8 @@
                     status,
                     took: if status == Status::Ok { TOOK } else { Time::ms(1) },
                     ended: status == Status::Ok,
-                    standing: Standing { position: Some(now), role: role(member) },
-                    report: Standing::default(),
+                    replication: ReplicationState { position: Some(now), role: role(member) },
+                    report: ReplicationState::default(),
                 }));
             }
             if dice.roll() < fleet.pace(ms) * RATE * router.part * STEP as f64 / 1000.0 {
@@ -195,11 +196,11 @@
                     id: RequestId(router.asked - 1),
                     class: if write { UNSAFE } else { BOUNDED },
                     tenant: TenantId(0),
-                    give_up: now.plus(Time::ms(1500)),
+                    deadline: now.plus(Time::ms(1500)),
                     group: GroupId((dice.roll() * f64::from(GROUPS)) as u32),
                     floor: Time(0),
                     lead: Time(0),
-                    repeat: false,
+                    client_retry: false,
                 }));
             }
             events.push(Event::Timer(0));
@@ -220,8 +221,13 @@
                         }
                         Action::Probe(member) => {
                             // Answered in the next round at the latest; at once is soon enough here.
-                            let report = Standing { position: Some(now), role: role(member) };
-                            let probed = Event::Probed(member, Status::Ok, Time::ms(1), report);
+                            let report = ReplicationState { position: Some(now), role: role(member) };
+                            let probed = Event::ProbeFinished {
+                                member,
+                                status: Status::Ok,
+                                took: Time::ms(1),
+                                report,
+                            };
                             router.policy.handle(now, probed, &mut Vec::new());
                         }
                         _ => {}
@@ -238,10 +244,11 @@
 /// The most by which a window was over its budget, in units of what is put down to chance.
 fn worst(to_cold: &[Time], warm: f64, set: &Settings) -> f64 {
     let over = to_cold.iter().map(|at| {
-        let sent = to_cold.iter().filter(|s| **s <= *at && at.since(**s) < set.fall).count() as f64;
-        let part = at.since(Time::ms(CHANGE)).secs() / set.warm_within.secs();
-        let warmth = (set.cold_from + (1.0 - set.cold_from) * part).min(1.0);
-        let budget = set.fall_multiple * warmth * warm * set.fall.secs();
+        let sent =
+            to_cold.iter().filter(|s| **s <= *at && at.since(**s) < set.overload_window).count() as f64;
+        let part = at.since(Time::ms(CHANGE)).secs() / set.slow_start_window.secs();
+        let warmth = (set.slow_start_capacity + (1.0 - set.slow_start_capacity) * part).min(1.0);
+        let budget = set.overload_multiple * warmth * warm * set.overload_window.secs();
         (sent - budget) / (2.0 * budget.sqrt() + 2.0)
     });
     over.fold(f64::MIN, f64::max)
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -14,45 +14,45 @@
 pub const REPORT: ClassId = ClassId(6);
 
 fn class(consistency: Consistency, effect: Effect, aim: u64, deadline: u64) -> Class {
-    let late_worth = if consistency == Consistency::Write { 0.3 } else { 0.0 };
+    let late_weight = if consistency == Consistency::Write { 0.3 } else { 0.0 };
     Class {
         consistency,
         effect,
         scope: KeyScope::Group,
         window: Time::ms(2000),
-        aim: Time::ms(aim),
-        deadline: Time::ms(deadline),
-        worth: 1.0,
-        late_worth,
+        latency_objective: Time::ms(aim),
+        client_timeout: Time::ms(deadline),
+        priority_weight: 1.0,
+        late_weight,
     }
 }
 
 pub fn settings() -> Settings {
     Settings {
-        me: RouterId(0),
+        router: RouterId(0),
         routers: 2,
         zone: ZoneId(0),
         tick: Time::ms(5),
         classes: vec![
-            class(Consistency::Any, Effect::Safe, 400, 1500),
-            class(Consistency::Bounded(Time::ms(2000)), Effect::Safe, 400, 1500),
-            class(Consistency::Session, Effect::Safe, 400, 1500),
-            class(Consistency::Fresh, Effect::Safe, 400, 1500),
-            class(Consistency::Write, Effect::Unsafe, 400, 3000),
-            class(Consistency::Write, Effect::Keyed, 400, 3000),
-            class(Consistency::Any, Effect::Safe, 4000, 8000),
+            class(Consistency::Eventual, Effect::Idempotent, 400, 1500),
+            class(Consistency::BoundedStaleness(Time::ms(2000)), Effect::Idempotent, 400, 1500),
+            class(Consistency::Session, Effect::Idempotent, 400, 1500),
+            class(Consistency::Strong, Effect::Idempotent, 400, 1500),
+            class(Consistency::Write, Effect::NonIdempotent, 400, 3000),
+            class(Consistency::Write, Effect::IdempotentByKey, 400, 3000),
+            class(Consistency::Eventual, Effect::Idempotent, 4000, 8000),
         ],
         tenants: Vec::new(),
-        over_share_worth: 0.2,
-        list_on_request: false,
+        over_quota_weight: 0.2,
+        poll_endpoint_list: false,
         list_role: ListRole::Late,
         weights: true,
         positions: true,
         probe_positions: true,
         probe_roles: true,
-        when_behind: WhenBehind::Refuses,
+        when_behind: WhenBehind::Reject,
         max_attempts: 6,
-        second_copies: true,
+        hedging: true,
         cancel: true,
         conn_idle: Time::ms(15_000),
         probes: true,
@@ -60,26 +60,26 @@
         max_retry_after: Time::ms(500),
         drain_grace: Time::ms(1000),
         only_draining_binds: false,
-        cold_from: 0.2,
-        warm_within: Time::ms(15_000),
-        fall_multiple: 3.0,
-        fall: Time::ms(1500),
-        ask_every: Time::ms(10_000),
+        slow_start_capacity: 0.2,
+        slow_start_window: Time::ms(15_000),
+        overload_multiple: 3.0,
+        overload_window: Time::ms(1500),
+        poll_interval: Time::ms(10_000),
         price_cross_zone: 0.0,
         price_waste: 0.03,
     }
 }
 
-pub fn entry(member: u32, group: u32, primary: bool) -> Entry {
-    Entry {
+pub fn entry(member: u32, group: u32, primary: bool) -> Endpoint {
+    Endpoint {
         member: MemberId(member),
         zone: ZoneId(0),
         group: GroupId(group),
-        listed: Listed::Ready,
+        state: EndpointState::Ready,
         weight: 1.0,
         primary,
         started: None,
-        told: Time(u64::MAX),
+        notified_at: Time(u64::MAX),
     }
 }
 
@@ -116,11 +116,11 @@
         b
     }
 
-    pub fn raw(set: Settings, list: Vec<Entry>) -> Bench {
+    pub fn raw(set: Settings, list: Vec<Endpoint>) -> Bench {
         Bench::begun(set, 7, list)
     }
 
-    fn begun(set: Settings, seed: u64, list: Vec<Entry>) -> Bench {
+    fn begun(set: Settings, seed: u64, list: Vec<Endpoint>) -> Bench {
         let policy = Policy::new(set, seed);
         let (tries, log) = (BTreeMap::new(), Vec::new());
         let mut b = Bench {
@@ -133,7 +133,7 @@
             ended: BTreeMap::new(),
             log,
         };
-        b.event(Event::List(ListForm::Cached, list));
+        b.event(Event::Endpoints(EndpointUpdate::Cached, list));
         b
     }
 
@@ -158,8 +158,13 @@
 
     /// A probe's answer: the member stands at `position` in a role.
     pub fn report(&mut self, m: u32, position: Time, role: Role) {
-        let s = Standing { position: Some(position), role: Some(role) };
-        self.event(Event::Probed(MemberId(m), Status::Ok, Time::ms(1), s));
+        let s = ReplicationState { position: Some(position), role: Some(role) };
+        self.event(Event::ProbeFinished {
+            member: MemberId(m),
+            status: Status::Ok,
+            took: Time::ms(1),
+            report: s,
+        });
     }
 
     pub fn ask(&mut self, class: ClassId, token_ms: u64) -> RequestId {
@@ -172,8 +177,8 @@
         self.request(class, floor, false)
     }
 
-    pub fn ask_again(&mut self, class: ClassId, repeat: bool) -> RequestId {
-        self.request(class, Time(0), repeat)
+    pub fn ask_again(&mut self, class: ClassId, client_retry: bool) -> RequestId {
+        self.request(class, Time(0), client_retry)
     }
 
     /// A request whose client gives up after so long.
@@ -181,22 +186,22 @@
         self.request_within(class, Time(0), false, ms)
     }
 
-    fn request(&mut self, class: ClassId, floor: Time, repeat: bool) -> RequestId {
-        self.request_within(class, floor, repeat, if class == REPORT { 8000 } else { 1500 })
+    fn request(&mut self, class: ClassId, floor: Time, client_retry: bool) -> RequestId {
+        self.request_within(class, floor, client_retry, if class == REPORT { 8000 } else { 1500 })
     }
 
-    fn request_within(&mut self, class: ClassId, floor: Time, repeat: bool, ms: u64) -> RequestId {
+    fn request_within(&mut self, class: ClassId, floor: Time, client_retry: bool, ms: u64) -> RequestId {
         self.next += 1;
         let id = RequestId(self.next);
         self.event(Event::Request(Request {
             id,
             class,
             tenant: TenantId(0),
-            give_up: self.now.plus(Time::ms(ms)),
+            deadline: self.now.plus(Time::ms(ms)),
             group: GroupId(0),
             floor,
             lead: self.lead,
-            repeat,
+            client_retry,
         }));
         id
     }
@@ -212,7 +217,7 @@
     }
 
     pub fn refused(&self, id: RequestId) -> bool {
-        self.log.iter().any(|(_, a)| matches!(a, Action::Refuse(r, _) if *r == id))
+        self.log.iter().any(|(_, a)| matches!(a, Action::Reject(r, _) if *r == id))
     }
 
     pub fn failed(&self, id: RequestId) -> bool {
@@ -224,9 +229,13 @@
         let n = self.tries[&id].len() - 1;
         *self.ended.entry(id).or_default() += 1;
         let member = self.tries[&id][n];
-        let answer = matches!(status, Status::Ok | Status::Miss | Status::Error | Status::Full);
+        let answer = matches!(status, Status::Ok | Status::Misdirected | Status::Error | Status::Overloaded);
         let position = Some(Time(self.now.0 - Time::ms(behind).0));
-        let standing = if answer { Standing { position, role: Some(role) } } else { Standing::default() };
+        let replication = if answer {
+            ReplicationState { position, role: Some(role) }
+        } else {
+            ReplicationState::default()
+        };
         self.event(Event::Outcome(Outcome {
             request: id,
             attempt: Attempt(n as u16),
@@ -234,8 +243,8 @@
             status,
             took: Time::ms(took),
             ended: status == Status::Ok,
-            standing,
-            report: Standing::default(),
+            replication,
+            report: ReplicationState::default(),
         }));
     }
 
@@ -252,11 +261,11 @@
             request: RequestId(u64::MAX),
             attempt: Attempt(0),
             member: MemberId(m),
-            status: Status::Miss,
+            status: Status::Misdirected,
             took: Time::ms(1),
             ended: true,
-            standing: Standing { position: Some(p), role: Some(Role::Replica) },
-            report: Standing::default(),
+            replication: ReplicationState { position: Some(p), role: Some(Role::Replica) },
+            report: ReplicationState::default(),
         }));
     }
 }
--- a/crates/policy/tests/failures.rs
+++ b/crates/policy/tests/failures.rs
@@ -38,7 +38,7 @@
     let soon = [b.ask(ANY, 0), b.ask(UNSAFE, 0)];
     b.run(100);
     assert!(soon.iter().all(|id| !b.refused(*id)), "the list is on its way");
-    b.event(Event::List(ListForm::Full, vec![entry(1, 0, true), entry(2, 0, false)]));
+    b.event(Event::Endpoints(EndpointUpdate::Full, vec![entry(1, 0, true), entry(2, 0, false)]));
     b.report(1, b.now, Role::Primary);
     b.report(2, b.now, Role::Replica);
     b.run(200);
@@ -117,18 +117,18 @@
         b.run(50);
         (first, b.went(id))
     };
-    let waits = WhenBehind::Waits(Time::ms(100));
-    for when_behind in [waits, WhenBehind::Refuses, WhenBehind::Answers] {
+    let waits = WhenBehind::Wait(Time::ms(100));
+    for when_behind in [waits, WhenBehind::Reject, WhenBehind::ServeStale] {
         assert_eq!(read(when_behind, 0).0, Some(1), "without a lead the last resort is due");
         assert_eq!(read(when_behind, 10).0, Some(1), "nobody gets there within the lead");
     }
     assert!(matches!(read(waits, 50).0, Some(2 | 3)), "it waits there for its own log");
-    let (first, then) = read(WhenBehind::Refuses, 50);
+    let (first, then) = read(WhenBehind::Reject, 50);
     assert!(
         first.is_none() && matches!(then, Some(2 | 3)),
         "held until a replica passes: {first:?}, {then:?}"
     );
-    let (first, then) = read(WhenBehind::Answers, 50);
+    let (first, then) = read(WhenBehind::ServeStale, 50);
     assert_eq!(
         (first, then),
         (None, Some(1)),
@@ -146,7 +146,7 @@
     b.run(700);
     let id = b.ask(BOUNDED, 0);
     assert!(matches!(b.went(id), Some(2 | 3)), "one read tries it: a miss is proved unrun");
-    b.end(id, Status::Miss, 1, 3200, Role::Replica);
+    b.end(id, Status::Misdirected, 1, 3200, Role::Replica);
     assert!(!b.refused(id) && b.tries[&id].len() == 2, "and goes on at once");
 }
 
@@ -228,8 +228,18 @@
             _ => b.end(id, Status::Reset, 15, 0, Role::Primary),
         }
         // Nor do probes that come to nothing on the way.
-        b.event(Event::Probed(MemberId(1), Status::Reset, Time::ms(1), Standing::default()));
-        b.event(Event::Probed(MemberId(1), Status::Error, Time::ms(1), Standing::default()));
+        b.event(Event::ProbeFinished {
+            member: MemberId(1),
+            status: Status::Reset,
+            took: Time::ms(1),
+            report: ReplicationState::default(),
+        });
+        b.event(Event::ProbeFinished {
+            member: MemberId(1),
+            status: Status::Error,
+            took: Time::ms(1),
+            report: ReplicationState::default(),
+        });
     }
     // One that answers nothing any more is left alone after the first.
     b.run(300);
@@ -266,10 +276,15 @@
 #[test]
 fn three_failures_running_eject_and_one_probe_readmits() {
     let mut set = settings();
-    set.when_behind = WhenBehind::Refuses;
+    set.when_behind = WhenBehind::Reject;
     let mut b = Bench::new(set);
     for _ in 0..3 {
-        b.event(Event::Probed(MemberId(2), Status::Timeout, Time::ms(250), Standing::default()));
+        b.event(Event::ProbeFinished {
+            member: MemberId(2),
+            status: Status::Timeout,
+            took: Time::ms(250),
+            report: ReplicationState::default(),
+        });
     }
     let from = b.now;
     for _ in 0..5 {
@@ -309,12 +324,12 @@
 fn a_miss_sends_a_write_on_to_the_new_primary() {
     let mut b = Bench::new(settings());
     let id = b.ask(UNSAFE, 0);
-    b.end(id, Status::Miss, 1, 10, Role::Replica);
+    b.end(id, Status::Misdirected, 1, 10, Role::Replica);
     assert!(!b.refused(id) && !b.failed(id), "held: none is known to lead, and the miss is proved unrun");
     b.run(60);
     let next = b.went(id);
     assert!(matches!(next, Some(2 | 3)), "the others are tried in turn");
-    b.end(id, Status::Miss, 1, 10, Role::Replica);
+    b.end(id, Status::Misdirected, 1, 10, Role::Replica);
     b.run(60);
     assert!(matches!(b.went(id), Some(2 | 3)) && b.went(id) != next);
 }
@@ -334,8 +349,8 @@
         status: Status::Ok,
         took: Time::ms(1),
         ended: true,
-        standing: Standing { position: Some(p), role: Some(Role::Primary) },
-        report: Standing::default(),
+        replication: ReplicationState { position: Some(p), role: Some(Role::Primary) },
+        report: ReplicationState::default(),
     }));
     assert_eq!(b.went(id), Some(3));
 }
@@ -362,7 +377,7 @@
     let mut b = Bench::new(settings());
     let id = b.ask(KEYED, 0);
     b.end(id, Status::Ok, 20, 0, Role::Primary);
-    b.event(Event::List(ListForm::Delta, vec![entry(2, 0, true)]));
+    b.event(Event::Endpoints(EndpointUpdate::Delta, vec![entry(2, 0, true)]));
     let id = b.ask(KEYED, 0);
     assert_eq!(b.went(id), Some(1));
 }
@@ -373,7 +388,7 @@
     b.teach([10, 10]);
     let id = b.ask(BOUNDED, 0);
     let full = b.went(id);
-    b.end(id, Status::Full, 1, 10, Role::Replica);
+    b.end(id, Status::Overloaded, 1, 10, Role::Replica);
     assert!(b.tries[&id].len() == 2 && b.went(id) != full);
 }
 
@@ -381,8 +396,8 @@
 fn nothing_new_goes_to_a_member_past_its_drain_grace() {
     let mut b = Bench::new(settings());
     let mut list = vec![entry(1, 0, true), entry(2, 0, false), entry(3, 0, false)];
-    list.iter_mut().for_each(|e| e.listed = Listed::Draining);
-    b.event(Event::List(ListForm::Delta, list));
+    list.iter_mut().for_each(|e| e.state = EndpointState::Draining);
+    b.event(Event::Endpoints(EndpointUpdate::Delta, list));
     b.run(1100);
     let ids: Vec<_> =
         [ANY, BOUNDED, SESSION, FRESH, UNSAFE, KEYED].into_iter().map(|c| b.ask(c, 0)).collect();
@@ -394,11 +409,11 @@
 #[test]
 fn a_cold_member_is_spared() {
     let mut set = settings();
-    set.when_behind = WhenBehind::Refuses;
+    set.when_behind = WhenBehind::Reject;
     let mut b = Bench::new(set);
-    let mut cold: Vec<Entry> = (1..=3).map(|m| entry(m, 0, m == 1)).collect();
+    let mut cold: Vec<Endpoint> = (1..=3).map(|m| entry(m, 0, m == 1)).collect();
     cold.iter_mut().for_each(|e| e.started = Some(b.now));
-    b.event(Event::List(ListForm::Delta, cold));
+    b.event(Event::Endpoints(EndpointUpdate::Delta, cold));
     let from = b.now;
     for _ in 0..40 {
         b.ask(ANY, 0);
@@ -427,20 +442,20 @@
 fn what_is_given_up_is_answered_at_once_with_a_time_to_come_back() {
     let mut b = Bench::raw(settings(), vec![entry(1, 1, true)]);
     let id = b.ask(BOUNDED, 0);
-    assert!(b.actions.contains(&Action::Refuse(id, Some(Time::ms(500)))), "a group without members");
+    assert!(b.actions.contains(&Action::Reject(id, Some(Time::ms(500)))), "a group without members");
     let mut set = settings();
     set.retry_after = false;
     let mut b = Bench::raw(set, vec![entry(1, 1, true)]);
     let id = b.ask(KEYED, 0);
-    assert!(b.actions.contains(&Action::Refuse(id, None)));
+    assert!(b.actions.contains(&Action::Reject(id, None)));
 }
 
 #[test]
 fn a_held_read_is_let_go_once_its_answer_would_come_late() {
     let mut b = Bench::new(settings());
     let mut list = vec![entry(1, 0, true), entry(2, 0, false), entry(3, 0, false)];
-    list.iter_mut().for_each(|e| e.listed = Listed::Gone);
-    b.event(Event::List(ListForm::Delta, list));
+    list.iter_mut().for_each(|e| e.state = EndpointState::Removed);
+    b.event(Event::Endpoints(EndpointUpdate::Delta, list));
     b.run(1100);
     let id = b.ask(BOUNDED, 0);
     b.run(400);
@@ -450,8 +465,8 @@
 #[test]
 fn what_no_member_has_had_is_refused_by_half_of_its_clients_time() {
     let mut b = Bench::new(settings());
-    let gone = |m| Entry { listed: Listed::Gone, ..entry(m, 0, m == 1) };
-    b.event(Event::List(ListForm::Delta, (1..=3).map(gone).collect()));
+    let gone = |m| Endpoint { state: EndpointState::Removed, ..entry(m, 0, m == 1) };
+    b.event(Event::Endpoints(EndpointUpdate::Delta, (1..=3).map(gone).collect()));
     b.run(1100);
     let id = b.ask(UNSAFE, 0);
     b.run(700);
@@ -465,7 +480,7 @@
     let id = b.ask(UNSAFE, 0);
     for _ in 0..90 {
         if b.out(id) {
-            b.end(id, Status::Miss, 1, 10, Role::Replica);
+            b.end(id, Status::Misdirected, 1, 10, Role::Replica);
         }
         b.run(10);
     }
@@ -475,12 +490,12 @@
 #[test]
 fn the_list_is_asked_for_where_it_does_not_come_by_itself() {
     let mut set = settings();
-    set.list_on_request = true;
+    set.poll_endpoint_list = true;
     let mut b = Bench::new(set);
-    assert!(b.log.iter().any(|(_, a)| *a == Action::Watch));
+    assert!(b.log.iter().any(|(_, a)| *a == Action::WatchEndpoints));
     b.run(6000);
-    assert!(b.log.iter().any(|(_, a)| *a == Action::Fetch));
-    b.event(Event::List(ListForm::Failed, Vec::new()));
+    assert!(b.log.iter().any(|(_, a)| *a == Action::PollEndpoints));
+    b.event(Event::Endpoints(EndpointUpdate::Failed, Vec::new()));
     let id = b.ask(UNSAFE, 0);
     assert_eq!(b.went(id), Some(1), "the earlier list remains");
 }
@@ -540,7 +555,7 @@
 #[test]
 fn marked_repeats_go_to_uncrowded_members_only() {
     // Found in a jam on jb-ffb-trips that outlasted its cause: repeats took the place of first tries.
-    let sent = |repeat: bool| {
+    let sent = |client_retry: bool| {
         let mut b = Bench::new(settings());
         for _ in 0..40 {
             b.teach([10, 10]);
@@ -551,7 +566,7 @@
             b.ask(ANY, 0);
         }
         let before = b.log.len();
-        b.ask_again(ANY, repeat);
+        b.ask_again(ANY, client_retry);
         b.log[before..].iter().any(|(_, a)| matches!(a, Action::Send(_, m, _) if m.0 != 1))
     };
     assert!(sent(false) && !sent(true));
@@ -609,7 +624,7 @@
     let mut b = Bench::new(set);
     let mut far = entry(3, 0, false);
     far.zone = ZoneId(1);
-    b.event(Event::List(ListForm::Delta, vec![far]));
+    b.event(Event::Endpoints(EndpointUpdate::Delta, vec![far]));
     let mut near = 0;
     for _ in 0..40 {
         b.teach([10, 10]);
@@ -690,7 +705,12 @@
         }
         // Back after four seconds, as one that has restarted.
         let probed = if n < 40 { Status::ConnectFailed } else { Status::Ok };
-        b.event(Event::Probed(MemberId(2), probed, Time::ms(1), Standing::default()));
+        b.event(Event::ProbeFinished {
+            member: MemberId(2),
+            status: probed,
+            took: Time::ms(1),
+            report: ReplicationState::default(),
+        });
     }
     let closed = b.log.iter().filter(|(_, a)| matches!(a, Action::CloseIdle(m) if m.0 != 2)).count();
     assert_eq!(closed, 0);
@@ -726,12 +746,12 @@
     let cost = |replaced: u32| {
         let mut b = Bench::new(settings());
         for n in 0..replaced {
-            let gone = Entry { listed: Listed::Gone, ..entry(100 + n, 0, false) };
-            b.event(Event::List(ListForm::Delta, vec![entry(100 + n, 0, false)]));
-            b.event(Event::List(ListForm::Delta, vec![gone]));
+            let gone = Endpoint { state: EndpointState::Removed, ..entry(100 + n, 0, false) };
+            b.event(Event::Endpoints(EndpointUpdate::Delta, vec![entry(100 + n, 0, false)]));
+            b.event(Event::Endpoints(EndpointUpdate::Delta, vec![gone]));
         }
         b.run(40_000);
-        b.event(Event::List(ListForm::Delta, vec![entry(3, 0, false)]));
+        b.event(Event::Endpoints(EndpointUpdate::Delta, vec![entry(3, 0, false)]));
         let round = |b: &mut Bench| {
             let began = std::time::Instant::now();
             for _ in 0..200 {
@@ -855,7 +875,7 @@
         let id = b.ask(BOUNDED, 0);
         b.end(id, Status::Ok, 20, 10, Role::Replica);
     }
-    let give_up = b.now.plus(Time::ms(1500));
+    let deadline = b.now.plus(Time::ms(1500));
     b.now = b.now.plus(Time::ms(900));
     b.next += 1;
     let old = RequestId(b.next);
@@ -863,11 +883,11 @@
         id: old,
         class: BOUNDED,
         tenant: TenantId(0),
-        give_up,
+        deadline,
         group: GroupId(0),
         floor: Time(0),
         lead: Time(0),
-        repeat: false,
+        client_retry: false,
     }));
     assert!(b.refused(old), "its aim passed while the router stood still");
     let new = b.ask(BOUNDED, 0);
@@ -898,16 +918,16 @@
         let mut set = settings();
         set.only_draining_binds = only_draining_binds;
         let mut b = Bench::new(set);
-        b.event(Event::List(ListForm::Full, Vec::new()));
+        b.event(Event::Endpoints(EndpointUpdate::Full, Vec::new()));
         b.run(1100);
         let id = b.ask(ANY, 0);
         assert_eq!(b.out(id), only_draining_binds, "an empty list");
-        let gone = |m| Entry { listed: Listed::Gone, ..entry(m, 0, m == 1) };
-        b.event(Event::List(ListForm::Delta, (1..=3).map(gone).collect()));
+        let gone = |m| Endpoint { state: EndpointState::Removed, ..entry(m, 0, m == 1) };
+        b.event(Event::Endpoints(EndpointUpdate::Delta, (1..=3).map(gone).collect()));
         b.run(1100);
         let id = b.ask(ANY, 0);
         assert_eq!(b.out(id), only_draining_binds, "a list that calls all gone");
-        b.event(Event::List(ListForm::Full, (1..=3).map(|m| entry(m, 0, m == 1)).collect()));
+        b.event(Event::Endpoints(EndpointUpdate::Full, (1..=3).map(|m| entry(m, 0, m == 1)).collect()));
         let id = b.ask(ANY, 0);
         assert!(b.out(id), "the true one again");
         let id = b.ask(ANY, 0);
@@ -915,11 +935,11 @@
             id: RequestId(9999),
             class: ANY,
             tenant: TenantId(0),
-            give_up: b.now.plus(Time::ms(1500)),
+            deadline: b.now.plus(Time::ms(1500)),
             group: GroupId(77),
             floor: Time(0),
             lead: Time(0),
-            repeat: false,
+            client_retry: false,
         }));
         assert!(b.refused(RequestId(9999)) && !b.refused(id), "a group that no list named");
     }
@@ -934,7 +954,7 @@
     b.report(3, b.now, Role::Primary);
     let id = b.ask(KEYED, 0);
     assert_eq!(b.went(id), Some(3));
-    b.end(id, Status::Miss, 1, 10, Role::Replica);
+    b.end(id, Status::Misdirected, 1, 10, Role::Replica);
     assert!(matches!(b.went(id), Some(1 | 2)), "the next newest claim");
 }
 
@@ -948,7 +968,7 @@
     b.report(2, Time(b.now.0 - Time::ms(3000).0), Role::Replica);
     let id = b.ask(BOUNDED, 0);
     assert_eq!(b.went(id), Some(2));
-    b.end(id, Status::Miss, 1, 3000, Role::Replica);
+    b.end(id, Status::Misdirected, 1, 3000, Role::Replica);
     assert!(!b.refused(id) && b.went(id) != Some(2), "the read goes on elsewhere at once");
 }
 
@@ -987,7 +1007,12 @@
     let mut b = Bench::new(settings());
     for _ in 0..3 {
         b.run(300);
-        b.event(Event::Probed(MemberId(1), Status::Moot, Time::ms(250), Standing::default()));
+        b.event(Event::ProbeFinished {
+            member: MemberId(1),
+            status: Status::NotSent,
+            took: Time::ms(250),
+            report: ReplicationState::default(),
+        });
     }
     let write = b.ask(UNSAFE, 0);
     assert_eq!(b.went(write), Some(1), "the primary is as good as before");
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -75,7 +75,7 @@
     group: GroupId,
     came: Time,
     floor: Time,
-    give_up: Time,
+    deadline: Time,
     tries: Vec<Out>,
     over: bool,
 }
@@ -122,7 +122,7 @@
         };
         let list = (0..MEMBERS).map(|m| entry(m, group_of(m).0, m < 2)).collect();
         c.led.extend([(MemberId(0), true), (MemberId(1), true)]);
-        c.event(Event::List(ListForm::Cached, list));
+        c.event(Event::Endpoints(EndpointUpdate::Cached, list));
         c
     }
 
@@ -141,14 +141,14 @@
     fn check(&mut self, action: Action) {
         match action {
             Action::Send(id, member, limit) => self.check_send(id, member, limit),
-            Action::Refuse(id, after) => {
+            Action::Reject(id, after) => {
                 let Some(a) = self.asked.get_mut(&id) else { return self.breaks(format!("{id:?} unknown")) };
                 let (over, ran) =
-                    (a.over, a.tries.iter().any(|t| t.status.is_none_or(|s| !s.proves_unrun())));
+                    (a.over, a.tries.iter().any(|t| t.status.is_none_or(|s| !s.proves_not_executed())));
                 a.over = true;
-                let late = self.now > a.give_up.plus(Time::ms(20));
-                let safe = a.class.effect == Effect::Safe;
-                let all = a.class.effect == Effect::Keyed && a.class.scope == KeyScope::All;
+                let late = self.now > a.deadline.plus(Time::ms(20));
+                let safe = a.class.effect == Effect::Idempotent;
+                let all = a.class.effect == Effect::IdempotentByKey && a.class.scope == KeyScope::All;
                 if over || late || (ran && !safe && !all) {
                     self.breaks(format!("refused {id:?}: over {over}, late {late}, may have run {ran}"));
                 }
@@ -158,7 +158,7 @@
             }
             Action::Fail(id) => {
                 let Some(a) = self.asked.get_mut(&id) else { return self.breaks(format!("{id:?} unknown")) };
-                let (over, late) = (a.over, self.now > a.give_up.plus(Time::ms(20)));
+                let (over, late) = (a.over, self.now > a.deadline.plus(Time::ms(20)));
                 a.over = true;
                 if over || late {
                     self.breaks(format!("failed {id:?}: over {over}, late {late}"));
@@ -188,18 +188,18 @@
             wrong.push("past the attempts allowed".into());
         }
         let out = a.tries.iter().any(|t| t.status.is_none());
-        if out && !self.set.second_copies {
+        if out && !self.set.hedging {
             wrong.push("a second copy where none may be out".into());
         }
-        let first = a.tries.iter().find(|t| t.status.is_none_or(|s| !s.proves_unrun()));
+        let first = a.tries.iter().find(|t| t.status.is_none_or(|s| !s.proves_not_executed()));
         if let Some(first) = first {
             match a.class.effect {
-                Effect::Safe => {}
-                Effect::Unsafe => wrong.push("unsafe, may have run".into()),
-                Effect::Keyed if now.since(first.sent) > a.class.window => {
+                Effect::Idempotent => {}
+                Effect::NonIdempotent => wrong.push("unsafe, may have run".into()),
+                Effect::IdempotentByKey if now.since(first.sent) > a.class.window => {
                     wrong.push("past its window".into())
                 }
-                Effect::Keyed => {}
+                Effect::IdempotentByKey => {}
             }
         }
         if self.told.get(&member).is_some_and(|at| now.since(*at) > self.set.drain_grace) {
@@ -207,23 +207,25 @@
         }
         let known = self.position.get(&member).copied();
         let excused = self.led.get(&member) == Some(&true) && !self.replica.contains_key(&member);
-        if self.set.when_behind == WhenBehind::Answers && !excused {
+        if self.set.when_behind == WhenBehind::ServeStale && !excused {
             let fresh = match a.class.consistency {
-                Consistency::Any | Consistency::Write => true,
-                Consistency::Fresh => known.is_some_and(|p| p >= a.came),
+                Consistency::Eventual | Consistency::Write => true,
+                Consistency::Strong => known.is_some_and(|p| p >= a.came),
                 Consistency::Session => a.floor == Time(0) || known.is_some_and(|p| p >= a.floor),
-                Consistency::Bounded(b) => known.is_some_and(|p| now.since(p) <= b),
+                Consistency::BoundedStaleness(b) => known.is_some_and(|p| now.since(p) <= b),
             };
             if !fresh {
                 wrong.push(format!("stale: known {known:?}, floor {:?}", a.floor));
             }
         }
-        let expires = now.plus(limit.unwrap_or(Time::ms(3_600_000))).0.min(a.give_up.0);
+        let expires = now.plus(limit.unwrap_or(Time::ms(3_600_000))).0.min(a.deadline.0);
         a.tries.push(Out { member, sent: now, expires: Time(expires), status: None });
         let sends = self.sends.entry(member).or_default();
         sends.push(now);
-        if let Some(start) = self.started.get(&member).filter(|s| now.since(**s) < self.set.warm_within) {
-            let recent = sends.iter().filter(|s| **s >= *start && now.since(**s) < self.set.fall).count();
+        if let Some(start) = self.started.get(&member).filter(|s| now.since(**s) < self.set.slow_start_window)
+        {
+            let recent =
+                sends.iter().filter(|s| **s >= *start && now.since(**s) < self.set.overload_window).count();
             // Saved up and earned within the window, a router that has served nothing has 0.6 s of work for
             // it: of requests taken for 80 ms each it may begin eight.
             if recent > 8 + 3 * self.served_warm {
@@ -242,15 +244,15 @@
         let took = self.now.since(a.tries[n].sent);
         let ended = a.over || status == Status::Ok;
         a.over = ended;
-        let answer = matches!(status, Status::Ok | Status::Miss | Status::Error | Status::Full);
+        let answer = matches!(status, Status::Ok | Status::Misdirected | Status::Error | Status::Overloaded);
         // A position never goes back, and a miss says that the member is no primary.
         let lag = if primary { 0 } else { u64::from(behind) };
         let position = Time(self.now.0 - Time::ms(lag).0);
         let position = position.max(self.position.get(&member).copied().unwrap_or(Time(0)));
-        let role = if primary && status != Status::Miss { Role::Primary } else { Role::Replica };
-        let mut standing = Standing::default();
+        let role = if primary && status != Status::Misdirected { Role::Primary } else { Role::Replica };
+        let mut replication = ReplicationState::default();
         if answer {
-            standing = Standing { position: Some(position), role: Some(role) };
+            replication = ReplicationState { position: Some(position), role: Some(role) };
             self.position.insert(member, position);
             match role {
                 Role::Replica => self.replica.insert(member, self.now),
@@ -259,10 +261,10 @@
             let led = self.led.entry(member).or_default();
             *led |= role == Role::Primary;
         }
-        let cold = self.started.get(&member).is_some_and(|s| self.now.since(*s) < self.set.warm_within);
+        let cold = self.started.get(&member).is_some_and(|s| self.now.since(*s) < self.set.slow_start_window);
         self.served_warm += usize::from(status == Status::Ok && !cold);
         let attempt = Attempt(n as u16);
-        let report = Standing::default();
+        let report = ReplicationState::default();
         self.event(Event::Outcome(Outcome {
             request: id,
             attempt,
@@ -270,7 +272,7 @@
             status,
             took,
             ended,
-            standing,
+            replication,
             report,
         }));
     }
@@ -293,7 +295,7 @@
         }
         self.event(Event::Timer(0));
         let now = self.now;
-        let lost = self.asked.iter().filter(|(_, a)| !a.over && now > a.give_up.plus(Time::ms(20)));
+        let lost = self.asked.iter().filter(|(_, a)| !a.over && now > a.deadline.plus(Time::ms(20)));
         let lost: Vec<RequestId> = lost.map(|(id, _)| *id).collect();
         for id in lost {
             self.breaks(format!("{id:?} got no final answer in time"));
@@ -309,17 +311,17 @@
             Step::Stall(ms) => {
                 self.now = self.now.plus(Time::ms(u64::from(ms)));
                 let now = self.now;
-                let left = self.asked.iter().filter(|(_, a)| !a.over && now > a.give_up.plus(Time::ms(10)));
+                let left = self.asked.iter().filter(|(_, a)| !a.over && now > a.deadline.plus(Time::ms(10)));
                 let left: Vec<RequestId> = left.map(|(id, _)| *id).collect();
                 for id in left {
                     self.asked.entry(id).and_modify(|a| a.over = true);
-                    self.event(Event::Lapsed(id));
+                    self.event(Event::ClientGone(id));
                 }
                 self.tick();
             }
             Step::Ask { class, token, patience, group } => {
                 let id = RequestId(n as u64 + 1);
-                let give_up = self.now.plus(Time::ms(u64::from(patience)));
+                let deadline = self.now.plus(Time::ms(u64::from(patience)));
                 let class_id = ClassId(class);
                 let class = self.set.classes[usize::from(class)].clone();
                 let token = (token > 100).then(|| Time::ms(u64::from(token)));
@@ -330,10 +332,10 @@
                 let group = GroupId(u32::from(group));
                 let tries = Vec::new();
                 let came = self.now;
-                self.asked.insert(id, Asked { class, group, came, floor, give_up, tries, over: false });
+                self.asked.insert(id, Asked { class, group, came, floor, deadline, tries, over: false });
                 let (tenant, lead) = (TenantId(0), Time::ms([0, 0, 20, 80][n % 4]));
-                let repeat = n % 3 == 0;
-                let req = Request { id, class: class_id, tenant, give_up, group, floor, lead, repeat };
+                let client_retry = n % 3 == 0;
+                let req = Request { id, class: class_id, tenant, deadline, group, floor, lead, client_retry };
                 self.event(Event::Request(req));
             }
             Step::End { pick, status, behind, primary } => {
@@ -343,12 +345,12 @@
                 }
                 let (id, n) = out[usize::from(pick) % out.len()];
                 let status = match status {
-                    0 => Status::Miss,
+                    0 => Status::Misdirected,
                     1 => Status::Error,
-                    2 => Status::Full,
+                    2 => Status::Overloaded,
                     3 => Status::ConnectFailed,
                     4 => Status::Reset,
-                    5 => Status::Moot,
+                    5 => Status::NotSent,
                     _ => Status::Ok,
                 };
                 self.end(id, n, status, behind, primary);
@@ -361,29 +363,29 @@
                     if let Some(a) = self.asked.get_mut(&id) {
                         a.over = true;
                     }
-                    self.event(Event::Lapsed(id));
+                    self.event(Event::ClientGone(id));
                 }
             }
             Step::List { member, listed, primary, restart } => {
                 let id = MemberId(u32::from(member));
                 let mut e = entry(id.0, group_of(id.0).0, primary);
-                e.listed = match listed {
-                    0 => Listed::Draining,
-                    1 => Listed::Gone,
-                    _ => Listed::Ready,
+                e.state = match listed {
+                    0 => EndpointState::Draining,
+                    1 => EndpointState::Removed,
+                    _ => EndpointState::Ready,
                 };
-                if restart && e.listed == Listed::Ready {
+                if restart && e.state == EndpointState::Ready {
                     e.started = Some(self.now);
                     self.started.insert(id, self.now);
                 } else {
                     e.started = self.started.get(&id).copied();
                 }
-                match e.listed {
-                    Listed::Ready => self.told.remove(&id),
+                match e.state {
+                    EndpointState::Ready => self.told.remove(&id),
                     _ => Some(*self.told.entry(id).or_insert(self.now)),
                 };
                 *self.led.entry(id).or_default() |= primary;
-                self.event(Event::List(ListForm::Delta, vec![e]));
+                self.event(Event::Endpoints(EndpointUpdate::Delta, vec![e]));
             }
             Step::Forgets(member) => {
                 let gone = MemberId(u32::from(member));
@@ -393,12 +395,12 @@
                     e.started = self.started.get(&MemberId(m)).copied();
                     e
                 });
-                let list: Vec<Entry> = list.collect();
+                let list: Vec<Endpoint> = list.collect();
                 for e in &list {
                     self.told.remove(&e.member);
                 }
                 self.told.entry(gone).or_insert(self.now);
-                self.event(Event::List(ListForm::Full, list));
+                self.event(Event::Endpoints(EndpointUpdate::Full, list));
             }
             Step::Probe { member, ok, behind, primary } => {
                 let id = MemberId(u32::from(member));
@@ -406,9 +408,9 @@
                 let known = self.position.get(&id).copied().unwrap_or(Time(0));
                 let p = Time(self.now.0 - Time::ms(u64::from(behind)).0).max(known);
                 let role = if primary { Role::Primary } else { Role::Replica };
-                let mut s = Standing::default();
+                let mut s = ReplicationState::default();
                 if ok {
-                    s = Standing { position: Some(p), role: Some(role) };
+                    s = ReplicationState { position: Some(p), role: Some(role) };
                     self.position.insert(id, p);
                     *self.led.entry(id).or_default() |= primary;
                     // A report is a while old: one that comes close behind an answer tells nothing newer.
@@ -417,14 +419,19 @@
                         self.replica.remove(&id);
                     }
                 }
-                self.event(Event::Probed(id, status, Time::ms(2), s));
+                self.event(Event::ProbeFinished { member: id, status, took: Time::ms(2), report: s });
             }
             Step::Stray(kind) => {
                 let (request, member) = (RequestId(900_000), MemberId(u32::from(kind)));
                 match kind {
-                    0 => self.event(Event::Lapsed(request)),
+                    0 => self.event(Event::ClientGone(request)),
                     1 => self.event(Event::Timer(77)),
-                    2 => self.event(Event::Probed(MemberId(99), Status::Ok, Time(1), Standing::default())),
+                    2 => self.event(Event::ProbeFinished {
+                        member: MemberId(99),
+                        status: Status::Ok,
+                        took: Time(1),
+                        report: ReplicationState::default(),
+                    }),
                     _ => self.event(Event::Outcome(Outcome {
                         request,
                         attempt: Attempt(4),
@@ -432,8 +439,8 @@
                         status: Status::Timeout,
                         took: Time::ms(3),
                         ended: true,
-                        standing: Standing::default(),
-                        report: Standing::default(),
+                        replication: ReplicationState::default(),
+                        report: ReplicationState::default(),
                     })),
                 }
             }
@@ -444,11 +451,11 @@
 fn variant(n: u8) -> Settings {
     let mut set = settings();
     set.when_behind = match n % 3 {
-        0 => WhenBehind::Answers,
-        1 => WhenBehind::Refuses,
-        _ => WhenBehind::Waits(Time::ms(100)),
+        0 => WhenBehind::ServeStale,
+        1 => WhenBehind::Reject,
+        _ => WhenBehind::Wait(Time::ms(100)),
     };
-    set.second_copies = n & 4 == 0;
+    set.hedging = n & 4 == 0;
     set.probe_positions = n & 8 == 0;
     set.probe_roles = n & 8 == 0;
     if n & 16 != 0 {
@@ -524,7 +531,7 @@
     const ROUTERS: u64 = 200;
     let (every, took) = (2000, Time::ms(80));
     let mut set = settings();
-    (set.routers, set.me) = (ROUTERS as u32, RouterId(0));
+    (set.routers, set.router) = (ROUTERS as u32, RouterId(0));
     let first = || {
         let group =
             |g| [entry(1 + 10 * g, g, true), entry(2 + 10 * g, g, false), entry(3 + 10 * g, g, false)];
@@ -541,13 +548,13 @@
         for (n, router) in fleet.iter_mut().enumerate() {
             let mut events = Vec::new();
             if ms == start {
-                events.push(Event::List(ListForm::Cached, first()));
+                events.push(Event::Endpoints(EndpointUpdate::Cached, first()));
             }
             if ms == change {
                 let mut list = first();
-                list[1..3].iter_mut().for_each(|e| e.listed = Listed::Draining);
-                list.push(Entry { started: Some(now), ..entry(4, 0, false) });
-                events.push(Event::List(ListForm::Delta, list));
+                list[1..3].iter_mut().for_each(|e| e.state = EndpointState::Draining);
+                list.push(Endpoint { started: Some(now), ..entry(4, 0, false) });
+                events.push(Event::Endpoints(EndpointUpdate::Delta, list));
             }
             for d in ready.iter().filter(|d| d.1 == n) {
                 let role = if d.3 .0 % 10 == 1 { Role::Primary } else { Role::Replica };
@@ -558,8 +565,8 @@
                     status: Status::Ok,
                     took,
                     ended: true,
-                    standing: Standing { position: Some(now), role: Some(role) },
-                    report: Standing::default(),
+                    replication: ReplicationState { position: Some(now), role: Some(role) },
+                    report: ReplicationState::default(),
                 }));
             }
             if (ms + n as u64 * 10) % every == 0 {
@@ -567,11 +574,11 @@
                     id: RequestId(ms),
                     class: BOUNDED,
                     tenant: TenantId(0),
-                    give_up: now.plus(Time::ms(1500)),
+                    deadline: now.plus(Time::ms(1500)),
                     group: GroupId(((ms / every + n as u64) % u64::from(groups)) as u32),
                     floor: Time(0),
                     lead: Time(0),
-                    repeat: false,
+                    client_retry: false,
                 }));
             }
             events.push(Event::Timer(0));
@@ -591,9 +598,11 @@
     // Two replicas shared the load before: what one took each second is what a warm member is known to take.
     let shown = before as f64 / 2.0 / ((change - start) as f64 / 1000.0);
     for at in &to_cold {
-        let within = to_cold.iter().filter(|s| **s <= *at && at.since(**s) < set.fall).count() as f64;
-        let warmth = set.cold_from + (1.0 - set.cold_from) * at.since(Time::ms(change)).secs() / 15.0;
-        let most = set.fall_multiple * warmth * shown * set.fall.secs();
+        let within =
+            to_cold.iter().filter(|s| **s <= *at && at.since(**s) < set.overload_window).count() as f64;
+        let warmth = set.slow_start_capacity
+            + (1.0 - set.slow_start_capacity) * at.since(Time::ms(change)).secs() / 15.0;
+        let most = set.overload_multiple * warmth * shown * set.overload_window.secs();
         assert!(within <= most, "{within} sends in a window that allows {most:.1}");
     }
     to_cold.len()
@@ -605,26 +614,26 @@
         id: RequestId(b.next),
         class,
         tenant: TenantId(0),
-        give_up: b.now.plus(Time::ms(1500)),
+        deadline: b.now.plus(Time::ms(1500)),
         group: GroupId(0),
         floor: Time(0),
         lead: Time(0),
-        repeat: false,
+        client_retry: false,
     };
     let id = request.id;
-    b.event(Event::Scarce(request, open, Time::ms(120)));
+    b.event(Event::LimitedRequest { request, open_fraction: open, retry_after: Time::ms(120) });
     id
 }
 
 #[test]
 fn what_is_left_under_a_limit_goes_to_what_is_worth_most_for_its_work() {
     let mut set = settings();
-    set.classes[usize::from(BOUNDED.0)].worth = 8.0;
+    set.classes[usize::from(BOUNDED.0)].priority_weight = 8.0;
     let mut b = Bench::new(set);
     // Nothing is open: all are turned away at once, with their time to come back.
     for class in [ANY, BOUNDED, SESSION, FRESH, UNSAFE] {
         let id = scarce(&mut b, class, 0.0);
-        assert!(b.log.contains(&(b.now, Action::Refuse(id, Some(Time::ms(120))))), "{:?}", b.log.last());
+        assert!(b.log.contains(&(b.now, Action::Reject(id, Some(Time::ms(120))))), "{:?}", b.log.last());
         assert!(!b.tries.contains_key(&id));
     }
     // A little: what is worth an eighth for the same work waits for more.
@@ -638,14 +647,14 @@
     short.max_retry_after = Time::ms(50);
     let mut b = Bench::new(short);
     let id = scarce(&mut b, ANY, 0.0);
-    assert!(b.log.contains(&(b.now, Action::Refuse(id, Some(Time::ms(50))))));
+    assert!(b.log.contains(&(b.now, Action::Reject(id, Some(Time::ms(50))))));
 }
 
 #[test]
 fn no_more_are_out_at_a_member_than_there_is_room_for() {
     let mut b = Bench::new(settings());
     for m in 1..=3 {
-        b.event(Event::Room(MemberId(m), 2));
+        b.event(Event::MemberCapacity { member: MemberId(m), attempts: 2 });
     }
     let ids: Vec<RequestId> = (0..12).map(|_| b.ask(ANY, 0)).collect();
     let at = |b: &Bench, m: u32| b.tries.values().flatten().filter(|t| t.0 == m).count();
@@ -658,11 +667,11 @@
     let before = at(&b, member.0);
     b.run(50);
     assert_eq!(at(&b, member.0), before);
-    b.event(Event::Room(member, 1));
+    b.event(Event::MemberCapacity { member, attempts: 1 });
     b.run(20);
     assert_eq!(at(&b, member.0), before + 1);
     // Writes and searches for a primary pass the same guard.
-    b.event(Event::Room(MemberId(1), 0));
+    b.event(Event::MemberCapacity { member: MemberId(1), attempts: 0 });
     let write = b.ask(UNSAFE, 0);
     b.run(100);
     assert!(b.tries.get(&write).is_none_or(|t| t.iter().all(|m| m.0 != 1)));
--- a/crates/policy/tests/windows.rs
+++ b/crates/policy/tests/windows.rs
@@ -72,8 +72,8 @@
         let mut b = Bench::new(settings());
         let told = b.now.minus(Time::ms(ago));
         let mut line = entry(1, 0, true);
-        (line.listed, line.told) = (Listed::Draining, told);
-        b.event(Event::List(ListForm::Delta, vec![line]));
+        (line.state, line.notified_at) = (EndpointState::Draining, told);
+        b.event(Event::Endpoints(EndpointUpdate::Delta, vec![line]));
         let id = b.ask(UNSAFE, 0);
         assert_eq!(b.went(id) == Some(1), sends, "told {ago} ms ago, the grace is a second");
     }
--- a/crates/router/src/routing/limits.rs
+++ b/crates/router/src/routing/limits.rs
@@ -25,7 +25,7 @@
 
 /// A fleet's plan as a deployment's settings need it.
 pub fn plan(site: &Site, fleet: &FleetSettings) -> Plan {
-    let longest = site.settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
+    let longest = site.settings.classes.iter().map(|c| c.client_timeout).max().unwrap_or_default();
     let at_once = fleet.limits.iter().any(|l| matches!(l.bounds, Bounds::AtOnce(_)));
     let any = Times::new(fleet.drift, longest);
     let longest = if at_once { longest } else { Time(0) };
@@ -166,17 +166,17 @@
     fn tell_rooms(&mut self, now: Time) {
         let Some(limits) = &mut self.limits else { return };
         if limits.left(now) != limits.left {
-            self.events.push_back(Event::Left(None, None));
+            self.events.push_back(Event::Budgets { retries: None, probes: None });
         }
         if limits.each.is_none() {
             // A limit that is gone leaves no bound behind.
             let open = std::mem::take(&mut limits.told).into_keys();
-            return self.events.extend(open.map(|m| Event::Room(m, u32::MAX)));
+            return self.events.extend(open.map(|m| Event::MemberCapacity { member: m, attempts: u32::MAX }));
         }
         for (member, key) in &limits.keys {
             let room = limits.fleet.room(now, *key, limits.longest).min(u64::from(u32::MAX)) as u32;
             if limits.told.get(member) != Some(&room) {
-                self.events.push_back(Event::Room(*member, room));
+                self.events.push_back(Event::MemberCapacity { member: *member, attempts: room });
             }
         }
     }
@@ -197,7 +197,7 @@
             return (Event::Request(request), keys);
         }
         let open = limits.fleet.open(now, &keys);
-        (Event::Scarce(request, open.share, open.back), keys)
+        (Event::LimitedRequest { request, open_fraction: open.share, retry_after: open.back }, keys)
     }
 
     /// The decisions have had a request: what it counts under has been spent, or another's turn is
@@ -243,7 +243,7 @@
         if !matches!(status, Status::Cancelled | Status::Timeout | Status::Reset) {
             limits.fleet.ended(now, *key, Limits::number(id, attempt));
         }
-        self.events.push_back(Event::Room(member, 0));
+        self.events.push_back(Event::MemberCapacity { member, attempts: 0 });
     }
 
     /// A request ends without a value. If it had an attempt and the budget for further ones is spent, one
@@ -273,17 +273,19 @@
     /// An event as it is to be handed on: a room, and what is left, are told as they are now, after all
     /// that was sent meanwhile.
     pub(super) fn as_of_now(&mut self, now: Time, event: Event) -> Event {
-        if let (Event::Left(..), Some(limits)) = (&event, &mut self.limits) {
+        if let (Event::Budgets { .. }, Some(limits)) = (&event, &mut self.limits) {
             limits.left = limits.left(now);
-            return Event::Left(limits.left[0], limits.left[1]);
+            return Event::Budgets { retries: limits.left[0], probes: limits.left[1] };
         }
-        let (Event::Room(member, _), Some(limits)) = (&event, &mut self.limits) else { return event };
+        let (Event::MemberCapacity { member, .. }, Some(limits)) = (&event, &mut self.limits) else {
+            return event;
+        };
         let Some(key) = limits.keys.get(member).filter(|_| limits.each.is_some()) else {
-            return Event::Room(*member, u32::MAX);
+            return Event::MemberCapacity { member: *member, attempts: u32::MAX };
         };
         let room = limits.fleet.room(now, *key, limits.longest).min(u64::from(u32::MAX)) as u32;
         limits.told.insert(*member, room);
-        Event::Room(*member, room)
+        Event::MemberCapacity { member: *member, attempts: room }
     }
 }
 
--- a/crates/router/src/routing/members.rs
+++ b/crates/router/src/routing/members.rs
@@ -19,7 +19,7 @@
     ids: BTreeMap<String, MemberId>,
     addrs: Vec<Option<SocketAddr>>,
     /// The last line of each.
-    lines: Vec<Entry>,
+    lines: Vec<Endpoint>,
     parting: Vec<Parting>,
     only_draining_binds: bool,
     groups: BTreeSet<GroupId>,
@@ -48,7 +48,7 @@
         wall: Wall,
         list: HostList,
         ended: &mut Vec<(SocketAddr, Time)>,
-    ) -> (ListForm, Vec<Entry>) {
+    ) -> (EndpointUpdate, Vec<Endpoint>) {
         let (version, full) = (list.version, list.full);
         let mut entries = Vec::with_capacity(list.servers.len());
         if full {
@@ -59,7 +59,12 @@
                     let (parting, line) = (&mut self.parting[m.0 as usize], &self.lines[m.0 as usize]);
                     if parting.told.is_none() {
                         parting.told = Some(told);
-                        entries.push(Entry { listed: Listed::Gone, primary: false, told, ..line.clone() });
+                        entries.push(Endpoint {
+                            state: EndpointState::Removed,
+                            primary: false,
+                            notified_at: told,
+                            ..line.clone()
+                        });
                     }
                 }
             }
@@ -108,19 +113,19 @@
                 self.zones.push(host.zone);
                 self.zones.len() - 1
             });
-            let line = Entry {
+            let line = Endpoint {
                 member,
                 zone: ZoneId(zone as u16),
                 group,
-                listed: match host.state {
-                    HostState::Active => Listed::Ready,
-                    HostState::Leaving => Listed::Draining,
-                    HostState::Left => Listed::Gone,
+                state: match host.state {
+                    HostState::Active => EndpointState::Ready,
+                    HostState::Leaving => EndpointState::Draining,
+                    HostState::Left => EndpointState::Removed,
                 },
                 weight: host.weight,
                 primary: host.rank.as_deref() == Some("source"),
                 started,
-                told,
+                notified_at: told,
             };
             match self.lines.get_mut(member.0 as usize) {
                 Some(last) => *last = line.clone(),
@@ -128,11 +133,11 @@
             }
             entries.push(line);
         }
-        (if full { ListForm::Full } else { ListForm::Delta }, entries)
+        (if full { EndpointUpdate::Full } else { EndpointUpdate::Delta }, entries)
     }
 
     /// Lines of members whose starts lie later by a clock that has been set than by the one before.
-    pub fn starts_later(&mut self, wall: Wall) -> Vec<Entry> {
+    pub fn starts_later(&mut self, wall: Wall) -> Vec<Endpoint> {
         let mut later = Vec::new();
         for (line, parting) in self.lines.iter_mut().zip(&self.parting) {
             let started = Some(wall.own(unix_ms(parting.started_ms)));
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -115,7 +115,7 @@
     /// It asks which member takes a request.
     Ask(Call),
     /// It tells what came of a lease.
-    Told(LeaseId, Told, Standing),
+    Told(LeaseId, Told, ReplicationState),
     /// Its stream has ended.
     Gone,
 }
@@ -236,7 +236,7 @@
         };
         let entries = known.map(|list| router.members.take(now, router.wall, list, &mut Vec::new()).1);
         let entries = entries.unwrap_or_default();
-        router.events.push_back(Event::List(ListForm::Cached, entries));
+        router.events.push_back(Event::Endpoints(EndpointUpdate::Cached, entries));
         router.run(now, out);
         router
     }
@@ -249,7 +249,7 @@
             log::warn!("the system's clock has been set: {} ms from where it was", self.wall.ahead_ms());
             self.events.push_back(Event::ClockSet);
             let restarted = self.members.starts_later(self.wall);
-            self.events.push_back(Event::List(ListForm::Delta, restarted));
+            self.events.push_back(Event::Endpoints(EndpointUpdate::Delta, restarted));
             self.run(now, out);
         }
     }
@@ -278,7 +278,7 @@
                 for id in self.requests.release_client(client) {
                     self.tally.left += 1;
                     self.close(now, id);
-                    self.events.push_back(Event::Lapsed(id));
+                    self.events.push_back(Event::ClientGone(id));
                 }
             }
             Input::Cancelled(client) => {
@@ -287,7 +287,7 @@
                     self.doubtful(now, id, out);
                     self.close(now, id);
                     out.push(Effect::Answer(client, command, Answer::Cancelled));
-                    self.events.push_back(Event::Lapsed(id));
+                    self.events.push_back(Event::ClientGone(id));
                 }
             }
             Input::Ended(exchange, ended) => self.ended(now, exchange, ended, out),
@@ -295,7 +295,7 @@
                 let mut ended = Vec::new();
                 let (form, entries) = self.members.take(told.min(now), self.wall, list, &mut ended);
                 out.extend(ended.into_iter().map(|(addr, at)| Effect::CloseOlder(addr, at)));
-                self.events.push_back(Event::List(form, entries));
+                self.events.push_back(Event::Endpoints(form, entries));
                 self.list_limits(now);
             }
             Input::Fleet(input) => self.fleet_says(now, input, out),
@@ -307,7 +307,7 @@
                     self.doubtful(now, id, out);
                     self.close(now, id);
                     out.push(Effect::Answer(client, command, Answer::Failed));
-                    self.events.push_back(Event::Lapsed(id));
+                    self.events.push_back(Event::ClientGone(id));
                 }
             }
         }
@@ -373,7 +373,7 @@
 
     fn act(&mut self, now: Time, action: Action, out: &mut Vec<Effect>) {
         let of = match &action {
-            Action::Send(id, ..) | Action::Refuse(id, _) | Action::Fail(id) | Action::Cancel(id, _) => {
+            Action::Send(id, ..) | Action::Reject(id, _) | Action::Fail(id) | Action::Cancel(id, _) => {
                 Some(*id)
             }
             _ => None,
@@ -383,7 +383,7 @@
         }
         match action {
             Action::Send(id, member, limit) => self.send(now, id, member, limit, out),
-            Action::Refuse(id, after) => {
+            Action::Reject(id, after) => {
                 self.gave_up(id);
                 let ms = after.map(|t| t.0.div_ceil(1_000_000));
                 self.doubtful(now, id, out);
@@ -405,13 +405,13 @@
             }
             Action::Probe(member) => {
                 let Some(addr) = self.members.addr(member) else {
-                    let none = Standing::default();
-                    return self.events.push_back(Event::Probed(
+                    let none = ReplicationState::default();
+                    return self.events.push_back(Event::ProbeFinished {
                         member,
-                        Status::ConnectFailed,
-                        Time(0),
-                        none,
-                    ));
+                        status: Status::ConnectFailed,
+                        took: Time(0),
+                        report: none,
+                    });
                 };
                 self.spends(now, Budget::Probes);
                 let (timers, due) = (&mut self.timers, now.plus(self.site.connect_timeout));
@@ -427,7 +427,7 @@
             Action::CloseIdle(member) => out.extend(self.members.addr(member).map(Effect::CloseIdle)),
             // A watch is always kept, and tells each change by itself: the whole list costs a discovery that
             // all routers share what others wait for.
-            Action::Watch | Action::Fetch => {}
+            Action::WatchEndpoints | Action::PollEndpoints => {}
             Action::Log(line) => log::info!("{line}"),
         }
     }
@@ -459,23 +459,23 @@
         // A tenant that the settings don't name is one without a share.
         let tenant = named(&self.site.tenants, statement.tenant()).unwrap_or(self.site.tenants.len());
         let id = self.requests.number();
-        let give_up = came.min(now).plus(Time::ms(statement.patience_ms));
+        let deadline = came.min(now).plus(Time::ms(statement.patience_ms));
         let (bond, floor) = self.session(now, client, &statement, class, group);
         let request = Request {
             id,
             class: ClassId(class as u16),
             tenant: TenantId(tenant as u16),
-            give_up,
+            deadline,
             group,
             floor: self.wall.own(floor.at),
             lead: floor.lead,
-            repeat: statement.repeat,
+            client_retry: statement.repeat,
         };
         let floor_ms = floor.tell.then(|| floor.at.0.div_ceil(1_000_000));
         let statement = Rc::from(statement);
         let (answered, served, attempts) = (false, false, Vec::new());
         let open =
-            Open { client, command, statement, give_up, group, bond, floor_ms, answered, served, attempts };
+            Open { client, command, statement, deadline, group, bond, floor_ms, answered, served, attempts };
         self.requests.put(id, open);
         let (event, keys) = self.limited(now, request);
         self.events.push_back(event);
@@ -495,20 +495,20 @@
         let Some(open) = self.requests.get_mut(id) else {
             // Ended and off the books: it goes nowhere, and that is told.
             let x = Exchange { member, sent: now, timer: TimerKey::default() };
-            return self.outcome(now, id, Attempt(u16::MAX), x, Status::Moot, Telling::default());
+            return self.outcome(now, id, Attempt(u16::MAX), x, Status::NotSent, Telling::default());
         };
         let attempt = Attempt(open.attempts.len() as u16);
-        if open.answered || open.attempts.len() >= most || now >= open.give_up {
+        if open.answered || open.attempts.len() >= most || now >= open.deadline {
             open.attempts.push(None);
             let x = Exchange { member, sent: now, timer: TimerKey::default() };
-            return self.outcome(now, id, attempt, x, Status::Moot, Telling::default());
+            return self.outcome(now, id, attempt, x, Status::NotSent, Telling::default());
         }
         let Some(addr) = addr else {
             open.attempts.push(None);
             let x = Exchange { member, sent: now, timer: TimerKey::default() };
             return self.outcome(now, id, attempt, x, Status::ConnectFailed, Telling::default());
         };
-        let left = open.give_up.since(now);
+        let left = open.deadline.since(now);
         let wait = limit.unwrap_or(left).min(left);
         let timer = self.timers.add(now.plus(wait), Timer::Attempt(id, attempt));
         open.attempts.push(Some(Exchange { member, sent: now, timer }));
@@ -545,13 +545,13 @@
                     Ended::Answered(Ending::Error(code), telling) if of_the_statement(&code) => {
                         let error = StatementError { code: "22023", message: "a host can't use it".into() };
                         self.answer(now, id, Answer::Invalid(error), out);
-                        (Status::Moot, telling)
+                        (Status::NotSent, telling)
                     }
                     Ended::Answered(Ending::Error(code), telling) => (by_code(&code), telling),
                     Ended::Answered(Ending::Nothing, telling) => (Status::Error, telling),
-                    Ended::Unwelcome(code) if code == "53300" => (Status::Full, Telling::default()),
+                    Ended::Unwelcome(code) if code == "53300" => (Status::Overloaded, Telling::default()),
                     Ended::Unwelcome(_) | Ended::NotSent => (Status::ConnectFailed, Telling::default()),
-                    Ended::Withheld => (Status::Moot, Telling::default()),
+                    Ended::Withheld => (Status::NotSent, Telling::default()),
                     Ended::Broken => (Status::Reset, Telling::default()),
                     // It may have run, like an error; the member is there, and answers.
                     Ended::Spoilt => (Status::Error, Telling::default()),
@@ -568,12 +568,16 @@
                             reported(&self.site.columns, std::str::from_utf8(value).unwrap_or_default()),
                         )
                     }
-                    Ended::Answered(..) => (Status::Error, Standing::default()),
-                    Ended::Unwelcome(code) if code == "53300" => (Status::Full, Standing::default()),
-                    Ended::Unwelcome(_) | Ended::NotSent => (Status::ConnectFailed, Standing::default()),
-                    Ended::Withheld => (Status::Moot, Standing::default()),
-                    Ended::Broken => (Status::Reset, Standing::default()),
-                    Ended::Spoilt => (Status::Error, Standing::default()),
+                    Ended::Answered(..) => (Status::Error, ReplicationState::default()),
+                    Ended::Unwelcome(code) if code == "53300" => {
+                        (Status::Overloaded, ReplicationState::default())
+                    }
+                    Ended::Unwelcome(_) | Ended::NotSent => {
+                        (Status::ConnectFailed, ReplicationState::default())
+                    }
+                    Ended::Withheld => (Status::NotSent, ReplicationState::default()),
+                    Ended::Broken => (Status::Reset, ReplicationState::default()),
+                    Ended::Spoilt => (Status::Error, ReplicationState::default()),
                 };
                 self.probed(now, x, status, report);
             }
@@ -605,7 +609,7 @@
                 Timer::Probe(number) => {
                     if let Some(x) = self.take_probe(number) {
                         out.push(Effect::Abandon(ExchangeId::Probe(number)));
-                        self.probed(now, x, Status::Timeout, Standing::default());
+                        self.probed(now, x, Status::Timeout, ReplicationState::default());
                     }
                 }
             }
@@ -663,7 +667,7 @@
         if let Some(position) = t.as_of {
             self.sessions.told(self.wall.unix(now), self.wall.unix(x.sent), unix_ms(position));
         }
-        if let Some(open) = self.requests.get_mut(id).filter(|o| !o.served && !status.proves_unrun()) {
+        if let Some(open) = self.requests.get_mut(id).filter(|o| !o.served && !status.proves_not_executed()) {
             open.bond.iter_mut().for_each(|b| b.doubt = b.write);
         }
         let ended = self.requests.get(id).is_none_or(|o| o.answered);
@@ -671,27 +675,32 @@
             self.close(now, id);
         }
         let role = t.primary.map(|p| if p { Role::Primary } else { Role::Replica });
-        let standing = self.on_own_clock(Standing { position: t.as_of.map(unix_ms), role });
+        let replication = self.on_own_clock(ReplicationState { position: t.as_of.map(unix_ms), role });
         let report = t.vitals.as_deref().map(|v| reported(&self.site.columns, v)).unwrap_or_default();
         let report = self.on_own_clock(report);
         let took = now.since(x.sent);
         let outcome =
-            Outcome { request: id, attempt, member: x.member, status, took, ended, standing, report };
+            Outcome { request: id, attempt, member: x.member, status, took, ended, replication, report };
         self.events.push_back(Event::Outcome(outcome));
     }
 
-    fn on_own_clock(&self, standing: Standing) -> Standing {
-        Standing { position: standing.position.map(|p| self.wall.own(p)), ..standing }
+    fn on_own_clock(&self, replication: ReplicationState) -> ReplicationState {
+        ReplicationState { position: replication.position.map(|p| self.wall.own(p)), ..replication }
     }
 
     /// Tells the one outcome of a probe that has been taken off the books.
-    fn probed(&mut self, now: Time, x: Exchange, status: Status, report: Standing) {
+    fn probed(&mut self, now: Time, x: Exchange, status: Status, report: ReplicationState) {
         self.tally.probes += 1;
         if let Some(position) = report.position {
             self.sessions.told(self.wall.unix(now), self.wall.unix(x.sent), position);
         }
         let report = self.on_own_clock(report);
         self.tally.probes_failed += u32::from(status != Status::Ok);
-        self.events.push_back(Event::Probed(x.member, status, now.since(x.sent), report));
+        self.events.push_back(Event::ProbeFinished {
+            member: x.member,
+            status,
+            took: now.since(x.sent),
+            report,
+        });
     }
 }
--- a/crates/router/src/routing/requests.rs
+++ b/crates/router/src/routing/requests.rs
@@ -14,7 +14,7 @@
     pub client: ClientId,
     pub command: Command,
     pub statement: Rc<Statement>,
-    pub give_up: Time,
+    pub deadline: Time,
     pub group: GroupId,
     /// What its session is known by, if it has one.
     pub bond: Option<Bond>,
--- a/crates/router/src/routing/tally.rs
+++ b/crates/router/src/routing/tally.rs
@@ -26,14 +26,14 @@
 
 const STATUSES: [(Status, &str); 9] = [
     (Status::Ok, "ok"),
-    (Status::Miss, "miss"),
+    (Status::Misdirected, "miss"),
     (Status::Error, "error"),
-    (Status::Full, "full"),
+    (Status::Overloaded, "full"),
     (Status::Timeout, "timeout"),
     (Status::ConnectFailed, "no connection"),
     (Status::Reset, "reset"),
     (Status::Cancelled, "cancelled"),
-    (Status::Moot, "moot"),
+    (Status::NotSent, "moot"),
 ];
 
 impl Tally {
--- a/crates/router/src/routing/terms.rs
+++ b/crates/router/src/routing/terms.rs
@@ -13,8 +13,8 @@
 }
 
 /// What a load report says of its member's standing.
-pub fn reported(columns: &[String], text: &str) -> Standing {
-    let mut standing = Standing::default();
+pub fn reported(columns: &[String], text: &str) -> ReplicationState {
+    let mut standing = ReplicationState::default();
     for (name, value) in report(text).filter(|(name, _)| columns.iter().any(|c| c == name)) {
         match name {
             // Rounded down past the error of a float of this size.
@@ -30,8 +30,8 @@
 
 pub fn by_code(code: &str) -> Status {
     match code {
-        "25006" | "72000" => Status::Miss,
-        "53300" => Status::Full,
+        "25006" | "72000" => Status::Misdirected,
+        "53300" => Status::Overloaded,
         _ => Status::Error,
     }
 }
--- a/crates/router/src/routing/terms/tests.rs
+++ b/crates/router/src/routing/terms/tests.rs
@@ -11,7 +11,7 @@
         assert_eq!(standing.role, Some(Role::Replica));
     }
     assert_eq!(reported(&columns, "x1=1").role, Some(Role::Primary));
-    assert_eq!(reported(&columns[..1], "x1=1,x0=0,x0=NaN,x0"), Standing::default());
+    assert_eq!(reported(&columns[..1], "x1=1,x0=0,x0=NaN,x0"), ReplicationState::default());
 }
 
 #[test]
--- a/crates/router/src/transport/mod.rs
+++ b/crates/router/src/transport/mod.rs
@@ -134,7 +134,7 @@
             last_call: Signal::default(),
             closing: Cell::new(false),
             connect_timeout,
-            turns: config.site.settings.list_on_request,
+            turns: config.site.settings.poll_endpoint_list,
             seed: config.seed,
         });
         hub.carry_out(effects);
--- a/crates/router/tests/routing.rs
+++ b/crates/router/tests/routing.rs
@@ -4,7 +4,9 @@
 
 use basalthill_extproc::lease::StreamId;
 use basalthill_extproc::{Call, LeaseId, Limits, Say, Told, WriteId};
-use basalthill_policy::api::{ClassId, GroupId, MemberId, RequestId, Role, Standing, Status, TenantId, Time};
+use basalthill_policy::api::{
+    ClassId, GroupId, MemberId, ReplicationState, RequestId, Role, Status, TenantId, Time,
+};
 use basalthill_router::protocol::discovery::HostList;
 use basalthill_router::protocol::host::{Ending, Row, Telling};
 use basalthill_router::protocol::statement::Statement;
@@ -223,16 +225,16 @@
     let error = |code: &str| Ended::Answered(Ending::Error(code.into()), Telling::default());
     let cases = [
         (Ended::Answered(Ending::Row(row(b"x")), Telling::default()), Status::Ok),
-        (error("25006"), Status::Miss),
-        (error("72000"), Status::Miss),
-        (error("53300"), Status::Full),
+        (error("25006"), Status::Misdirected),
+        (error("72000"), Status::Misdirected),
+        (error("53300"), Status::Overloaded),
         (error("XX000"), Status::Error),
         (error("57P03"), Status::Error),
         (Ended::Answered(Ending::Nothing, Telling::default()), Status::Error),
-        (Ended::Unwelcome("53300".into()), Status::Full),
+        (Ended::Unwelcome("53300".into()), Status::Overloaded),
         (Ended::Unwelcome("28P01".into()), Status::ConnectFailed),
         (Ended::NotSent, Status::ConnectFailed),
-        (Ended::Withheld, Status::Moot),
+        (Ended::Withheld, Status::NotSent),
         (Ended::Broken, Status::Reset),
         (Ended::Spoilt, Status::Error),
     ];
@@ -613,12 +615,12 @@
         let (id, deadline) = (WriteId::new(bits), self.now.plus(Time::ms(900)));
         let (class, tenant, group) = (ClassId(4), TenantId(0), GroupId(2));
         let (floor, lead) = (Time(0), Time(0));
-        let call = Call { id, class, tenant, group, deadline, floor, lead, repeat: false };
+        let call = Call { id, class, tenant, group, deadline, floor, lead, client_retry: false };
         self.input(Input::Proxy(StreamId(stream), Spoken::Ask(call)))
     }
 
     fn proxy_tells(&mut self, stream: u64, lease: LeaseId, told: Told, role: Role) -> Vec<Effect> {
-        let standing = Standing { position: Some(self.now), role: Some(role) };
+        let standing = ReplicationState { position: Some(self.now), role: Some(role) };
         self.input(Input::Proxy(StreamId(stream), Spoken::Told(lease, told, standing)))
     }
 }
--- a/crates/sim/src/main.rs
+++ b/crates/sim/src/main.rs
@@ -78,21 +78,21 @@
                     self.writes.get_mut(&o.request).filter(|_| o.status == Status::Ok)
                 {
                     let owner = Owner { name: &[], key: bond.key };
-                    if o.standing.position.is_some() {
-                        self.sessions.served(now, owner, *group, bond, o.standing.position);
+                    if o.replication.position.is_some() {
+                        self.sessions.served(now, owner, *group, bond, o.replication.position);
                     }
                 }
                 if o.ended {
                     self.writes.remove(&o.request);
                 }
             }
-            Event::Lapsed(id) => drop(self.writes.remove(id)),
+            Event::ClientGone(id) => drop(self.writes.remove(id)),
             _ => {}
         }
         let before = out.len();
         self.policy.handle(now, event, out);
         for action in &out[before..] {
-            if let Action::Refuse(id, _) | Action::Fail(id) = action {
+            if let Action::Reject(id, _) | Action::Fail(id) = action {
                 self.writes.remove(id);
             }
         }
--- a/crates/sim/src/wire.rs
+++ b/crates/sim/src/wire.rs
@@ -58,7 +58,7 @@
 /// reports mean.
 #[derive(Default)]
 pub struct Decoder {
-    lists: BTreeMap<u8, Vec<Entry>>,
+    lists: BTreeMap<u8, Vec<Endpoint>>,
     zeros: BTreeMap<u32, (Time, Vec<String>)>,
 }
 
@@ -116,42 +116,42 @@
             10 => return Ok(Some((inst, Incoming::Stop))),
             2 => {
                 let form = match c.u8()? {
-                    0 => ListForm::Delta,
-                    1 => ListForm::Full,
-                    2 => ListForm::Cached,
-                    3 => ListForm::Failed,
+                    0 => EndpointUpdate::Delta,
+                    1 => EndpointUpdate::Full,
+                    2 => EndpointUpdate::Cached,
+                    3 => EndpointUpdate::Failed,
                     other => return Err(format!("list form {other} is unknown")),
                 };
                 let (_generation, number) = (c.u32()?, c.u8()?);
                 let rows = match form {
-                    ListForm::Failed => Vec::new(),
+                    EndpointUpdate::Failed => Vec::new(),
                     _ => self.lists.get(&number).ok_or(format!("list {number} was never sent"))?.clone(),
                 };
-                Event::List(form, rows)
+                Event::Endpoints(form, rows)
             }
             3 => {
                 let (id, class, tenant) = (RequestId(c.u64()?), ClassId(c.u16()?), TenantId(c.u16()?));
-                let (key, give_up, _effort) = (c.u64()?, Time(c.u64()?), c.u64()?);
+                let (key, deadline, _effort) = (c.u64()?, Time(c.u64()?), c.u64()?);
                 let (group, token, marks) = (GroupId(c.f32()? as u32), c.f32()?, c.u8()?);
-                let (floor, lead, repeat) = (Time(0), Time(0), marks & 2 != 0);
-                let request = Request { id, class, tenant, give_up, group, floor, lead, repeat };
+                let (floor, lead, client_retry) = (Time(0), Time(0), marks & 2 != 0);
+                let request = Request { id, class, tenant, deadline, group, floor, lead, client_retry };
                 let session = (key != 0).then_some(SessionKey(key));
                 let token = (token > 0.0).then_some(Time((token * 1e6) as u64));
                 return Ok(Some((inst, Incoming::Request(request, session, token))));
             }
-            4 => Event::Started(RequestId(c.u64()?), Attempt(c.u16()?)),
+            4 => Event::ResponseStarted(RequestId(c.u64()?), Attempt(c.u16()?)),
             5 => {
                 let (request, attempt, member) = (RequestId(c.u64()?), Attempt(c.u16()?), MemberId(c.u32()?));
                 let (status, took, ended, note) = (status(c.u16()?)?, Time(c.u64()?), c.u8()? != 0, c.u32()?);
-                let standing = self.note(inst, note);
+                let replication = self.note(inst, note);
                 let report = self.report(inst, &mut c)?;
-                Event::Outcome(Outcome { request, attempt, member, status, took, ended, standing, report })
+                Event::Outcome(Outcome { request, attempt, member, status, took, ended, replication, report })
             }
-            6 => Event::Lapsed(RequestId(c.u64()?)),
+            6 => Event::ClientGone(RequestId(c.u64()?)),
             7 => Event::Timer(c.u64()?),
             8 => {
                 let (member, status, took) = (MemberId(c.u32()?), status(c.u16()?)?, Time(c.u64()?));
-                Event::Probed(member, status, took, self.report(inst, &mut c)?)
+                Event::ProbeFinished { member, status, took, report: self.report(inst, &mut c)? }
             }
             9 => {
                 let from = RouterId(c.u32()? as u16);
@@ -162,7 +162,7 @@
         Ok(Some((inst, Incoming::Event(event))))
     }
 
-    fn note(&self, inst: u32, note: u32) -> Standing {
+    fn note(&self, inst: u32, note: u32) -> ReplicationState {
         let zero = self.zeros.get(&inst).map_or(Time(0), |z| z.0);
         let position = (note >= 4).then(|| zero.plus(Time::ms(u64::from(note / 4))));
         let role = match note % 4 {
@@ -170,22 +170,22 @@
             2 => Some(Role::Replica),
             _ => None,
         };
-        Standing { position, role }
+        ReplicationState { position, role }
     }
 
-    fn report(&self, inst: u32, c: &mut Cursor) -> Result<Standing, Fault> {
+    fn report(&self, inst: u32, c: &mut Cursor) -> Result<ReplicationState, Fault> {
         let n = usize::from(c.u8()?);
-        let mut standing = Standing::default();
-        let Some((zero, columns)) = self.zeros.get(&inst) else { return Ok(standing) };
+        let mut replication = ReplicationState::default();
+        let Some((zero, columns)) = self.zeros.get(&inst) else { return Ok(replication) };
         for column in columns.iter().take(n.min(4)) {
             let value = c.f32()?;
             match column.as_str() {
-                "x0" if value > 0.0 => standing.position = Some(zero.plus(Time((value * 1e9) as u64))),
-                "x1" => standing.role = Some(if value >= 0.5 { Role::Primary } else { Role::Replica }),
+                "x0" if value > 0.0 => replication.position = Some(zero.plus(Time((value * 1e9) as u64))),
+                "x1" => replication.role = Some(if value >= 0.5 { Role::Primary } else { Role::Replica }),
                 _ => {}
             }
         }
-        Ok(standing)
+        Ok(replication)
     }
 }
 
@@ -194,35 +194,35 @@
     tail.get(start..start.saturating_add(len)).ok_or(format!("{len} bytes at {start} run past the tail"))
 }
 
-fn entry(bytes: &[u8]) -> Result<Entry, Fault> {
+fn entry(bytes: &[u8]) -> Result<Endpoint, Fault> {
     let mut c = Cursor { bytes, at: 0 };
     let primary = c.f32()? >= 0.5;
     let (member, zone, _kind, group) = (MemberId(c.u32()?), ZoneId(c.u16()?), c.u8()?, c.u16()?);
-    let listed = match c.u8()? {
-        1 => Listed::Ready,
-        2 => Listed::Draining,
-        3 => Listed::Gone,
+    let state = match c.u8()? {
+        1 => EndpointState::Ready,
+        2 => EndpointState::Draining,
+        3 => EndpointState::Removed,
         other => return Err(format!("member condition {other} is unknown")),
     };
     let (weight, started) = (c.f32()?, c.u64()?);
     let group = GroupId(u32::from(group));
     let started = (started != 0).then_some(Time(started));
     // The bench hands a line over as it counts.
-    let told = Time(u64::MAX);
-    Ok(Entry { member, zone, group, listed, weight, primary, started, told })
+    let notified_at = Time(u64::MAX);
+    Ok(Endpoint { member, zone, group, state, weight, primary, started, notified_at })
 }
 
 fn status(code: u16) -> Result<Status, Fault> {
     Ok(match code {
         100 => Status::Ok,
-        101 => Status::Miss,
+        101 => Status::Misdirected,
         301 => Status::Error,
-        302 => Status::Full,
+        302 => Status::Overloaded,
         303 => Status::Timeout,
         304 => Status::ConnectFailed,
         305 => Status::Reset,
         306 => Status::Cancelled,
-        307 => Status::Moot,
+        307 => Status::NotSent,
         other => return Err(format!("disposition {other} is unknown")),
     })
 }
@@ -245,7 +245,7 @@
                 let limit = limit.map_or(0, |t| t.0.max(1));
                 put(1, &[&id.0.to_be_bytes(), &member.0.to_be_bytes(), &limit.to_be_bytes()]);
             }
-            Action::Refuse(id, after) => {
+            Action::Reject(id, after) => {
                 put(2, &[&id.0.to_be_bytes(), &after.map_or(0, |t| t.0).to_be_bytes()]);
             }
             Action::Fail(id) => put(3, &[&id.0.to_be_bytes()]),
@@ -258,8 +258,8 @@
                 put(9, &[&at.to_be_bytes(), &len.to_be_bytes()]);
                 tail.extend(text.as_bytes());
             }
-            Action::Watch => put(11, &[&[1]]),
-            Action::Fetch => put(12, &[]),
+            Action::WatchEndpoints => put(11, &[&[1]]),
+            Action::PollEndpoints => put(12, &[]),
         }
         out.resize(start + ACTION, 0);
     }
--- a/crates/sim/tests/golden.rs
+++ b/crates/sim/tests/golden.rs
@@ -73,9 +73,9 @@
     assert_eq!(r.id, RequestId(0x0003_1788_5d3a_91c4));
     assert_eq!((r.class, r.tenant, r.group), (ClassId(0), TenantId(0), GroupId(11)));
     assert_eq!(*session, Some(SessionKey(0x91f0_3b7c_55d2_0a64)));
-    assert_eq!(r.give_up, Time(0x2_03b6_db90));
+    assert_eq!(r.deadline, Time(0x2_03b6_db90));
     assert_eq!(*token, Some(Time(412_500_000)));
-    assert!(matches!(last, (5, Incoming::Event(Event::Lapsed(RequestId(0x0003_6c8c_0e6f_2b19))))));
+    assert!(matches!(last, (5, Incoming::Event(Event::ClientGone(RequestId(0x0003_6c8c_0e6f_2b19))))));
 }
 
 #[test]
@@ -97,13 +97,13 @@
 fn every_other_action_has_its_code() {
     let id = RequestId(9);
     let actions = [
-        (1, Action::Refuse(id, Some(Time(7)))),
+        (1, Action::Reject(id, Some(Time(7)))),
         (1, Action::Fail(id)),
         (1, Action::Cancel(id, Attempt(2))),
         (1, Action::Probe(MemberId(4))),
         (1, Action::CloseIdle(MemberId(5))),
-        (1, Action::Watch),
-        (1, Action::Fetch),
+        (1, Action::WatchEndpoints),
+        (1, Action::PollEndpoints),
     ];
     let out = reply(&actions);
     let codes: Vec<u8> = out[8..].chunks(32).map(|r| r[0]).collect();
@@ -120,14 +120,14 @@
     );
     let records = ["0b 00 00000000 00000002", "02 00000003 02 00000029 00"];
     let (_, events) = Decoder::default().frame(&frame(5, &records, &rows)).unwrap();
-    let [(3, Incoming::Event(Event::List(ListForm::Cached, list)))] = &events[..] else {
+    let [(3, Incoming::Event(Event::Endpoints(EndpointUpdate::Cached, list)))] = &events[..] else {
         panic!("{events:?}")
     };
     assert_eq!(
-        (list[0].member, list[0].primary, list[0].listed),
-        (MemberId(0x0312_4a07), true, Listed::Ready)
+        (list[0].member, list[0].primary, list[0].state),
+        (MemberId(0x0312_4a07), true, EndpointState::Ready)
     );
-    assert_eq!((list[1].weight, list[1].listed), (1.5, Listed::Draining));
+    assert_eq!((list[1].weight, list[1].state), (1.5, EndpointState::Draining));
     assert_eq!((list[0].started, list[1].started), (None, Some(Time(0x1_6b96_9d00))));
     assert_eq!(list[1].group, GroupId(11));
 }
@@ -139,9 +139,9 @@
     let [(3, Incoming::Start(7, set))] = &events[..] else { panic!("{events:?}") };
     assert_eq!(
         (set.settings.classes[0].effect, set.settings.classes[0].scope),
-        (Effect::Keyed, KeyScope::Group)
+        (Effect::IdempotentByKey, KeyScope::Group)
     );
-    assert_eq!(set.settings.when_behind, WhenBehind::Refuses);
+    assert_eq!(set.settings.when_behind, WhenBehind::Reject);
     assert!(set.settings.probe_positions && set.settings.probe_roles);
     let outcome = "05 00000003 0000000000000009 0001 00000004 0064 00000000011a49a0 01 0000638e
          02 40c6872b 3f800000 00000000 00000000";
@@ -149,7 +149,7 @@
     let [(3, Incoming::Event(Event::Outcome(o)))] = &events[..] else { panic!("{events:?}") };
     assert_eq!((o.status, o.ended, o.attempt), (Status::Ok, true, Attempt(1)));
     let position = Time(1_000_000_000).plus(Time::ms(0x638e / 4));
-    assert_eq!(o.standing, Standing { position: Some(position), role: Some(Role::Replica) });
+    assert_eq!(o.replication, ReplicationState { position: Some(position), role: Some(Role::Replica) });
     assert_eq!(o.report.role, Some(Role::Primary));
     assert!(o.report.position.is_some_and(|p| p > Time(7_000_000_000) && p < Time(7_300_000_000)));
 }
