--- a/crates/client/src/wire.rs
+++ b/crates/client/src/wire.rs
@@ -1,7 +1,9 @@
 //! The protocol's client side for one connection: bytes in, answers out; and the statements' text.
 
 use crate::request::{Request, What};
-use basalthill_wire::{error_fields, put, put_text, text, Inbox, ProtocolError};
+use basalthill_wire::{
+    error_fields, put_cstring, put_message, read_cstring, MessageBuffer, MessageHeader, ProtocolError,
+};
 
 /// Longest message taken: a value of 64 KiB and its head, in text form twice that.
 const LONGEST: usize = 160 * 1024;
@@ -26,25 +28,25 @@
 /// Bytes of one connection, up to messages.
 #[derive(Debug, Default)]
 pub struct Side {
-    inbox: Inbox,
+    inbox: MessageBuffer,
 }
 
 impl Side {
     /// Takes bytes in.
     pub fn feed(&mut self, bytes: &[u8]) {
-        self.inbox.feed(bytes);
+        self.inbox.extend(bytes);
     }
 
     /// The next thing said that matters.
     pub fn take(&mut self) -> Result<Option<Said>, ProtocolError> {
         loop {
-            let Some((kind, len)) = self.inbox.message(LONGEST)? else { return Ok(None) };
-            let body = &self.inbox.rest()[5..5 + len];
-            let wrong = || ProtocolError(format!("message {:?} can't be read", char::from(kind)));
+            let Some(MessageHeader { kind, body_len: len }) = self.inbox.message_header(LONGEST)? else { return Ok(None) };
+            let body = &self.inbox.unread()[5..5 + len];
+            let wrong = || ProtocolError::UnreadableMessage(kind);
             let said = match kind {
                 b'Z' if len == 1 => Some(Said::Ready),
                 b'S' => {
-                    let pair = text(body).and_then(|(name, rest)| Some((name, text(rest)?.0)));
+                    let pair = read_cstring(body).and_then(|(name, rest)| Some((name, read_cstring(rest)?.0)));
                     let (name, value) = pair.ok_or_else(wrong)?;
                     let token = || Said::Token(String::from_utf8_lossy(value).into_owned());
                     (name == b"session_token").then(token)
@@ -63,7 +65,7 @@
                 b'K' | b'N' | b'A' | b'I' | b'v' => None,
                 _ => return Err(wrong()),
             };
-            self.inbox.used(5 + len);
+            self.inbox.consume(5 + len);
             if said.is_some() {
                 return Ok(said);
             }
@@ -83,7 +85,7 @@
 /// The startup message.
 pub fn startup() -> Vec<u8> {
     let mut body = 0x0003_0000u32.to_be_bytes().to_vec();
-    ["user", "svc", "database", "main"].iter().for_each(|word| put_text(&mut body, word));
+    ["user", "svc", "database", "main"].iter().for_each(|word| put_cstring(&mut body, word));
     body.push(0);
     [&((body.len() + 4) as u32).to_be_bytes()[..], &body].concat()
 }
@@ -98,7 +100,7 @@
     tokens: &[String],
 ) -> Vec<u8> {
     let mut out = Vec::with_capacity(256);
-    put(&mut out, b'Q', |out| {
+    put_message(&mut out, b'Q', |out| {
         let key = request.key.replace('\'', "''");
         match &request.what {
             What::Read => out.extend(format!("SELECT v FROM records WHERE k = '{key}'").bytes()),
--- a/crates/config/src/own.rs
+++ b/crates/config/src/own.rs
@@ -4,8 +4,8 @@
 use crate::ConfigError;
 use basalthill_fleet::{Bounds, Budget, Limit, Names, Peer, Subject};
 use basalthill_policy::api::Time;
-use basalthill_session::sessions::{Handing, Plan, StandIn};
-use basalthill_session::token::{Key, KeyId, Keys, SHORTEST_SECRET};
+use basalthill_session::{TokenDelivery, SessionConfig, DefaultFloor};
+use basalthill_session::token::{Key, KeyId, KeyRing, MIN_SECRET_LEN};
 use kdl::{KdlDocument, KdlEntry, KdlNode, KdlValue};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -28,7 +28,7 @@
     /// Where this router listens for the others, if not at the address of its name.
     pub listen: Option<SocketAddr>,
     /// The keys that datagrams are signed with.
-    pub keys: Keys,
+    pub keys: KeyRing,
     /// Largest error of any clock's rate, as a share.
     pub drift: f64,
     /// The routers, this one among them.
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SessionSettings {
     /// What the floors follow.
-    pub plan: Plan,
+    pub plan: SessionConfig,
     /// Where the book is kept over a stop in good order.
     pub snapshot: Option<Snapshot>,
 }
@@ -197,19 +197,19 @@
     fn sessions(&self, node: &KdlNode) -> Result<SessionSettings, ConfigError> {
         self.shape(node, "sessions", 0, &["floor"])?;
         let key = "sessions.floor";
-        let stand_in = match self.word(node, key, "floor")? {
-            "platform" => StandIn::Platform,
-            "nothing" => StandIn::Nothing,
-            "router" => StandIn::Router,
-            "connection" => StandIn::Connection,
-            "arrival" => StandIn::Arrival,
+        let default_floor = match self.word(node, key, "floor")? {
+            "platform" => DefaultFloor::Platform,
+            "nothing" => DefaultFloor::RememberedOnly,
+            "router" => DefaultFloor::RouterStart,
+            "connection" => DefaultFloor::ConnectionAccept,
+            "arrival" => DefaultFloor::ReadArrival,
             other => {
                 let problem = format!("{other:?} is none of platform, nothing, router, connection, arrival");
                 return Err(self.fault(node, key, problem));
             }
         };
-        let (handing, early, keys) = (Handing::Never, false, None);
-        let mut plan = Plan { stand_in, skew: SKEW, settle: SETTLE, lead: LEAD, handing, early, keys };
+        let (token_delivery, early_tokens, keys) = (TokenDelivery::Never, false, None);
+        let mut plan = SessionConfig { default_floor, skew: SKEW, settle_time: SETTLE, lead: LEAD, token_delivery, early_tokens, keys };
         let (mut snapshot, mut seen) = (None, Vec::new());
         for child in node.iter_children() {
             let name = child.name().value();
@@ -220,7 +220,7 @@
             seen.push(name);
             match name {
                 "skew-ms" => plan.skew = self.ms(child, &key)?,
-                "settle-ms" => plan.settle = self.ms(child, &key)?,
+                "settle-ms" => plan.settle_time = self.ms(child, &key)?,
                 "lead-ms" => plan.lead = self.ms(child, &key)?,
                 "tokens" => self.tokens(child, &mut plan)?,
                 "snapshot" => {
@@ -236,18 +236,18 @@
         Ok(SessionSettings { plan, snapshot })
     }
 
-    fn tokens(&self, node: &KdlNode, plan: &mut Plan) -> Result<(), ConfigError> {
+    fn tokens(&self, node: &KdlNode, plan: &mut SessionConfig) -> Result<(), ConfigError> {
         self.shape(node, "sessions.tokens", 0, &["with", "early", "max-age-s"])?;
-        plan.handing = match self.word(node, "sessions.tokens.with", "with")? {
-            "writes" => Handing::Writes,
-            "reads" => Handing::Reads,
-            "nothing" => Handing::Never,
+        plan.token_delivery = match self.word(node, "sessions.tokens.with", "with")? {
+            "writes" => TokenDelivery::WritesOnly,
+            "reads" => TokenDelivery::WritesAndReads,
+            "nothing" => TokenDelivery::Never,
             other => {
                 let problem = format!("{other:?} is none of writes, reads, nothing");
                 return Err(self.fault(node, "sessions.tokens.with", problem));
             }
         };
-        plan.early = self.flag(node, "sessions.tokens.early", "early")?;
+        plan.early_tokens = self.flag(node, "sessions.tokens.early", "early")?;
         let age = self.number(node, "sessions.tokens.max-age-s", "max-age-s", 1..=MOST_S)?;
         let max_age = Time::ms(age.unwrap_or(TOKEN_AGE_S) * 1000);
         if let Some(child) = node.iter_children().find(|c| c.name().value() != "key") {
@@ -259,14 +259,14 @@
     }
 
     /// The keys among a node's children: one signs, all verify.
-    fn keys(&self, node: &KdlNode, of: &str, max_age: Time) -> Result<Keys, ConfigError> {
+    fn keys(&self, node: &KdlNode, of: &str, max_age: Time) -> Result<KeyRing, ConfigError> {
         let name = format!("{of}.key");
         let (mut signing, mut verifying) = (None, Vec::<Key>::new());
         for child in node.iter_children().filter(|c| c.name().value() == "key") {
             self.shape(child, &name, 2, &["signs"])?;
             let number = self.number(child, &name, 0, 0..=255)?.unwrap_or_default();
             let short = || {
-                let problem = format!("the secret must be {SHORTEST_SECRET} bytes or more, in hexadecimal");
+                let problem = format!("the secret must be {MIN_SECRET_LEN} bytes or more, in hexadecimal");
                 self.fault(child, &name, problem)
             };
             let secret = hex(self.word(child, &name, 1)?).ok_or_else(short)?;
@@ -281,7 +281,7 @@
             }
         }
         let none = || self.fault(node, of, "no key signs");
-        Ok(Keys { signing: signing.ok_or_else(none)?, verifying, max_age })
+        Ok(KeyRing { signing: signing.ok_or_else(none)?, verifying, max_age })
     }
 
     fn fleet(&self, node: &KdlNode) -> Result<FleetSettings, ConfigError> {
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -2,7 +2,7 @@
 
 use crate::{typed, ConfigError};
 use basalthill_policy::api::*;
-use basalthill_session::Tokens;
+use basalthill_session::PlatformFloors;
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -23,7 +23,7 @@
     /// What the decisions are told.
     pub settings: Settings,
     /// How session floors are known.
-    pub tokens: Tokens,
+    pub tokens: PlatformFloors,
     /// Where positions count from on the bench's wire. On sockets they are Unix times.
     pub zero: Time,
     /// Names of a report's values.
@@ -275,8 +275,8 @@
         price_waste: t.prices.waste,
     };
     let tokens = match f.token_mode.as_str() {
-        "brought" => Tokens::Carried,
-        "kept" => Tokens::Remembered,
+        "brought" => PlatformFloors::FromRequest,
+        "kept" => PlatformFloors::Remembered,
         other => return Err(unknown("familyInfo.tokenMode".into(), other)),
     };
     Ok(Site {
--- a/crates/config/tests/own.rs
+++ b/crates/config/tests/own.rs
@@ -3,7 +3,7 @@
 use basalthill_config::own::{load, parse, Own};
 use basalthill_fleet::{Bounds, Budget, Subject, Tag};
 use basalthill_policy::api::Time;
-use basalthill_session::sessions::{Handing, StandIn};
+use basalthill_session::{TokenDelivery, DefaultFloor};
 use basalthill_session::token::KeyId;
 use std::path::Path;
 
@@ -19,13 +19,13 @@
     let sessions = shipped.sessions.unwrap();
     let keys = sessions.plan.keys.clone().unwrap();
     assert_eq!((keys.signing.id, keys.verifying.len()), (KeyId(2), 1));
-    assert_eq!((sessions.plan.handing, sessions.plan.early), (Handing::Writes, false));
+    assert_eq!((sessions.plan.token_delivery, sessions.plan.early_tokens), (TokenDelivery::WritesOnly, false));
     assert_eq!(sessions.snapshot, None);
     let bare = parse("sessions floor=\"connection\"").unwrap().sessions.unwrap();
-    assert_eq!((bare.plan.keys, bare.plan.handing), (None, Handing::Never));
+    assert_eq!((bare.plan.keys, bare.plan.token_delivery), (None, TokenDelivery::Never));
     let same = |a: &Time, b: &Time| assert_eq!(a, b, "the file shows the defaults");
     same(&bare.plan.skew, &sessions.plan.skew);
-    same(&bare.plan.settle, &sessions.plan.settle);
+    same(&bare.plan.settle_time, &sessions.plan.settle_time);
     same(&bare.plan.lead, &sessions.plan.lead);
     let defaults = parse(&format!("sessions floor=\"connection\" {{ tokens with=\"writes\" {{ {KEY} }} }}"));
     assert_eq!(defaults.unwrap().sessions.unwrap().plan.keys.unwrap().max_age, keys.max_age);
@@ -41,21 +41,21 @@
     );
     let sessions = parse(&text).unwrap().sessions.unwrap();
     let plan = &sessions.plan;
-    assert_eq!((plan.stand_in, plan.skew, plan.settle), (StandIn::Arrival, Time::ms(7), Time(0)));
-    assert_eq!((plan.lead, plan.handing, plan.early), (Time::ms(20), Handing::Reads, true));
+    assert_eq!((plan.default_floor, plan.skew, plan.settle_time), (DefaultFloor::ReadArrival, Time::ms(7), Time(0)));
+    assert_eq!((plan.lead, plan.token_delivery, plan.early_tokens), (Time::ms(20), TokenDelivery::WritesAndReads, true));
     let keys = plan.keys.as_ref().unwrap();
     assert_eq!((keys.max_age, keys.verifying[0].id), (Time::ms(60_000), KeyId(7)));
     let snapshot = sessions.snapshot.unwrap();
     assert_eq!((snapshot.path.to_str(), snapshot.max_age), (Some("/var/x"), Time::ms(9000)));
     let words = [
-        ("platform", StandIn::Platform),
-        ("nothing", StandIn::Nothing),
-        ("router", StandIn::Router),
-        ("connection", StandIn::Connection),
+        ("platform", DefaultFloor::Platform),
+        ("nothing", DefaultFloor::RememberedOnly),
+        ("router", DefaultFloor::RouterStart),
+        ("connection", DefaultFloor::ConnectionAccept),
     ];
-    for (word, stand_in) in words {
+    for (word, default_floor) in words {
         let sessions = parse(&format!("sessions floor={word:?}")).unwrap().sessions.unwrap();
-        assert_eq!(sessions.plan.stand_in, stand_in);
+        assert_eq!(sessions.plan.default_floor, default_floor);
     }
     assert_eq!(parse("").unwrap(), Own::default());
     assert!(parse("clients {\n farewell #true\n}").unwrap().farewell);
--- a/crates/extproc/src/lease.rs
+++ b/crates/extproc/src/lease.rs
@@ -13,31 +13,31 @@
 
 /// What a proxy tells of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum LeaseOutcome {
     /// The member has served it.
     Served,
     /// The member turned it away untouched: no primary, or too far behind.
-    Miss,
+    Misdirected,
     /// The member turned it away unseen.
-    TurnedAway,
+    Rejected,
     /// The member answered with any other error.
     Error,
     /// No connection came up, or it broke before the last byte was written.
-    NoConnection,
+    ConnectFailed,
     /// It was not sent, and will not be.
     NotSent,
 }
 
-impl Told {
+impl LeaseOutcome {
     /// What it means to the decisions.
     pub fn status(self) -> Status {
         match self {
-            Told::Served => Status::Ok,
-            Told::Miss => Status::Misdirected,
-            Told::TurnedAway => Status::Overloaded,
-            Told::Error => Status::Error,
-            Told::NoConnection => Status::ConnectFailed,
-            Told::NotSent => Status::NotSent,
+            LeaseOutcome::Served => Status::Ok,
+            LeaseOutcome::Misdirected => Status::Misdirected,
+            LeaseOutcome::Rejected => Status::Overloaded,
+            LeaseOutcome::Error => Status::Error,
+            LeaseOutcome::ConnectFailed => Status::ConnectFailed,
+            LeaseOutcome::NotSent => Status::NotSent,
         }
     }
 }
@@ -114,7 +114,7 @@
         now: Time,
         stream: StreamId,
         id: LeaseId,
-        told: Told,
+        told: LeaseOutcome,
         replication: ReplicationState,
     ) -> Option<Ended> {
         match self.out.get(&id) {
--- a/crates/extproc/src/lib.rs
+++ b/crates/extproc/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod owner;
 
 pub use decided::{Decided, Verdict};
-pub use desk::{Call, Desk, Limits, Out, Say, Why};
+pub use desk::{DecisionRequest, LeaseCoordinator, LeaseUsage, ProxyLimits, Output, ProxyReply, RejectReason};
 pub use id::WriteId;
-pub use lease::{LeaseId, Leases, Told};
+pub use lease::{LeaseId, Leases, StreamId, LeaseOutcome};
 pub use owner::{Owners, Roster};
--- a/crates/extproc/tests/desk.rs
+++ b/crates/extproc/tests/desk.rs
@@ -1,8 +1,7 @@
-//! The desk with the decision module itself behind it, before proxies that do whatever they like: ask twice,
+//! The coordinator with the decision module itself behind it, before proxies that do whatever they like: ask twice,
 //! on several streams, leave, tell late, tell lies about others' leases, come back after a restart.
 
-use basalthill_extproc::lease::StreamId;
-use basalthill_extproc::{Call, Desk, LeaseId, Limits, Out, Say, Told, Verdict, Why, WriteId};
+use basalthill_extproc::{StreamId, DecisionRequest, LeaseCoordinator, LeaseId, LeaseUsage, ProxyLimits, Output, ProxyReply, LeaseOutcome, Verdict, RejectReason, WriteId};
 use basalthill_policy::api::*;
 use basalthill_policy::Policy;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,10 +9,10 @@
 const START: Time = Time::ms(1_767_225_600_000);
 const WRITE: ClassId = ClassId(0);
 const READ: ClassId = ClassId(1);
-const LIMITS: Limits = Limits {
-    calls: 60,
-    writes: 200,
-    window: Time::ms(10_000),
+const LIMITS: ProxyLimits = ProxyLimits {
+    max_open_calls: 60,
+    max_remembered_writes: 200,
+    id_window: Time::ms(10_000),
     skew: Time::ms(50),
     send_within: Time::ms(200),
 };
@@ -56,18 +55,18 @@
 /// A router with its module, and what its proxies have been told.
 struct Bench {
     policy: Policy,
-    desk: Desk,
+    coordinator: LeaseCoordinator,
     now: Time,
     timers: BTreeSet<(Time, u64)>,
-    said: Vec<(StreamId, Say)>,
+    said: Vec<(StreamId, ProxyReply)>,
     seed: u64,
 }
 
 impl Bench {
     fn new(now: Time, seed: u64) -> Bench {
         let set = settings();
-        let (desk, policy) = (Desk::new(now, &set, LIMITS), Policy::new(set, seed));
-        let mut b = Bench { policy, desk, now, timers: BTreeSet::new(), said: Vec::new(), seed };
+        let (coordinator, policy) = (LeaseCoordinator::new(now, &set, LIMITS), Policy::new(set, seed));
+        let mut b = Bench { policy, coordinator, now, timers: BTreeSet::new(), said: Vec::new(), seed };
         let entry = |n| Endpoint {
             member: MemberId(n),
             zone: ZoneId(0),
@@ -78,16 +77,16 @@
             started: None,
             notified_at: Time(u64::MAX),
         };
-        b.run(vec![Out::Event(Event::Endpoints(EndpointUpdate::Cached, (1..=3).map(entry).collect()))]);
+        b.run(vec![Output::Event(Event::Endpoints(EndpointUpdate::Cached, (1..=3).map(entry).collect()))]);
         b
     }
 
-    fn run(&mut self, outs: Vec<Out>) {
+    fn run(&mut self, outs: Vec<Output>) {
         let mut queue = std::collections::VecDeque::from(outs);
         while let Some(out) = queue.pop_front() {
             match out {
-                Out::Say(stream, say) => self.said.push((stream, say)),
-                Out::Event(event) => {
+                Output::Reply(stream, say) => self.said.push((stream, say)),
+                Output::Event(event) => {
                     let mut actions = Vec::new();
                     self.policy.handle(self.now, event, &mut actions);
                     for action in actions {
@@ -97,7 +96,7 @@
                             }
                             action => {
                                 let mut more = Vec::new();
-                                self.desk.act(self.now, &action, None, &mut more);
+                                self.coordinator.apply(self.now, &action, None, &mut more);
                                 queue.extend(more);
                             }
                         }
@@ -110,37 +109,37 @@
     fn ask(&mut self, stream: u64, class: ClassId, id: Option<WriteId>, ms: u64) {
         let (tenant, group, deadline) = (TenantId(0), GroupId(0), self.now.plus(Time::ms(ms)));
         let (floor, lead) = (Time(0), Time(0));
-        let call = Call { id, class, tenant, group, deadline, floor, lead, client_retry: false };
+        let call = DecisionRequest { id, class, tenant, group, deadline, floor, lead, client_retry: false };
         let mut out = Vec::new();
-        self.desk.ask(self.now, StreamId(stream), call, &mut out);
+        self.coordinator.request(self.now, StreamId(stream), call, &mut out);
         self.run(out);
     }
 
-    fn told(&mut self, stream: u64, lease: LeaseId, told: Told) {
-        let role = if told == Told::Served { Some(Role::Primary) } else { None };
+    fn told(&mut self, stream: u64, lease: LeaseId, told: LeaseOutcome) {
+        let role = if told == LeaseOutcome::Served { Some(Role::Primary) } else { None };
         let replication = ReplicationState { position: Some(self.now), role };
         let mut out = Vec::new();
-        self.desk.told(self.now, StreamId(stream), lease, told, replication, &mut out);
+        self.coordinator.report_outcome(self.now, StreamId(stream), lease, told, replication, &mut out);
         self.run(out);
     }
 
     fn gone(&mut self, stream: u64) {
         let mut out = Vec::new();
-        self.desk.gone(self.now, StreamId(stream), &mut out);
+        self.coordinator.stream_closed(self.now, StreamId(stream), &mut out);
         self.run(out);
     }
 
     fn pass(&mut self, ms: u64) {
         let until = self.now.plus(Time::ms(ms));
         loop {
-            let due = self.timers.first().map(|t| t.0).into_iter().chain(self.desk.next_due()).min();
+            let due = self.timers.first().map(|t| t.0).into_iter().chain(self.coordinator.next_due()).min();
             let Some(due) = due.filter(|d| *d <= until) else { break };
             self.now = self.now.max(due);
             let mut out = Vec::new();
-            self.desk.tick(self.now, &mut out);
+            self.coordinator.tick(self.now, &mut out);
             while let Some((_, token)) = self.timers.first().copied().filter(|t| t.0 <= self.now) {
                 self.timers.pop_first();
-                out.push(Out::Event(Event::Timer(token)));
+                out.push(Output::Event(Event::Timer(token)));
             }
             self.run(out);
         }
@@ -148,13 +147,13 @@
     }
 
     /// What a stream was told last.
-    fn last(&self, stream: u64) -> Option<Say> {
+    fn last(&self, stream: u64) -> Option<ProxyReply> {
         self.said.iter().rev().find(|s| s.0 == StreamId(stream)).map(|s| s.1)
     }
 
     fn lease(&self, stream: u64) -> LeaseId {
         match self.last(stream) {
-            Some(Say::Member(lease, ..)) => lease,
+            Some(ProxyReply::Member { lease, .. }) => lease,
             other => panic!("stream {stream}: {other:?}"),
         }
     }
@@ -164,6 +163,10 @@
     WriteId::new(u128::from(made.0 / 1_000_000) << 80 | 7 << 76 | 2 << 62 | u128::from(n)).unwrap()
 }
 
+fn usage(open_calls: usize, leases: usize, remembered_writes: usize) -> LeaseUsage {
+    LeaseUsage { open_calls, leases, remembered_writes }
+}
+
 /// A router that started long ago.
 fn bench() -> Bench {
     let mut b = Bench::new(START, 7);
@@ -177,18 +180,18 @@
     let w = id(b.now, 1);
     b.ask(1, WRITE, Some(w), 900);
     let lease = b.lease(1);
-    assert!(matches!(b.last(1), Some(Say::Member(_, MemberId(1), _))), "the primary");
+    assert!(matches!(b.last(1), Some(ProxyReply::Member { member: MemberId(1), .. })), "the primary");
     b.ask(2, WRITE, Some(w), 900);
-    assert_eq!(b.last(2), Some(Say::Decided));
+    assert_eq!(b.last(2), Some(ProxyReply::AlreadyDecided));
     // Served: whoever asks later hears that it was decided, and the first proxy's late word changes nothing.
-    b.told(1, lease, Told::Served);
+    b.told(1, lease, LeaseOutcome::Served);
     b.ask(3, WRITE, Some(w), 900);
-    assert_eq!(b.last(3), Some(Say::Decided));
-    b.told(1, lease, Told::NotSent);
+    assert_eq!(b.last(3), Some(ProxyReply::AlreadyDecided));
+    b.told(1, lease, LeaseOutcome::NotSent);
     b.ask(4, WRITE, Some(w), 900);
-    assert_eq!(b.last(4), Some(Say::Decided));
-    assert_eq!(b.desk.books(), (0, 0, 1));
-    assert_eq!(b.desk.take_strays().unknown, 1);
+    assert_eq!(b.last(4), Some(ProxyReply::AlreadyDecided));
+    assert_eq!(b.coordinator.usage(), usage(0, 0, 1));
+    assert_eq!(b.coordinator.take_stray_reports().unknown, 1);
 }
 
 #[test]
@@ -203,10 +206,10 @@
     assert_eq!((b.last(2), b.last(3)), (None, None), "held");
     b.pass(300);
     b.lease(2);
-    assert_eq!(b.last(3), Some(Say::Decided));
+    assert_eq!(b.last(3), Some(ProxyReply::AlreadyDecided));
     // The one that has nothing left to hear may go, and the other's lease stays.
     b.gone(3);
-    assert_eq!(b.desk.books().1, 1);
+    assert_eq!(b.coordinator.usage().leases, 1);
 }
 
 #[test]
@@ -214,13 +217,13 @@
     let mut b = bench();
     let w = id(b.now, 1);
     b.ask(1, WRITE, Some(w), 900);
-    b.told(1, b.lease(1), Told::NoConnection);
+    b.told(1, b.lease(1), LeaseOutcome::ConnectFailed);
     b.pass(300);
     let second = b.lease(1);
-    assert_eq!(b.said.iter().filter(|s| matches!(s.1, Say::Member(..))).count(), 2, "a further attempt");
+    assert_eq!(b.said.iter().filter(|s| matches!(s.1, ProxyReply::Member { .. })).count(), 2, "a further attempt");
     b.ask(2, WRITE, Some(w), 900);
-    assert_eq!(b.last(2), Some(Say::Decided), "while that is out");
-    b.told(1, second, Told::NotSent);
+    assert_eq!(b.last(2), Some(ProxyReply::AlreadyDecided), "while that is out");
+    b.told(1, second, LeaseOutcome::NotSent);
     b.gone(1);
     b.ask(3, WRITE, Some(w), 900);
     b.pass(300);
@@ -234,19 +237,19 @@
     b.ask(1, WRITE, Some(w), 900);
     b.gone(1);
     b.ask(2, WRITE, Some(w), 900);
-    assert_eq!(b.last(2), Some(Say::Decided), "it may have been sent, or may yet");
+    assert_eq!(b.last(2), Some(ProxyReply::AlreadyDecided), "it may have been sent, or may yet");
     // The lease's end, told or not. Another router: this one's module is in doubt of its primary.
     b = bench();
     let v = id(b.now, 2);
     b.ask(3, WRITE, Some(v), 500);
     let lease = b.lease(3);
     b.pass(600);
-    assert_eq!(b.last(3), Some(Say::Failed), "no promise");
-    b.told(3, lease, Told::NotSent);
+    assert_eq!(b.last(3), Some(ProxyReply::Failed), "no promise");
+    b.told(3, lease, LeaseOutcome::NotSent);
     b.ask(4, WRITE, Some(v), 900);
-    assert_eq!(b.last(4), Some(Say::Decided), "what is told after the end proves nothing");
+    assert_eq!(b.last(4), Some(ProxyReply::AlreadyDecided), "what is told after the end proves nothing");
     b.pass(2000);
-    assert_eq!(b.desk.books().0, 0);
+    assert_eq!(b.coordinator.usage().open_calls, 0);
 }
 
 #[test]
@@ -254,12 +257,12 @@
     let mut b = bench();
     let old = id(START.minus(Time::ms(100)), 1);
     let cases = [
-        (ClassId(9), None, 900, Say::Invalid(Why::Class)),
-        (WRITE, None, 900, Say::Invalid(Why::NoId)),
-        (WRITE, Some(id(b.now, 1)), 0, Say::Invalid(Why::Late)),
-        (WRITE, Some(old), 900, Say::Invalid(Why::Id(Verdict::BeforeStart))),
-        (WRITE, Some(id(b.now.plus(Time::ms(99)), 1)), 900, Say::Invalid(Why::Id(Verdict::Future))),
-        (WRITE, Some(id(START.minus(Time::ms(20_000)), 1)), 900, Say::Invalid(Why::Id(Verdict::TooOld))),
+        (ClassId(9), None, 900, ProxyReply::Invalid(RejectReason::UnknownClass)),
+        (WRITE, None, 900, ProxyReply::Invalid(RejectReason::MissingId)),
+        (WRITE, Some(id(b.now, 1)), 0, ProxyReply::Invalid(RejectReason::DeadlinePassed)),
+        (WRITE, Some(old), 900, ProxyReply::Invalid(RejectReason::UnusableId(Verdict::BeforeStart))),
+        (WRITE, Some(id(b.now.plus(Time::ms(99)), 1)), 900, ProxyReply::Invalid(RejectReason::UnusableId(Verdict::Future))),
+        (WRITE, Some(id(START.minus(Time::ms(20_000)), 1)), 900, ProxyReply::Invalid(RejectReason::UnusableId(Verdict::TooOld))),
     ];
     for (n, (class, id, ms, say)) in cases.into_iter().enumerate() {
         b.ask(n as u64, class, id, ms);
@@ -268,15 +271,15 @@
     b.ask(50, READ, None, 900);
     b.lease(50);
     b.ask(50, READ, None, 900);
-    assert_eq!(b.last(50), Some(Say::Invalid(Why::Busy)), "one call a stream");
+    assert_eq!(b.last(50), Some(ProxyReply::Invalid(RejectReason::StreamBusy)), "one call a stream");
     // Calls that say nothing more are bounded, and leave when their time is over.
     for n in 100..200 {
         b.ask(n, READ, None, 900);
     }
-    let refused = (100..200).filter(|n| b.last(*n) == Some(Say::Refused(None))).count();
-    assert!(refused >= 40 && b.desk.books().0 <= LIMITS.calls, "{refused}, {:?}", b.desk.books());
+    let refused = (100..200).filter(|n| b.last(*n) == Some(ProxyReply::Rejected { retry_after: None })).count();
+    assert!(refused >= 40 && b.coordinator.usage().open_calls <= LIMITS.max_open_calls, "{refused}, {:?}", b.coordinator.usage());
     b.pass(3000);
-    assert_eq!(b.desk.books(), (0, 0, 0));
+    assert_eq!(b.coordinator.usage(), usage(0, 0, 0));
 }
 
 #[test]
@@ -316,13 +319,13 @@
                 let (at, lease) =
                     held.iter().nth(below(held.len() as u64) as usize).map(|h| (*h.0, *h.1)).unwrap();
                 let all = [
-                    Told::Served,
-                    Told::Served,
-                    Told::Miss,
-                    Told::TurnedAway,
-                    Told::Error,
-                    Told::NoConnection,
-                    Told::NotSent,
+                    LeaseOutcome::Served,
+                    LeaseOutcome::Served,
+                    LeaseOutcome::Misdirected,
+                    LeaseOutcome::Rejected,
+                    LeaseOutcome::Error,
+                    LeaseOutcome::ConnectFailed,
+                    LeaseOutcome::NotSent,
                 ];
                 let what = all[below(7) as usize];
                 // Now and then about another's.
@@ -351,7 +354,7 @@
         }
         for (s, say) in b.said[seen..].iter().copied() {
             match say {
-                Say::Member(lease, _, send_by) => {
+                ProxyReply::Member { lease, send_by, .. } => {
                     assert!(send_by <= b.now.plus(LIMITS.send_within));
                     named += 1;
                     if let Some(w) = asks[&s.0] {
@@ -366,11 +369,11 @@
             }
         }
         seen = b.said.len();
-        assert!(b.desk.books().0 <= LIMITS.calls && b.desk.books().2 <= LIMITS.writes);
+        assert!(b.coordinator.usage().open_calls <= LIMITS.max_open_calls && b.coordinator.usage().remembered_writes <= LIMITS.max_remembered_writes);
     }
     println!("{named} members named, {again} of them for writes asked for before, {restarts} restarts");
     assert!(named > 5000 && again > 100 && restarts > 5, "{named}, {again}, {restarts}");
     b.pass(3000);
-    let (calls, leases, _) = b.desk.books();
-    assert_eq!((calls, leases), (0, 0));
+    let LeaseUsage { open_calls, leases, .. } = b.coordinator.usage();
+    assert_eq!((open_calls, leases), (0, 0));
 }
--- a/crates/extproc/tests/lease.rs
+++ b/crates/extproc/tests/lease.rs
@@ -1,7 +1,7 @@
 //! Leases and owners.
 
 use basalthill_extproc::lease::{Lease, Strays, StreamId};
-use basalthill_extproc::{LeaseId, Leases, Owners, Roster, Told, WriteId};
+use basalthill_extproc::{LeaseId, Leases, Owners, Roster, LeaseOutcome, WriteId};
 use basalthill_policy::api::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,12 +15,12 @@
 #[test]
 fn each_end_of_a_lease_is_one_status_and_proves_what_the_note_says() {
     let told = [
-        (Told::Served, Status::Ok, false),
-        (Told::Miss, Status::Misdirected, true),
-        (Told::TurnedAway, Status::Overloaded, true),
-        (Told::Error, Status::Error, false),
-        (Told::NoConnection, Status::ConnectFailed, true),
-        (Told::NotSent, Status::NotSent, true),
+        (LeaseOutcome::Served, Status::Ok, false),
+        (LeaseOutcome::Misdirected, Status::Misdirected, true),
+        (LeaseOutcome::Rejected, Status::Overloaded, true),
+        (LeaseOutcome::Error, Status::Error, false),
+        (LeaseOutcome::ConnectFailed, Status::ConnectFailed, true),
+        (LeaseOutcome::NotSent, Status::NotSent, true),
     ];
     let mut leases = Leases::default();
     for (told, status, unrun) in told {
@@ -31,18 +31,18 @@
     }
     let id = leases.give(lease(1, START, 500));
     assert_eq!(
-        leases.told(START, StreamId(2), id, Told::NotSent, ReplicationState::default()),
+        leases.told(START, StreamId(2), id, LeaseOutcome::NotSent, ReplicationState::default()),
         None,
         "another's"
     );
     assert_eq!(
-        leases.told(START, StreamId(1), LeaseId(999), Told::Served, ReplicationState::default()),
+        leases.told(START, StreamId(1), LeaseId(999), LeaseOutcome::Served, ReplicationState::default()),
         None
     );
     assert_eq!(leases.take_strays(), Strays { unknown: 7, others: 1 });
     // Told in the very moment of its end: it has timed out, and what is told late proves nothing.
     let ends = START.plus(Time::ms(500));
-    assert_eq!(leases.told(ends, StreamId(1), id, Told::NotSent, ReplicationState::default()), None);
+    assert_eq!(leases.told(ends, StreamId(1), id, LeaseOutcome::NotSent, ReplicationState::default()), None);
     let over = leases.expire(ends);
     assert_eq!((over.len(), over[0].status), (1, Status::Timeout));
     leases.give(lease(3, START, 500));
@@ -74,7 +74,7 @@
                 let id = LeaseId(below(given.len() as u64 + 3));
                 let stream = given.get(&id).map_or(StreamId(0), |l| l.stream);
                 let stream = if below(5) == 0 { StreamId(below(40)) } else { stream };
-                leases.told(now, stream, id, Told::Served, ReplicationState::default()).into_iter().collect()
+                leases.told(now, stream, id, LeaseOutcome::Served, ReplicationState::default()).into_iter().collect()
             }
             8 => leases.stream_ended(StreamId(below(40))),
             _ => leases.expire(now),
--- a/crates/fleet/src/seal.rs
+++ b/crates/fleet/src/seal.rs
@@ -4,7 +4,7 @@
 //! those two, then what postcard writes. What it says is no secret.
 
 use crate::packet::{Content, LONGEST, VERSION};
-use basalthill_session::token::Keys;
+use basalthill_session::token::KeyRing;
 
 const HEAD: usize = 2;
 const MAC: usize = 16;
@@ -12,7 +12,7 @@
 /// Signs and checks datagrams.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Seal {
-    keys: Keys,
+    keys: KeyRing,
 }
 
 /// Why a datagram is dropped.
@@ -36,7 +36,7 @@
 
 impl Seal {
     /// A seal with these keys; their greatest age does not count here.
-    pub fn new(keys: Keys) -> Seal {
+    pub fn new(keys: KeyRing) -> Seal {
         Seal { keys }
     }
 
@@ -60,7 +60,7 @@
         let (mac, body) = rest.split_at(MAC);
         let mut known = std::iter::once(&self.keys.signing).chain(&self.keys.verifying);
         let key = known.find(|k| k.id.0 == head[1]).ok_or(Dropped::UnknownKey)?;
-        if !key.made(&[head, body], mac) {
+        if !key.verifies(&[head, body], mac) {
             return Err(Dropped::Forged);
         }
         match postcard::take_from_bytes::<Content>(body) {
--- a/crates/fleet/src/seal/tests.rs
+++ b/crates/fleet/src/seal/tests.rs
@@ -9,7 +9,7 @@
 
 fn seal(signing: u8, verifying: &[u8]) -> Seal {
     let verifying = verifying.iter().map(|id| key(*id)).collect();
-    Seal::new(Keys { signing: key(signing), verifying, max_age: Time(0) })
+    Seal::new(KeyRing { signing: key(signing), verifying, max_age: Time(0) })
 }
 
 #[test]
--- a/crates/lab/src/book.rs
+++ b/crates/lab/src/book.rs
@@ -4,7 +4,7 @@
 use crate::results::{chart, table, Axes, Line, Table};
 use crate::{Common, Done, Outcome};
 use basalthill_policy::api::{GroupId, SessionKey, Time};
-use basalthill_session::book::{Book, BUCKET};
+use basalthill_session::{FloorTable, BUCKET_BYTES};
 use basalthill_standin::fleet::Dice;
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -42,13 +42,13 @@
 
 /// Buckets enough for all sessions, filled to two thirds.
 fn enough(sessions: u64) -> usize {
-    (sessions as usize * 3 / 2 / 7).next_power_of_two() * BUCKET
+    (sessions as usize * 3 / 2 / 7).next_power_of_two() * BUCKET_BYTES
 }
 
 /// The share of reads that a replica may serve, which lags so far, when a session reads so long after it
 /// wrote.
 fn share(options: &Options, bytes: usize, lag: Time, seed: u64) -> (f64, f64) {
-    let mut book = Book::new(START, bytes, seed);
+    let mut book = FloorTable::new(START, bytes, seed);
     let mut exact = BTreeMap::new();
     let (mut dice, mut passes, mut would) = (Dice(seed), 0u64, 0u64);
     let writes = options.sessions * 2;
@@ -61,7 +61,7 @@
         if n > options.sessions {
             let reader = dice.below(options.sessions);
             let entry = book.get(G, SessionKey(reader));
-            let floor = entry.own.unwrap_or_default().max(entry.forgotten);
+            let floor = entry.exact.unwrap_or_default().max(entry.evicted);
             let applied = now.minus(lag);
             reads += 1;
             passes += u64::from(floor <= applied);
@@ -93,14 +93,14 @@
         *floor = commit(n + i, options).max(*floor);
     });
     let before = resident();
-    let mut book = Book::new(START, enough(n), common.seed);
+    let mut book = FloorTable::new(START, enough(n), common.seed);
     let raise = timed(n, |i| book.raise(G, key(i), commit(i, options)));
     let bytes = resident().saturating_sub(before) as f64 / n as f64;
     let get = timed(n, |i| {
         black_box(book.get(G, key(i * 31)));
     });
     let again = timed(n, |i| book.raise(G, key(i), commit(n + i, options)));
-    let kept = (0..n).filter(|i| book.get(G, key(*i)).own.is_some()).count() as f64 / n as f64;
+    let kept = (0..n).filter(|i| book.get(G, key(*i)).exact.is_some()).count() as f64 / n as f64;
     let row = |name: &str, figures: [f64; 4]| {
         std::iter::once(name.to_string()).chain(figures.iter().map(|f| format!("{f:.1}"))).collect()
     };
--- a/crates/lab/src/cost.rs
+++ b/crates/lab/src/cost.rs
@@ -5,8 +5,8 @@
 use crate::sessions::Mode;
 use crate::{Common, Done, Outcome};
 use basalthill_policy::api::{GroupId, SessionKey, Time};
-use basalthill_session::token::{issue, verify, Key, KeyId, Keys, Owner};
-use basalthill_session::Floors;
+use basalthill_session::token::{issue, verify, Key, KeyId, KeyRing, SessionIdentity};
+use basalthill_session::GroupFloors;
 use basalthill_standin::client::{Answer, Client};
 use basalthill_standin::fleet::World;
 use basalthill_standin::group::Manner;
@@ -79,9 +79,9 @@
 /// Microseconds to make a token and to read it.
 fn alone() -> Option<(f64, f64)> {
     let keys =
-        Keys { signing: Key::new(KeyId(1), vec![7; 32])?, verifying: Vec::new(), max_age: Time::ms(1000) };
-    let (now, owner) = (Time::ms(1_767_225_600_000), Owner { name: b"anne", key: SessionKey(1) });
-    let mut floors = Floors::default();
+        KeyRing { signing: Key::new(KeyId(1), vec![7; 32])?, verifying: Vec::new(), max_age: Time::ms(1000) };
+    let (now, owner) = (Time::ms(1_767_225_600_000), SessionIdentity { name: b"anne", key: SessionKey(1) });
+    let mut floors = GroupFloors::default();
     floors.raise(GroupId(2), now);
     let text = issue(&keys, now, owner, &floors);
     let timed = |f: &dyn Fn()| {
--- a/crates/router/src/protocol/client.rs
+++ b/crates/router/src/protocol/client.rs
@@ -2,7 +2,10 @@
 
 use basalthill_config::router::LONGEST_STATEMENT;
 use basalthill_policy::api::Time;
-use basalthill_wire::{put, put_error, put_text, text, Inbox, ProtocolError, Severity, READY};
+use basalthill_wire::{
+    put_cstring, put_error_response, put_message, read_cstring, MessageBuffer, MessageHeader, ProtocolError, Severity,
+    READY_FOR_QUERY,
+};
 use std::collections::VecDeque;
 
 /// Longest message body taken.
@@ -52,7 +55,7 @@
 /// last byte: a client's time counts from there, however many commands it has written before.
 #[derive(Debug, Default)]
 pub struct ClientSide {
-    inbox: Inbox,
+    inbox: MessageBuffer,
     stage: Stage,
     /// Messages that have come whole, and when.
     whole: VecDeque<Whole>,
@@ -75,7 +78,7 @@
         if self.broken.is_some() {
             return;
         }
-        self.inbox.feed(bytes);
+        self.inbox.extend(bytes);
         loop {
             let before = self.inbox.len();
             match self.next() {
@@ -86,7 +89,7 @@
                 }
                 Ok(None) => return,
                 Err(e) => {
-                    self.inbox = Inbox::default();
+                    self.inbox = MessageBuffer::default();
                     self.broken = Some(e);
                     return;
                 }
@@ -107,7 +110,7 @@
 
     /// How much is missing of the message that has begun, or of its head.
     fn missing(&self) -> usize {
-        let (rest, head) = (self.inbox.rest(), if self.stage == Stage::Starting { 0 } else { 1 });
+        let (rest, head) = (self.inbox.unread(), if self.stage == Stage::Starting { 0 } else { 1 });
         let len = rest.get(head..).and_then(|r| r.first_chunk::<4>()).map(|len| u32::from_be_bytes(*len));
         len.map_or(head + 4, |len| head + len as usize).saturating_sub(rest.len())
     }
@@ -144,12 +147,12 @@
             return self.startup();
         }
         loop {
-            let Some((kind, len)) = self.inbox.message(LONGEST)? else { return Ok(None) };
-            let body = &self.inbox.rest()[5..5 + len];
+            let Some(MessageHeader { kind, body_len: len }) = self.inbox.message_header(LONGEST)? else { return Ok(None) };
+            let body = &self.inbox.unread()[5..5 + len];
             let message = match kind {
-                b'Q' if self.stage == Stage::Open => match text(body) {
+                b'Q' if self.stage == Stage::Open => match read_cstring(body) {
                     Some((query, [])) => Some(ClientMessage::Query(query.to_vec())),
-                    _ => return Err(ProtocolError("a query that does not end with its zero byte".into())),
+                    _ => return Err(ProtocolError::UnterminatedQuery),
                 },
                 b'X' => Some(ClientMessage::Terminate),
                 b'S' if self.stage == Stage::Skipping => {
@@ -164,9 +167,9 @@
                 }
                 b'F' => Some(ClientMessage::Unsupported(kind)),
                 b'd' | b'c' | b'f' => None,
-                other => return Err(ProtocolError(format!("message type {other} is unknown"))),
+                other => return Err(ProtocolError::UnknownClientMessage(other)),
             };
-            self.inbox.used(5 + len);
+            self.inbox.consume(5 + len);
             if message.is_some() {
                 return Ok(message);
             }
@@ -174,11 +177,11 @@
     }
 
     fn startup(&mut self) -> Result<Option<ClientMessage>, ProtocolError> {
-        let rest = self.inbox.rest();
+        let rest = self.inbox.unread();
         let Some(head) = rest.first_chunk::<4>() else { return Ok(None) };
         let len = u32::from_be_bytes(*head) as usize;
         if !(8..=LONGEST_STARTUP).contains(&len) {
-            return Err(ProtocolError(format!("a startup message of {len} bytes")));
+            return Err(ProtocolError::StartupLength(len));
         }
         let Some(body) = rest.get(4..len) else { return Ok(None) };
         let (version, options) = body.split_at(4);
@@ -189,26 +192,26 @@
                     process: u32::from_be_bytes([a, b, c, d]),
                     secret: u32::from_be_bytes([e, f, g, h]),
                 }),
-                _ => return Err(ProtocolError(format!("a cancel request of {len} bytes"))),
+                _ => return Err(ProtocolError::CancelRequestLength(len)),
             },
             (1234, 5679 | 5680) => ClientMessage::Encryption,
             (3, minor) => {
                 let mut newer = minor > 0;
                 let mut left = options;
-                while let Some((name, after)) = text(left).filter(|(name, _)| !name.is_empty()) {
+                while let Some((name, after)) = read_cstring(left).filter(|(name, _)| !name.is_empty()) {
                     newer |= name.starts_with(b"_pq_.");
                     left =
-                        text(after).ok_or_else(|| ProtocolError("a startup option has no value".into()))?.1;
+                        read_cstring(after).ok_or(ProtocolError::StartupOptionWithoutValue)?.1;
                 }
                 if left != [0] {
-                    return Err(ProtocolError("a startup message that does not end well".into()));
+                    return Err(ProtocolError::UnterminatedStartup);
                 }
                 self.stage = Stage::Open;
                 ClientMessage::Startup { newer }
             }
-            (major, minor) => return Err(ProtocolError(format!("protocol {major}.{minor} is not served"))),
+            (major, minor) => return Err(ProtocolError::UnsupportedVersion { major, minor }),
         };
-        self.inbox.used(len);
+        self.inbox.consume(len);
         Ok(Some(message))
     }
 }
@@ -220,9 +223,9 @@
 pub fn welcome(newer: bool, key: CancelKey) -> Vec<u8> {
     let mut out = Vec::with_capacity(256);
     if newer {
-        put(&mut out, b'v', |out| out.extend([0; 8]));
+        put_message(&mut out, b'v', |out| out.extend([0; 8]));
     }
-    put(&mut out, b'R', |out| out.extend([0; 4]));
+    put_message(&mut out, b'R', |out| out.extend([0; 4]));
     let parameters = [
         ("server_version", "15.0"),
         ("server_encoding", "UTF8"),
@@ -232,16 +235,16 @@
         ("DateStyle", "ISO, MDY"),
     ];
     for (name, value) in parameters {
-        put(&mut out, b'S', |out| {
-            put_text(out, name);
-            put_text(out, value);
+        put_message(&mut out, b'S', |out| {
+            put_cstring(out, name);
+            put_cstring(out, value);
         });
     }
-    put(&mut out, b'K', |out| {
+    put_message(&mut out, b'K', |out| {
         out.extend(key.process.to_be_bytes());
         out.extend(key.secret.to_be_bytes());
     });
-    out.extend_from_slice(READY);
+    out.extend_from_slice(READY_FOR_QUERY);
     out
 }
 
@@ -251,9 +254,9 @@
 /// A ParameterStatus message with a session's token.
 pub fn session_token(token: &str) -> Vec<u8> {
     let mut out = Vec::with_capacity(32 + token.len());
-    put(&mut out, b'S', |out| {
-        put_text(out, SESSION_TOKEN);
-        put_text(out, token);
+    put_message(&mut out, b'S', |out| {
+        put_cstring(out, SESSION_TOKEN);
+        put_cstring(out, token);
     });
     out
 }
@@ -261,29 +264,29 @@
 /// The answer to an empty query.
 pub fn empty_query() -> Vec<u8> {
     let mut out = Vec::with_capacity(16);
-    put(&mut out, b'I', |_| {});
-    out.extend_from_slice(READY);
+    put_message(&mut out, b'I', |_| {});
+    out.extend_from_slice(READY_FOR_QUERY);
     out
 }
 
 /// An error after which the connection goes on.
 pub fn error(code: &str, message: &str, detail: Option<&str>) -> Vec<u8> {
     let mut out = Vec::with_capacity(128);
-    put_error(&mut out, Severity::Error, code, message, detail);
-    out.extend_from_slice(READY);
+    put_error_response(&mut out, Severity::Error, code, message, detail);
+    out.extend_from_slice(READY_FOR_QUERY);
     out
 }
 
 /// An error without ReadyForQuery, which follows Sync.
 pub fn unsupported() -> Vec<u8> {
     let mut out = Vec::with_capacity(128);
-    put_error(&mut out, Severity::Error, "0A000", "only simple queries are served", None);
+    put_error_response(&mut out, Severity::Error, "0A000", "only simple queries are served", None);
     out
 }
 
 /// An error after which the connection is closed.
 pub fn fatal(code: &str, message: &str) -> Vec<u8> {
     let mut out = Vec::with_capacity(128);
-    put_error(&mut out, Severity::Fatal, code, message, None);
+    put_error_response(&mut out, Severity::Fatal, code, message, None);
     out
 }
--- a/crates/router/src/protocol/discovery.rs
+++ b/crates/router/src/protocol/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery: HTTP/1.1 answers in chunks, and the lists of members inside.
 
-use basalthill_wire::{Inbox, ProtocolError};
+use basalthill_wire::MessageBuffer;
 use serde::Deserialize;
 
 /// Longest line of a list that is taken.
@@ -59,13 +59,45 @@
 
 impl HostList {
     /// Reads a list from JSON text.
-    pub fn parse(text: &[u8]) -> Result<HostList, ProtocolError> {
+    pub fn parse(text: &[u8]) -> Result<HostList, DiscoveryError> {
         serde_json::from_slice(text).map_err(|e| unreadable(&e))
     }
 }
 
-fn unreadable(e: &serde_json::Error) -> ProtocolError {
-    ProtocolError(format!("a list that can't be read: {e}"))
+fn unreadable(e: &serde_json::Error) -> DiscoveryError {
+    DiscoveryError::UnreadableList(e.to_string())
+}
+
+/// Why an answer of discovery cannot be read any further.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum DiscoveryError {
+    /// The list is not the JSON that discovery speaks.
+    #[error("a list that can't be read: {0}")]
+    UnreadableList(String),
+    /// The list exceeds the limit.
+    #[error("a list that is too long")]
+    ListTooLong,
+    /// The head of the HTTP response is malformed.
+    #[error("HTTP: {0}")]
+    Http(httparse::Error),
+    /// The head of the HTTP response exceeds the limit.
+    #[error("HTTP: a head that is too long")]
+    HeadTooLong,
+    /// The status is not 200.
+    #[error("HTTP: status {0}")]
+    Status(u16),
+    /// The content length is no number.
+    #[error("HTTP: bad content-length")]
+    ContentLength,
+    /// A chunk's size is no hexadecimal number.
+    #[error("HTTP: a bad chunk size")]
+    ChunkSize,
+    /// The line with a chunk's size does not end.
+    #[error("HTTP: a chunk size that is too long")]
+    ChunkSizeTooLong,
+    /// A chunk is not followed by a line end.
+    #[error("HTTP: a chunk that does not end well")]
+    ChunkEnd,
 }
 
 /// What a watch has brought.
@@ -97,7 +129,7 @@
 /// The protocol's state for one answer of discovery.
 #[derive(Debug, Default)]
 pub struct WatchSide {
-    inbox: Inbox,
+    inbox: MessageBuffer,
     stage: Stage,
     line: Vec<u8>,
     /// So much of it, in whole lines, is part of a list that goes on.
@@ -108,17 +140,17 @@
 impl WatchSide {
     /// Takes bytes in.
     pub fn feed(&mut self, bytes: &[u8]) {
-        self.inbox.feed(bytes);
+        self.inbox.extend(bytes);
     }
 
     /// The next message, if one has come whole.
-    pub fn take(&mut self) -> Result<Option<WatchMessage>, ProtocolError> {
+    pub fn take(&mut self) -> Result<Option<WatchMessage>, DiscoveryError> {
         loop {
             if let Some(message) = self.line()? {
                 return Ok(Some(message));
             }
             if self.line.len() > LONGEST_LINE {
-                return Err(ProtocolError("a list that is too long".into()));
+                return Err(DiscoveryError::ListTooLong);
             }
             if self.stage == Stage::Over {
                 let rest = std::mem::take(&mut self.line);
@@ -146,7 +178,7 @@
 
     /// The next line that is whole. A list may be indented, over many lines: one that is not over goes on
     /// with the next, and is looked at again where it may end.
-    fn line(&mut self) -> Result<Option<WatchMessage>, ProtocolError> {
+    fn line(&mut self) -> Result<Option<WatchMessage>, DiscoveryError> {
         while let Some(end) = self.line[self.seen..].iter().position(|b| *b == b'\n') {
             let (first, end) = (self.seen == 0, self.seen + end + 1);
             self.seen = end;
@@ -179,22 +211,22 @@
     }
 
     /// Uses some of what waits; whether there was enough of it.
-    fn step(&mut self) -> Result<bool, ProtocolError> {
-        let rest = self.inbox.rest();
+    fn step(&mut self) -> Result<bool, DiscoveryError> {
+        let rest = self.inbox.unread();
         match self.stage {
             Stage::Head => {
                 let mut headers = [httparse::EMPTY_HEADER; 32];
                 let mut response = httparse::Response::new(&mut headers);
-                let parsed = response.parse(rest).map_err(|e| ProtocolError(format!("HTTP: {e}")))?;
+                let parsed = response.parse(rest).map_err(DiscoveryError::Http)?;
                 let httparse::Status::Complete(used) = parsed else {
                     if rest.len() > LONGEST_HEAD {
-                        return Err(ProtocolError("HTTP: a head that is too long".into()));
+                        return Err(DiscoveryError::HeadTooLong);
                     }
                     return Ok(false);
                 };
                 if response.code != Some(200) {
                     self.turned_away = matches!(response.code, Some(429 | 500..));
-                    return Err(ProtocolError(format!("HTTP: status {}", response.code.unwrap_or(0))));
+                    return Err(DiscoveryError::Status(response.code.unwrap_or(0)));
                 }
                 let mut next = Stage::Plain(None);
                 for h in response.headers.iter() {
@@ -206,42 +238,42 @@
                     } else if h.name.eq_ignore_ascii_case("content-length") && next != Stage::Size {
                         let len = std::str::from_utf8(value).ok().and_then(|v| v.parse().ok());
                         next =
-                            Stage::Plain(Some(len.ok_or(ProtocolError("HTTP: bad content-length".into()))?));
+                            Stage::Plain(Some(len.ok_or(DiscoveryError::ContentLength)?));
                     }
                 }
                 self.stage = next;
-                self.inbox.used(used);
+                self.inbox.consume(used);
             }
             Stage::Size => match httparse::parse_chunk_size(rest) {
-                Err(_) => return Err(ProtocolError("HTTP: a bad chunk size".into())),
+                Err(_) => return Err(DiscoveryError::ChunkSize),
                 Ok(httparse::Status::Partial) if rest.len() > 256 => {
-                    return Err(ProtocolError("HTTP: a chunk size that is too long".into()))
+                    return Err(DiscoveryError::ChunkSizeTooLong)
                 }
                 Ok(httparse::Status::Partial) => return Ok(false),
                 Ok(httparse::Status::Complete((used, size))) => {
                     self.stage = if size == 0 { Stage::Over } else { Stage::Chunk(size as usize) };
-                    self.inbox.used(used);
+                    self.inbox.consume(used);
                 }
             },
             Stage::Chunk(left) => {
                 let n = left.min(rest.len());
                 self.line.extend_from_slice(&rest[..n]);
                 self.stage = if n == left { Stage::ChunkEnd } else { Stage::Chunk(left - n) };
-                self.inbox.used(n);
+                self.inbox.consume(n);
                 return Ok(n > 0);
             }
             Stage::ChunkEnd => {
                 let Some(end) = rest.first_chunk::<2>() else { return Ok(false) };
                 if end != b"\r\n" {
-                    return Err(ProtocolError("HTTP: a chunk that does not end well".into()));
+                    return Err(DiscoveryError::ChunkEnd);
                 }
                 self.stage = Stage::Size;
-                self.inbox.used(2);
+                self.inbox.consume(2);
             }
             Stage::Plain(left) => {
                 let n = left.unwrap_or(usize::MAX).min(rest.len());
                 self.line.extend_from_slice(&rest[..n]);
-                self.inbox.used(n);
+                self.inbox.consume(n);
                 self.stage = match left.map(|l| l - n) {
                     Some(0) => Stage::Over,
                     left => Stage::Plain(left),
--- a/crates/router/src/protocol/host.rs
+++ b/crates/router/src/protocol/host.rs
@@ -1,6 +1,8 @@
 //! The side towards database hosts: bytes in, answers out.
 
-use basalthill_wire::{error_code, put, put_text, text, Inbox, Part, ProtocolError};
+use basalthill_wire::{
+    error_code, put_cstring, put_message, read_cstring, ByteRange, MessageBuffer, MessageHeader, ProtocolError,
+};
 
 /// Longest message body taken from a host: a value of 64 KiB and its heads.
 pub const LONGEST: usize = 80 * 1024;
@@ -44,9 +46,9 @@
     /// What the host sent.
     pub bytes: Vec<u8>,
     /// The messages that belong to the client, in order.
-    pub parts: Vec<Part>,
+    pub parts: Vec<ByteRange>,
     /// The value; none if it is null.
-    pub value: Option<Part>,
+    pub value: Option<ByteRange>,
     /// Whether the value is in binary form.
     pub binary: bool,
 }
@@ -73,8 +75,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Progress {
     bytes: Vec<u8>,
-    parts: Vec<Part>,
-    value: Option<Part>,
+    parts: Vec<ByteRange>,
+    value: Option<ByteRange>,
     rows: usize,
     binary: bool,
     complete: bool,
@@ -84,7 +86,7 @@
 /// The protocol's state for one connection to a host.
 #[derive(Debug, Default)]
 pub struct HostSide {
-    inbox: Inbox,
+    inbox: MessageBuffer,
     stage: Stage,
     telling: Telling,
 }
@@ -92,7 +94,7 @@
 impl HostSide {
     /// Takes bytes in.
     pub fn feed(&mut self, bytes: &[u8]) {
-        self.inbox.feed(bytes);
+        self.inbox.extend(bytes);
     }
 
     /// Whether a query may be written.
@@ -139,9 +141,9 @@
     pub fn take(&mut self) -> Result<Option<HostMessage>, ProtocolError> {
         loop {
             self.fits()?;
-            let Some((kind, len)) = self.inbox.message(LONGEST)? else { return Ok(None) };
+            let Some(MessageHeader { kind, body_len: len }) = self.inbox.message_header(LONGEST)? else { return Ok(None) };
             let out = self.message(kind, len)?;
-            self.inbox.used(5 + len);
+            self.inbox.consume(5 + len);
             if out.is_some() {
                 return Ok(out);
             }
@@ -151,15 +153,15 @@
     /// Judges the next message by its head, before its body has come: one that can't be right would be waited
     /// for in vain.
     fn fits(&self) -> Result<(), ProtocolError> {
-        let Some(head) = self.inbox.rest().first_chunk::<5>() else {
-            return match self.inbox.rest().first().is_none_or(|kind| b"SNARKvEZITDC".contains(kind)) {
+        let Some(head) = self.inbox.unread().first_chunk::<5>() else {
+            return match self.inbox.unread().first().is_none_or(|kind| b"SNARKvEZITDC".contains(kind)) {
                 true => Ok(()),
-                false => Err(ProtocolError("a message of an unknown type".into())),
+                false => Err(ProtocolError::UnknownHostMessage),
             };
         };
         let len = (u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize).saturating_sub(4);
         let right = match head[0] {
-            b'D' => match self.inbox.rest().get(5..11) {
+            b'D' => match self.inbox.unread().get(5..11) {
                 Some(&[0, 1, a, b, c, d]) => match i32::from_be_bytes([a, b, c, d]) {
                     -1 => len == 6,
                     size => usize::try_from(size).is_ok_and(|size| len == size.saturating_add(6)),
@@ -176,23 +178,22 @@
         };
         match right {
             true => Ok(()),
-            false => Err(ProtocolError(format!("a message {:?} of {len} bytes", char::from(head[0])))),
+            false => Err(ProtocolError::ImplausibleLength { kind: head[0], len }),
         }
     }
 
     fn message(&mut self, kind: u8, len: usize) -> Result<Option<HostMessage>, ProtocolError> {
-        let (whole, body) = (&self.inbox.rest()[..5 + len], &self.inbox.rest()[5..5 + len]);
-        let wrong = |what: &str| Err(ProtocolError(format!("{what} (message {:?})", char::from(kind))));
+        let (whole, body) = (&self.inbox.unread()[..5 + len], &self.inbox.unread()[5..5 + len]);
         match (kind, &mut self.stage) {
             (b'S', _) => {
                 // One that can't be read tells nothing; the answer is no worse for it.
-                if let Some((name, (value, _))) = text(body).and_then(|(n, rest)| Some((n, text(rest)?))) {
+                if let Some((name, (value, _))) = read_cstring(body).and_then(|(n, rest)| Some((n, read_cstring(rest)?))) {
                     tell(&mut self.telling, name, value);
                 }
             }
             (b'N' | b'A', _) => {}
             (b'R', Stage::Starting) if body == [0; 4] => {}
-            (b'R', Stage::Starting) => return wrong("a host that wants a password"),
+            (b'R', Stage::Starting) => return Err(ProtocolError::AuthenticationRequested(kind)),
             (b'K' | b'v', Stage::Starting) => {}
             (b'E', Stage::Starting) => {
                 let code = error_code(body).map(|c| String::from_utf8_lossy(c).into_owned());
@@ -221,11 +222,11 @@
             }
             (b'D', Stage::Busy(p)) if p.parts.len() == 1 && !p.complete => {
                 let Some((&[0, 1, a, b, c, d], value)) = body.split_first_chunk::<6>() else {
-                    return wrong("a row of another shape");
+                    return Err(ProtocolError::RowShape(kind));
                 };
                 let size = i32::from_be_bytes([a, b, c, d]);
                 if size >= 0 && size as usize != value.len() || size < -1 {
-                    return wrong("a value of another length");
+                    return Err(ProtocolError::ValueLength(kind));
                 }
                 p.rows += 1;
                 keep(p, whole)?;
@@ -235,7 +236,7 @@
                 p.complete = true;
                 keep(p, whole)?;
             }
-            _ => return wrong("a message out of order"),
+            _ => return Err(ProtocolError::OutOfOrder(kind)),
         }
         Ok(None)
     }
@@ -251,14 +252,14 @@
 
 /// Whether this is the body of a description of one column.
 fn describes(body: &[u8]) -> bool {
-    let column = body.strip_prefix(&[0, 1]).and_then(text);
+    let column = body.strip_prefix(&[0, 1]).and_then(read_cstring);
     column.is_some_and(|(_, rest)| rest.len() == 18)
 }
 
 fn keep(p: &mut Progress, whole: &[u8]) -> Result<(), ProtocolError> {
     let start = p.bytes.len();
     if start + whole.len() > LONGEST_ANSWER {
-        return Err(ProtocolError("an answer that is too long".into()));
+        return Err(ProtocolError::AnswerTooLong);
     }
     p.bytes.extend_from_slice(whole);
     p.parts.push(start..p.bytes.len());
@@ -282,7 +283,7 @@
     let mut body = Vec::with_capacity(48);
     body.extend(0x0003_0000u32.to_be_bytes());
     for word in ["user", "svc", "database", "main"] {
-        put_text(&mut body, word);
+        put_cstring(&mut body, word);
     }
     body.push(0);
     let mut out = ((body.len() + 4) as u32).to_be_bytes().to_vec();
@@ -293,7 +294,7 @@
 /// A short query of our own.
 pub fn query(text: &str) -> Vec<u8> {
     let mut out = Vec::with_capacity(text.len() + 6);
-    put(&mut out, b'Q', |out| put_text(out, text));
+    put_message(&mut out, b'Q', |out| put_cstring(out, text));
     out
 }
 
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -20,12 +20,11 @@
 use crate::protocol::host::{Ending, Row, Telling};
 use crate::protocol::statement::{Statement, StatementError};
 use basalthill_config::settings::{Reports, Site};
-use basalthill_extproc::lease::StreamId;
-use basalthill_extproc::{Call, Desk, LeaseId, Say, Told};
+use basalthill_extproc::{StreamId, DecisionRequest, LeaseCoordinator, LeaseId, ProxyReply, LeaseOutcome};
 use basalthill_fleet::{Budget, Key};
 use basalthill_policy::api::*;
 use basalthill_policy::Policy;
-use basalthill_session::{Counts, Sessions};
+use basalthill_session::{SessionCounts, Sessions};
 use limits::Limits;
 use members::Members;
 use requests::{Exchange, Open, Probes, Requests};
@@ -100,7 +99,7 @@
     /// Discovery has told something, and since when it may count as told.
     List(HostList, Time),
     /// Another proxy says something on a stream of its own.
-    Proxy(StreamId, Spoken),
+    Proxy(StreamId, ProxyMessage),
     /// Another router says something, or an operator asks.
     Fleet(FromFleet),
     /// Timers that are due may fire.
@@ -111,13 +110,20 @@
 
 /// What another proxy says.
 #[derive(Clone, Debug)]
-pub enum Spoken {
+pub enum ProxyMessage {
     /// It asks which member takes a request.
-    Ask(Call),
+    Request(DecisionRequest),
     /// It tells what came of a lease.
-    Told(LeaseId, Told, ReplicationState),
+    Outcome {
+        /// Which lease.
+        lease: LeaseId,
+        /// How it ended.
+        outcome: LeaseOutcome,
+        /// What the member's answer says of its replication.
+        replication: ReplicationState,
+    },
     /// Its stream has ended.
-    Gone,
+    StreamClosed,
 }
 
 /// What a client gets.
@@ -170,7 +176,7 @@
     /// Hand a client its session's token, before its answer or with it.
     Token(ClientId, String),
     /// Tell another proxy; the address goes with a member.
-    Proxy(StreamId, Say, Option<SocketAddr>),
+    Proxy(StreamId, ProxyReply, Option<SocketAddr>),
     /// Send a datagram to another router or an operator.
     Datagram(SocketAddr, Vec<u8>),
     /// Answer a client's command.
@@ -187,7 +193,7 @@
     site: Site,
     sessions: Sessions,
     /// Calls of other proxies, where they are served.
-    desk: Option<Desk>,
+    coordinator: Option<LeaseCoordinator>,
     /// Limits over all routers, where there are any.
     limits: Option<Limits>,
     members: Members,
@@ -221,7 +227,7 @@
             policy,
             site,
             sessions,
-            desk: None,
+            coordinator: None,
             limits: None,
             members,
             wall: Wall::default(),
@@ -316,7 +322,7 @@
 
     /// When the next timer is due.
     pub fn next_due(&self) -> Option<Time> {
-        let lease = self.desk.as_ref().and_then(Desk::next_due);
+        let lease = self.coordinator.as_ref().and_then(LeaseCoordinator::next_due);
         let fleet = self.limits.as_ref().map(|l| l.fleet.next_due());
         self.timers.next().into_iter().chain(lease).chain(fleet).min()
     }
@@ -349,7 +355,7 @@
     }
 
     /// What has been counted of sessions since this was last asked.
-    pub fn session_counts(&mut self) -> Counts {
+    pub fn session_counts(&mut self) -> SessionCounts {
         self.sessions.take_counts()
     }
 
@@ -378,7 +384,7 @@
             }
             _ => None,
         };
-        if of.is_some_and(Desk::owns) {
+        if of.is_some_and(LeaseCoordinator::owns) {
             return self.act_for_proxy(now, &action, out);
         }
         match action {
@@ -460,22 +466,22 @@
         let tenant = named(&self.site.tenants, statement.tenant()).unwrap_or(self.site.tenants.len());
         let id = self.requests.number();
         let deadline = came.min(now).plus(Time::ms(statement.patience_ms));
-        let (bond, floor) = self.session(now, client, &statement, class, group);
+        let (tracked, floor) = self.session(now, client, &statement, class, group);
         let request = Request {
             id,
             class: ClassId(class as u16),
             tenant: TenantId(tenant as u16),
             deadline,
             group,
-            floor: self.wall.own(floor.at),
+            floor: self.wall.own(floor.position),
             lead: floor.lead,
             client_retry: statement.repeat,
         };
-        let floor_ms = floor.tell.then(|| floor.at.0.div_ceil(1_000_000));
+        let floor_ms = floor.send_to_hosts.then(|| floor.position.0.div_ceil(1_000_000));
         let statement = Rc::from(statement);
         let (answered, served, attempts) = (false, false, Vec::new());
         let open =
-            Open { client, command, statement, deadline, group, bond, floor_ms, answered, served, attempts };
+            Open { client, command, statement, deadline, group, tracked, floor_ms, answered, served, attempts };
         self.requests.put(id, open);
         let (event, keys) = self.limited(now, request);
         self.events.push_back(event);
@@ -513,13 +519,13 @@
         let timer = self.timers.add(now.plus(wait), Timer::Attempt(id, attempt));
         open.attempts.push(Some(Exchange { member, sent: now, timer }));
         let query = Query::Statement(Rc::clone(&open.statement), now.plus(wait), open.floor_ms);
-        if let Some(bond) = open.bond.as_ref().filter(|b| b.write && attempt == Attempt(0)) {
+        if let Some(tracked) = open.tracked.as_ref().filter(|b| b.is_write && attempt == Attempt(0)) {
             let owner = owner(&self.sessions, &open.statement);
-            let token = self.sessions.early(
+            let token = self.sessions.early_token(
                 self.wall.unix(now),
                 owner,
                 open.group,
-                bond,
+                tracked,
                 self.wall.unix(now.plus(wait)),
             );
             out.extend(token.map(|t| Effect::Token(open.client, t)));
@@ -586,10 +592,10 @@
 
     /// Fires the timers that are due now; those set meanwhile wait for the next time.
     fn due(&mut self, now: Time, out: &mut Vec<Effect>) {
-        if let Some(desk) = &mut self.desk {
+        if let Some(coordinator) = &mut self.coordinator {
             let mut said = Vec::new();
-            desk.tick(now, &mut said);
-            self.desk_says(said, out);
+            coordinator.tick(now, &mut said);
+            self.apply_coordinator_outputs(said, out);
             self.run(now, out);
         }
         self.fleet_due(now, out);
@@ -634,8 +640,8 @@
 
     /// A request has ended; its row goes once no attempt is out.
     fn close(&mut self, now: Time, id: RequestId) {
-        if let Some(Open { group, bond: Some(bond), .. }) = self.requests.close(id) {
-            self.sessions.end(self.wall.unix(now), group, &bond);
+        if let Some(Open { group, tracked: Some(tracked), .. }) = self.requests.close(id) {
+            self.sessions.end_request(self.wall.unix(now), group, &tracked);
         }
     }
 
@@ -665,10 +671,10 @@
         self.tally.attempt(status);
         self.place_back(now, id, attempt, x.member, status);
         if let Some(position) = t.as_of {
-            self.sessions.told(self.wall.unix(now), self.wall.unix(x.sent), unix_ms(position));
+            self.sessions.observe_position(self.wall.unix(now), self.wall.unix(x.sent), unix_ms(position));
         }
         if let Some(open) = self.requests.get_mut(id).filter(|o| !o.served && !status.proves_not_executed()) {
-            open.bond.iter_mut().for_each(|b| b.doubt = b.write);
+            open.tracked.iter_mut().for_each(|b| b.outcome_unknown = b.is_write);
         }
         let ended = self.requests.get(id).is_none_or(|o| o.answered);
         if ended {
@@ -692,7 +698,7 @@
     fn probed(&mut self, now: Time, x: Exchange, status: Status, report: ReplicationState) {
         self.tally.probes += 1;
         if let Some(position) = report.position {
-            self.sessions.told(self.wall.unix(now), self.wall.unix(x.sent), position);
+            self.sessions.observe_position(self.wall.unix(now), self.wall.unix(x.sent), position);
         }
         let report = self.on_own_clock(report);
         self.tally.probes_failed += u32::from(status != Status::Ok);
--- a/crates/router/src/routing/proxies.rs
+++ b/crates/router/src/routing/proxies.rs
@@ -1,32 +1,33 @@
-//! Other proxies, which ask for a decision and do the sending themselves. The desk owns what is known of
+//! Other proxies, which ask for a decision and do the sending themselves. The coordinator owns what is known of
 //! them; here its words and the decisions' are carried over.
 
-use super::{Effect, Router, Spoken};
-use basalthill_extproc::lease::StreamId;
-use basalthill_extproc::{Desk, Limits, Out, Say};
+use super::{Effect, Router, ProxyMessage};
+use basalthill_extproc::{StreamId, LeaseCoordinator, LeaseUsage, ProxyLimits, Output, ProxyReply};
 use basalthill_policy::api::*;
 
 impl Router {
     /// Takes calls of other proxies from now on.
-    pub fn serve_proxies(&mut self, now: Time, limits: Limits) {
-        self.desk = Some(Desk::new(now, &self.site.settings, limits));
+    pub fn serve_proxies(&mut self, now: Time, limits: ProxyLimits) {
+        self.coordinator = Some(LeaseCoordinator::new(now, &self.site.settings, limits));
     }
 
     /// Calls of proxies, their leases, and the writes remembered for them.
-    pub fn desk_books(&self) -> (usize, usize, usize) {
-        self.desk.as_ref().map_or((0, 0, 0), Desk::books)
+    pub fn lease_usage(&self) -> LeaseUsage {
+        self.coordinator.as_ref().map(LeaseCoordinator::usage).unwrap_or_default()
     }
 
-    /// A proxy's word, to the desk.
-    pub(super) fn proxy(&mut self, now: Time, stream: StreamId, spoken: Spoken, out: &mut Vec<Effect>) {
+    /// A proxy's word, to the coordinator.
+    pub(super) fn proxy(&mut self, now: Time, stream: StreamId, spoken: ProxyMessage, out: &mut Vec<Effect>) {
         let mut said = Vec::new();
-        let Some(desk) = &mut self.desk else { return };
+        let Some(coordinator) = &mut self.coordinator else { return };
         match spoken {
-            Spoken::Ask(call) => desk.ask(now, stream, call, &mut said),
-            Spoken::Told(lease, told, standing) => desk.told(now, stream, lease, told, standing, &mut said),
-            Spoken::Gone => desk.gone(now, stream, &mut said),
+            ProxyMessage::Request(call) => coordinator.request(now, stream, call, &mut said),
+            ProxyMessage::Outcome { lease, outcome, replication } => {
+                coordinator.report_outcome(now, stream, lease, outcome, replication, &mut said)
+            },
+            ProxyMessage::StreamClosed => coordinator.stream_closed(now, stream, &mut said),
         }
-        self.desk_says(said, out);
+        self.apply_coordinator_outputs(said, out);
     }
 
     /// What the decisions do with a proxy's request. The decision holds up to a drain's grace, and a member
@@ -40,19 +41,19 @@
             _ => None,
         };
         let mut said = Vec::new();
-        if let Some(desk) = &mut self.desk {
-            desk.act(now, action, until, &mut said);
+        if let Some(coordinator) = &mut self.coordinator {
+            coordinator.apply(now, action, until, &mut said);
         }
-        self.desk_says(said, out);
+        self.apply_coordinator_outputs(said, out);
     }
 
-    pub(super) fn desk_says(&mut self, said: Vec<Out>, out: &mut Vec<Effect>) {
+    pub(super) fn apply_coordinator_outputs(&mut self, said: Vec<Output>, out: &mut Vec<Effect>) {
         for one in said {
             match one {
-                Out::Event(event) => self.events.push_back(event),
-                Out::Say(stream, say) => {
+                Output::Event(event) => self.events.push_back(event),
+                Output::Reply(stream, say) => {
                     let addr = match say {
-                        Say::Member(_, member, _) => self.members.addr(member),
+                        ProxyReply::Member { member, .. } => self.members.addr(member),
                         _ => None,
                     };
                     out.push(Effect::Proxy(stream, say, addr));
--- a/crates/router/src/routing/requests.rs
+++ b/crates/router/src/routing/requests.rs
@@ -5,7 +5,7 @@
 use super::{ClientId, Command};
 use crate::protocol::statement::Statement;
 use basalthill_policy::api::*;
-use basalthill_session::sessions::Bond;
+use basalthill_session::TrackedRequest;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -17,7 +17,7 @@
     pub deadline: Time,
     pub group: GroupId,
     /// What its session is known by, if it has one.
-    pub bond: Option<Bond>,
+    pub tracked: Option<TrackedRequest>,
     /// The floor that hosts are told.
     pub floor_ms: Option<u64>,
     pub answered: bool,
--- a/crates/router/src/routing/sessions.rs
+++ b/crates/router/src/routing/sessions.rs
@@ -4,8 +4,8 @@
 use super::{ClientId, Effect, Router};
 use crate::protocol::statement::Statement;
 use basalthill_policy::api::*;
-use basalthill_session::sessions::Bond;
-use basalthill_session::{Asked, Floor, Tokens};
+use basalthill_session::TrackedRequest;
+use basalthill_session::{SessionRequest, ReadFloor, PlatformFloors};
 
 impl Router {
     /// What a request's session is known by, and the floor of its read.
@@ -16,35 +16,35 @@
         statement: &Statement,
         class: usize,
         group: GroupId,
-    ) -> (Option<Bond>, Floor) {
+    ) -> (Option<TrackedRequest>, ReadFloor) {
         let consistency = self.site.settings.classes[class].consistency;
         let write = consistency == Consistency::Write;
-        let remembers = self.sessions.planned() || self.site.tokens == Tokens::Remembered;
+        let remembers = self.sessions.manages_floors() || self.site.tokens == PlatformFloors::Remembered;
         if consistency != Consistency::Session && !(write && remembers) {
-            return (None, Floor::default());
+            return (None, ReadFloor::default());
         }
         let tokens: Vec<&[u8]> = statement.tokens().collect();
-        let asked = Asked {
-            owner: owner(&self.sessions, statement),
+        let asked = SessionRequest {
+            identity: owner(&self.sessions, statement),
             group,
             after: statement.after.map(unix_ms),
             tokens: &tokens,
             // One that nobody saw come counts as new, which is stricter.
-            accepted: self.wall.unix(self.accepted.get(&client).copied().unwrap_or(now)),
+            accepted_at: self.wall.unix(self.accepted.get(&client).copied().unwrap_or(now)),
         };
         let now = self.wall.unix(now);
-        let bond = self.sessions.begin(now, &asked, write);
-        let floor = if write { Floor::default() } else { self.sessions.floor(now, &asked, &bond) };
-        (Some(bond), floor)
+        let tracked = self.sessions.begin_request(now, &asked, write);
+        let floor = if write { ReadFloor::default() } else { self.sessions.read_floor(now, &asked, &tracked) };
+        (Some(tracked), floor)
     }
 
     /// A host has served a request: what that says of its session, and the token that goes with the answer.
     pub(super) fn served(&mut self, now: Time, id: RequestId, position: Option<Time>, out: &mut Vec<Effect>) {
         let Some(open) = self.requests.get_mut(id) else { return };
         let again = std::mem::replace(&mut open.served, true);
-        let Some(bond) = open.bond.as_mut().filter(|_| !again) else { return };
+        let Some(tracked) = open.tracked.as_mut().filter(|_| !again) else { return };
         let owner = owner(&self.sessions, &open.statement);
-        let token = self.sessions.served(self.wall.unix(now), owner, open.group, bond, position);
+        let token = self.sessions.request_served(self.wall.unix(now), owner, open.group, tracked, position);
         out.extend(token.filter(|_| !open.answered).map(|t| Effect::Token(open.client, t)));
     }
 
@@ -53,10 +53,10 @@
     pub(super) fn doubtful(&mut self, now: Time, id: RequestId, out: &mut Vec<Effect>) {
         let Some(open) = self.requests.get_mut(id).filter(|o| !o.answered && !o.served) else { return };
         let still_out = open.attempts.iter().any(Option::is_some);
-        let Some(bond) = open.bond.as_mut().filter(|b| b.write && (b.doubt || still_out)) else { return };
-        bond.doubt = true;
+        let Some(tracked) = open.tracked.as_mut().filter(|b| b.is_write && (b.outcome_unknown || still_out)) else { return };
+        tracked.outcome_unknown = true;
         let owner = owner(&self.sessions, &open.statement);
-        let token = self.sessions.unknown(self.wall.unix(now), owner, open.group, bond);
+        let token = self.sessions.write_outcome_unknown(self.wall.unix(now), owner, open.group, tracked);
         out.extend(token.map(|t| Effect::Token(open.client, t)));
     }
 }
--- a/crates/router/src/routing/terms.rs
+++ b/crates/router/src/routing/terms.rs
@@ -3,13 +3,13 @@
 use crate::protocol::host::report;
 use crate::protocol::statement::Statement;
 use basalthill_policy::api::*;
-use basalthill_session::token::Owner;
+use basalthill_session::token::SessionIdentity;
 use basalthill_session::Sessions;
 
 /// Whose request it is: by the name in the comment where floors are ours to make, else by the key.
-pub fn owner<'a>(sessions: &Sessions, statement: &'a Statement) -> Owner<'a> {
-    let name = statement.session().filter(|_| sessions.planned()).unwrap_or(statement.key());
-    Owner { name, key: SessionKey(hash(name)) }
+pub fn owner<'a>(sessions: &Sessions, statement: &'a Statement) -> SessionIdentity<'a> {
+    let name = statement.session().filter(|_| sessions.manages_floors()).unwrap_or(statement.key());
+    SessionIdentity { name, key: SessionKey(hash(name)) }
 }
 
 /// What a load report says of its member's standing.
--- a/crates/router/src/transport/conversation.rs
+++ b/crates/router/src/transport/conversation.rs
@@ -10,7 +10,7 @@
 use crate::routing::{Answer, Command};
 use basalthill_config::router::{CLIENT_FAULTS, LARGE, READS_AT_ONCE};
 use basalthill_policy::api::Time;
-use basalthill_wire::READY;
+use basalthill_wire::READY_FOR_QUERY;
 use std::collections::VecDeque;
 use std::io::IoSlice;
 
@@ -257,7 +257,7 @@
                 let whole = client::error("0A000", "only simple queries are served", None);
                 self.fault(if kind == b'F' { whole } else { client::unsupported() });
             }
-            ClientMessage::Sync => self.reply(READY.to_vec()),
+            ClientMessage::Sync => self.reply(READY_FOR_QUERY.to_vec()),
             ClientMessage::Query(text) if text.trim_ascii().is_empty() => {
                 self.used = true;
                 match ready {
@@ -324,7 +324,7 @@
             Answer::Served(row) => {
                 self.faults = 0;
                 let mut bytes = row.bytes;
-                bytes.extend_from_slice(READY);
+                bytes.extend_from_slice(READY_FOR_QUERY);
                 bytes
             }
             Answer::Refused(after) => refusal(after),
--- a/crates/router/src/transport/disk.rs
+++ b/crates/router/src/transport/disk.rs
@@ -5,7 +5,7 @@
 use basalthill_config::own::{Own, Snapshot};
 use basalthill_config::router::RouterConfig;
 use basalthill_policy::api::Time;
-use basalthill_session::{snapshot, Sessions, Tokens};
+use basalthill_session::{snapshot, Sessions, PlatformFloors};
 use std::fs::File;
 use std::io::{self, ErrorKind, Write};
 use std::path::{Path, PathBuf};
@@ -16,7 +16,7 @@
 /// The sessions of a router that starts.
 pub fn sessions(now: Time, config: &RouterConfig) -> Sessions {
     let own = config.own.sessions.as_ref();
-    let remembers = own.is_some() || config.site.tokens == Tokens::Remembered;
+    let remembers = own.is_some() || config.site.tokens == PlatformFloors::Remembered;
     let bytes = if remembers { config.limits.book_bytes() } else { 0 };
     let plan = own.map(|s| s.plan.clone());
     let mut sessions = Sessions::new(now, config.site.tokens, plan, bytes, config.seed);
--- a/crates/router/src/transport/mod.rs
+++ b/crates/router/src/transport/mod.rs
@@ -22,7 +22,7 @@
     stop_limit, RouterConfig, ANSWER_REST, IDLE_SHARE, READY_WITHIN, STOP_SERVING,
 };
 use basalthill_policy::api::Time;
-use basalthill_session::Counts;
+use basalthill_session::SessionCounts;
 use client::{Clients, Eviction};
 use fleet::Link;
 use futures_lite::{future, Stream, StreamExt};
@@ -307,7 +307,7 @@
     let bytes = started.limits.book_bytes();
     let mut router = hub.router.borrow_mut();
     let now = router.unix(hub.clock.now());
-    router.sessions().change(now, plan, bytes, started.seed);
+    router.sessions().reconfigure(now, plan, bytes, started.seed);
     drop(router);
     match again.discovery == hub.following.addr() {
         true => log::info!("configuration: read again, discovery stays at {}", again.discovery),
@@ -491,7 +491,7 @@
 fn tell_sessions(hub: &Hub) {
     let mut router = hub.router.borrow_mut();
     let counts = router.session_counts();
-    if router.sessions().planned() && counts != Counts::default() {
+    if router.sessions().manages_floors() && counts != SessionCounts::default() {
         log::info!("{counts}");
     }
 }
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -8,14 +8,14 @@
 use basalthill_policy::api::Time;
 use basalthill_router::protocol::discovery::HostList;
 use basalthill_router::protocol::statement::Statement;
-use basalthill_session::{Sessions, Tokens};
+use basalthill_session::{Sessions, PlatformFloors};
 use basalthill_standin::discovery::list;
 pub use basalthill_standin::SETTINGS;
 use std::sync::atomic::{AtomicU64, Ordering};
 
 /// Sessions as the platform means them.
 pub fn sessions() -> Sessions {
-    Sessions::new(Time::ms(1), Tokens::Carried, None, 0, 0)
+    Sessions::new(Time::ms(1), PlatformFloors::FromRequest, None, 0, 0)
 }
 
 pub fn site() -> Site {
--- a/crates/router/tests/routing.rs
+++ b/crates/router/tests/routing.rs
@@ -2,8 +2,7 @@
 
 mod common;
 
-use basalthill_extproc::lease::StreamId;
-use basalthill_extproc::{Call, LeaseId, Limits, Say, Told, WriteId};
+use basalthill_extproc::{StreamId, DecisionRequest, LeaseId, LeaseUsage, ProxyLimits, ProxyReply, LeaseOutcome, WriteId};
 use basalthill_policy::api::{
     ClassId, GroupId, MemberId, ReplicationState, RequestId, Role, Status, TenantId, Time,
 };
@@ -11,7 +10,7 @@
 use basalthill_router::protocol::host::{Ending, Row, Telling};
 use basalthill_router::protocol::statement::Statement;
 use basalthill_router::routing::{
-    Answer, Asked, ClientId, Command, Effect, Ended, ExchangeId, Input, Query, Router, Spoken,
+    Answer, Asked, ClientId, Command, Effect, Ended, ExchangeId, Input, Query, Router, ProxyMessage,
 };
 use common::{hosts, sessions, site, statement};
 use proptest::prelude::*;
@@ -600,10 +599,10 @@
     }
 }
 
-const DESK: Limits = Limits {
-    calls: 100,
-    writes: 1000,
-    window: Time::ms(10_000),
+const PROXY_LIMITS: ProxyLimits = ProxyLimits {
+    max_open_calls: 100,
+    max_remembered_writes: 1000,
+    id_window: Time::ms(10_000),
     skew: Time::ms(5),
     send_within: Time::ms(200),
 };
@@ -615,19 +614,23 @@
         let (id, deadline) = (WriteId::new(bits), self.now.plus(Time::ms(900)));
         let (class, tenant, group) = (ClassId(4), TenantId(0), GroupId(2));
         let (floor, lead) = (Time(0), Time(0));
-        let call = Call { id, class, tenant, group, deadline, floor, lead, client_retry: false };
-        self.input(Input::Proxy(StreamId(stream), Spoken::Ask(call)))
+        let call = DecisionRequest { id, class, tenant, group, deadline, floor, lead, client_retry: false };
+        self.input(Input::Proxy(StreamId(stream), ProxyMessage::Request(call)))
     }
 
-    fn proxy_tells(&mut self, stream: u64, lease: LeaseId, told: Told, role: Role) -> Vec<Effect> {
+    fn proxy_tells(&mut self, stream: u64, lease: LeaseId, told: LeaseOutcome, role: Role) -> Vec<Effect> {
         let standing = ReplicationState { position: Some(self.now), role: Some(role) };
-        self.input(Input::Proxy(StreamId(stream), Spoken::Told(lease, told, standing)))
+        self.input(Input::Proxy(StreamId(stream), ProxyMessage::Outcome { lease, outcome: told, replication: standing }))
     }
 }
 
+fn usage(open_calls: usize, leases: usize, remembered_writes: usize) -> LeaseUsage {
+    LeaseUsage { open_calls, leases, remembered_writes }
+}
+
 fn named(effects: &[Effect]) -> Option<(LeaseId, SocketAddr, Time)> {
     effects.iter().find_map(|e| match e {
-        Effect::Proxy(_, Say::Member(lease, _, by), Some(addr)) => Some((*lease, *addr, *by)),
+        Effect::Proxy(_, ProxyReply::Member { lease, send_by: by, .. }, Some(addr)) => Some((*lease, *addr, *by)),
         _ => None,
     })
 }
@@ -637,15 +640,15 @@
     let mut d = Driven::new();
     assert!(d.proxy_asks(1).is_empty(), "off unless it is switched on");
     d.pass(10);
-    d.router.serve_proxies(d.now, DESK);
+    d.router.serve_proxies(d.now, PROXY_LIMITS);
     d.pass(10);
     let (lease, addr, by) = named(&d.proxy_asks(1)).expect("a member");
     assert_eq!((addr, by), (PRIMARY.parse().unwrap(), d.now.plus(Time::ms(200))));
-    assert!(d.proxy_tells(1, lease, Told::Served, Role::Primary).is_empty());
-    assert_eq!(d.router.desk_books(), (0, 0, 1));
+    assert!(d.proxy_tells(1, lease, LeaseOutcome::Served, Role::Primary).is_empty());
+    assert_eq!(d.router.lease_usage(), usage(0, 0, 1));
     // What a proxy hears of a member counts for clients: this one is the primary no longer.
     let (lease, ..) = named(&d.proxy_asks(2)).expect("a member");
-    d.proxy_tells(2, lease, Told::Miss, Role::Replica);
+    d.proxy_tells(2, lease, LeaseOutcome::Misdirected, Role::Replica);
     let effects = d.ask(1, "write", "");
     assert!(begun(&effects).iter().all(|b| b.1 != PRIMARY.parse().unwrap()), "{effects:?}");
 }
@@ -653,24 +656,24 @@
 #[test]
 fn a_lease_that_nobody_tells_of_ends_with_its_request_and_its_member_is_not_waited_for() {
     let mut d = Driven::new();
-    d.router.serve_proxies(d.now, DESK);
+    d.router.serve_proxies(d.now, PROXY_LIMITS);
     d.pass(10);
     let (lease, ..) = named(&d.proxy_asks(1)).expect("a member");
-    assert_eq!(d.router.desk_books(), (1, 1, 1));
+    assert_eq!(d.router.lease_usage(), usage(1, 1, 1));
     let effects = d.pass(900);
-    let failed = |e: &&Effect| matches!(e, Effect::Proxy(StreamId(1), Say::Failed, None));
+    let failed = |e: &&Effect| matches!(e, Effect::Proxy(StreamId(1), ProxyReply::Failed, None));
     assert_eq!(effects.iter().filter(failed).count(), 1, "{effects:?}");
-    assert!(d.proxy_tells(1, lease, Told::NotSent, Role::Primary).is_empty());
-    d.input(Input::Proxy(StreamId(1), Spoken::Gone));
-    assert_eq!(d.router.desk_books(), (0, 0, 1));
+    assert!(d.proxy_tells(1, lease, LeaseOutcome::NotSent, Role::Primary).is_empty());
+    d.input(Input::Proxy(StreamId(1), ProxyMessage::StreamClosed));
+    assert_eq!(d.router.lease_usage(), usage(0, 0, 1));
     d.pass(11_000);
-    assert_eq!(d.router.desk_books(), (0, 0, 0), "the id is forgotten once it is too old to be asked for");
+    assert_eq!(d.router.lease_usage(), usage(0, 0, 0), "the id is forgotten once it is too old to be asked for");
 }
 
 #[test]
 fn a_decision_holds_no_longer_than_its_members_grace() {
     let mut d = Driven::new();
-    d.router.serve_proxies(d.now, DESK);
+    d.router.serve_proxies(d.now, PROXY_LIMITS);
     d.list(hosts(2, false, &[("s-1", PRIMARY, "leaving", "source")]));
     let told = d.now;
     d.pass(900);
--- a/crates/session/src/book.rs
+++ b/crates/session/src/book.rs
@@ -13,7 +13,7 @@
 const FLOORS: usize = PRINTS + SLOTS;
 const LINE: usize = 16;
 /// Bytes of a bucket.
-pub const BUCKET: usize = LINE * 4;
+pub const BUCKET_BYTES: usize = LINE * 4;
 const MS: u64 = 1_000_000;
 /// Where the table's start stands among its ticks: floors from before it keep their order for 12 days.
 const START: u32 = 1 << 30;
@@ -22,7 +22,7 @@
 
 /// Floors by group and session.
 #[derive(Clone)]
-pub struct Book {
+pub struct FloorTable {
     /// The bucket's floor, a spare word, prints, floors; a floor of zero is a free slot.
     lines: Vec<[u32; LINE]>,
     seed: u64,
@@ -33,21 +33,21 @@
 
 /// What the book says of a session.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Entry {
+pub struct FloorEntry {
     /// The floor kept for it, if one is.
-    pub own: Option<Time>,
+    pub exact: Option<Time>,
     /// The floor of all that may have been forgotten in its place.
-    pub forgotten: Time,
+    pub evicted: Time,
 }
 
-impl Book {
+impl FloorTable {
     /// An empty book that takes `bytes` at most, and one bucket at least. Memory is touched as it is used.
-    pub fn new(now: Time, bytes: usize, seed: u64) -> Book {
-        let buckets = (bytes / BUCKET).max(1);
+    pub fn new(now: Time, bytes: usize, seed: u64) -> FloorTable {
+        let buckets = (bytes / BUCKET_BYTES).max(1);
         // The largest power of two within the bound.
         let buckets = 1usize << (usize::BITS - 1 - buckets.leading_zeros());
         let epoch = Time(now.0 / MS * MS).minus(Time(u64::from(START) * MS));
-        Book { lines: vec![[0; LINE]; buckets], seed, epoch, folded: 0 }
+        FloorTable { lines: vec![[0; LINE]; buckets], seed, epoch, folded: 0 }
     }
 
     /// The line and the print of a session.
@@ -73,11 +73,11 @@
     }
 
     /// What is known of a session.
-    pub fn get(&self, group: GroupId, session: SessionKey) -> Entry {
+    pub fn get(&self, group: GroupId, session: SessionKey) -> FloorEntry {
         let (n, print) = self.place(group, session);
         let line = &self.lines[n];
         let own = (0..SLOTS).find(|i| line[PRINTS + i] == print && line[FLOORS + i] > 0);
-        Entry { own: own.map(|i| self.time(line[FLOORS + i])), forgotten: self.time(line[0]) }
+        FloorEntry { exact: own.map(|i| self.time(line[FLOORS + i])), evicted: self.time(line[0]) }
     }
 
     /// Raises a session's floor.
@@ -116,7 +116,7 @@
 
     /// Bytes that it may come to take.
     pub fn bytes(&self) -> usize {
-        self.lines.len() * BUCKET
+        self.lines.len() * BUCKET_BYTES
     }
 
     /// Floors folded since the last look; those under their bucket's floor cost nothing and don't count.
@@ -136,11 +136,11 @@
         seed: u64,
         epoch: Time,
         lines: impl Iterator<Item = (u32, [u32; LINE])>,
-    ) -> Option<Book> {
+    ) -> Option<FloorTable> {
         if !buckets.is_power_of_two() {
             return None;
         }
-        let mut book = Book { lines: vec![[0; LINE]; buckets], seed, epoch, folded: 0 };
+        let mut book = FloorTable { lines: vec![[0; LINE]; buckets], seed, epoch, folded: 0 };
         for (n, line) in lines {
             *book.lines.get_mut(n as usize)? = line;
         }
--- a/crates/session/src/counts.rs
+++ b/crates/session/src/counts.rs
@@ -6,10 +6,10 @@
     ($($(#[$doc:meta])* $name:ident: $shown:literal,)*) => {
         /// Counts since they were last taken.
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-        pub struct Counts {
+        pub struct SessionCounts {
             $($(#[$doc])* pub $name: u64,)*
         }
-        impl fmt::Display for Counts {
+        impl fmt::Display for SessionCounts {
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
                 f.write_str("sessions:")?;
                 let all = [$(($shown, self.$name),)*];
--- a/crates/session/src/floors.rs
+++ b/crates/session/src/floors.rs
@@ -3,17 +3,17 @@
 use basalthill_policy::api::{GroupId, Time};
 
 /// Groups that are told apart; more of them fold into one floor.
-pub const GROUPS: usize = 8;
+pub const MAX_GROUPS: usize = 8;
 
 /// The positions that a session's reads must see. What no longer has a place of its own is folded into one
 /// floor for all groups without one: it is never lower than what was folded.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Floors {
+pub struct GroupFloors {
     groups: Vec<(GroupId, Time)>,
     rest: Time,
 }
 
-impl Floors {
+impl GroupFloors {
     /// The floor in a group; zero if there is none.
     pub fn get(&self, group: GroupId) -> Time {
         self.groups.iter().find(|(g, _)| *g == group).map_or(self.rest, |(_, floor)| *floor)
@@ -28,7 +28,7 @@
             Err(_) if floor <= self.rest => {}
             Err(i) => self.groups.insert(i, (group, floor)),
         }
-        if self.groups.len() > GROUPS {
+        if self.groups.len() > MAX_GROUPS {
             let lowest = self.groups.iter().map(|(_, floor)| *floor).min().unwrap_or_default();
             self.fold(lowest);
         }
@@ -42,7 +42,7 @@
     }
 
     /// Raises all floors to another's where that is higher.
-    pub fn join(&mut self, other: &Floors) {
+    pub fn join(&mut self, other: &GroupFloors) {
         let rest = other.rest;
         // Groups named here but not there are under the other's rest.
         self.groups.iter_mut().for_each(|(_, floor)| *floor = rest.max(*floor));
--- a/crates/session/src/lib.rs
+++ b/crates/session/src/lib.rs
@@ -12,6 +12,7 @@
 pub mod snapshot;
 pub mod token;
 
-pub use counts::Counts;
-pub use floors::Floors;
-pub use sessions::{Asked, Floor, Plan, Sessions, StandIn, Tokens};
+pub use counts::SessionCounts;
+pub use floors::GroupFloors;
+pub use book::{FloorTable, FloorEntry, BUCKET_BYTES};
+pub use sessions::{SessionRequest, TrackedRequest, ReadFloor, TokenDelivery, SessionConfig, Sessions, DefaultFloor, PlatformFloors};
--- a/crates/session/src/snapshot.rs
+++ b/crates/session/src/snapshot.rs
@@ -6,7 +6,7 @@
 //! (u64), floor of what the book can't know (u64), seed (u64), epoch (u64), buckets (u32), lines (u32), each
 //! line with its number (u32) and 16 words; last the SHA-256 of all before.
 
-use crate::book::{Book, BUCKET};
+use crate::book::{FloorTable, BUCKET_BYTES};
 use crate::sessions::Sessions;
 use basalthill_policy::api::Time;
 use sha2::{Digest, Sha256};
@@ -131,8 +131,8 @@
     if now.since(written) > max_age || written > now {
         return Err(Refused::Old(now.since(written)));
     }
-    let bytes = buckets.saturating_mul(BUCKET);
-    if bytes > sessions.book_bytes() {
+    let bytes = buckets.saturating_mul(BUCKET_BYTES);
+    if bytes > sessions.table_bytes() {
         return Err(Refused::Large(bytes));
     }
     let mut lines = Vec::new();
@@ -146,7 +146,7 @@
         });
         lines.push(line.ok_or(Refused::Torn)?);
     }
-    let book = Book::from_words(buckets, seed, epoch, lines.into_iter()).ok_or(Refused::Torn)?;
+    let book = FloorTable::from_words(buckets, seed, epoch, lines.into_iter()).ok_or(Refused::Torn)?;
     sessions.recall(book, initial);
     Ok(())
 }
--- a/crates/session/src/token.rs
+++ b/crates/session/src/token.rs
@@ -6,7 +6,7 @@
 //! name. Groups are varints; floors are zigzag varints of milliseconds from `issued`, rounded up. What it
 //! says is no secret.
 
-use crate::floors::{Floors, GROUPS};
+use crate::floors::{GroupFloors, MAX_GROUPS};
 use basalthill_policy::api::{GroupId, SessionKey, Time};
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
@@ -17,7 +17,7 @@
 const HEAD: usize = 13;
 const MAC: usize = 16;
 /// The longest token, as text: eight groups, each of 5 bytes and a floor of 10, and the rest.
-pub const LONGEST: usize = (HEAD + (GROUPS + 1) * 15 + MAC) * 4 / 3 + 4;
+pub const MAX_TOKEN_LEN: usize = (HEAD + (MAX_GROUPS + 1) * 15 + MAC) * 4 / 3 + 4;
 const REST: u8 = 0x80;
 const MS: u64 = 1_000_000;
 
@@ -34,7 +34,7 @@
 }
 
 /// Fewest bytes of a secret.
-pub const SHORTEST_SECRET: usize = 16;
+pub const MIN_SECRET_LEN: usize = 16;
 
 impl std::fmt::Debug for Key {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
@@ -43,9 +43,9 @@
 }
 
 impl Key {
-    /// A key; none if the secret has fewer than [`SHORTEST_SECRET`] bytes.
+    /// A key; none if the secret has fewer than [`MIN_SECRET_LEN`] bytes.
     pub fn new(id: KeyId, secret: Vec<u8>) -> Option<Key> {
-        (secret.len() >= SHORTEST_SECRET).then_some(Key { id, secret })
+        (secret.len() >= MIN_SECRET_LEN).then_some(Key { id, secret })
     }
 
     fn mac(&self, parts: &[&[u8]]) -> Option<Hmac<Sha256>> {
@@ -60,14 +60,14 @@
     }
 
     /// Whether this key made the first bytes of a [`Key::sign`] of the parts; compared in constant time.
-    pub fn made(&self, parts: &[&[u8]], mac: &[u8]) -> bool {
+    pub fn verifies(&self, parts: &[&[u8]], mac: &[u8]) -> bool {
         self.mac(parts).is_some_and(|made| made.verify_truncated_left(mac).is_ok())
     }
 }
 
 /// The keys in force: one signs, all verify.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Keys {
+pub struct KeyRing {
     /// The one that signs.
     pub signing: Key,
     /// Others whose tokens still count.
@@ -78,14 +78,14 @@
 
 /// A session as tokens know it.
 #[derive(Clone, Copy, Debug)]
-pub struct Owner<'a> {
+pub struct SessionIdentity<'a> {
     /// Its name, as the client gives it.
     pub name: &'a [u8],
     /// Its number.
     pub key: SessionKey,
 }
 
-impl Owner<'_> {
+impl SessionIdentity<'_> {
     fn tag(&self) -> [u8; 4] {
         (self.key.0 as u32).to_be_bytes()
     }
@@ -93,7 +93,7 @@
 
 /// Why a token does not count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum TokenError {
     /// It can't be read, or its version is not known here.
     Malformed,
     /// Its key is not among those in force.
@@ -103,9 +103,9 @@
     /// It is another session's.
     OtherSession,
     /// It was issued too long ago.
-    Old,
+    Expired,
     /// It was issued later than the clocks' skew allows.
-    Future,
+    IssuedInFuture,
 }
 
 fn put_varint(out: &mut Vec<u8>, mut n: u64) {
@@ -142,7 +142,7 @@
 }
 
 /// Writes a session's floors down, signed.
-pub fn issue(keys: &Keys, now: Time, owner: Owner, floors: &Floors) -> String {
+pub fn issue(keys: &KeyRing, now: Time, owner: SessionIdentity, floors: &GroupFloors) -> String {
     let issued = now.0 / MS;
     let mut out = Vec::with_capacity(64);
     out.extend([VERSION, keys.signing.id.0]);
@@ -163,38 +163,38 @@
 }
 
 /// Reads a token that a session has brought. `skew` is what clocks may be apart.
-pub fn verify(keys: &Keys, now: Time, skew: Time, owner: Owner, text: &[u8]) -> Result<Floors, Bad> {
-    if text.len() > LONGEST {
-        return Err(Bad::Malformed);
+pub fn verify(keys: &KeyRing, now: Time, skew: Time, owner: SessionIdentity, text: &[u8]) -> Result<GroupFloors, TokenError> {
+    if text.len() > MAX_TOKEN_LEN {
+        return Err(TokenError::Malformed);
     }
-    let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| Bad::Malformed)?;
+    let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| TokenError::Malformed)?;
     if bytes.len() < HEAD + MAC || bytes[0] != VERSION {
-        return Err(Bad::Malformed);
+        return Err(TokenError::Malformed);
     }
     let (body, mac) = bytes.split_at(bytes.len() - MAC);
     let mut known = std::iter::once(&keys.signing).chain(&keys.verifying);
-    let key = known.find(|k| k.id.0 == body[1]).ok_or(Bad::UnknownKey)?;
+    let key = known.find(|k| k.id.0 == body[1]).ok_or(TokenError::UnknownKey)?;
     if body[2..6] != owner.tag() {
-        return Err(Bad::OtherSession);
+        return Err(TokenError::OtherSession);
     }
-    if !key.made(&[body, owner.name], mac) {
-        return Err(Bad::Forged);
+    if !key.verifies(&[body, owner.name], mac) {
+        return Err(TokenError::Forged);
     }
     let issued = body[6..12].iter().fold(0u64, |n, b| n << 8 | u64::from(*b));
     let at = Time(issued * MS);
     if now.since(at) > keys.max_age {
-        return Err(Bad::Old);
+        return Err(TokenError::Expired);
     }
     if at.since(now) > skew {
-        return Err(Bad::Future);
+        return Err(TokenError::IssuedInFuture);
     }
-    read(body, issued).ok_or(Bad::Malformed)
+    read(body, issued).ok_or(TokenError::Malformed)
 }
 
 /// The floors of a body whose signature is right.
-fn read(body: &[u8], issued: u64) -> Option<Floors> {
+fn read(body: &[u8], issued: u64) -> Option<GroupFloors> {
     let (count, mut left) = (body[12], &body[HEAD..]);
-    let mut floors = Floors::default();
+    let mut floors = GroupFloors::default();
     if count & REST != 0 {
         floors.fold(floor(&mut left, issued)?);
     }
--- a/crates/session/tests/model.rs
+++ b/crates/session/tests/model.rs
@@ -2,9 +2,9 @@
 //! restart, over connections of each kind; what a read must see is known to the model alone.
 
 use basalthill_policy::api::{GroupId, SessionKey, Time};
-use basalthill_session::sessions::{Asked, Bond, Handing, Plan, StandIn};
-use basalthill_session::token::{Key, KeyId, Keys, Owner};
-use basalthill_session::{Sessions, Tokens};
+use basalthill_session::{SessionRequest, TrackedRequest, TokenDelivery, SessionConfig, DefaultFloor};
+use basalthill_session::token::{Key, KeyId, KeyRing, SessionIdentity};
+use basalthill_session::{Sessions, PlatformFloors};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
@@ -59,7 +59,7 @@
 struct Model {
     way: Way,
     now: Time,
-    plan: Plan,
+    plan: SessionConfig,
     routers: Vec<Sessions>,
     started: Vec<Time>,
     /// Where each session is connected, and since when.
@@ -72,9 +72,9 @@
 }
 
 impl Model {
-    fn new(way: Way, plan: Plan, book: usize) -> Model {
+    fn new(way: Way, plan: SessionConfig, book: usize) -> Model {
         let now = Time::ms(1_767_225_600_000);
-        let start = |_| Sessions::new(now, Tokens::Carried, Some(plan.clone()), book, 1);
+        let start = |_| Sessions::new(now, PlatformFloors::FromRequest, Some(plan.clone()), book, 1);
         let routers = (0..ROUTERS).map(start).collect();
         let (at, tokens) = (vec![(0, now); SESSIONS], vec![None; SESSIONS]);
         let (started, commits) = (vec![now; ROUTERS], BTreeMap::new());
@@ -90,13 +90,13 @@
         }
     }
 
-    fn with<R>(&mut self, s: usize, g: u32, f: impl FnOnce(&mut Sessions, Time, &Asked) -> R) -> R {
+    fn with<R>(&mut self, s: usize, g: u32, f: impl FnOnce(&mut Sessions, Time, &SessionRequest) -> R) -> R {
         let (router, accepted) = self.place(s);
         let name = [s as u8];
-        let owner = Owner { name: &name, key: SessionKey(s as u64 * 77 + 1) };
+        let owner = SessionIdentity { name: &name, key: SessionKey(s as u64 * 77 + 1) };
         let token = self.tokens[s].clone().filter(|_| self.way == Way::PooledWithTokens);
         let tokens: Vec<&[u8]> = token.iter().map(|t| t.as_bytes()).collect();
-        let asked = Asked { owner, group: GroupId(g), after: None, tokens: &tokens, accepted };
+        let asked = SessionRequest { identity: owner, group: GroupId(g), after: None, tokens: &tokens, accepted_at: accepted };
         f(&mut self.routers[router], self.now, &asked)
     }
 
@@ -112,24 +112,24 @@
                 self.now = self.now.plus(Time::ms(1));
                 self.started[router] = self.now;
                 let plan = Some(self.plan.clone());
-                self.routers[router] = Sessions::new(self.now, Tokens::Carried, plan, self.book, 1);
+                self.routers[router] = Sessions::new(self.now, PlatformFloors::FromRequest, plan, self.book, 1);
                 for at in self.at.iter_mut().filter(|at| at.0 == router) {
                     at.1 = self.now;
                 }
             }
             Step::Write { session, group, end, commits } => {
                 let (s, g) = (usize::from(session), u32::from(group));
-                let mut bond = self.with(s, g, |r, now, asked| r.begin(now, asked, true));
-                let early = self.with(s, g, |r, now, a| r.early(now, a.owner, a.group, &bond, now));
+                let mut tracked = self.with(s, g, |r, now, asked| r.begin_request(now, asked, true));
+                let early = self.with(s, g, |r, now, a| r.early_token(now, a.identity, a.group, &tracked, now));
                 self.tokens[s] = early.or(self.tokens[s].take());
                 // The host's clock is ahead of the routers' by the skew.
                 let stamp = |now: Time, ms: u16| now.plus(Time::ms(u64::from(ms))).plus(SKEW);
                 match end {
                     0 | 1 => {
                         // In doubt: it commits within its time to settle, or never.
-                        let token = self.with(s, g, |r, now, a| r.unknown(now, a.owner, a.group, &mut bond));
-                        bond.doubt = true;
-                        self.with(s, g, |r, now, a| r.end(now, a.group, &bond));
+                        let token = self.with(s, g, |r, now, a| r.write_outcome_unknown(now, a.identity, a.group, &mut tracked));
+                        tracked.outcome_unknown = true;
+                        self.with(s, g, |r, now, a| r.end_request(now, a.group, &tracked));
                         self.tokens[s] = token.or(self.tokens[s].take());
                         let at = commits.map(|ms| stamp(self.now, ms));
                         self.commits.entry((s, g)).or_default().extend(at);
@@ -143,14 +143,14 @@
                         self.step(Step::Kill(router as u8))?;
                         self.at[s] = ((router + 1) % ROUTERS, self.now);
                     }
-                    _ => self.answered(s, g, bond, stamp(self.now, 0)),
+                    _ => self.answered(s, g, tracked, stamp(self.now, 0)),
                 }
             }
             Step::Read(session, group) => {
                 let (s, g) = (usize::from(session), u32::from(group));
                 let floor = self.with(s, g, |r, now, asked| {
-                    let bond = r.begin(now, asked, false);
-                    r.floor(now, asked, &bond).at
+                    let tracked = r.begin_request(now, asked, false);
+                    r.read_floor(now, asked, &tracked).position
                 });
                 let reach = self.now.plus(SKEW);
                 prop_assert!(floor <= reach, "a floor past the read's arrival: {floor:?}");
@@ -163,10 +163,10 @@
         Ok(())
     }
 
-    fn answered(&mut self, s: usize, g: u32, mut bond: Bond, commit: Time) {
+    fn answered(&mut self, s: usize, g: u32, mut tracked: TrackedRequest, commit: Time) {
         let token = self.with(s, g, |r, now, a| {
-            let token = r.served(now, a.owner, a.group, &mut bond, Some(commit));
-            r.end(now, a.group, &bond);
+            let token = r.request_served(now, a.identity, a.group, &mut tracked, Some(commit));
+            r.end_request(now, a.group, &tracked);
             token
         });
         self.tokens[s] = token.or(self.tokens[s].take());
@@ -174,15 +174,15 @@
     }
 }
 
-fn plan(stand_in: StandIn) -> Plan {
+fn plan(default_floor: DefaultFloor) -> SessionConfig {
     let signing = Key::new(KeyId(1), vec![1; 32]).unwrap();
-    let keys = Some(Keys { signing, verifying: Vec::new(), max_age: Time::ms(10_000_000) });
-    let (lead, handing, early) = (Time(0), Handing::Writes, true);
-    Plan { stand_in, skew: SKEW, settle: SETTLE, lead, handing, early, keys }
+    let keys = Some(KeyRing { signing, verifying: Vec::new(), max_age: Time::ms(10_000_000) });
+    let (lead, token_delivery, early_tokens) = (Time(0), TokenDelivery::WritesOnly, true);
+    SessionConfig { default_floor, skew: SKEW, settle_time: SETTLE, lead, token_delivery, early_tokens, keys }
 }
 
 /// Plays sequences, the same on every run; the first fault if there is one.
-fn play(way: Way, plan: Plan, book: usize) -> Result<(), String> {
+fn play(way: Way, plan: SessionConfig, book: usize) -> Result<(), String> {
     let config = Config { cases: 400, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]));
     let played = runner.run(&steps(), |steps| {
@@ -198,34 +198,34 @@
 #[test]
 fn each_way_of_connecting_has_a_floor_that_holds() {
     for book in BOOKS {
-        assert_eq!(play(Way::OneAtATime, plan(StandIn::Connection), book), Ok(()));
-        assert_eq!(play(Way::OneAtATime, plan(StandIn::Arrival), book), Ok(()));
-        assert_eq!(play(Way::Pooled, plan(StandIn::Arrival), book), Ok(()));
-        assert_eq!(play(Way::PooledWithTokens, plan(StandIn::Nothing), book), Ok(()));
-        assert_eq!(play(Way::OneRouter, plan(StandIn::Router), book), Ok(()));
+        assert_eq!(play(Way::OneAtATime, plan(DefaultFloor::ConnectionAccept), book), Ok(()));
+        assert_eq!(play(Way::OneAtATime, plan(DefaultFloor::ReadArrival), book), Ok(()));
+        assert_eq!(play(Way::Pooled, plan(DefaultFloor::ReadArrival), book), Ok(()));
+        assert_eq!(play(Way::PooledWithTokens, plan(DefaultFloor::RememberedOnly), book), Ok(()));
+        assert_eq!(play(Way::OneRouter, plan(DefaultFloor::RouterStart), book), Ok(()));
     }
 }
 
 #[test]
 fn the_model_finds_what_each_floor_does_not_cover() {
     let broken = [
-        ("no floor", Way::OneAtATime, plan(StandIn::Nothing)),
-        ("accept for pooled connections", Way::Pooled, plan(StandIn::Connection)),
-        ("one router's memory for all", Way::OneAtATime, plan(StandIn::Router)),
+        ("no floor", Way::OneAtATime, plan(DefaultFloor::RememberedOnly)),
+        ("accept for pooled connections", Way::Pooled, plan(DefaultFloor::ConnectionAccept)),
+        ("one router's memory for all", Way::OneAtATime, plan(DefaultFloor::RouterStart)),
         (
             "clocks further apart than told",
             Way::OneAtATime,
-            Plan { skew: Time::ms(4), ..plan(StandIn::Connection) },
+            SessionConfig { skew: Time::ms(4), ..plan(DefaultFloor::ConnectionAccept) },
         ),
         (
             "writes that take longer to settle",
             Way::OneAtATime,
-            Plan { settle: Time(0), ..plan(StandIn::Connection) },
+            SessionConfig { settle_time: Time(0), ..plan(DefaultFloor::ConnectionAccept) },
         ),
         (
             "a router that dies with a write, no early token",
             Way::PooledWithTokens,
-            Plan { early: false, ..plan(StandIn::Nothing) },
+            SessionConfig { early_tokens: false, ..plan(DefaultFloor::RememberedOnly) },
         ),
     ];
     for (what, way, plan) in broken {
--- a/crates/session/tests/token.rs
+++ b/crates/session/tests/token.rs
@@ -1,29 +1,29 @@
 //! Tokens: what they carry, and what is made of bad ones.
 
 use basalthill_policy::api::{GroupId, SessionKey, Time};
-use basalthill_session::floors::GROUPS;
-use basalthill_session::sessions::{Asked, Handing, Plan, StandIn};
-use basalthill_session::token::{issue, verify, Bad, Key, KeyId, Keys, Owner, LONGEST};
-use basalthill_session::{Counts, Floors, Sessions, Tokens};
+use basalthill_session::floors::MAX_GROUPS;
+use basalthill_session::{SessionRequest, TokenDelivery, SessionConfig, DefaultFloor};
+use basalthill_session::token::{issue, verify, TokenError, Key, KeyId, KeyRing, SessionIdentity, MAX_TOKEN_LEN};
+use basalthill_session::{SessionCounts, GroupFloors, Sessions, PlatformFloors};
 
 const NOW: Time = Time::ms(1_767_225_600_123);
 const SKEW: Time = Time::ms(5);
-const ANNE: Owner = Owner { name: b"anne", key: SessionKey(0x1234_5678_9abc_def0) };
-const BERT: Owner = Owner { name: b"bert", key: SessionKey(7) };
+const ANNE: SessionIdentity = SessionIdentity { name: b"anne", key: SessionKey(0x1234_5678_9abc_def0) };
+const BERT: SessionIdentity = SessionIdentity { name: b"bert", key: SessionKey(7) };
 /// Another name under the same number: the tag fits, the signature does not.
-const MIMIC: Owner = Owner { name: b"anna", key: ANNE.key };
+const MIMIC: SessionIdentity = SessionIdentity { name: b"anna", key: ANNE.key };
 
 fn key(id: u8) -> Key {
     Key::new(KeyId(id), vec![id; 32]).unwrap()
 }
 
-fn keys(signing: u8, verifying: &[u8]) -> Keys {
+fn keys(signing: u8, verifying: &[u8]) -> KeyRing {
     let verifying = verifying.iter().map(|id| key(*id)).collect();
-    Keys { signing: key(signing), verifying, max_age: Time::ms(60_000) }
+    KeyRing { signing: key(signing), verifying, max_age: Time::ms(60_000) }
 }
 
-fn floors(groups: &[(u32, Time)]) -> Floors {
-    let mut floors = Floors::default();
+fn floors(groups: &[(u32, Time)]) -> GroupFloors {
+    let mut floors = GroupFloors::default();
     groups.iter().for_each(|(g, at)| floors.raise(GroupId(*g), *at));
     floors
 }
@@ -49,9 +49,9 @@
     let at = |n: u64| NOW.minus(Time::ms(100 * n));
     let all: Vec<(u32, Time)> = (0..40).map(|n| (n as u32, at((n * 7) % 40))).collect();
     let text = issue(&keys(1, &[]), NOW, ANNE, &floors(&all));
-    assert!(text.len() <= LONGEST, "{} of {LONGEST}", text.len());
+    assert!(text.len() <= MAX_TOKEN_LEN, "{} of {MAX_TOKEN_LEN}", text.len());
     let read = verify(&keys(1, &[]), NOW, SKEW, ANNE, text.as_bytes()).unwrap();
-    assert!(read.groups().len() <= GROUPS);
+    assert!(read.groups().len() <= MAX_GROUPS);
     for (group, floor) in all {
         assert!(read.get(GroupId(group)) >= floor, "group {group}");
     }
@@ -72,49 +72,49 @@
         assert!(verify(&keys, NOW, SKEW, ANNE, &flipped).is_err(), "bit {i}");
     }
     let long = [&text[..], &[b'A'; 4000]].concat();
-    assert_eq!(verify(&keys, NOW, SKEW, ANNE, &long), Err(Bad::Malformed));
+    assert_eq!(verify(&keys, NOW, SKEW, ANNE, &long), Err(TokenError::Malformed));
 }
 
 #[test]
 fn a_token_counts_for_its_session_its_time_and_its_keys_only() {
     let (old, both, new) = (keys(1, &[]), keys(2, &[1]), keys(2, &[]));
     let text = issue(&old, NOW, ANNE, &floors(&[(2, NOW)])).into_bytes();
-    let read = |keys: &Keys, now, owner| verify(keys, now, SKEW, owner, &text).map(|f| f.get(GroupId(2)));
+    let read = |keys: &KeyRing, now, owner| verify(keys, now, SKEW, owner, &text).map(|f| f.get(GroupId(2)));
     assert_eq!(read(&old, NOW, ANNE), Ok(NOW));
     assert_eq!(read(&both, NOW, ANNE), Ok(NOW), "a key that no longer signs still verifies");
-    assert_eq!(read(&new, NOW, ANNE), Err(Bad::UnknownKey));
-    assert_eq!(read(&old, NOW, BERT), Err(Bad::OtherSession));
-    assert_eq!(read(&old, NOW, MIMIC), Err(Bad::Forged));
-    assert_eq!(read(&old, NOW.plus(Time::ms(60_001)), ANNE), Err(Bad::Old));
+    assert_eq!(read(&new, NOW, ANNE), Err(TokenError::UnknownKey));
+    assert_eq!(read(&old, NOW, BERT), Err(TokenError::OtherSession));
+    assert_eq!(read(&old, NOW, MIMIC), Err(TokenError::Forged));
+    assert_eq!(read(&old, NOW.plus(Time::ms(60_001)), ANNE), Err(TokenError::Expired));
     assert_eq!(read(&old, NOW.minus(Time::ms(5)), ANNE), Ok(NOW), "within the skew");
-    assert_eq!(read(&old, NOW.minus(Time::ms(7)), ANNE), Err(Bad::Future));
-    let other = Keys { signing: Key::new(KeyId(1), vec![9; 32]).unwrap(), ..old };
-    assert_eq!(read(&other, NOW, ANNE), Err(Bad::Forged), "the same number, another secret");
+    assert_eq!(read(&old, NOW.minus(Time::ms(7)), ANNE), Err(TokenError::IssuedInFuture));
+    let other = KeyRing { signing: Key::new(KeyId(1), vec![9; 32]).unwrap(), ..old };
+    assert_eq!(read(&other, NOW, ANNE), Err(TokenError::Forged), "the same number, another secret");
     assert!(Key::new(KeyId(1), vec![1; 15]).is_none(), "too short a secret");
     assert_eq!(format!("{:?}", key(1)), "Key(1, ...)", "no secret in a log");
 }
 
-fn plan(keys: Option<Keys>) -> Plan {
-    let (stand_in, settle, lead) = (StandIn::Nothing, Time::ms(3000), Time::ms(50));
-    Plan { stand_in, skew: SKEW, settle, lead, handing: Handing::Reads, early: true, keys }
+fn plan(keys: Option<KeyRing>) -> SessionConfig {
+    let (default_floor, settle_time, lead) = (DefaultFloor::RememberedOnly, Time::ms(3000), Time::ms(50));
+    SessionConfig { default_floor, skew: SKEW, settle_time, lead, token_delivery: TokenDelivery::WritesAndReads, early_tokens: true, keys }
 }
 
 /// What a read's floor is that brings these tokens, and what was counted.
-fn floor(owner: Owner, after: Option<Time>, tokens: &[&[u8]]) -> (Time, Counts) {
-    let mut sessions = Sessions::new(NOW, Tokens::Carried, Some(plan(Some(keys(2, &[1])))), 0, 0);
-    let asked = Asked { owner, group: GroupId(2), after, tokens, accepted: NOW };
-    let bond = sessions.begin(NOW, &asked, false);
-    (sessions.floor(NOW, &asked, &bond).at, sessions.take_counts())
+fn floor(owner: SessionIdentity, after: Option<Time>, tokens: &[&[u8]]) -> (Time, SessionCounts) {
+    let mut sessions = Sessions::new(NOW, PlatformFloors::FromRequest, Some(plan(Some(keys(2, &[1])))), 0, 0);
+    let asked = SessionRequest { identity: owner, group: GroupId(2), after, tokens, accepted_at: NOW };
+    let tracked = sessions.begin_request(NOW, &asked, false);
+    (sessions.read_floor(NOW, &asked, &tracked).position, sessions.take_counts())
 }
 
 #[test]
 fn a_bad_token_gets_the_strictest_floor_and_is_counted_by_its_fault() {
-    let made = |keys: &Keys, now, owner| issue(keys, now, owner, &floors(&[(2, NOW.minus(Time::ms(900)))]));
+    let made = |keys: &KeyRing, now, owner| issue(keys, now, owner, &floors(&[(2, NOW.minus(Time::ms(900)))]));
     let sound = made(&keys(1, &[]), NOW, ANNE);
     let strictest = NOW.plus(SKEW);
     assert_eq!(floor(ANNE, None, &[sound.as_bytes()]).0, NOW.minus(Time::ms(900)));
     let flipped = sound.replace(&sound[40..], "AA");
-    type Count = fn(&Counts) -> u64;
+    type Count = fn(&SessionCounts) -> u64;
     let cases: [(String, Count); 6] = [
         ("%".into(), |c| c.malformed),
         (flipped, |c| c.forged),
@@ -152,23 +152,23 @@
 #[test]
 fn the_answers_token_holds_all_that_was_brought_and_the_early_one_covers_the_unknown() {
     let keys = keys(2, &[1]);
-    let mut sessions = Sessions::new(NOW, Tokens::Carried, Some(plan(Some(keys.clone()))), 0, 0);
+    let mut sessions = Sessions::new(NOW, PlatformFloors::FromRequest, Some(plan(Some(keys.clone()))), 0, 0);
     let one = issue(&keys, NOW, ANNE, &floors(&[(7, NOW.minus(Time::ms(40)))]));
     let two = issue(&keys, NOW, ANNE, &floors(&[(8, NOW.minus(Time::ms(30)))]));
     let tokens = [one.as_bytes(), two.as_bytes()];
-    let asked = Asked { owner: ANNE, group: GroupId(2), after: None, tokens: &tokens, accepted: NOW };
-    let mut bond = sessions.begin(NOW, &asked, true);
+    let asked = SessionRequest { identity: ANNE, group: GroupId(2), after: None, tokens: &tokens, accepted_at: NOW };
+    let mut tracked = sessions.begin_request(NOW, &asked, true);
     let read = |text: String| verify(&keys, NOW, SKEW, ANNE, text.as_bytes()).unwrap();
     let limit = NOW.plus(Time::ms(900));
-    let early = read(sessions.early(NOW, ANNE, GroupId(2), &bond, limit).unwrap());
+    let early = read(sessions.early_token(NOW, ANNE, GroupId(2), &tracked, limit).unwrap());
     assert_eq!(early.get(GroupId(2)), limit.plus(Time::ms(3005)), "whatever becomes of the write");
-    let told = sessions.served(NOW, ANNE, GroupId(2), &mut bond, Some(NOW.plus(Time::ms(2))));
+    let told = sessions.request_served(NOW, ANNE, GroupId(2), &mut tracked, Some(NOW.plus(Time::ms(2))));
     let after = read(told.unwrap());
     assert_eq!(after.get(GroupId(2)), NOW.plus(Time::ms(2)), "its commit, once that is known");
     assert_eq!(after.get(GroupId(7)), NOW.minus(Time::ms(40)));
     assert_eq!(after.get(GroupId(8)), NOW.minus(Time::ms(30)));
-    sessions.end(NOW, GroupId(2), &bond);
-    let mut bond = sessions.begin(NOW, &asked, true);
-    let doubt = read(sessions.unknown(NOW, ANNE, GroupId(2), &mut bond).unwrap());
+    sessions.end_request(NOW, GroupId(2), &tracked);
+    let mut tracked = sessions.begin_request(NOW, &asked, true);
+    let doubt = read(sessions.write_outcome_unknown(NOW, ANNE, GroupId(2), &mut tracked).unwrap());
     assert_eq!(doubt.get(GroupId(2)), NOW.plus(Time::ms(3005)));
 }
--- a/crates/sim/src/main.rs
+++ b/crates/sim/src/main.rs
@@ -3,9 +3,9 @@
 use basalthill_config::settings::Site;
 use basalthill_policy::api::*;
 use basalthill_policy::Policy;
-use basalthill_session::sessions::Bond;
-use basalthill_session::token::Owner;
-use basalthill_session::{Asked, Sessions, Tokens};
+use basalthill_session::TrackedRequest;
+use basalthill_session::token::SessionIdentity;
+use basalthill_session::{SessionRequest, Sessions, PlatformFloors};
 use basalthill_sim::wire::{reply, Decoder, Incoming};
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
@@ -27,7 +27,7 @@
     sessions: Sessions,
     site: Site,
     /// Writes of sessions that are out, where the router remembers them.
-    writes: BTreeMap<RequestId, (GroupId, Bond)>,
+    writes: BTreeMap<RequestId, (GroupId, TrackedRequest)>,
 }
 
 /// Most memory that a router's book of sessions may come to take.
@@ -37,7 +37,7 @@
     fn new(now: Time, seed: u64, site: Site) -> Router {
         let policy = Policy::new(site.settings.clone(), seed);
         // No plan of our own: the platform's meaning holds, and without memory the book is never looked at.
-        let bytes = if site.tokens == Tokens::Remembered { BOOK } else { 0 };
+        let bytes = if site.tokens == PlatformFloors::Remembered { BOOK } else { 0 };
         let sessions = Sessions::new(now, site.tokens, None, bytes, seed);
         Router { policy, sessions, site, writes: BTreeMap::new() }
     }
@@ -54,17 +54,17 @@
         let (Some(consistency), Some(key)) = (class.map(|c| c.consistency), key) else {
             return Event::Request(request);
         };
-        let (owner, group) = (Owner { name: &[], key }, request.group);
-        let asked = Asked { owner, group, after: token.map(|t| now.minus(t)), tokens: &[], accepted: now };
+        let (owner, group) = (SessionIdentity { name: &[], key }, request.group);
+        let asked = SessionRequest { identity: owner, group, after: token.map(|t| now.minus(t)), tokens: &[], accepted_at: now };
         let floor = match consistency {
-            Consistency::Write if self.site.tokens == Tokens::Remembered => {
-                let bond = self.sessions.begin(now, &asked, true);
-                self.writes.insert(request.id, (group, bond));
+            Consistency::Write if self.site.tokens == PlatformFloors::Remembered => {
+                let tracked = self.sessions.begin_request(now, &asked, true);
+                self.writes.insert(request.id, (group, tracked));
                 Time(0)
             }
             Consistency::Session => {
-                let bond = self.sessions.begin(now, &asked, false);
-                self.sessions.floor(now, &asked, &bond).at
+                let tracked = self.sessions.begin_request(now, &asked, false);
+                self.sessions.read_floor(now, &asked, &tracked).position
             }
             _ => Time(0),
         };
@@ -74,12 +74,12 @@
     fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         match &event {
             Event::Outcome(o) => {
-                if let Some((group, bond)) =
+                if let Some((group, tracked)) =
                     self.writes.get_mut(&o.request).filter(|_| o.status == Status::Ok)
                 {
-                    let owner = Owner { name: &[], key: bond.key };
+                    let owner = SessionIdentity { name: &[], key: tracked.key };
                     if o.replication.position.is_some() {
-                        self.sessions.served(now, owner, *group, bond, o.replication.position);
+                        self.sessions.request_served(now, owner, *group, tracked, o.replication.position);
                     }
                 }
                 if o.ended {
--- a/crates/standin/src/model.rs
+++ b/crates/standin/src/model.rs
@@ -6,7 +6,7 @@
 use basalthill_fleet::fleet::{Effect, Fleet, Plan};
 use basalthill_fleet::{Key, Names, Peer, Seal};
 use basalthill_policy::api::Time;
-use basalthill_session::token::{Key as Secret, KeyId, Keys};
+use basalthill_session::token::{Key as Secret, KeyId, KeyRing};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -113,7 +113,7 @@
 /// A seal that all stand-ins share.
 pub fn seal() -> Seal {
     let Some(signing) = Secret::new(KeyId(1), vec![7; 16]) else { unreachable!("16 bytes are enough") };
-    Seal::new(Keys { signing, verifying: Vec::new(), max_age: Time::ms(1000) })
+    Seal::new(KeyRing { signing, verifying: Vec::new(), max_age: Time::ms(1000) })
 }
 
 /// Names `n0`, `n1` and so on, at ports of the same numbers.
