--- a/crates/config/src/own.rs
+++ b/crates/config/src/own.rs
@@ -2,7 +2,7 @@
 //! can switch on is on. `deploy/basalthill.kdl` shows every key with its default.
 
 use crate::ConfigError;
-use basalthill_fleet::{Bounds, Budget, Limit, Names, Peer, Subject};
+use basalthill_fleet::{Bounds, Budget, Limit, Peer, Roster, Subject};
 use basalthill_policy::api::Time;
 use basalthill_session::{TokenDelivery, SessionConfig, DefaultFloor};
 use basalthill_session::token::{Key, KeyId, KeyRing, MIN_SECRET_LEN};
@@ -32,7 +32,7 @@
     /// Largest error of any clock's rate, as a share.
     pub drift: f64,
     /// The routers, this one among them.
-    pub names: Names,
+    pub names: Roster,
     /// The limits over all of them.
     pub limits: Vec<Limit>,
 }
@@ -306,7 +306,7 @@
         }
         let routers = peers.len() as f64;
         let same = || self.fault(node, "fleet.router", "two names are the same in short; change one");
-        let names = Names::new(peers).ok_or_else(same)?;
+        let names = Roster::new(peers).map_err(|_| same())?;
         if names.is_empty() {
             return Err(self.fault(node, "fleet.router", "is missing"));
         }
@@ -383,14 +383,14 @@
         let alone = self.figure(node, &format!("{of}.alone-percent"), "alone-percent", 0.0..=100.0)?;
         let bounds = match (per_s, at_once, burst) {
             (Some(per_s), None, burst) => Bounds::Rate { per_s, burst: burst.unwrap_or(0.0) },
-            (None, Some(most), None) => Bounds::AtOnce(most as u32),
+            (None, Some(most), None) => Bounds::Concurrent(most as u32),
             _ => return Err(self.fault(node, of, "takes per-s, with burst or not, or at-once")),
         };
         let each = subject == Subject::EachMember;
-        if each != matches!(bounds, Bounds::AtOnce(_)) {
+        if each != matches!(bounds, Bounds::Concurrent(_)) {
             return Err(self.fault(node, of, "each-member and at-once go together"));
         }
-        Ok(Limit { name, subject, bounds, alone: alone.unwrap_or(ALONE_PERCENT) / 100.0 })
+        Ok(Limit { name, subject, bounds, reserved_fraction: alone.unwrap_or(ALONE_PERCENT) / 100.0 })
     }
 
     fn address(
--- a/crates/config/src/router.rs
+++ b/crates/config/src/router.rs
@@ -4,7 +4,7 @@
 use crate::own::{self, Own};
 use crate::settings::{self, Site};
 use crate::{typed, ConfigError};
-use basalthill_fleet::{Subject, Tag};
+use basalthill_fleet::{NodeId, Subject};
 use basalthill_policy::api::Time;
 use serde::Deserialize;
 use serde_json::Value;
@@ -248,7 +248,7 @@
 /// Names of a fleet that the deployment does not know.
 fn in_fleet(config: &RouterConfig) -> Result<(), ConfigError> {
     let Some(fleet) = &config.own.fleet else { return Ok(()) };
-    if fleet.names.get(Tag::of(&config.name)).is_none() {
+    if fleet.names.get(NodeId::of(&config.name)).is_none() {
         return Err(ConfigError::new(
             "fleet.router",
             format!("{:?}, this one, is not on the list", config.name),
--- a/crates/config/tests/own.rs
+++ b/crates/config/tests/own.rs
@@ -1,7 +1,7 @@
 //! Our own settings: what they say, and how a fault is named.
 
 use basalthill_config::own::{load, parse, Own};
-use basalthill_fleet::{Bounds, Budget, Subject, Tag};
+use basalthill_fleet::{Bounds, Budget, NodeId, Subject};
 use basalthill_policy::api::Time;
 use basalthill_session::{TokenDelivery, DefaultFloor};
 use basalthill_session::token::KeyId;
@@ -128,15 +128,15 @@
     assert_eq!((fleet.names.len(), fleet.drift, fleet.limits.len()), (3, 0.01, 5));
     assert_eq!((fleet.keys.signing.id, fleet.keys.verifying.len()), (KeyId(2), 1));
     assert_eq!(fleet.listen, "0.0.0.0:7946".parse().ok());
-    let peer = fleet.names.get(Tag::of("n2")).unwrap();
+    let peer = fleet.names.get(NodeId::of("n2")).unwrap();
     assert_eq!((peer.addr.to_string().as_str(), peer.zone.as_deref()), ("10.0.0.12:7946", Some("b")));
     let limit = |name: &str| fleet.limits.iter().find(|l| l.name == name).unwrap();
     let acme = limit("acme");
-    assert_eq!((&acme.subject, acme.alone), (&Subject::Tenant("acme".into()), 0.1));
+    assert_eq!((&acme.subject, acme.reserved_fraction), (&Subject::Tenant("acme".into()), 0.1));
     assert_eq!(acme.bounds, Bounds::Rate { per_s: 400.0, burst: 400.0 });
     // Not given: as many at once as a second's, and one for each router at least.
     assert_eq!(limit("reports").bounds, Bounds::Rate { per_s: 50.0, burst: 50.0 });
-    assert_eq!(limit("hosts").bounds, Bounds::AtOnce(60));
+    assert_eq!(limit("hosts").bounds, Bounds::Concurrent(60));
     assert_eq!(limit("retries").subject, Subject::Budget(Budget::Retries));
     let few = parse(&fleet_file().replace("per-s=50", "per-s=0.5")).unwrap().fleet.unwrap();
     let reports = few.limits.iter().find(|l| l.name == "reports").unwrap();
@@ -149,7 +149,7 @@
     let routers: String = (0..1024).map(name).collect();
     let fleet = parse(&format!("fleet {{\n{KEY}\n{routers}\n}}")).unwrap().fleet.unwrap();
     assert_eq!(fleet.names.len(), 1024);
-    assert!((0..1024).all(|n| fleet.names.get(Tag::of(&format!("r{n}"))).is_some()));
+    assert!((0..1024).all(|n| fleet.names.get(NodeId::of(&format!("r{n}"))).is_some()));
 }
 
 #[test]
--- a/crates/fleet/src/account.rs
+++ b/crates/fleet/src/account.rs
@@ -8,12 +8,12 @@
 //! for how many there are: two routers that take different ones for it are only served worse.
 
 use crate::ledger::Ledger;
-use crate::limit::{Bounds, Key, UNITS};
+use crate::limit::{Bounds, LimitKey, UNITS};
 use crate::loan::{Borrowed, Heard, Lent, Question};
 use crate::meter::{Places, Tokens};
-use crate::names::Tag;
+use crate::names::NodeId;
 use crate::packet::{Reply, Report};
-use crate::times::Times;
+use crate::times::Timing;
 use basalthill_policy::api::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -51,7 +51,7 @@
 /// One limit at one router.
 #[derive(Clone, Debug)]
 pub struct Account {
-    key: Key,
+    key: LimitKey,
     bounds: Bounds,
     /// Units of its own that a router keeps whatever happens.
     floor: u64,
@@ -59,17 +59,17 @@
     floor_from: Time,
     /// One token at least is always wanted: nobody asks for it before it is there.
     standing: bool,
-    times: Times,
+    times: Timing,
     ledger: Ledger,
-    shares: BTreeMap<Tag, (u64, Time)>,
+    shares: BTreeMap<NodeId, (u64, Time)>,
     /// Shares that are to be given up: nothing new is lent or begun on them.
-    ending: BTreeSet<Tag>,
-    borrowed: BTreeMap<Tag, Borrowed>,
-    lent: BTreeMap<Tag, Lent>,
+    ending: BTreeSet<NodeId>,
+    borrowed: BTreeMap<NodeId, Borrowed>,
+    lent: BTreeMap<NodeId, Lent>,
     /// What others want, where this router deals out: units, and when they said so.
-    wants: BTreeMap<Tag, (u64, Time)>,
+    wants: BTreeMap<NodeId, (u64, Time)>,
     /// Whose question is to be answered with the next report, and its number.
-    question: Option<(Tag, u32)>,
+    question: Option<(NodeId, u32)>,
     /// Where this router deals out: what it may use itself, so that others get their part.
     fair: Option<u64>,
     /// Units that each router with requests may have beyond what it wants, as the dealer has it: nothing
@@ -87,7 +87,7 @@
 
 /// What an operator is told of an account.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct AccountStats {
     /// Units in all, over all routers.
     pub of: u64,
     /// Kept whatever happens.
@@ -99,7 +99,7 @@
     /// Lent to others.
     pub lent: u64,
     /// That can be used now.
-    pub held: u64,
+    pub usable: u64,
     /// Wanted.
     pub want: u64,
     /// Places in use.
@@ -114,10 +114,10 @@
 
 impl Account {
     /// An account that holds nothing but its floor, and that from a time on.
-    pub fn new(now: Time, key: Key, bounds: Bounds, floor: u64, floor_from: Time, times: Times) -> Account {
+    pub fn new(now: Time, key: LimitKey, bounds: Bounds, floor: u64, floor_from: Time, times: Timing) -> Account {
         let tokens = match bounds {
             Bounds::Rate { per_s, burst } => Some(Tokens::new(now, per_s, burst)),
-            Bounds::AtOnce(_) => None,
+            Bounds::Concurrent(_) => None,
         };
         Account {
             key,
@@ -156,7 +156,7 @@
     }
 
     /// What it is the account of.
-    pub fn key(&self) -> Key {
+    pub fn key(&self) -> LimitKey {
         self.key
     }
 
@@ -181,19 +181,19 @@
     }
 
     /// A name's share of so many units is held until a time.
-    pub fn share(&mut self, slot: Tag, units: u64, until: Time) {
+    pub fn share(&mut self, slot: NodeId, units: u64, until: Time) {
         let (before, lapses) = self.shares.insert(slot, (units, until)).unwrap_or_default();
         self.ledger.drop(before, lapses);
         self.ledger.add(units, until);
     }
 
     /// Units of a share that is held, or was.
-    pub fn units_of(&self, slot: Tag) -> Option<u64> {
+    pub fn units_of(&self, slot: NodeId) -> Option<u64> {
         self.shares.get(&slot).map(|s| s.0)
     }
 
     /// A share is to be given up, or kept after all.
-    pub fn end(&mut self, slot: Tag, ends: bool) {
+    pub fn end(&mut self, slot: NodeId, ends: bool) {
         match ends {
             true => drop(self.ending.insert(slot)),
             false => drop(self.ending.remove(&slot)),
@@ -207,13 +207,13 @@
     }
 
     /// Whether a share can be given up now: nothing that is lent or in use rests on it.
-    pub fn is_free(&self, now: Time, slot: Tag) -> bool {
+    pub fn is_free(&self, now: Time, slot: NodeId) -> bool {
         let Some((units, until)) = self.shares.get(&slot) else { return true };
         *until <= now || self.ledger.least(now, *until).max(0) as u64 >= *units
     }
 
     /// Gives a share up.
-    pub fn give_up(&mut self, slot: Tag) {
+    pub fn give_up(&mut self, slot: NodeId) {
         self.ending.remove(&slot);
         if let Some((units, until)) = self.shares.remove(&slot) {
             self.ledger.drop(units, until);
@@ -317,7 +317,7 @@
                 let least = (UNITS as f64 / burst).ceil() as u64;
                 (((rate / per_s * UNITS as f64) as u64).max(least) + cushion).min(UNITS)
             }
-            Bounds::AtOnce(most) => {
+            Bounds::Concurrent(most) => {
                 let peak = self.demand.places.0.max(self.demand.places.1);
                 if peak == 0 {
                     return 0;
@@ -329,7 +329,7 @@
 
     /// Once a period: demand is taken stock of. Returns what is to be told the dealer, unless this router
     /// is it.
-    pub fn round(&mut self, now: Time, me: Tag, dealer: Tag) -> Option<Report> {
+    pub fn round(&mut self, now: Time, me: NodeId, dealer: NodeId) -> Option<Report> {
         self.rounds += 1;
         let span = self.times.period.secs();
         let rate = f64::from(std::mem::take(&mut self.demand.asked)) / span;
@@ -348,7 +348,7 @@
         self.fair = None;
         // What there is without the dealer's loan.
         let loan = self.borrowed.get(&dealer).map_or(0, |b| b.units(now));
-        let until = now.plus(self.times.lender(self.times.deposit));
+        let until = now.plus(self.times.lender_span(self.times.deposit));
         let own = self.lent.entry(dealer).or_default().room(now, until, &self.ledger);
         let own = own.saturating_sub(self.borrowed.get(&dealer).map_or(0, |b| b.units(until.minus(Time(1)))));
         let more = want.saturating_sub(own);
@@ -378,7 +378,7 @@
 
     /// What this router has borrowed from others than the dealer and does not need: it goes back at once. A
     /// router that dealt out until now holds many deposits.
-    pub fn returns(&mut self, now: Time, dealer: Tag) -> Vec<(Tag, Question)> {
+    pub fn returns(&mut self, now: Time, dealer: NodeId) -> Vec<(NodeId, Question)> {
         let there = self.ledger.least(now, now.plus(self.times.grant)).max(0) as u64;
         let there = there.saturating_sub(self.ending(now));
         let mut free = there.saturating_sub(self.want().saturating_sub(self.floor(now)));
@@ -395,14 +395,14 @@
     }
 
     /// A borrower gives rights back.
-    pub fn returned(&mut self, now: Time, from: Tag, question: Question) {
+    pub fn returned(&mut self, now: Time, from: NodeId, question: Question) {
         self.lent.entry(from).or_default().asked(now, question, &mut self.ledger);
     }
 
     /// The answer to the dealer's question: what can be spared.
-    fn spare(&mut self, now: Time, dealer: Tag, units: u64) -> Option<(u32, u64)> {
+    fn spare(&mut self, now: Time, dealer: NodeId, units: u64) -> Option<(u32, u64)> {
         let (_, number) = self.question.take().filter(|(by, _)| *by == dealer)?;
-        let (until, ending) = (now.plus(self.times.lender(self.times.deposit)), self.ending(now));
+        let (until, ending) = (now.plus(self.times.lender_span(self.times.deposit)), self.ending(now));
         let line = self.lent.entry(dealer).or_default();
         let units = units.min(line.room(now, until, &self.ledger).saturating_sub(ending));
         line.answer(units, until, &mut self.ledger);
@@ -411,7 +411,7 @@
 
     /// The dealer has answered. What it gives back of a deposit counts at once; its question is answered with
     /// the next report.
-    pub fn replied(&mut self, now: Time, dealer: Tag, reply: &Reply) {
+    pub fn replied(&mut self, now: Time, dealer: NodeId, reply: &Reply) {
         if let Some(line) = self.borrowed.get_mut(&dealer) {
             line.answered(reply.number, reply.units, self.times.grant, &mut self.ledger);
         }
@@ -424,7 +424,7 @@
     }
 
     /// A report has come to this router, which deals out by its sender's view.
-    pub fn reported(&mut self, now: Time, from: Tag, report: &Report) -> Option<Reply> {
+    pub fn reported(&mut self, now: Time, from: NodeId, report: &Report) -> Option<Reply> {
         let first = self.first;
         let deposit = self.borrowed.entry(from).or_insert_with(|| Borrowed::counting_from(first));
         if let Some((number, units)) = report.spare {
@@ -441,7 +441,7 @@
                     self.wants.insert(from, (report.want, now));
                 }
                 let fair = self.fair_part(now, report.want).0;
-                let until = now.plus(self.times.lender(self.times.grant));
+                let until = now.plus(self.times.lender_span(self.times.grant));
                 let ending = self.ending(now);
                 let line = self.lent.entry(from).or_default();
                 let room = line.room(now, until, &self.ledger).saturating_sub(ending);
@@ -470,7 +470,7 @@
     /// want up to one level, at which what there is to spare is given away. And what is left over, unless
     /// some go without.
     fn fair_part(&self, now: Time, want: u64) -> (u64, Option<u64>) {
-        let until = now.plus(self.times.lender(self.times.grant));
+        let until = now.plus(self.times.lender_span(self.times.grant));
         let out: u64 = self.lent.values().map(|l| l.units(now)).sum();
         let own = self.reserved(now);
         let kept = (own + self.ending(now)) as i64;
@@ -492,21 +492,21 @@
 
     /// A router has started again, or is off the list. What it had been lent lapses in the ledger; its
     /// new life counts its questions anew.
-    pub fn forget(&mut self, peer: Tag) {
+    pub fn forget(&mut self, peer: NodeId) {
         self.lent.remove(&peer);
         self.wants.remove(&peer);
         self.question = self.question.filter(|q| q.0 != peer);
     }
 
     /// What an operator is told.
-    pub fn figures(&self, now: Time) -> Figures {
-        Figures {
+    pub fn figures(&self, now: Time) -> AccountStats {
+        AccountStats {
             of: self.bounds.units(),
             floor: self.floor(now),
             shares: self.shares.values().filter(|s| s.1 > now).map(|s| s.0).sum(),
             borrowed: self.borrowed.values().map(|b| b.units(now)).sum(),
             lent: self.lent.values().map(|l| l.units(now)).sum(),
-            held: self.held(now),
+            usable: self.held(now),
             want: self.want(),
             in_use: self.places.len() as u64,
             spent: self.counts.0,
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -3,13 +3,13 @@
 
 use crate::account::Account;
 use crate::lease::{Asks, Claim, Life, Voter};
-use crate::limit::{Bounds, Budget, Key, Limit, Subject};
+use crate::limit::{Bounds, Budget, LimitKey, Limit, Subject};
 use crate::loan::Question;
-use crate::names::{mix, Names, Tag};
-use crate::packet::{size, Content, Message, Packet, Word, ROOM};
-use crate::seal::{Dropped, Seal, Window};
+use crate::names::{mix, Roster, NodeId};
+use crate::packet::{size, Payload, Message, Packet, Word, ROOM};
+use crate::seal::{DropReason, DatagramCodec, Window};
 use crate::swim::{self, Swim};
-use crate::times::Times;
+use crate::times::Timing;
 use crate::{account, status};
 use basalthill_policy::api::Time;
 use std::collections::BTreeMap;
@@ -17,23 +17,23 @@
 
 /// What the settings say of a fleet.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Plan {
+pub struct FleetConfig {
     /// The routers, this one among them.
-    pub names: Names,
+    pub roster: Roster,
     /// The limits.
     pub limits: Vec<Limit>,
     /// How long loans count.
-    pub times: Times,
+    pub timing: Timing,
     /// What an earlier life had in use may be so for this long.
-    pub settle: Time,
+    pub max_use: Time,
     /// Votes that an earlier life gave may count for this long, whatever its limits were.
-    pub quiet: Time,
+    pub vote_quarantine: Time,
 }
 
-impl Plan {
+impl FleetConfig {
     fn digest(&self) -> u32 {
         let order = |h, l: &Limit| mix(h ^ l.digest());
-        let times = [self.times.drift.to_bits(), self.times.lease.0];
+        let times = [self.timing.drift.to_bits(), self.timing.lease.0];
         times.iter().fold(self.limits.iter().fold(0, order), |h, t| mix(h ^ t)) as u32
     }
 }
@@ -42,19 +42,24 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Send a datagram.
-    Send(SocketAddr, Vec<u8>),
+    Send {
+        /// Where to.
+        to: SocketAddr,
+        /// Its bytes.
+        datagram: Vec<u8>,
+    },
     /// A line for the log.
-    Say(String),
+    Log(String),
 }
 
 /// How much of what limits a request is open.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Open {
+pub struct Availability {
     /// How full the tokens stand, as a share, by the limit that has least: zero where there is none, one
     /// where nothing limits it.
-    pub share: f64,
+    pub fraction: f64,
     /// If it is refused, there will be a token for it after so long.
-    pub back: Time,
+    pub retry_after: Time,
 }
 
 /// One who is told its life is an earlier one, or which life this is, is not told again so soon.
@@ -76,7 +81,7 @@
 
 /// What has been counted since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct Counters {
     /// Datagrams sent.
     pub sent: u64,
     /// Bytes in them.
@@ -84,49 +89,49 @@
     /// Datagrams taken.
     pub taken: u64,
     /// Datagrams dropped, by why.
-    pub dropped: BTreeMap<Dropped, u64>,
+    pub dropped: BTreeMap<DropReason, u64>,
 }
 
 /// One router's part in the fleet.
 pub struct Fleet {
-    me: Tag,
-    plan: Plan,
+    me: NodeId,
+    plan: FleetConfig,
     digest: u32,
-    seal: Seal,
+    seal: DatagramCodec,
     started: Time,
     swim: Swim,
     voter: Voter,
     /// Names whose shares were asked about, and whether this router watches over them.
-    guards: BTreeMap<Tag, bool>,
-    claims: BTreeMap<Tag, Claim>,
-    accounts: BTreeMap<Key, Account>,
+    guards: BTreeMap<NodeId, bool>,
+    claims: BTreeMap<NodeId, Claim>,
+    accounts: BTreeMap<LimitKey, Account>,
     /// Accounts opened by a change of the settings hold no shares before their time.
-    opens: BTreeMap<Key, Time>,
+    opens: BTreeMap<LimitKey, Time>,
     members: Vec<String>,
-    links: BTreeMap<Tag, Link>,
-    say: BTreeMap<Tag, Vec<Message>>,
+    links: BTreeMap<NodeId, Link>,
+    say: BTreeMap<NodeId, Vec<Message>>,
     next_round: Time,
     rounds: u64,
     /// Questions for votes, over all shares and claims of this life.
     questions: u32,
     /// Rises whenever who is alive changes: until then dealers and the lost stay who they are.
     epoch: u64,
-    dealers: BTreeMap<Key, (u64, Tag)>,
+    dealers: BTreeMap<LimitKey, (u64, NodeId)>,
     scanned: Option<(u64, bool)>,
-    counts: Counts,
+    counts: Counters,
 }
 
 impl Fleet {
     /// A router that has just started. Its life has to be later than its earlier ones': a Unix time will do.
-    pub fn new(now: Time, name: &str, life: u64, plan: Plan, seal: Seal, seed: u64) -> Fleet {
-        let me = Tag::of(name);
+    pub fn new(now: Time, name: &str, life: u64, plan: FleetConfig, seal: DatagramCodec, seed: u64) -> Fleet {
+        let me = NodeId::of(name);
         let mut fleet = Fleet {
             me,
             digest: plan.digest(),
             seal,
             started: now,
-            swim: Swim::new(now, me, life, &plan.names, seed ^ me.0),
-            voter: Voter::new(now, plan.quiet),
+            swim: Swim::new(now, me, life, &plan.roster, seed ^ me.0),
+            voter: Voter::new(now, plan.vote_quarantine),
             guards: BTreeMap::new(),
             claims: BTreeMap::new(),
             accounts: BTreeMap::new(),
@@ -135,22 +140,22 @@
             links: BTreeMap::new(),
             say: BTreeMap::new(),
             // Rounds of different routers fall at different times.
-            next_round: now.plus(plan.times.period.times((mix(seed ^ me.0) % 1000) as f64 / 1000.0)),
+            next_round: now.plus(plan.timing.period.times((mix(seed ^ me.0) % 1000) as f64 / 1000.0)),
             rounds: 0,
             questions: 0,
             epoch: 0,
             dealers: BTreeMap::new(),
             scanned: None,
-            counts: Counts::default(),
+            counts: Counters::default(),
             plan,
         };
-        fleet.claims.insert(me, Claim::new(fleet.plan.names.guardians(me)));
+        fleet.claims.insert(me, Claim::new(fleet.plan.roster.guardians(me)));
         fleet.open_accounts(now);
         fleet
     }
 
     /// This router, in short.
-    pub fn me(&self) -> Tag {
+    pub fn me(&self) -> NodeId {
         self.me
     }
 
@@ -165,26 +170,26 @@
     }
 
     /// What has been counted.
-    pub fn counts(&self) -> &Counts {
+    pub fn counters(&self) -> &Counters {
         &self.counts
     }
 
     /// So many datagrams were dropped before they came here.
-    pub fn dropped(&mut self, why: Dropped, count: u64) {
+    pub fn count_dropped(&mut self, why: DropReason, count: u64) {
         *self.counts.dropped.entry(why).or_default() += count;
     }
 
     fn open_accounts(&mut self, now: Time) {
         for limit in &self.plan.limits {
-            let keys: Vec<Key> = match limit.subject {
-                Subject::EachMember => self.members.iter().map(|m| Key::at(&limit.name, m)).collect(),
-                _ => vec![Key::of(&limit.name)],
+            let keys: Vec<LimitKey> = match limit.subject {
+                Subject::EachMember => self.members.iter().map(|m| LimitKey::at_member(&limit.name, m)).collect(),
+                _ => vec![LimitKey::global(&limit.name)],
             };
             for key in keys {
                 if !self.accounts.contains_key(&key) {
                     // At a start, and after a change, what was in use before may still be.
                     let before = self.started == now || self.opens.contains_key(&key);
-                    let settled = if before { now.plus(self.plan.settle) } else { now };
+                    let settled = if before { now.plus(self.plan.max_use) } else { now };
                     let account = account_of(now, &self.plan, limit, key, self.me, settled);
                     let account = account.counting_from(now.since(self.started));
                     self.accounts.insert(key, account);
@@ -195,7 +200,7 @@
     }
 
     /// The members that limits are counted at.
-    pub fn members(&mut self, now: Time, members: Vec<String>) {
+    pub fn set_members(&mut self, now: Time, members: Vec<String>) {
         if members == self.members {
             return;
         }
@@ -203,51 +208,51 @@
         self.open_accounts(now);
         // Those of members that are gone go once nothing hangs on them.
         let limits = &self.plan.limits;
-        let listed: Vec<Key> = limits
+        let listed: Vec<LimitKey> = limits
             .iter()
             .filter(|l| l.subject == Subject::EachMember)
-            .flat_map(|l| self.members.iter().map(|m| Key::at(&l.name, m)))
+            .flat_map(|l| self.members.iter().map(|m| LimitKey::at_member(&l.name, m)))
             .collect();
         self.accounts.retain(|key, a| key.member == 0 || listed.contains(key) || !a.is_idle(now));
     }
 
     /// Takes other settings over. Rights under the old ones that are lent out lapse before shares under
     /// the new ones count.
-    pub fn reload(&mut self, now: Time, plan: Plan, seal: Seal, out: &mut Vec<Effect>) {
+    pub fn reload(&mut self, now: Time, plan: FleetConfig, seal: DatagramCodec, out: &mut Vec<Effect>) {
         self.seal = seal;
         if plan == self.plan {
             return;
         }
-        let lapsed = now.plus(self.plan.times.lender(self.plan.times.deposit).max(self.plan.settle));
+        let lapsed = now.plus(self.plan.timing.lender_span(self.plan.timing.deposit).max(self.plan.max_use));
         let old = std::mem::replace(&mut self.plan, plan);
         self.epoch += 1;
         self.guards.clear();
         self.digest = self.plan.digest();
-        if old.names != self.plan.names {
-            self.swim.list(now, &self.plan.names);
-            for tag in old.names.tags().filter(|t| self.plan.names.get(*t).is_none()) {
+        if old.roster != self.plan.roster {
+            self.swim.list(now, &self.plan.roster);
+            for tag in old.roster.tags().filter(|t| self.plan.roster.get(*t).is_none()) {
                 self.links.remove(&tag);
                 self.accounts.values_mut().for_each(|a| a.forget(tag));
             }
         }
-        if old.names.digest() != self.plan.names.digest() {
+        if old.roster.digest() != self.plan.roster.digest() {
             // Claims begin anew with the new guardians; shares that are held under the old ones lapse.
-            self.claims = [(self.me, Claim::new(self.plan.names.guardians(self.me)))].into();
+            self.claims = [(self.me, Claim::new(self.plan.roster.guardians(self.me)))].into();
         }
-        let names = old.names.digest() != self.plan.names.digest();
-        let same = |key: &Key| {
-            let of = |plan: &Plan| plan.limits.iter().find(|l| Key::of(&l.name).limit == key.limit).cloned();
-            let times = old.times != self.plan.times;
+        let names = old.roster.digest() != self.plan.roster.digest();
+        let same = |key: &LimitKey| {
+            let of = |plan: &FleetConfig| plan.limits.iter().find(|l| LimitKey::global(&l.name).limit == key.limit).cloned();
+            let times = old.timing != self.plan.timing;
             of(&old) == of(&self.plan) && of(&old).is_some() && !names && !times
         };
-        let gone: Vec<Key> = self.accounts.keys().filter(|key| !same(key)).copied().collect();
+        let gone: Vec<LimitKey> = self.accounts.keys().filter(|key| !same(key)).copied().collect();
         for key in gone {
             self.accounts.remove(&key);
             self.opens.insert(key, lapsed);
         }
-        out.push(Effect::Say(format!(
+        out.push(Effect::Log(format!(
             "fleet: {} names, {} limits from now on; shares that have changed count after {} ms",
-            self.plan.names.len(),
+            self.plan.roster.len(),
             self.plan.limits.len(),
             lapsed.since(now).0 / 1_000_000
         )));
@@ -263,39 +268,39 @@
                 continue;
             }
             for (key, account) in self.accounts.iter_mut().filter(|(key, _)| !self.opens.contains_key(key)) {
-                let Some(limit) = self.plan.limits.iter().find(|l| Key::of(&l.name).limit == key.limit)
+                let Some(limit) = self.plan.limits.iter().find(|l| LimitKey::global(&l.name).limit == key.limit)
                 else {
                     continue;
                 };
                 account.settle(now);
                 let units = account.units_of(*slot);
-                let units = units.unwrap_or_else(|| parts(&self.plan.names, limit, *key, *slot).1);
+                let units = units.unwrap_or_else(|| parts(&self.plan.roster, limit, *key, *slot).1);
                 account.share(*slot, units, until);
             }
         }
     }
 
     /// A datagram has come.
-    pub fn datagram(&mut self, now: Time, bytes: &[u8], out: &mut Vec<Effect>) {
-        match self.seal.open(bytes) {
-            Ok(Content::Packet(packet)) => self.packet(now, packet, out),
-            Ok(Content::Operator(_)) | Err(Dropped::Malformed) => self.dropped(Dropped::Malformed, 1),
-            Err(why) => self.dropped(why, 1),
+    pub fn receive_datagram(&mut self, now: Time, bytes: &[u8], out: &mut Vec<Effect>) {
+        match self.seal.decode(bytes) {
+            Ok(Payload::Packet(packet)) => self.receive_packet(now, packet, out),
+            Ok(Payload::Status(_)) | Err(DropReason::Malformed) => self.count_dropped(DropReason::Malformed, 1),
+            Err(why) => self.count_dropped(why, 1),
         }
     }
 
     /// A packet has come whose seal is right.
-    pub fn packet(&mut self, now: Time, packet: Packet, out: &mut Vec<Effect>) {
+    pub fn receive_packet(&mut self, now: Time, packet: Packet, out: &mut Vec<Effect>) {
         if let Err(why) = self.take(now, packet, out) {
-            self.dropped(why, 1);
+            self.count_dropped(why, 1);
         }
         self.flush(out);
     }
 
-    fn take(&mut self, now: Time, packet: Packet, out: &mut Vec<Effect>) -> Result<(), Dropped> {
+    fn take(&mut self, now: Time, packet: Packet, out: &mut Vec<Effect>) -> Result<(), DropReason> {
         let from = packet.from;
-        if packet.to != self.me || from == self.me || self.plan.names.get(from).is_none() {
-            return Err(Dropped::Stranger);
+        if packet.to != self.me || from == self.me || self.plan.roster.get(from).is_none() {
+            return Err(DropReason::Stranger);
         }
         let known = self.swim.peer(from).map_or(0, |k| k.life);
         if packet.life < known {
@@ -303,23 +308,23 @@
             if self.may_correct(now, from) {
                 self.send_to(from, packet.life, vec![Message::Known(known)], out);
             }
-            return Err(Dropped::OtherLife);
+            return Err(DropReason::OtherLife);
         }
         if packet.to_life != 0 && packet.to_life != self.swim.life() {
             if self.may_correct(now, from) {
                 self.send_to(from, packet.life, vec![Message::Ack(0)], out);
             }
-            return Err(Dropped::OtherLife);
+            return Err(DropReason::OtherLife);
         }
         let link = self.links.entry(from).or_default();
         if packet.life != link.life {
             (link.life, link.window) = (packet.life, Window::default());
         }
         if !link.window.take(packet.sequence) {
-            return Err(Dropped::Repeated);
+            return Err(DropReason::Repeated);
         }
         self.counts.taken += 1;
-        let (names, limits) = (self.plan.names.digest() != packet.names, self.digest != packet.limits);
+        let (names, limits) = (self.plan.roster.digest() != packet.names, self.digest != packet.limits);
         if (link.other_names, link.other_limits) != (names, limits) {
             (link.other_names, link.other_limits) = (names, limits);
             let what = match (names, limits) {
@@ -327,7 +332,7 @@
                 (false, true) => "has other limits: no rights pass between us",
                 (false, false) => "has the same names and limits",
             };
-            out.push(Effect::Say(format!("fleet: {} {what}", self.plan.names.name(from))));
+            out.push(Effect::Log(format!("fleet: {} {what}", self.plan.roster.name(from))));
         }
         let mut said = Vec::new();
         self.swim.heard(now, from, packet.life, &mut said);
@@ -337,7 +342,7 @@
                 Message::Ping(_) => self.swim.take(now, from, message, &mut said),
                 _ if packet.to_life == 0 => {}
                 Message::Known(life) => {
-                    out.push(Effect::Say(format!("fleet: a later life {life} of this router is known")));
+                    out.push(Effect::Log(format!("fleet: a later life {life} of this router is known")));
                     self.swim.live_after(*life);
                 }
                 Message::Claim(..) | Message::Vote(..) | Message::Taken(..) | Message::Release(..) => {
@@ -370,7 +375,7 @@
         Ok(())
     }
 
-    fn may_correct(&mut self, now: Time, from: Tag) -> bool {
+    fn may_correct(&mut self, now: Time, from: NodeId) -> bool {
         let link = self.links.entry(from).or_default();
         let may = link.corrected.is_none_or(|at| now.since(at) >= CORRECT_EVERY);
         if may {
@@ -380,14 +385,14 @@
     }
 
     /// The account of a key, settled. One of a member that is not known here is opened, if its limit is.
-    fn account(&mut self, now: Time, key: Key) -> Option<&mut Account> {
+    fn account(&mut self, now: Time, key: LimitKey) -> Option<&mut Account> {
         if !self.accounts.contains_key(&key) {
-            let limit = self.plan.limits.iter().find(|l| Key::of(&l.name).limit == key.limit)?;
+            let limit = self.plan.limits.iter().find(|l| LimitKey::global(&l.name).limit == key.limit)?;
             let strange = limit.subject != Subject::EachMember || key.member == 0;
             if strange || self.accounts.len() >= STRANGE_ACCOUNTS + self.members.len() {
                 return None;
             }
-            let settled = self.started.plus(self.plan.settle);
+            let settled = self.started.plus(self.plan.max_use);
             let account = account_of(now, &self.plan, limit, key, self.me, settled);
             let account = account.counting_from(now.since(self.started));
             self.accounts.insert(key, account);
@@ -401,7 +406,7 @@
     fn of_shares(&mut self, now: Time, from: Life, message: &Message, out: &mut Vec<Effect>) {
         match message {
             Message::Claim(slot, number, span) => {
-                let (names, me) = (&self.plan.names, self.me);
+                let (names, me) = (&self.plan.roster, self.me);
                 if names.get(*slot).is_none() {
                     return;
                 }
@@ -409,7 +414,7 @@
                     return;
                 }
                 let asks = Asks { life: from, number: *number, span: Time::ms(u64::from(*span)) };
-                let answer = match self.voter.asked(now, &self.plan.times, *slot, asks) {
+                let answer = match self.voter.asked(now, &self.plan.timing, *slot, asks) {
                     Ok(()) => Message::Vote(*slot, *number),
                     Err(by) => Message::Taken(*slot, by.map(|l| (l.router, l.life))),
                 };
@@ -428,10 +433,10 @@
         }
     }
 
-    fn held(&mut self, now: Time, slot: Tag, before: Time, out: &mut Vec<Effect>) {
+    fn held(&mut self, now: Time, slot: NodeId, before: Time, out: &mut Vec<Effect>) {
         if before <= now {
-            let whose = self.plan.names.name(slot);
-            out.push(Effect::Say(match slot == self.me {
+            let whose = self.plan.roster.name(slot);
+            out.push(Effect::Log(match slot == self.me {
                 true => "fleet: this router's own share is held, with most of its guardians' votes".into(),
                 false => format!("fleet: {whose} is gone; its share is held here"),
             }));
@@ -458,8 +463,8 @@
                         Word::Dead => "is dead",
                         Word::Left => "has left",
                     };
-                    let (of, by) = (self.plan.names.name(of), self.plan.names.name(by));
-                    out.push(Effect::Say(format!("fleet: {of} {what}, says {by}")));
+                    let (of, by) = (self.plan.roster.name(of), self.plan.roster.name(by));
+                    out.push(Effect::Log(format!("fleet: {of} {what}, says {by}")));
                 }
             }
         }
@@ -479,8 +484,8 @@
         }
         if now >= self.next_round {
             self.round(now, out);
-            let due = self.next_round.plus(self.plan.times.period);
-            self.next_round = if due > now { due } else { now.plus(self.plan.times.period) };
+            let due = self.next_round.plus(self.plan.timing.period);
+            self.next_round = if due > now { due } else { now.plus(self.plan.timing.period) };
         }
         self.flush(out);
     }
@@ -516,28 +521,28 @@
     /// Claims this router's own share, and those of routers that are gone where it fits best; gives up
     /// those of routers that are back.
     fn claim(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let unheard = now.since(self.started) > self.plan.times.lease;
+        let unheard = now.since(self.started) > self.plan.timing.lease;
         let gone = |swim: &Swim, slot| {
             swim.gone(slot) || (unheard && swim.peer(slot).is_some_and(|k| k.word.is_none()))
         };
         if self.scanned != Some((self.epoch, unheard)) {
             self.scanned = Some((self.epoch, unheard));
-            let living: Vec<Tag> = self.swim.living().collect();
-            let lost: Vec<Tag> =
-                self.plan.names.tags().filter(|t| *t != self.me && gone(&self.swim, *t)).collect();
+            let living: Vec<NodeId> = self.swim.living().collect();
+            let lost: Vec<NodeId> =
+                self.plan.roster.tags().filter(|t| *t != self.me && gone(&self.swim, *t)).collect();
             for slot in lost {
                 let best = living.iter().copied().max_by_key(|t| (crate::names::fit(*t, slot.0), *t));
                 if best == Some(self.me) && !self.claims.contains_key(&slot) {
-                    self.claims.insert(slot, Claim::new(self.plan.names.guardians(slot)));
+                    self.claims.insert(slot, Claim::new(self.plan.roster.guardians(slot)));
                 }
             }
         }
-        let back: Vec<Tag> = self.claims.keys().copied().filter(|s| !self.claimed(*s, &gone)).collect();
+        let back: Vec<NodeId> = self.claims.keys().copied().filter(|s| !self.claimed(*s, &gone)).collect();
         for slot in back {
             self.accounts.values_mut().for_each(|a| a.end(slot, true));
             if self.release(now, slot) {
-                let whose = self.plan.names.name(slot);
-                out.push(Effect::Say(format!("fleet: the share of {whose} is given up")));
+                let whose = self.plan.roster.name(slot);
+                out.push(Effect::Log(format!("fleet: the share of {whose} is given up")));
             }
         }
         let me = Life { router: self.me, life: self.swim.life() };
@@ -555,10 +560,10 @@
             }
             self.questions += 1;
             let number = self.questions;
-            let span = self.plan.times.lease;
+            let span = self.plan.timing.lease;
             claim.ask(now, number, span);
             let asks = Asks { life: me, number, span };
-            if self.voter.asked(now, &self.plan.times, *slot, asks).is_ok() {
+            if self.voter.asked(now, &self.plan.timing, *slot, asks).is_ok() {
                 claim.given(self.me, number);
             }
             for guardian in claim.guardians().iter().filter(|g| **g != self.me) {
@@ -568,7 +573,7 @@
     }
 
     /// Gives a share back to its guardians, if nothing rests on it.
-    fn release(&mut self, now: Time, slot: Tag) -> bool {
+    fn release(&mut self, now: Time, slot: NodeId) -> bool {
         self.accounts.values_mut().for_each(|a| a.settle(now));
         let Some(claim) = self.claims.get(&slot) else { return false };
         if claim.until() > now && !self.accounts.values().all(|a| a.is_free(now, slot)) {
@@ -582,44 +587,44 @@
         self.claims.remove(&slot).is_some()
     }
 
-    fn claimed(&self, slot: Tag, gone: &impl Fn(&Swim, Tag) -> bool) -> bool {
+    fn claimed(&self, slot: NodeId, gone: &impl Fn(&Swim, NodeId) -> bool) -> bool {
         slot == self.me || gone(&self.swim, slot)
     }
 
     /// Whether a request that these limits count may be admitted: by the one that has least.
-    pub fn open(&mut self, now: Time, keys: &[Key]) -> Open {
-        let mut open = Open { share: 1.0, back: Time(0) };
+    pub fn availability(&mut self, now: Time, keys: &[LimitKey]) -> Availability {
+        let mut open = Availability { fraction: 1.0, retry_after: Time(0) };
         for key in keys {
             let Some(account) = self.accounts.get_mut(key) else { continue };
             account.settle(now);
             let (share, back) = account.asked(now);
-            open = Open { share: open.share.min(share), back: open.back.max(back) };
+            open = Availability { fraction: open.fraction.min(share), retry_after: open.retry_after.max(back) };
         }
         open
     }
 
     /// A request that these limits count has been admitted.
-    pub fn spend(&mut self, keys: &[Key]) {
+    pub fn spend(&mut self, keys: &[LimitKey]) {
         for key in keys {
             self.accounts.get_mut(key).into_iter().for_each(Account::spend);
         }
     }
 
     /// A request that these limits count has been refused: the next is told to come back later.
-    pub fn refused(&mut self, keys: &[Key]) {
+    pub fn record_rejection(&mut self, keys: &[LimitKey]) {
         for key in keys {
             self.accounts.get_mut(key).into_iter().for_each(Account::refused);
         }
     }
 
     /// The key of a budget, if there is one.
-    pub fn budget(&self, budget: Budget) -> Option<Key> {
+    pub fn budget_key(&self, budget: Budget) -> Option<LimitKey> {
         let limit = self.plan.limits.iter().find(|l| l.subject == Subject::Budget(budget));
-        limit.map(|l| Key::of(&l.name))
+        limit.map(|l| LimitKey::global(&l.name))
     }
 
     /// How many more may be spent of a budget now.
-    pub fn left(&mut self, now: Time, key: Key) -> u32 {
+    pub fn tokens_left(&mut self, now: Time, key: LimitKey) -> u32 {
         self.accounts.get_mut(&key).map_or(0, |account| {
             account.settle(now);
             account.left()
@@ -627,19 +632,19 @@
     }
 
     /// One more was wanted of a budget that is spent.
-    pub fn wanted(&mut self, key: Key) {
+    pub fn record_missing_token(&mut self, key: LimitKey) {
         self.accounts.get_mut(&key).into_iter().for_each(Account::wanted);
     }
 
     /// One is wanted of a budget; it is spent if it is there.
-    pub fn take_one(&mut self, now: Time, key: Key) -> bool {
+    pub fn take_token(&mut self, now: Time, key: LimitKey) -> bool {
         let Some(account) = self.accounts.get_mut(&key) else { return true };
         account.settle(now);
         account.take_one(now)
     }
 
     /// How many more may be out at a time under a key, each for so long at most; all if it has no account.
-    pub fn room(&mut self, now: Time, key: Key, span: Time) -> u64 {
+    pub fn free_slots(&mut self, now: Time, key: LimitKey, span: Time) -> u64 {
         self.accounts.get_mut(&key).map_or(u64::MAX, |account| {
             account.settle(now);
             account.room(now, span)
@@ -647,7 +652,7 @@
     }
 
     /// One more is out, until a time at the latest.
-    pub fn begun(&mut self, now: Time, key: Key, number: u64, until: Time) {
+    pub fn occupy_slot(&mut self, now: Time, key: LimitKey, number: u64, until: Time) {
         if let Some(account) = self.accounts.get_mut(&key) {
             account.settle(now);
             account.take(number, until);
@@ -655,7 +660,7 @@
     }
 
     /// One is no longer out.
-    pub fn ended(&mut self, now: Time, key: Key, number: u64) {
+    pub fn release_slot(&mut self, now: Time, key: LimitKey, number: u64) {
         if let Some(account) = self.accounts.get_mut(&key) {
             account.settle(now);
             account.give_back(number);
@@ -663,12 +668,12 @@
     }
 
     /// One more was wanted under a key, and there was no room.
-    pub fn missed(&mut self, key: Key) {
+    pub fn record_missing_slot(&mut self, key: LimitKey) {
         self.accounts.get_mut(&key).into_iter().for_each(Account::missed);
     }
 
     /// What is known of an account.
-    pub fn figures(&self, now: Time, key: Key) -> Option<account::Figures> {
+    pub fn account_stats(&self, now: Time, key: LimitKey) -> Option<account::AccountStats> {
         self.accounts.get(&key).map(|a| a.figures(now))
     }
 
@@ -677,7 +682,7 @@
         let mut said = Vec::new();
         self.swim.leave(&mut said);
         self.swim_says(now, said, out);
-        let slots: Vec<Tag> = self.claims.keys().copied().collect();
+        let slots: Vec<NodeId> = self.claims.keys().copied().collect();
         for slot in slots {
             self.release(now, slot);
         }
@@ -710,8 +715,8 @@
         }
     }
 
-    fn send_to(&mut self, to: Tag, to_life: u64, messages: Vec<Message>, out: &mut Vec<Effect>) {
-        let Some(peer) = self.plan.names.get(to) else { return };
+    fn send_to(&mut self, to: NodeId, to_life: u64, messages: Vec<Message>, out: &mut Vec<Effect>) {
+        let Some(peer) = self.plan.roster.get(to) else { return };
         let addr = peer.addr;
         let link = self.links.entry(to).or_default();
         link.sent += 1;
@@ -721,24 +726,24 @@
             to,
             to_life,
             sequence: link.sent,
-            names: self.plan.names.digest(),
+            names: self.plan.roster.digest(),
             limits: self.digest,
             messages,
         };
-        let bytes = self.seal.close(&Content::Packet(packet));
+        let bytes = self.seal.encode(&Payload::Packet(packet));
         self.counts.sent += 1;
         self.counts.sent_bytes += bytes.len() as u64;
-        out.push(Effect::Send(addr, bytes));
+        out.push(Effect::Send { to: addr, datagram: bytes });
     }
 
     /// An operator asks for the status.
-    pub fn operator(&self, now: Time, asked: &crate::packet::Operator) -> Option<Vec<u8>> {
-        status::answer(asked, || self.lines(now)).map(|content| self.seal.close(&content))
+    pub fn status_response(&self, now: Time, asked: &crate::packet::StatusMessage) -> Option<Vec<u8>> {
+        status::answer(asked, || self.status_lines(now)).map(|content| self.seal.encode(&content))
     }
 
     /// The status, for people: members, shares, limits, and why something is withheld.
-    pub fn lines(&self, now: Time) -> Vec<String> {
-        let names = &self.plan.names;
+    pub fn status_lines(&self, now: Time) -> Vec<String> {
+        let names = &self.plan.roster;
         let ago = |at: Time| format!("{:.1} s", now.since(at).secs());
         let mut lines = vec![format!(
             "router {} life {} names {} alive {} slow {}",
@@ -774,9 +779,9 @@
             lines.push(format!("share of {} {state}", names.name(*slot)));
         }
         for (key, account) in &self.accounts {
-            let limit = self.plan.limits.iter().find(|l| Key::of(&l.name).limit == key.limit);
+            let limit = self.plan.limits.iter().find(|l| LimitKey::global(&l.name).limit == key.limit);
             let name = limit.map_or("?", |l| l.name.as_str());
-            let member = self.members.iter().find(|m| key.member != 0 && Key::at(name, m) == *key);
+            let member = self.members.iter().find(|m| key.member != 0 && LimitKey::at_member(name, m) == *key);
             let at = member.map(|m| format!(" at {m}")).unwrap_or_default();
             let f = account.figures(now);
             let lapsing = f.lapses.map(|at| format!(" next lapse in {:.1} s", at.since(now).secs()));
@@ -788,7 +793,7 @@
             lines.push(format!(
                 "limit {name}{at} of {} held {} floor {} shares {} borrowed {} lent {} want {} in use {} \
                  spent {} refused {}{lapses}{why}",
-                f.of, f.held, f.floor, f.shares, f.borrowed, f.lent, f.want, f.in_use, f.spent, f.refused
+                f.of, f.usable, f.floor, f.shares, f.borrowed, f.lent, f.want, f.in_use, f.spent, f.refused
             ));
         }
         let c = &self.counts;
@@ -806,24 +811,24 @@
 }
 
 /// A name's part of a limit: what its own router keeps whatever happens, and the rest, which lapses.
-fn parts(names: &Names, limit: &Limit, key: Key, slot: Tag) -> (u64, u64) {
+fn parts(names: &Roster, limit: &Limit, key: LimitKey, slot: NodeId) -> (u64, u64) {
     let part = names.part(limit.bounds.units(), slot, key.number());
-    let floor = (part as f64 * limit.alone) as u64;
+    let floor = (part as f64 * limit.reserved_fraction) as u64;
     (floor, part - floor)
 }
 
-fn account_of(now: Time, plan: &Plan, limit: &Limit, key: Key, me: Tag, settled: Time) -> Account {
-    let floor = parts(&plan.names, limit, key, me).0;
+fn account_of(now: Time, plan: &FleetConfig, limit: &Limit, key: LimitKey, me: NodeId, settled: Time) -> Account {
+    let floor = parts(&plan.roster, limit, key, me).0;
     match limit.bounds {
         // Tokens are spent at once: loans of them need not outlast any use.
         Bounds::Rate { .. } => {
-            let times = Times { lease: plan.times.lease, ..Times::new(plan.times.drift, Time(0)) };
+            let times = Timing { lease: plan.timing.lease, ..Timing::new(plan.timing.drift, Time(0)) };
             let account = Account::new(now, key, limit.bounds, floor, now, times);
             match limit.subject {
                 Subject::Budget(_) => account.standing(),
                 _ => account,
             }
         }
-        Bounds::AtOnce(_) => Account::new(now, key, limit.bounds, floor, settled, plan.times),
+        Bounds::Concurrent(_) => Account::new(now, key, limit.bounds, floor, settled, plan.timing),
     }
 }
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -7,8 +7,8 @@
 //! life's have lapsed). A router is known by its name and its life: what an earlier life held has to
 //! lapse, too.
 
-use crate::names::Tag;
-use crate::times::Times;
+use crate::names::NodeId;
+use crate::times::Timing;
 use basalthill_policy::api::Time;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Life {
     /// Its name.
-    pub router: Tag,
+    pub router: NodeId,
     /// The life: later ones are larger.
     pub life: u64,
 }
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Voter {
     quiet_until: Time,
-    votes: BTreeMap<Tag, Given>,
+    votes: BTreeMap<NodeId, Given>,
 }
 
 /// A vote that has been given.
@@ -58,7 +58,7 @@
     }
 
     /// A router asks for this guardian's vote on a share, for a span. If it can't have it, who has it.
-    pub fn asked(&mut self, now: Time, times: &Times, slot: Tag, by: Asks) -> Result<(), Option<Life>> {
+    pub fn asked(&mut self, now: Time, times: &Timing, slot: NodeId, by: Asks) -> Result<(), Option<Life>> {
         if by.span > LONGEST_LEASE {
             return Err(None);
         }
@@ -71,14 +71,14 @@
         }
         // A question that comes late must not shorten what a newer one was answered with.
         let number = given.map_or(by.number, |g| g.number.max(by.number));
-        let until = now.plus(times.lender(by.span)).max(given.map_or(Time(0), |g| g.until));
+        let until = now.plus(times.lender_span(by.span)).max(given.map_or(Time(0), |g| g.until));
         self.votes.insert(slot, Given { to: by.life, until, number });
         Ok(())
     }
 
     /// A holder has given a share up, and uses no vote that answers its questions up to this one. A word that
     /// comes late, after a newer question, says nothing of the vote that this has had.
-    pub fn released(&mut self, slot: Tag, by: Life, number: u32) {
+    pub fn released(&mut self, slot: NodeId, by: Life, number: u32) {
         if self.votes.get(&slot).is_some_and(|g| g.to == by && g.number <= number) {
             self.votes.remove(&slot);
         }
@@ -90,7 +90,7 @@
     }
 
     /// Who has this guardian's vote on a share.
-    pub fn holder(&self, slot: Tag) -> Option<Life> {
+    pub fn holder(&self, slot: NodeId) -> Option<Life> {
         self.votes.get(&slot).map(|given| given.to)
     }
 }
@@ -105,13 +105,13 @@
     /// The newest questions, and until when a vote counts that answers each.
     asked: VecDeque<(u32, Time)>,
     /// Until when each guardian's vote counts.
-    votes: BTreeMap<Tag, Time>,
-    guardians: Vec<Tag>,
+    votes: BTreeMap<NodeId, Time>,
+    guardians: Vec<NodeId>,
 }
 
 impl Claim {
     /// A claim on a share with these guardians.
-    pub fn new(guardians: Vec<Tag>) -> Claim {
+    pub fn new(guardians: Vec<NodeId>) -> Claim {
         Claim { guardians, ..Claim::default() }
     }
 
@@ -131,7 +131,7 @@
     }
 
     /// A guardian has given its vote.
-    pub fn given(&mut self, by: Tag, number: u32) {
+    pub fn given(&mut self, by: NodeId, number: u32) {
         let Some((_, until)) = self.asked.iter().find(|(n, _)| *n == number) else { return };
         if self.guardians.contains(&by) {
             let counts = self.votes.entry(by).or_default();
@@ -147,7 +147,7 @@
     }
 
     /// The guardians.
-    pub fn guardians(&self) -> &[Tag] {
+    pub fn guardians(&self) -> &[NodeId] {
         &self.guardians
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -20,8 +20,8 @@
 pub mod swim;
 pub mod times;
 
-pub use fleet::{Effect, Fleet, Open};
-pub use limit::{Bounds, Budget, Key, Limit, Subject};
-pub use names::{Names, Peer, Tag};
-pub use seal::Seal;
-pub use times::Times;
+pub use fleet::{Availability, Effect, Fleet, FleetConfig};
+pub use limit::{Bounds, Budget, Limit, LimitKey, Subject};
+pub use names::{NodeId, Peer, Roster, RosterError};
+pub use seal::{DatagramCodec, DropReason};
+pub use times::Timing;
--- a/crates/fleet/src/limit.rs
+++ b/crates/fleet/src/limit.rs
@@ -52,7 +52,7 @@
         burst: f64,
     },
     /// So many at a time.
-    AtOnce(u32),
+    Concurrent(u32),
 }
 
 /// Units that the rights to a rate are dealt out in.
@@ -63,7 +63,7 @@
     pub fn units(&self) -> u64 {
         match self {
             Bounds::Rate { .. } => UNITS,
-            Bounds::AtOnce(most) => u64::from(*most),
+            Bounds::Concurrent(most) => u64::from(*most),
         }
     }
 }
@@ -78,7 +78,7 @@
     /// How much is allowed.
     pub bounds: Bounds,
     /// The part of its own share that a router keeps whatever happens: it is never lent and never lapses.
-    pub alone: f64,
+    pub reserved_fraction: f64,
 }
 
 impl Limit {
@@ -86,7 +86,7 @@
     pub fn digest(&self) -> u64 {
         let (kind, a, b) = match self.bounds {
             Bounds::Rate { per_s, burst } => (1, per_s.to_bits(), burst.to_bits()),
-            Bounds::AtOnce(most) => (2, u64::from(most), 0),
+            Bounds::Concurrent(most) => (2, u64::from(most), 0),
         };
         let subject = match &self.subject {
             Subject::Tenant(name) => hash(name.as_bytes()) ^ 1,
@@ -95,29 +95,29 @@
             Subject::EachMember => 4,
             Subject::Budget(budget) => mix(5 << 32 | *budget as u64),
         };
-        let parts = [hash(self.name.as_bytes()), subject, kind, a, b, self.alone.to_bits()];
+        let parts = [hash(self.name.as_bytes()), subject, kind, a, b, self.reserved_fraction.to_bits()];
         parts.iter().fold(0, |h, part| mix(h ^ part))
     }
 }
 
 /// What rights are counted for: a limit, or a limit at one member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Key {
+pub struct LimitKey {
     /// The limit, by its name in short.
     pub limit: u64,
     /// The member, by its name in short; zero where the limit is one for all.
     pub member: u64,
 }
 
-impl Key {
+impl LimitKey {
     /// The key of a limit that is one for all.
-    pub fn of(name: &str) -> Key {
-        Key { limit: hash(name.as_bytes()), member: 0 }
+    pub fn global(name: &str) -> LimitKey {
+        LimitKey { limit: hash(name.as_bytes()), member: 0 }
     }
 
     /// The key of a limit at one member.
-    pub fn at(name: &str, member: &str) -> Key {
-        Key { limit: hash(name.as_bytes()), member: hash(member.as_bytes()).max(1) }
+    pub fn at_member(name: &str, member: &str) -> LimitKey {
+        LimitKey { limit: hash(name.as_bytes()), member: hash(member.as_bytes()).max(1) }
     }
 
     /// A number for rendezvous hashing.
--- a/crates/fleet/src/meter.rs
+++ b/crates/fleet/src/meter.rs
@@ -3,7 +3,7 @@
 
 use crate::ledger::Ledger;
 use crate::limit::UNITS;
-use crate::times::Times;
+use crate::times::Timing;
 use basalthill_policy::api::Time;
 use std::collections::BTreeMap;
 
@@ -30,7 +30,7 @@
     /// Fills up to now. Over a time in which the units changed, by the fewest: after a standstill nothing is
     /// filled by what lapsed in it. `floor` units are there whatever the ledger says.
     /// Of the others, no more than `most` are used.
-    pub fn fill(&mut self, now: Time, floor: u64, ledger: &Ledger, most: Option<u64>, times: &Times) {
+    pub fn fill(&mut self, now: Time, floor: u64, ledger: &Ledger, most: Option<u64>, times: &Timing) {
         let most = most.map_or(i64::MAX, |m| m as i64);
         let beyond = |from, until| ledger.least(from, until).min(most);
         let held = |from, until| (floor as i64 + beyond(from, until)).max(0) as f64 / UNITS as f64;
--- a/crates/fleet/src/meter/tests.rs
+++ b/crates/fleet/src/meter/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 /// Spends whatever is there at each of so many looks; how many that were.
-fn spent(tokens: &mut Tokens, ledger: &Ledger, from: Time, until: Time, times: &Times) -> f64 {
+fn spent(tokens: &mut Tokens, ledger: &Ledger, from: Time, until: Time, times: &Timing) -> f64 {
     let (mut now, mut count) = (from, 0.0);
     while now < until {
         tokens.fill(now, 0, ledger, None, times);
@@ -16,7 +16,7 @@
 
 #[test]
 fn a_clock_that_runs_fast_fills_no_faster_than_the_rate() {
-    let (times, mut ledger) = (Times::new(0.01, Time(0)), Ledger::default());
+    let (times, mut ledger) = (Timing::new(0.01, Time(0)), Ledger::default());
     ledger.add(UNITS, Time::ms(1_000_000));
     let mut tokens = Tokens::new(Time(0), 100.0, 10.0);
     // A hundred true seconds on a clock that is a hundredth fast.
@@ -27,7 +27,7 @@
 
 #[test]
 fn a_standstill_fills_nothing_by_what_lapsed_in_it() {
-    let (times, mut ledger) = (Times::new(0.01, Time(0)), Ledger::default());
+    let (times, mut ledger) = (Timing::new(0.01, Time(0)), Ledger::default());
     ledger.add(UNITS, Time::ms(1000));
     let mut tokens = Tokens::new(Time(0), 100.0, 100.0);
     tokens.fill(Time::ms(500), 0, &ledger, None, &times);
@@ -45,7 +45,7 @@
 
 #[test]
 fn each_refusal_is_told_a_later_moment_and_moments_pass() {
-    let (times, mut ledger) = (Times::new(0.01, Time(0)), Ledger::default());
+    let (times, mut ledger) = (Timing::new(0.01, Time(0)), Ledger::default());
     ledger.add(UNITS, Time::ms(100_000));
     let mut tokens = Tokens::new(Time(0), 10.0, 10.0);
     let back = |tokens: &mut Tokens| {
--- a/crates/fleet/src/names.rs
+++ b/crates/fleet/src/names.rs
@@ -7,12 +7,12 @@
 
 /// A name in short, as it goes over the wire.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Tag(pub u64);
+pub struct NodeId(pub u64);
 
-impl Tag {
+impl NodeId {
     /// The tag of a name.
-    pub fn of(name: &str) -> Tag {
-        Tag(hash(name.as_bytes()))
+    pub fn of(name: &str) -> NodeId {
+        NodeId(hash(name.as_bytes()))
     }
 }
 
@@ -30,7 +30,7 @@
 
 /// How well a router fits something, by rendezvous hashing: the one that fits best has it, and when that one
 /// goes, the next; nothing else moves.
-pub fn fit(router: Tag, what: u64) -> u64 {
+pub fn fit(router: NodeId, what: u64) -> u64 {
     mix(router.0 ^ mix(what))
 }
 
@@ -45,24 +45,35 @@
     pub zone: Option<String>,
 }
 
+/// Why a list of routers is not accepted.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum RosterError {
+    /// Two names have the same id.
+    #[error("two names have the same id")]
+    DuplicateId,
+}
+
 /// The list of names.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Names {
-    peers: BTreeMap<Tag, Peer>,
+pub struct Roster {
+    peers: BTreeMap<NodeId, Peer>,
     digest: u32,
 }
 
 /// How many routers watch over the share of each name.
 pub const GUARDIANS: usize = 7;
 
-impl Names {
+impl Roster {
     /// A list; none if two names are the same in short.
-    pub fn new(peers: Vec<Peer>) -> Option<Names> {
+    pub fn new(peers: Vec<Peer>) -> Result<Roster, RosterError> {
         let count = peers.len();
-        let peers: BTreeMap<Tag, Peer> = peers.into_iter().map(|p| (Tag::of(&p.name), p)).collect();
+        let peers: BTreeMap<NodeId, Peer> = peers.into_iter().map(|p| (NodeId::of(&p.name), p)).collect();
         // Addresses may differ from router to router; names may not.
         let digest = peers.keys().fold(count as u64, |h, tag| mix(h ^ tag.0)) as u32;
-        (peers.len() == count).then_some(Names { peers, digest })
+        match peers.len() == count {
+            true => Ok(Roster { peers, digest }),
+            false => Err(RosterError::DuplicateId),
+        }
     }
 
     /// A number that differs where the names do.
@@ -81,25 +92,25 @@
     }
 
     /// All of them, in the order of their tags.
-    pub fn tags(&self) -> impl Iterator<Item = Tag> + '_ {
+    pub fn tags(&self) -> impl Iterator<Item = NodeId> + '_ {
         self.peers.keys().copied()
     }
 
     /// A router of the list.
-    pub fn get(&self, tag: Tag) -> Option<&Peer> {
+    pub fn get(&self, tag: NodeId) -> Option<&Peer> {
         self.peers.get(&tag)
     }
 
     /// A router's name, for people.
-    pub fn name(&self, tag: Tag) -> String {
+    pub fn name(&self, tag: NodeId) -> String {
         self.peers.get(&tag).map_or_else(|| format!("({:016x})", tag.0), |p| p.name.clone())
     }
 
     /// Those who watch over a name's share: itself, and those of the others that fit it best; an odd
     /// number, so that of two halves one always has more of them.
-    pub fn guardians(&self, slot: Tag) -> Vec<Tag> {
+    pub fn guardians(&self, slot: NodeId) -> Vec<NodeId> {
         let others = self.peers.len().saturating_sub(1);
-        let mut fits: Vec<(u64, Tag)> =
+        let mut fits: Vec<(u64, NodeId)> =
             self.tags().filter(|t| *t != slot).map(|t| (fit(t, slot.0), t)).collect();
         fits.sort_unstable_by(|a, b| b.cmp(a));
         let count = (GUARDIANS - 1).min(others / 2 * 2);
@@ -107,15 +118,15 @@
     }
 
     /// Of these routers, those that fit something, the best first.
-    pub fn by_fit(routers: impl Iterator<Item = Tag>, what: u64) -> Vec<Tag> {
-        let mut fits: Vec<(u64, Tag)> = routers.map(|t| (fit(t, what), t)).collect();
+    pub fn by_fit(routers: impl Iterator<Item = NodeId>, what: u64) -> Vec<NodeId> {
+        let mut fits: Vec<(u64, NodeId)> = routers.map(|t| (fit(t, what), t)).collect();
         fits.sort_unstable_by(|a, b| b.cmp(a));
         fits.into_iter().map(|f| f.1).collect()
     }
 
     /// A name's part of a number of units: all parts are equal but for the rest of the division, and add
     /// up to the whole. Who gets one of the rest differs from limit to limit.
-    pub fn part(&self, units: u64, slot: Tag, what: u64) -> u64 {
+    pub fn part(&self, units: u64, slot: NodeId, what: u64) -> u64 {
         let count = self.peers.len() as u64;
         if count == 0 || !self.peers.contains_key(&slot) {
             return 0;
--- a/crates/fleet/src/names/tests.rs
+++ b/crates/fleet/src/names/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-pub(crate) fn names(count: usize) -> Names {
+pub(crate) fn names(count: usize) -> Roster {
     let addr = SocketAddr::from(([127, 0, 0, 1], 1));
     let peers = (0..count).map(|n| Peer { name: format!("n{n}"), addr, zone: None }).collect();
-    Names::new(peers).expect("names that differ")
+    Roster::new(peers).expect("names that differ")
 }
 
 #[test]
--- a/crates/fleet/src/packet.rs
+++ b/crates/fleet/src/packet.rs
@@ -1,20 +1,20 @@
-//! What routers say to each other, as postcard writes it. One packet is one datagram, [`LONGEST`] bytes
+//! What routers say to each other, as postcard writes it. One packet is one datagram, [`MAX_DATAGRAM`] bytes
 //! at most.
 //!
 //! A packet says from which life of which router it comes and for which it is: one that was meant for an
 //! earlier life, or comes from one, carries no rights. Only a ping may come from one who does not know
 //! the other's life.
 
-use crate::limit::Key;
-use crate::names::Tag;
+use crate::limit::LimitKey;
+use crate::names::NodeId;
 use serde::{Deserialize, Serialize};
 
 /// The wire's version; another one is dropped and counted.
 pub const VERSION: u8 = 1;
 /// Most bytes of a datagram: what passes an Ethernet unbroken, with room for tunnels.
-pub const LONGEST: usize = 1200;
+pub const MAX_DATAGRAM: usize = 1200;
 /// Bytes that messages may take: the rest is the seal's and the head's.
-pub const ROOM: usize = LONGEST - 80;
+pub const ROOM: usize = MAX_DATAGRAM - 80;
 
 /// What is known of a router, by those who heard it or heard of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct News {
     /// Of whom.
-    pub of: Tag,
+    pub of: NodeId,
     /// Its life.
     pub life: u64,
     /// Its turn in that life: it rises whenever the router has to contradict.
@@ -41,7 +41,7 @@
     /// What is said.
     pub word: Word,
     /// Who says so first.
-    pub by: Tag,
+    pub by: NodeId,
 }
 
 /// A message.
@@ -52,36 +52,36 @@
     /// The answer.
     Ack(u32),
     /// Another router is to be asked in the sender's place.
-    AskFor(u32, Tag),
+    AskFor(u32, NodeId),
     /// It has answered.
-    AnsweredFor(u32, Tag),
+    AnsweredFor(u32, NodeId),
     /// News of routers.
     News(Vec<News>),
     /// The sender's life is an earlier one than this, which is known of it.
     Known(u64),
     /// A vote on a name's share is asked for: the name, the question's number, and for how many milliseconds.
     /// Routers with other limits may want other spans.
-    Claim(Tag, u32, u32),
+    Claim(NodeId, u32, u32),
     /// The vote is given.
-    Vote(Tag, u32),
+    Vote(NodeId, u32),
     /// It is not given, as this life of a router has it, if any.
-    Taken(Tag, Option<(Tag, u64)>),
+    Taken(NodeId, Option<(NodeId, u64)>),
     /// The sender no longer uses a name's share, nor any vote for it up to its question of this number.
-    Release(Tag, u32),
+    Release(NodeId, u32),
     /// To the one who deals a limit's rights out.
     Report(Report),
     /// From that one.
     Reply(Reply),
     /// Of what the sender has borrowed under a limit, it keeps no more than so many units: the question's
     /// number, and the units. No answer is wanted.
-    Back(Key, u32, u64),
+    Back(LimitKey, u32, u64),
 }
 
 /// What a router needs and what it can spare.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// Of which limit.
-    pub key: Key,
+    pub key: LimitKey,
     /// The question's number.
     pub number: u32,
     /// Units kept of the loan before.
@@ -96,7 +96,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reply {
     /// Of which limit.
-    pub key: Key,
+    pub key: LimitKey,
     /// The question that is answered.
     pub number: u32,
     /// Units lent.
@@ -111,11 +111,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Packet {
     /// Who sends it.
-    pub from: Tag,
+    pub from: NodeId,
     /// In which life.
     pub life: u64,
     /// To whom.
-    pub to: Tag,
+    pub to: NodeId,
     /// To which life of it; zero if that is not known.
     pub to_life: u64,
     /// Rises with each packet from this life to this router.
@@ -130,21 +130,37 @@
 
 /// What an operator asks, and what is answered: pages of lines.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Operator {
+pub enum StatusMessage {
     /// A page of the status, with a number that the answer repeats, and padding: an answer is never much
     /// longer than its question.
-    Ask(u64, u16, Vec<u8>),
+    Request {
+        /// Repeated by the response.
+        id: u64,
+        /// The page, counted from zero.
+        page: u16,
+        /// Zeros that make the request as long as the longest response.
+        padding: Vec<u8>,
+    },
     /// The number, the page, how many pages there are, and the page's lines.
-    Told(u64, u16, u16, String),
+    Response {
+        /// As in the request.
+        id: u64,
+        /// As in the request.
+        page: u16,
+        /// How many pages there are.
+        pages: u16,
+        /// The lines of the page.
+        text: String,
+    },
 }
 
 /// What a datagram holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Content {
+pub enum Payload {
     /// Talk between routers.
     Packet(Packet),
     /// Talk with an operator.
-    Operator(Operator),
+    Status(StatusMessage),
 }
 
 /// How many bytes a message takes.
--- a/crates/fleet/src/seal.rs
+++ b/crates/fleet/src/seal.rs
@@ -3,7 +3,7 @@
 //! A datagram is the version (1 byte), the key's number (1), 16 bytes of HMAC-SHA-256 over all the rest with
 //! those two, then what postcard writes. What it says is no secret.
 
-use crate::packet::{Content, LONGEST, VERSION};
+use crate::packet::{Payload, MAX_DATAGRAM, VERSION};
 use basalthill_session::token::KeyRing;
 
 const HEAD: usize = 2;
@@ -11,13 +11,13 @@
 
 /// Signs and checks datagrams.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seal {
+pub struct DatagramCodec {
     keys: KeyRing,
 }
 
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Dropped {
+pub enum DropReason {
     /// Too short, too long, or what it holds can't be read.
     Malformed,
     /// Of another version.
@@ -34,14 +34,14 @@
     Repeated,
 }
 
-impl Seal {
+impl DatagramCodec {
     /// A seal with these keys; their greatest age does not count here.
-    pub fn new(keys: KeyRing) -> Seal {
-        Seal { keys }
+    pub fn new(keys: KeyRing) -> DatagramCodec {
+        DatagramCodec { keys }
     }
 
     /// Signs what a datagram is to hold.
-    pub fn close(&self, content: &Content) -> Vec<u8> {
+    pub fn encode(&self, content: &Payload) -> Vec<u8> {
         let body = postcard::to_allocvec(content).unwrap_or_default();
         let head = [VERSION, self.keys.signing.id.0];
         let mac = self.keys.signing.sign(&[&head, &body]);
@@ -49,23 +49,23 @@
     }
 
     /// Checks a datagram and reads it. What costs little is looked at first.
-    pub fn open(&self, datagram: &[u8]) -> Result<Content, Dropped> {
-        if datagram.len() <= HEAD + MAC || datagram.len() > LONGEST {
-            return Err(Dropped::Malformed);
+    pub fn decode(&self, datagram: &[u8]) -> Result<Payload, DropReason> {
+        if datagram.len() <= HEAD + MAC || datagram.len() > MAX_DATAGRAM {
+            return Err(DropReason::Malformed);
         }
         let (head, rest) = datagram.split_at(HEAD);
         if head[0] != VERSION {
-            return Err(Dropped::Version);
+            return Err(DropReason::Version);
         }
         let (mac, body) = rest.split_at(MAC);
         let mut known = std::iter::once(&self.keys.signing).chain(&self.keys.verifying);
-        let key = known.find(|k| k.id.0 == head[1]).ok_or(Dropped::UnknownKey)?;
+        let key = known.find(|k| k.id.0 == head[1]).ok_or(DropReason::UnknownKey)?;
         if !key.verifies(&[head, body], mac) {
-            return Err(Dropped::Forged);
+            return Err(DropReason::Forged);
         }
-        match postcard::take_from_bytes::<Content>(body) {
+        match postcard::take_from_bytes::<Payload>(body) {
             Ok((content, [])) => Ok(content),
-            _ => Err(Dropped::Malformed),
+            _ => Err(DropReason::Malformed),
         }
     }
 }
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -1,12 +1,12 @@
 //! What operators are told of a router's fleet: pages of lines.
 
-use crate::packet::{Content, Operator, LONGEST, ROOM};
+use crate::packet::{Payload, StatusMessage, MAX_DATAGRAM, ROOM};
 
 /// Bytes of lines on a page.
 const PAGE: usize = ROOM - 40;
 
 /// The longest question; shorter ones get shorter answers.
-pub const PADDING: usize = LONGEST - 60;
+pub const PADDING: usize = MAX_DATAGRAM - 60;
 
 /// Lines, broken into pages.
 pub fn pages(lines: &[String]) -> Vec<String> {
@@ -25,14 +25,14 @@
 }
 
 /// The question for a page.
-pub fn question(number: u64, page: u16) -> Content {
-    Content::Operator(Operator::Ask(number, page, vec![0; PADDING]))
+pub fn request(number: u64, page: u16) -> Payload {
+    Payload::Status(StatusMessage::Request { id: number, page, padding: vec![0; PADDING] })
 }
 
 /// The answer to an operator's question; none to anything else, or to a page that is not there.
-pub fn answer(asked: &Operator, lines: impl FnOnce() -> Vec<String>) -> Option<Content> {
-    let Operator::Ask(number, page, padding) = asked else { return None };
+pub fn answer(asked: &StatusMessage, lines: impl FnOnce() -> Vec<String>) -> Option<Payload> {
+    let StatusMessage::Request { id: number, page, padding } = asked else { return None };
     let pages = pages(&lines());
     let text = pages.get(usize::from(*page)).filter(|text| text.len() <= padding.len())?;
-    Some(Content::Operator(Operator::Told(*number, *page, pages.len() as u16, text.clone())))
+    Some(Payload::Status(StatusMessage::Response { id: *number, page: *page, pages: pages.len() as u16, text: text.clone() }))
 }
--- a/crates/fleet/src/swim.rs
+++ b/crates/fleet/src/swim.rs
@@ -14,7 +14,7 @@
 //! The list of names is given: nobody has to join, and the dead are asked now and then, so that a split
 //! heals.
 
-use crate::names::{Names, Tag};
+use crate::names::{Roster, NodeId};
 use crate::packet::{Message, News, Word};
 use basalthill_policy::api::Time;
 use std::collections::{BTreeMap, BTreeSet};
@@ -56,17 +56,17 @@
     /// Since when.
     pub since: Time,
     /// Who said so.
-    pub by: Tag,
+    pub by: NodeId,
     /// When it was last heard itself.
     pub heard: Option<Time>,
     /// When it was last told what it is taken for.
     told: Option<Time>,
-    suspected_by: BTreeSet<Tag>,
+    suspected_by: BTreeSet<NodeId>,
 }
 
 struct Probe {
     number: u32,
-    target: Tag,
+    target: NodeId,
     others_at: Time,
     ends: Time,
     asked_others: bool,
@@ -74,8 +74,8 @@
 
 struct Errand {
     number: u32,
-    target: Tag,
-    by: Tag,
+    target: NodeId,
+    by: NodeId,
     theirs: u32,
     until: Time,
 }
@@ -84,27 +84,27 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Out {
     /// Say this to a router.
-    Say(Tag, Message),
+    Say(NodeId, Message),
     /// A router is taken for something else by now; its life is another one where `restarted`.
     Changed {
         /// Who.
-        of: Tag,
+        of: NodeId,
         /// For what.
         word: Word,
         /// It has started again.
         restarted: bool,
         /// Who said so first.
-        by: Tag,
+        by: NodeId,
     },
 }
 
 /// One router's view of who is alive.
 pub struct Swim {
-    me: Tag,
+    me: NodeId,
     life: u64,
     turn: u32,
-    peers: BTreeMap<Tag, Known>,
-    order: Vec<Tag>,
+    peers: BTreeMap<NodeId, Known>,
+    order: Vec<NodeId>,
     periods: u64,
     probe: Option<Probe>,
     errands: Vec<Errand>,
@@ -118,7 +118,7 @@
 
 impl Swim {
     /// A router that has just started.
-    pub fn new(now: Time, me: Tag, life: u64, names: &Names, seed: u64) -> Swim {
+    pub fn new(now: Time, me: NodeId, life: u64, names: &Roster, seed: u64) -> Swim {
         let mut swim = Swim {
             me,
             life,
@@ -143,7 +143,7 @@
     }
 
     /// Takes another list of names.
-    pub fn list(&mut self, now: Time, names: &Names) {
+    pub fn list(&mut self, now: Time, names: &Roster) {
         self.peers.retain(|tag, _| names.get(*tag).is_some());
         for tag in names.tags().filter(|t| *t != self.me) {
             self.peers.entry(tag).or_insert(Known {
@@ -167,24 +167,24 @@
     }
 
     /// What is known of the others.
-    pub fn peers(&self) -> impl Iterator<Item = (Tag, &Known)> {
+    pub fn peers(&self) -> impl Iterator<Item = (NodeId, &Known)> {
         self.peers.iter().map(|(tag, known)| (*tag, known))
     }
 
     /// What is known of one of them.
-    pub fn peer(&self, tag: Tag) -> Option<&Known> {
+    pub fn peer(&self, tag: NodeId) -> Option<&Known> {
         self.peers.get(&tag)
     }
 
     /// This router and those that it takes for alive, suspects among them.
-    pub fn living(&self) -> impl Iterator<Item = Tag> + '_ {
+    pub fn living(&self) -> impl Iterator<Item = NodeId> + '_ {
         let me = (!self.leaving).then_some(self.me);
         let up = |k: &Known| matches!(k.word, Some(Word::Alive | Word::Suspect));
         me.into_iter().chain(self.peers.iter().filter(move |p| up(p.1)).map(|p| *p.0))
     }
 
     /// Whether a router is taken for gone: dead, or left.
-    pub fn gone(&self, tag: Tag) -> bool {
+    pub fn gone(&self, tag: NodeId) -> bool {
         self.peers.get(&tag).is_some_and(|k| matches!(k.word, Some(Word::Dead | Word::Left)))
     }
 
@@ -207,7 +207,7 @@
     }
 
     /// Something has come from a peer, in this life of it.
-    pub fn heard(&mut self, now: Time, from: Tag, life: u64, out: &mut Vec<Out>) {
+    pub fn heard(&mut self, now: Time, from: NodeId, life: u64, out: &mut Vec<Out>) {
         let Some(known) = self.peers.get_mut(&from) else { return };
         known.heard = Some(now);
         let told = known.told.is_some_and(|at| now.since(at) < ANSWER);
@@ -229,7 +229,7 @@
     }
 
     /// A message of those that are SWIM's.
-    pub fn take(&mut self, now: Time, from: Tag, message: &Message, out: &mut Vec<Out>) {
+    pub fn take(&mut self, now: Time, from: NodeId, message: &Message, out: &mut Vec<Out>) {
         match message {
             Message::Ping(number) => out.push(Out::Say(from, Message::Ack(*number))),
             Message::Ack(number) => {
@@ -324,7 +324,7 @@
     pub fn leave(&mut self, out: &mut Vec<Out>) {
         self.leaving = true;
         let news = News { of: self.me, life: self.life, turn: self.turn, word: Word::Left, by: self.me };
-        let up: Vec<Tag> = self.living().collect();
+        let up: Vec<NodeId> = self.living().collect();
         // All at once would be a burst in a large fleet; news spreads by itself.
         for _ in 0..(2 * OTHERS).min(up.len()) {
             let to = up[(self.dice() * up.len() as f64) as usize % up.len()];
@@ -364,7 +364,7 @@
         if let Some(probe) = self.probe.as_mut().filter(|p| now >= p.others_at && !p.asked_others) {
             probe.asked_others = true;
             let (number, target) = (probe.number, probe.target);
-            let mut others: Vec<Tag> = self.living().filter(|t| *t != self.me && *t != target).collect();
+            let mut others: Vec<NodeId> = self.living().filter(|t| *t != self.me && *t != target).collect();
             for _ in 0..OTHERS.min(others.len()) {
                 let at = (self.dice() * others.len() as f64) as usize % others.len();
                 out.push(Out::Say(others.swap_remove(at), Message::AskFor(number, target)));
@@ -385,7 +385,7 @@
         self.next = now.plus(PERIOD);
     }
 
-    fn suspect(&mut self, now: Time, target: Tag, out: &mut Vec<Out>) {
+    fn suspect(&mut self, now: Time, target: NodeId, out: &mut Vec<Out>) {
         let Some(known) = self.peers.get(&target) else { return };
         if matches!(known.word, Some(Word::Alive | Word::Suspect)) {
             let (life, turn) = (known.life, known.turn);
@@ -406,7 +406,7 @@
     fn ask_next(&mut self, now: Time, out: &mut Vec<Out>) {
         self.periods += 1;
         let up = |k: &Known| matches!(k.word, Some(Word::Alive | Word::Suspect));
-        let down: Vec<Tag> = self.peers.iter().filter(|p| !up(p.1)).map(|p| *p.0).collect();
+        let down: Vec<NodeId> = self.peers.iter().filter(|p| !up(p.1)).map(|p| *p.0).collect();
         if !down.is_empty() && (self.periods % DEAD_EVERY == 0 || down.len() == self.peers.len()) {
             // Not the living's turn: an answer makes it alive, silence changes nothing.
             let at = (self.dice() * down.len() as f64) as usize % down.len();
--- a/crates/fleet/tests/limits.rs
+++ b/crates/fleet/tests/limits.rs
@@ -1,7 +1,6 @@
 //! Limits over all routers, in simulated time: never over, whatever the links do, and used where they can be.
 
-use basalthill_fleet::fleet::Plan;
-use basalthill_fleet::{Bounds, Key, Limit, Subject, Times};
+use basalthill_fleet::{Bounds, FleetConfig, Limit, LimitKey, Subject, Timing};
 use basalthill_policy::api::Time;
 use basalthill_standin::model::{most_at_once, names, over, Model};
 use proptest::prelude::*;
@@ -15,31 +14,31 @@
     Time((seconds * 1e9) as u64)
 }
 
-fn plan(routers: usize) -> Plan {
+fn plan(routers: usize) -> FleetConfig {
     let rate = Limit {
         name: "acme".into(),
         subject: Subject::Tenant("acme".into()),
         bounds: Bounds::Rate { per_s: PER_S, burst: BURST },
-        alone: 0.1,
+        reserved_fraction: 0.1,
     };
     let places = Limit {
         name: "hosts".into(),
         subject: Subject::Group(1),
-        bounds: Bounds::AtOnce(PLACES),
-        alone: 0.1,
+        bounds: Bounds::Concurrent(PLACES),
+        reserved_fraction: 0.1,
     };
-    Plan {
-        names: names(routers),
+    FleetConfig {
+        roster: names(routers),
         limits: vec![rate, places],
-        times: Times::new(0.01, LONGEST),
-        settle: LONGEST,
-        quiet: Time::ms(4900),
+        timing: Timing::new(0.01, LONGEST),
+        max_use: LONGEST,
+        vote_quarantine: Time::ms(4900),
     }
 }
 
 fn fleet(routers: usize, seed: u64) -> Model {
     let plan = plan(routers);
-    let mut model = Model::new(plan, Some(Key::of("acme")), Some(Key::of("hosts")), LONGEST, seed);
+    let mut model = Model::new(plan, Some(LimitKey::global("acme")), Some(LimitKey::global("hosts")), LONGEST, seed);
     (0..routers).for_each(|n| model.start(n));
     model
 }
@@ -229,8 +228,8 @@
 #[test]
 fn a_router_that_restarts_waits_for_what_its_earlier_life_has_in_use() {
     let mut plan = plan(4);
-    plan.limits[1].alone = 1.0;
-    let mut model = Model::new(plan, None, Some(Key::of("hosts")), LONGEST, 19);
+    plan.limits[1].reserved_fraction = 1.0;
+    let mut model = Model::new(plan, None, Some(LimitKey::global("hosts")), LONGEST, 19);
     (0..4).for_each(|n| model.start(n));
     (0..4).for_each(|n| model.demand(n, 0.0, 60.0));
     for n in 0..20 {
@@ -328,9 +327,9 @@
 fn routers_whose_leases_differ_in_length_never_hold_a_share_together() {
     let mut rates_only = plan(8);
     rates_only.limits.truncate(1);
-    rates_only.times = Times::new(0.01, Time(0));
+    rates_only.timing = Timing::new(0.01, Time(0));
     for lonely in [6, 7] {
-        let mut model = Model::new(plan(8), Some(Key::of("acme")), None, LONGEST, 30 + lonely as u64);
+        let mut model = Model::new(plan(8), Some(LimitKey::global("acme")), None, LONGEST, 30 + lonely as u64);
         (4..8).for_each(|n| model.start(n));
         model.plan(rates_only.clone());
         (0..4).for_each(|n| model.start(n));
@@ -348,7 +347,7 @@
 
 #[test]
 fn a_name_more_and_a_name_less() {
-    let mut model = Model::new(plan(9), Some(Key::of("acme")), None, LONGEST, 15);
+    let mut model = Model::new(plan(9), Some(LimitKey::global("acme")), None, LONGEST, 15);
     model.plan(plan(8));
     (0..8).for_each(|n| model.start(n));
     hungry(&mut model, 8);
@@ -386,7 +385,7 @@
 
 #[test]
 fn forged_cut_replayed_and_newer_datagrams_are_counted_and_change_nothing() {
-    use basalthill_fleet::seal::Dropped;
+    use basalthill_fleet::DropReason;
     let mut model = fleet(3, 17);
     hungry(&mut model, 3);
     model.record(true);
@@ -407,19 +406,19 @@
             model.inject(*to, &bytes);
         }
     }
-    let counts = model.fleet(0).map(|f| f.counts().clone()).unwrap_or_default();
-    for why in [Dropped::Forged, Dropped::Version, Dropped::Malformed, Dropped::OtherLife] {
+    let counts = model.fleet(0).map(|f| f.counters().clone()).unwrap_or_default();
+    for why in [DropReason::Forged, DropReason::Version, DropReason::Malformed, DropReason::OtherLife] {
         assert!(counts.dropped.get(&why).is_some_and(|n| *n > 10), "{why:?} in {counts:?}");
     }
     // All of it again to one that lives on: it has had them.
     recorded.iter().filter(|(to, _)| *to == 1).for_each(|(to, bytes)| model.inject(*to, bytes));
-    let counts = model.fleet(1).map(|f| f.counts().clone()).unwrap_or_default();
-    assert!(counts.dropped.get(&Dropped::Repeated).is_some_and(|n| *n > 10), "{counts:?}");
+    let counts = model.fleet(1).map(|f| f.counters().clone()).unwrap_or_default();
+    assert!(counts.dropped.get(&DropReason::Repeated).is_some_and(|n| *n > 10), "{counts:?}");
     assert_eq!(before.iter().filter(|l| l.starts_with("share")).count(), 1);
     // What was meant for another.
     recorded.iter().filter(|(to, _)| *to == 2).for_each(|(_, bytes)| model.inject(1, bytes));
-    let counts = model.fleet(1).map(|f| f.counts().clone()).unwrap_or_default();
-    assert!(counts.dropped.get(&Dropped::Stranger).is_some_and(|n| *n > 10), "{counts:?}");
+    let counts = model.fleet(1).map(|f| f.counters().clone()).unwrap_or_default();
+    assert!(counts.dropped.get(&DropReason::Stranger).is_some_and(|n| *n > 10), "{counts:?}");
     model.run(s(20.0));
     assert_kept(&model);
 }
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -5,7 +5,7 @@
 use basalthill_fleet::lease::{Asks, Claim, Life, Voter};
 use basalthill_fleet::ledger::Ledger;
 use basalthill_fleet::loan::{Borrowed, Heard, Lent, Question};
-use basalthill_fleet::{Tag, Times};
+use basalthill_fleet::{NodeId, Timing};
 use basalthill_policy::api::Time;
 use stateright::{Checker, Model, Property};
 
@@ -15,8 +15,8 @@
 /// By a borrower's clock.
 const SPAN: Time = Time::ms(60);
 
-fn times() -> Times {
-    Times { drift: DRIFT, period: Time::ms(10), grant: SPAN, deposit: SPAN, lease: SPAN }
+fn times() -> Timing {
+    Timing { drift: DRIFT, period: Time::ms(10), grant: SPAN, deposit: SPAN, lease: SPAN }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -146,7 +146,7 @@
                         let now = state.lender_now;
                         match state.lent.asked(now, Question { number, keep }, &mut state.ledger) {
                             Heard::New => {
-                                let span = if self.hasty { SPAN } else { times().lender(SPAN) };
+                                let span = if self.hasty { SPAN } else { times().lender_span(SPAN) };
                                 let until = now.plus(span);
                                 if units > state.lent.room(now, until, &state.ledger) {
                                     return None;
@@ -261,10 +261,10 @@
     Late,
 }
 
-const SLOT: Tag = Tag(1);
+const SLOT: NodeId = NodeId(1);
 
 fn holder(n: usize) -> Life {
-    Life { router: Tag(n as u64 + 1), life: 1 }
+    Life { router: NodeId(n as u64 + 1), life: 1 }
 }
 
 fn asks(n: usize, number: u32) -> Asks {
@@ -275,7 +275,7 @@
     fn voter(&self, now: Time) -> Voter {
         match self.mistake {
             Mistake::Hasty => Voter::default(),
-            _ => Voter::new(now, times().lender(SPAN)),
+            _ => Voter::new(now, times().lender_span(SPAN)),
         }
     }
 }
@@ -288,7 +288,7 @@
         let start = Time::ms(1000);
         // They have been there for long.
         let voters = [(); 3].map(|()| Voter::default());
-        let claims = [(); 2].map(|()| Claim::new((1..=3).map(Tag).collect()));
+        let claims = [(); 2].map(|()| Claim::new((1..=3).map(NodeId).collect()));
         vec![Share { steps: 0, now: [start; 3], voters, claims, asked: [0; 2], crashes: 0, net: Vec::new() }]
     }
 
@@ -336,7 +336,7 @@
                 let number = state.asked[n];
                 state.claims[n].ask(state.now[n], number, SPAN);
                 if state.voters[n].asked(state.now[n], &times, SLOT, asks(n, number)).is_ok() {
-                    state.claims[n].given(Tag(n as u64 + 1), number);
+                    state.claims[n].given(NodeId(n as u64 + 1), number);
                 }
                 for to in (0..3).filter(|to| *to != n) {
                     state.net.push((to, Vote::Claim(n, number)));
@@ -344,7 +344,7 @@
             }
             ShareStep::Release(n) => {
                 let number = state.claims[n].number();
-                state.claims[n] = Claim::new((1..=3).map(Tag).collect());
+                state.claims[n] = Claim::new((1..=3).map(NodeId).collect());
                 state.voters[n].released(SLOT, holder(n), number);
                 let number = if self.mistake == Mistake::Late { u32::MAX } else { number };
                 for to in (0..3).filter(|to| *to != n) {
@@ -363,7 +363,7 @@
                         }
                     }
                     Vote::Release(n, number) => state.voters[to].released(SLOT, holder(n), number),
-                    Vote::Given(n, by, number) => state.claims[n].given(Tag(by as u64 + 1), number),
+                    Vote::Given(n, by, number) => state.claims[n].given(NodeId(by as u64 + 1), number),
                 }
             }
             ShareStep::Lost(at) => drop(state.net.remove(at)),
--- a/crates/lab/src/fleet_limits.rs
+++ b/crates/lab/src/fleet_limits.rs
@@ -4,8 +4,7 @@
 
 use crate::results::{chart, table, Axes, Line, Table};
 use crate::{Common, Done, Outcome};
-use basalthill_fleet::fleet::Plan;
-use basalthill_fleet::{Bounds, Key, Limit, Subject, Times};
+use basalthill_fleet::{Bounds, FleetConfig, Limit, LimitKey, Subject, Timing};
 use basalthill_policy::api::Time;
 use basalthill_standin::fleet::Dice;
 use basalthill_standin::model::{names, Model};
@@ -302,12 +301,12 @@
             name: "acme".into(),
             subject: Subject::Tenant("acme".into()),
             bounds: Bounds::Rate { per_s: 4.0 * routers as f64, burst: 4.0 * routers as f64 },
-            alone: 0.1,
+            reserved_fraction: 0.1,
         };
-        let times = Times::new(0.01, Time(0));
-        let quiet = times.lender(times.lease);
-        let plan = Plan { names: names(routers), limits: vec![limit], times, settle: Time(0), quiet };
-        let mut model = Model::new(plan, Some(Key::of("acme")), None, Time(0), common.seed);
+        let times = Timing::new(0.01, Time(0));
+        let quiet = times.lender_span(times.lease);
+        let plan = FleetConfig { roster: names(routers), limits: vec![limit], timing: times, max_use: Time(0), vote_quarantine: quiet };
+        let mut model = Model::new(plan, Some(LimitKey::global("acme")), None, Time(0), common.seed);
         model.sums = false;
         (0..routers).for_each(|n| model.start(n));
         // Until all know of all.
@@ -319,7 +318,7 @@
                 model.run(model.now.plus(Time::ms(3000)));
             }
             let counts = |model: &Model| -> Vec<u64> {
-                (0..routers).map(|n| model.fleet(n).map_or(0, |f| f.counts().sent)).collect()
+                (0..routers).map(|n| model.fleet(n).map_or(0, |f| f.counters().sent)).collect()
             };
             let (sent, bytes, each) = (model.seen.datagrams, model.seen.bytes, counts(&model));
             let began = Instant::now();
--- a/crates/router/src/program/fleet.rs
+++ b/crates/router/src/program/fleet.rs
@@ -1,8 +1,8 @@
 //! `basalthill fleet`: asks a running router over its fleet socket, signed with the fleet's key.
 
 use basalthill_config::own::{self, FleetSettings};
-use basalthill_fleet::packet::{Content, Operator, LONGEST};
-use basalthill_fleet::{status, Seal, Tag};
+use basalthill_fleet::packet::{Payload, StatusMessage, MAX_DATAGRAM};
+use basalthill_fleet::{status, DatagramCodec, NodeId};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, UdpSocket};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -46,7 +46,7 @@
     let socket = UdpSocket::bind((any, 0)).map_err(|e| e.to_string())?;
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let number = unix.as_nanos() as u64 ^ u64::from(std::process::id()).rotate_left(32);
-    let seal = Seal::new(fleet.keys);
+    let seal = DatagramCodec::new(fleet.keys);
     let (mut text, mut page, mut pages) = (String::new(), 0, 1);
     while page < pages {
         let (more, lines) = one(&socket, &seal, addr, number, page)?;
@@ -60,7 +60,7 @@
     match (&options.at, &options.router) {
         (Some(addr), _) => Ok(*addr),
         (None, Some(name)) => {
-            let peer = fleet.names.get(Tag::of(name));
+            let peer = fleet.names.get(NodeId::of(name));
             peer.map(|p| p.addr).ok_or(format!("{name:?} is not on the list"))
         }
         (None, None) => Err("name a router, or an address by --at".into()),
@@ -70,21 +70,21 @@
 /// One page: how many there are, and its lines.
 fn one(
     socket: &UdpSocket,
-    seal: &Seal,
+    seal: &DatagramCodec,
     addr: SocketAddr,
     number: u64,
     page: u16,
 ) -> Result<(u16, String), String> {
-    let question = seal.close(&status::question(number, page));
+    let question = seal.encode(&status::request(number, page));
     for _ in 0..TRIES {
         socket.send_to(&question, addr).map_err(|e| format!("{addr}: {e}"))?;
         let until = Instant::now() + ANSWER_WITHIN;
         while let Some(left) = until.checked_duration_since(Instant::now()).filter(|l| !l.is_zero()) {
-            let mut bytes = [0; LONGEST + 1];
+            let mut bytes = [0; MAX_DATAGRAM + 1];
             let _ = socket.set_read_timeout(Some(left));
             let Ok(len) = socket.recv(&mut bytes) else { break };
-            match seal.open(&bytes[..len]) {
-                Ok(Content::Operator(Operator::Told(n, p, pages, lines))) if (n, p) == (number, page) => {
+            match seal.decode(&bytes[..len]) {
+                Ok(Payload::Status(StatusMessage::Response { id: n, page: p, pages, text: lines })) if (n, p) == (number, page) => {
                     return Ok((pages, lines));
                 }
                 _ => {}
--- a/crates/router/src/routing/limits.rs
+++ b/crates/router/src/routing/limits.rs
@@ -4,10 +4,11 @@
 use super::{Effect, Router};
 use basalthill_config::own::FleetSettings;
 use basalthill_config::settings::Site;
-use basalthill_fleet::fleet::{Effect as Word, Plan};
-use basalthill_fleet::packet::{Operator, Packet};
-use basalthill_fleet::seal::Dropped;
-use basalthill_fleet::{Bounds, Budget, Fleet, Key, Limit, Seal, Subject, Times};
+use basalthill_fleet::packet::{Packet, StatusMessage};
+use basalthill_fleet::{
+    Bounds, Budget, DatagramCodec, DropReason, Effect as FleetEffect, Fleet, FleetConfig, Limit, LimitKey, Subject,
+    Timing,
+};
 use basalthill_policy::api::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -18,23 +19,23 @@
     /// A packet whose seal is right.
     Packet(Packet),
     /// An operator asks, from an address.
-    Operator(Operator, SocketAddr),
+    Operator(StatusMessage, SocketAddr),
     /// So many datagrams have been dropped.
-    Dropped(Dropped, u64),
+    Dropped(DropReason, u64),
 }
 
 /// A fleet's plan as a deployment's settings need it.
-pub fn plan(site: &Site, fleet: &FleetSettings) -> Plan {
+pub fn plan(site: &Site, fleet: &FleetSettings) -> FleetConfig {
     let longest = site.settings.classes.iter().map(|c| c.client_timeout).max().unwrap_or_default();
-    let at_once = fleet.limits.iter().any(|l| matches!(l.bounds, Bounds::AtOnce(_)));
-    let any = Times::new(fleet.drift, longest);
+    let at_once = fleet.limits.iter().any(|l| matches!(l.bounds, Bounds::Concurrent(_)));
+    let any = Timing::new(fleet.drift, longest);
     let longest = if at_once { longest } else { Time(0) };
-    Plan {
-        names: fleet.names.clone(),
+    FleetConfig {
+        roster: fleet.names.clone(),
         limits: fleet.limits.clone(),
-        times: Times::new(fleet.drift, longest),
-        settle: longest,
-        quiet: any.lender(any.lease),
+        timing: Timing::new(fleet.drift, longest),
+        max_use: longest,
+        vote_quarantine: any.lender_span(any.lease),
     }
 }
 
@@ -43,7 +44,7 @@
     pub(super) fleet: Fleet,
     /// The limit on attempts out at each member, if there is one.
     each: Option<String>,
-    keys: BTreeMap<MemberId, Key>,
+    keys: BTreeMap<MemberId, LimitKey>,
     groups: BTreeMap<GroupId, BTreeSet<MemberId>>,
     /// What the decisions take each member's room for.
     told: BTreeMap<MemberId, u32>,
@@ -55,27 +56,27 @@
 impl Limits {
     /// The limits of a router that has just started.
     pub fn new(now: Time, name: &str, site: &Site, settings: &FleetSettings, seed: u64) -> Limits {
-        let (plan, seal) = (plan(site, settings), Seal::new(settings.keys.clone()));
-        let (each, longest) = (each(&plan.limits), plan.settle);
+        let (plan, seal) = (plan(site, settings), DatagramCodec::new(settings.keys.clone()));
+        let (each, longest) = (each(&plan.limits), plan.max_use);
         let fleet = Fleet::new(now, name, now.0 / 1_000_000, plan, seal, seed);
         let (keys, groups, told) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         Limits { fleet, each, keys, groups, told, left: [None; 2], longest }
     }
 
     /// Keys of the limits that count a request.
-    fn of_request(&self, class: &str, tenant: &str, group: GroupId) -> Vec<Key> {
+    fn of_request(&self, class: &str, tenant: &str, group: GroupId) -> Vec<LimitKey> {
         let counts = |limit: &&Limit| match &limit.subject {
             Subject::Tenant(name) => name == tenant,
             Subject::Class(name) => name == class,
             Subject::Group(number) => *number == group.0,
             Subject::EachMember | Subject::Budget(_) => false,
         };
-        self.fleet.limits().iter().filter(counts).map(|l| Key::of(&l.name)).collect()
+        self.fleet.limits().iter().filter(counts).map(|l| LimitKey::global(&l.name)).collect()
     }
 
     /// What is left of the budgets that the decisions spend.
     fn left(&mut self, now: Time) -> [Option<u32>; 2] {
-        [Budget::Retries, Budget::Probes].map(|b| self.fleet.budget(b).map(|key| self.fleet.left(now, key)))
+        [Budget::Retries, Budget::Probes].map(|b| self.fleet.budget_key(b).map(|key| self.fleet.tokens_left(now, key)))
     }
 
     fn number(id: RequestId, attempt: Attempt) -> u64 {
@@ -107,9 +108,9 @@
     pub fn rejoin(&mut self, now: Time, settings: &FleetSettings, out: &mut Vec<Effect>) {
         let plan = plan(&self.site, settings);
         let Some(limits) = &mut self.limits else { return };
-        (limits.each, limits.longest) = (each(&plan.limits), plan.settle);
+        (limits.each, limits.longest) = (each(&plan.limits), plan.max_use);
         let mut said = Vec::new();
-        limits.fleet.reload(now, plan, Seal::new(settings.keys.clone()), &mut said);
+        limits.fleet.reload(now, plan, DatagramCodec::new(settings.keys.clone()), &mut said);
         said_by_fleet(said, out);
         self.list_limits(now);
         self.tell_rooms(now);
@@ -127,12 +128,12 @@
         let Some(limits) = &mut self.limits else { return };
         let mut said = Vec::new();
         match input {
-            FromFleet::Packet(packet) => limits.fleet.packet(now, packet, &mut said),
+            FromFleet::Packet(packet) => limits.fleet.receive_packet(now, packet, &mut said),
             FromFleet::Operator(asked, addr) => {
-                let answer = limits.fleet.operator(now, &asked);
-                said.extend(answer.map(|bytes| Word::Send(addr, bytes)));
+                let answer = limits.fleet.status_response(now, &asked);
+                said.extend(answer.map(|bytes| FleetEffect::Send { to: addr, datagram: bytes }));
             }
-            FromFleet::Dropped(why, count) => limits.fleet.dropped(why, count),
+            FromFleet::Dropped(why, count) => limits.fleet.count_dropped(why, count),
         }
         said_by_fleet(said, out);
         self.tell_rooms(now);
@@ -154,11 +155,11 @@
         limits.groups.clear();
         let mut ids = Vec::new();
         for (id, member, group) in self.members.all() {
-            limits.keys.insert(member, Key::at(name, id));
+            limits.keys.insert(member, LimitKey::at_member(name, id));
             limits.groups.entry(group).or_default().insert(member);
             ids.push(id.to_string());
         }
-        limits.fleet.members(now, ids);
+        limits.fleet.set_members(now, ids);
     }
 
     /// Tells the decisions each member's room, and what is left of budgets, where it is not what they take it
@@ -174,7 +175,7 @@
             return self.events.extend(open.map(|m| Event::MemberCapacity { member: m, attempts: u32::MAX }));
         }
         for (member, key) in &limits.keys {
-            let room = limits.fleet.room(now, *key, limits.longest).min(u64::from(u32::MAX)) as u32;
+            let room = limits.fleet.free_slots(now, *key, limits.longest).min(u64::from(u32::MAX)) as u32;
             if limits.told.get(member) != Some(&room) {
                 self.events.push_back(Event::MemberCapacity { member: *member, attempts: room });
             }
@@ -182,12 +183,12 @@
     }
 
     /// What a request is to the decisions: one that limits count brings what is open of them.
-    pub(super) fn limited(&mut self, now: Time, request: Request) -> (Event, Vec<Key>) {
+    pub(super) fn limited(&mut self, now: Time, request: Request) -> (Event, Vec<LimitKey>) {
         let Some(limits) = &mut self.limits else { return (Event::Request(request), Vec::new()) };
         // Where a member's room is what keeps a request, more of it is wanted.
         for member in limits.groups.get(&request.group).into_iter().flatten() {
             if limits.told.get(member) == Some(&0) {
-                limits.keys.get(member).into_iter().for_each(|key| limits.fleet.missed(*key));
+                limits.keys.get(member).into_iter().for_each(|key| limits.fleet.record_missing_slot(*key));
             }
         }
         let class = &self.site.classes[usize::from(request.class.0)];
@@ -196,18 +197,18 @@
         if keys.is_empty() {
             return (Event::Request(request), keys);
         }
-        let open = limits.fleet.open(now, &keys);
-        (Event::LimitedRequest { request, open_fraction: open.share, retry_after: open.back }, keys)
+        let open = limits.fleet.availability(now, &keys);
+        (Event::LimitedRequest { request, open_fraction: open.fraction, retry_after: open.retry_after }, keys)
     }
 
     /// The decisions have had a request: what it counts under has been spent, or another's turn is
     /// further off.
-    pub(super) fn admitted(&mut self, id: RequestId, keys: &[Key]) {
+    pub(super) fn admitted(&mut self, id: RequestId, keys: &[LimitKey]) {
         let taken = self.requests.get(id).is_some_and(|open| !open.answered || open.served);
         if let Some(limits) = self.limits.as_mut().filter(|_| !keys.is_empty()) {
             match taken {
                 true => limits.fleet.spend(keys),
-                false => limits.fleet.refused(keys),
+                false => limits.fleet.record_rejection(keys),
             }
         }
     }
@@ -223,7 +224,7 @@
     ) {
         let Some(limits) = &mut self.limits else { return };
         if let Some(key) = limits.keys.get(&member) {
-            limits.fleet.begun(now, *key, Limits::number(id, attempt), until);
+            limits.fleet.occupy_slot(now, *key, Limits::number(id, attempt), until);
             // The decisions have counted it already.
             limits.told.entry(member).and_modify(|n| *n = n.saturating_sub(1));
         }
@@ -241,7 +242,7 @@
         let Some(limits) = &mut self.limits else { return };
         let Some(key) = limits.keys.get(&member) else { return };
         if !matches!(status, Status::Cancelled | Status::Timeout | Status::Reset) {
-            limits.fleet.ended(now, *key, Limits::number(id, attempt));
+            limits.fleet.release_slot(now, *key, Limits::number(id, attempt));
         }
         self.events.push_back(Event::MemberCapacity { member, attempts: 0 });
     }
@@ -251,8 +252,8 @@
     pub(super) fn gave_up(&mut self, id: RequestId) {
         let tried = self.requests.get(id).is_some_and(|open| !open.attempts.is_empty());
         let Some(limits) = self.limits.as_mut().filter(|l| tried && l.left[0] == Some(0)) else { return };
-        if let Some(key) = limits.fleet.budget(Budget::Retries) {
-            limits.fleet.wanted(key);
+        if let Some(key) = limits.fleet.budget_key(Budget::Retries) {
+            limits.fleet.record_missing_token(key);
         }
     }
 
@@ -260,8 +261,8 @@
     /// only if it is there.
     pub fn spends(&mut self, now: Time, budget: Budget) -> bool {
         let Some(limits) = &mut self.limits else { return true };
-        let Some(key) = limits.fleet.budget(budget) else { return true };
-        let there = limits.fleet.take_one(now, key);
+        let Some(key) = limits.fleet.budget_key(budget) else { return true };
+        let there = limits.fleet.take_token(now, key);
         match budget {
             Budget::Retries => limits.left[0] = limits.left[0].map(|n| n.saturating_sub(1)),
             Budget::Probes => limits.left[1] = limits.left[1].map(|n| n.saturating_sub(1)),
@@ -283,17 +284,17 @@
         let Some(key) = limits.keys.get(member).filter(|_| limits.each.is_some()) else {
             return Event::MemberCapacity { member: *member, attempts: u32::MAX };
         };
-        let room = limits.fleet.room(now, *key, limits.longest).min(u64::from(u32::MAX)) as u32;
+        let room = limits.fleet.free_slots(now, *key, limits.longest).min(u64::from(u32::MAX)) as u32;
         limits.told.insert(*member, room);
         Event::MemberCapacity { member: *member, attempts: room }
     }
 }
 
-fn said_by_fleet(said: Vec<Word>, out: &mut Vec<Effect>) {
+fn said_by_fleet(said: Vec<FleetEffect>, out: &mut Vec<Effect>) {
     for one in said {
         match one {
-            Word::Send(addr, bytes) => out.push(Effect::Datagram(addr, bytes)),
-            Word::Say(line) => log::info!("{line}"),
+            FleetEffect::Send { to: addr, datagram: bytes } => out.push(Effect::Datagram(addr, bytes)),
+            FleetEffect::Log(line) => log::info!("{line}"),
         }
     }
 }
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -21,7 +21,7 @@
 use crate::protocol::statement::{Statement, StatementError};
 use basalthill_config::settings::{Reports, Site};
 use basalthill_extproc::{StreamId, DecisionRequest, LeaseCoordinator, LeaseId, ProxyReply, LeaseOutcome};
-use basalthill_fleet::{Budget, Key};
+use basalthill_fleet::{Budget, LimitKey};
 use basalthill_policy::api::*;
 use basalthill_policy::Policy;
 use basalthill_session::{SessionCounts, Sessions};
@@ -439,7 +439,7 @@
     }
 
     /// A client's request; its number, and the limits that count it.
-    fn request(&mut self, now: Time, asked: Asked, out: &mut Vec<Effect>) -> Option<(RequestId, Vec<Key>)> {
+    fn request(&mut self, now: Time, asked: Asked, out: &mut Vec<Effect>) -> Option<(RequestId, Vec<LimitKey>)> {
         let Asked { client, command, statement, came } = asked;
         let named = |names: &[String], word: &[u8]| names.iter().position(|n| n.as_bytes() == word);
         let group = GroupId(statement.cluster);
--- a/crates/router/src/transport/fleet.rs
+++ b/crates/router/src/transport/fleet.rs
@@ -6,9 +6,8 @@
 use async_channel::{Receiver, Sender};
 use async_executor::Task;
 use basalthill_config::own::FleetSettings;
-use basalthill_fleet::packet::{Content, LONGEST};
-use basalthill_fleet::seal::Dropped;
-use basalthill_fleet::{Seal, Tag};
+use basalthill_fleet::packet::{Payload, MAX_DATAGRAM};
+use basalthill_fleet::{DatagramCodec, DropReason, NodeId};
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, UdpSocket};
@@ -29,7 +28,7 @@
 pub struct Link {
     socket: UdpSocket,
     listen: SocketAddr,
-    seal: Arc<RwLock<Seal>>,
+    seal: Arc<RwLock<DatagramCodec>>,
     ended: Arc<AtomicBool>,
     reader: Option<JoinHandle<()>>,
     task: Option<Task<()>>,
@@ -37,7 +36,7 @@
 
 /// Where a router listens for the others.
 pub fn address(name: &str, settings: &FleetSettings) -> Option<SocketAddr> {
-    settings.listen.or_else(|| settings.names.get(Tag::of(name)).map(|peer| peer.addr))
+    settings.listen.or_else(|| settings.names.get(NodeId::of(name)).map(|peer| peer.addr))
 }
 
 impl Link {
@@ -46,7 +45,7 @@
         let socket = UdpSocket::bind(listen)?;
         let reading = socket.try_clone()?;
         reading.set_read_timeout(Some(LOOK_EVERY))?;
-        let seal = Arc::new(RwLock::new(Seal::new(settings.keys.clone())));
+        let seal = Arc::new(RwLock::new(DatagramCodec::new(settings.keys.clone())));
         let ended = Arc::new(AtomicBool::new(false));
         let (sender, receiver) = async_channel::bounded(WAITING);
         let (theirs, over) = (Arc::clone(&seal), Arc::clone(&ended));
@@ -66,7 +65,7 @@
 
     /// Checks with other keys from now on.
     pub fn keys(&self, settings: &FleetSettings) {
-        *self.seal.write().unwrap_or_else(PoisonError::into_inner) = Seal::new(settings.keys.clone());
+        *self.seal.write().unwrap_or_else(PoisonError::into_inner) = DatagramCodec::new(settings.keys.clone());
     }
 
     /// Where it was asked to listen.
@@ -85,18 +84,18 @@
     }
 }
 
-fn read(socket: &UdpSocket, seal: &RwLock<Seal>, ended: &AtomicBool, sender: &Sender<FromFleet>) {
-    let mut bytes = [0; LONGEST + 1];
-    let mut dropped: BTreeMap<Dropped, u64> = BTreeMap::new();
+fn read(socket: &UdpSocket, seal: &RwLock<DatagramCodec>, ended: &AtomicBool, sender: &Sender<FromFleet>) {
+    let mut bytes = [0; MAX_DATAGRAM + 1];
+    let mut dropped: BTreeMap<DropReason, u64> = BTreeMap::new();
     let mut told = Instant::now();
     while !ended.load(Ordering::Relaxed) {
         match socket.recv_from(&mut bytes) {
             Ok((len, from)) => {
-                let opened = seal.read().unwrap_or_else(PoisonError::into_inner).open(&bytes[..len]);
+                let opened = seal.read().unwrap_or_else(PoisonError::into_inner).decode(&bytes[..len]);
                 match opened {
                     // Where the other side does not keep up, what comes is lost, as on a full link.
-                    Ok(Content::Packet(packet)) => drop(sender.try_send(FromFleet::Packet(packet))),
-                    Ok(Content::Operator(asked)) => drop(sender.try_send(FromFleet::Operator(asked, from))),
+                    Ok(Payload::Packet(packet)) => drop(sender.try_send(FromFleet::Packet(packet))),
+                    Ok(Payload::Status(asked)) => drop(sender.try_send(FromFleet::Operator(asked, from))),
                     Err(why) => *dropped.entry(why).or_default() += 1,
                 }
             }
--- a/crates/standin/src/model.rs
+++ b/crates/standin/src/model.rs
@@ -3,8 +3,7 @@
 //! by true time.
 
 use crate::fleet::Dice;
-use basalthill_fleet::fleet::{Effect, Fleet, Plan};
-use basalthill_fleet::{Key, Names, Peer, Seal};
+use basalthill_fleet::{DatagramCodec, Effect, Fleet, FleetConfig, LimitKey, Peer, Roster};
 use basalthill_policy::api::Time;
 use basalthill_session::token::{Key as Secret, KeyId, KeyRing};
 use std::collections::{BTreeMap, BTreeSet};
@@ -95,15 +94,15 @@
     pub links: Links,
     /// What was seen.
     pub seen: Seen,
-    plan: Plan,
-    seal: Seal,
+    plan: FleetConfig,
+    seal: DatagramCodec,
     nodes: Vec<Node>,
     queue: BTreeMap<(Time, u64), Happens>,
     count: u64,
     places: BTreeSet<u64>,
     dice: Dice,
-    rate: Option<Key>,
-    at_once: Option<Key>,
+    rate: Option<LimitKey>,
+    at_once: Option<LimitKey>,
     longest: Time,
     recorded: Option<Vec<(usize, Vec<u8>)>>,
     /// Whether what all hold is summed after each step: work that grows with the square of the fleet.
@@ -111,26 +110,26 @@
 }
 
 /// A seal that all stand-ins share.
-pub fn seal() -> Seal {
+pub fn seal() -> DatagramCodec {
     let Some(signing) = Secret::new(KeyId(1), vec![7; 16]) else { unreachable!("16 bytes are enough") };
-    Seal::new(KeyRing { signing, verifying: Vec::new(), max_age: Time::ms(1000) })
+    DatagramCodec::new(KeyRing { signing, verifying: Vec::new(), max_age: Time::ms(1000) })
 }
 
 /// Names `n0`, `n1` and so on, at ports of the same numbers.
-pub fn names(count: usize) -> Names {
+pub fn names(count: usize) -> Roster {
     let peer = |n: usize| Peer {
         name: format!("n{n}"),
         addr: SocketAddr::from(([127, 0, 0, 1], n as u16 + 1)),
         zone: None,
     };
-    Names::new((0..count).map(peer).collect()).unwrap_or_default()
+    Roster::new((0..count).map(peer).collect()).unwrap_or_default()
 }
 
 impl Model {
     /// Routers of a plan, none of them started. `rate` and `at_once` are the keys that requests count under.
-    pub fn new(plan: Plan, rate: Option<Key>, at_once: Option<Key>, longest: Time, seed: u64) -> Model {
+    pub fn new(plan: FleetConfig, rate: Option<LimitKey>, at_once: Option<LimitKey>, longest: Time, seed: u64) -> Model {
         let mut dice = Dice(seed);
-        let nodes = (0..plan.names.len()).map(|_| {
+        let nodes = (0..plan.roster.len()).map(|_| {
             // Rates lie all over what the plan allows, the ends among them.
             let off = match dice.below(4) {
                 0 => 1.0,
@@ -139,7 +138,7 @@
             };
             Node {
                 fleet: None,
-                rate: 1.0 + off * plan.times.drift,
+                rate: 1.0 + off * plan.timing.drift,
                 zero: dice.below(1_000_000_000_000),
                 wall: 0,
                 frozen: false,
@@ -270,17 +269,17 @@
     /// One router's status.
     pub fn lines(&self, n: usize) -> Vec<String> {
         let now = self.local(n);
-        self.nodes[n].fleet.as_ref().map(|f| f.lines(now)).unwrap_or_default()
+        self.nodes[n].fleet.as_ref().map(|f| f.status_lines(now)).unwrap_or_default()
     }
 
     /// Has a router take other settings.
-    pub fn reload(&mut self, n: usize, plan: Plan) {
+    pub fn reload(&mut self, n: usize, plan: FleetConfig) {
         let (now, seal) = (self.local(n), self.seal.clone());
         self.with(n, |fleet, out| fleet.reload(now, plan, seal, out));
     }
 
     /// The settings that routers start with from now on.
-    pub fn plan(&mut self, plan: Plan) {
+    pub fn plan(&mut self, plan: FleetConfig) {
         self.plan = plan;
     }
 
@@ -308,8 +307,8 @@
         f(fleet, &mut out);
         for effect in out {
             match effect {
-                Effect::Send(to, bytes) => self.send(n, usize::from(to.port()) - 1, bytes),
-                Effect::Say(line) => self.seen.said.push((self.now, n, line)),
+                Effect::Send { to, datagram: bytes } => self.send(n, usize::from(to.port()) - 1, bytes),
+                Effect::Log(line) => self.seen.said.push((self.now, n, line)),
             }
         }
     }
@@ -334,7 +333,7 @@
             return self.nodes[n].inbox.push(bytes.to_vec());
         }
         let now = self.local(n);
-        self.with(n, |fleet, out| fleet.datagram(now, bytes, out));
+        self.with(n, |fleet, out| fleet.receive_datagram(now, bytes, out));
     }
 
     fn tick(&mut self, n: usize) {
@@ -383,7 +382,7 @@
                 Happens::Ends(n, number) => {
                     let (now, key) = (self.local(n), self.at_once);
                     if self.places.remove(&number) {
-                        self.with(n, |fleet, _| key.into_iter().for_each(|k| fleet.ended(now, k, number)));
+                        self.with(n, |fleet, _| key.into_iter().for_each(|k| fleet.release_slot(now, k, number)));
                     }
                 }
             }
@@ -396,10 +395,10 @@
         self.seen.demanded += 1;
         let mut admitted = false;
         self.with(n, |fleet, _| {
-            admitted = fleet.open(now, &[key]).share > 0.0;
+            admitted = fleet.availability(now, &[key]).fraction > 0.0;
             match admitted {
                 true => fleet.spend(&[key]),
-                false => fleet.refused(&[key]),
+                false => fleet.record_rejection(&[key]),
             }
         });
         if admitted {
@@ -414,16 +413,16 @@
         let (number, longest) = (self.count, self.longest);
         let mut taken = false;
         self.with(n, |fleet, _| {
-            taken = fleet.room(now, key, longest) > 0;
+            taken = fleet.free_slots(now, key, longest) > 0;
             match taken {
-                true => fleet.begun(now, key, number, now.plus(longest)),
-                false => fleet.missed(key),
+                true => fleet.occupy_slot(now, key, number, now.plus(longest)),
+                false => fleet.record_missing_slot(key),
             }
         });
         if taken {
             // It ends by itself, or its router has given it up by then; by a slow clock that is a little
             // later.
-            let most = (longest.0 as f64 / (1.0 + self.plan.times.drift)) as u64;
+            let most = (longest.0 as f64 / (1.0 + self.plan.timing.drift)) as u64;
             let ends = self.now.plus(Time(most / 20 + self.dice.below(most - most / 20)));
             self.places.insert(number);
             self.seen.places.push((self.now, ends, n));
@@ -438,7 +437,7 @@
         if let Some(key) = self.rate.or(self.at_once).filter(|_| self.sums) {
             let held = (0..self.nodes.len()).map(|n| {
                 let now = self.local(n);
-                self.nodes[n].fleet.as_ref().and_then(|f| f.figures(now, key)).map_or(0, |f| f.held)
+                self.nodes[n].fleet.as_ref().and_then(|f| f.account_stats(now, key)).map_or(0, |f| f.usable)
             });
             self.seen.held_most = self.seen.held_most.max(held.sum());
         }
