--- a/crates/client/src/wire.rs
+++ b/crates/client/src/wire.rs
@@ -40,13 +40,16 @@
     /// The next thing said that matters.
     pub fn take(&mut self) -> Result<Option<Said>, ProtocolError> {
         loop {
-            let Some(MessageHeader { kind, body_len: len }) = self.inbox.message_header(LONGEST)? else { return Ok(None) };
+            let Some(MessageHeader { kind, body_len: len }) = self.inbox.message_header(LONGEST)? else {
+                return Ok(None);
+            };
             let body = &self.inbox.unread()[5..5 + len];
             let wrong = || ProtocolError::UnreadableMessage(kind);
             let said = match kind {
                 b'Z' if len == 1 => Some(Said::Ready),
                 b'S' => {
-                    let pair = read_cstring(body).and_then(|(name, rest)| Some((name, read_cstring(rest)?.0)));
+                    let pair =
+                        read_cstring(body).and_then(|(name, rest)| Some((name, read_cstring(rest)?.0)));
                     let (name, value) = pair.ok_or_else(wrong)?;
                     let token = || Said::Token(String::from_utf8_lossy(value).into_owned());
                     (name == b"session_token").then(token)
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,6 +1,7 @@
 //! The one place where configuration is read, checked and given defaults: the settings of a deployment (for
 //! both programs), what the router is told about itself, and our own settings.
-pub mod own;
+#[path = "own.rs"]
+pub mod local_settings;
 pub mod router;
 pub mod settings;
 
--- a/crates/config/src/own.rs
+++ b/crates/config/src/own.rs
@@ -4,20 +4,20 @@
 use crate::ConfigError;
 use basalthill_fleet::{Bounds, Budget, Limit, Peer, Roster, Subject};
 use basalthill_policy::api::Time;
-use basalthill_session::{TokenDelivery, SessionConfig, DefaultFloor};
 use basalthill_session::token::{Key, KeyId, KeyRing, MIN_SECRET_LEN};
+use basalthill_session::{DefaultFloor, SessionConfig, TokenDelivery};
 use kdl::{KdlDocument, KdlEntry, KdlNode, KdlValue};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
 /// What the file says; empty without one.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Own {
+pub struct LocalSettings {
     /// How sessions are kept together.
     pub sessions: Option<SessionSettings>,
     /// A client whose connection the router closes between two requests is told so: what it has sent since
     /// then was not read.
-    pub farewell: bool,
+    pub close_notice: bool,
     /// The routers that talk to each other, and what they keep together.
     pub fleet: Option<FleetSettings>,
 }
@@ -67,14 +67,14 @@
 const MOST_S: i128 = 366 * 24 * 3600;
 
 /// Reads the file at `path`.
-pub fn load(path: &Path) -> Result<Own, ConfigError> {
+pub fn load(path: &Path) -> Result<LocalSettings, ConfigError> {
     let shown = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|e| ConfigError::unread(path, &e))?;
     parse(&text).map_err(|e| ConfigError::new(format!("{shown}:{}", e.key), e.problem))
 }
 
 /// Reads the file's text. A fault's key is `LINE:COLUMN: KEY`.
-pub fn parse(text: &str) -> Result<Own, ConfigError> {
+pub fn parse(text: &str) -> Result<LocalSettings, ConfigError> {
     let document = KdlDocument::parse_v2(text).map_err(|e| {
         let first = e.diagnostics.first();
         let at = first.map_or(0, |d| d.span.offset());
@@ -82,10 +82,10 @@
         place(text, at, "(file)", problem.unwrap_or_else(|| "is not KDL".into()))
     })?;
     let file = File { text };
-    let mut own = Own::default();
+    let mut own = LocalSettings::default();
     for node in document.nodes() {
         match node.name().value() {
-            "clients" => own.farewell = file.clients(node)?,
+            "clients" => own.close_notice = file.clients(node)?,
             "fleet" if own.fleet.is_none() => own.fleet = Some(file.fleet(node)?),
             "fleet" => return Err(file.fault(node, "fleet", "is given twice")),
             "sessions" if own.sessions.is_none() => own.sessions = Some(file.sessions(node)?),
@@ -209,7 +209,15 @@
             }
         };
         let (token_delivery, early_tokens, keys) = (TokenDelivery::Never, false, None);
-        let mut plan = SessionConfig { default_floor, skew: SKEW, settle_time: SETTLE, lead: LEAD, token_delivery, early_tokens, keys };
+        let mut plan = SessionConfig {
+            default_floor,
+            skew: SKEW,
+            settle_time: SETTLE,
+            lead: LEAD,
+            token_delivery,
+            early_tokens,
+            keys,
+        };
         let (mut snapshot, mut seen) = (None, Vec::new());
         for child in node.iter_children() {
             let name = child.name().value();
--- a/crates/config/src/router.rs
+++ b/crates/config/src/router.rs
@@ -1,8 +1,8 @@
 //! What one router is told: its file (`BALANCER_CONFIG`) and variables. At the start a variable wins over the
 //! file's key. When the file is read again, its `discovery` wins: the variable can't have changed since.
 
-use crate::own::{self, Own};
-use crate::settings::{self, Site};
+use crate::local_settings::{self, LocalSettings};
+use crate::settings::{self, Deployment};
 use crate::{typed, ConfigError};
 use basalthill_fleet::{NodeId, Subject};
 use basalthill_policy::api::Time;
@@ -25,22 +25,22 @@
     /// Limits of the machine.
     pub limits: Limits,
     /// The list of members as this router last had it, in discovery's form; `null` if there is none.
-    pub known: Value,
+    pub known_endpoints: Value,
     /// The deployment.
-    pub site: Site,
+    pub deployment: Deployment,
     /// Our own settings; nothing without their file.
-    pub own: Own,
-    /// Keys of the file that a variable has overruled.
-    pub overruled: Vec<String>,
+    pub local_settings: LocalSettings,
+    /// Keys of the file whose values a variable overrides.
+    pub overridden_keys: Vec<String>,
 }
 
 /// When the file is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reading {
+pub enum LoadPhase {
     /// As the router starts.
-    Start,
+    Startup,
     /// While it runs.
-    Again,
+    Reload,
 }
 
 impl RouterConfig {
@@ -50,7 +50,7 @@
             ("name", self.name != again.name),
             ("listen", self.listen != again.listen),
             ("limits", self.limits != again.limits),
-            ("settings", self.site != again.site),
+            ("settings", self.deployment != again.deployment),
         ];
         differs.into_iter().filter(|(_, differs)| *differs).map(|(key, _)| key).collect()
     }
@@ -66,12 +66,12 @@
 }
 
 /// Descriptors kept back for standard streams, the reactor, signals, the listener and discovery.
-pub const SOCKETS_RESERVED: usize = 24;
+pub const RESERVED_SOCKETS: usize = 24;
 
 impl Limits {
     /// How many descriptors exchanges and clients may hold.
     pub fn descriptors(&self) -> usize {
-        self.sockets.saturating_sub(SOCKETS_RESERVED)
+        self.sockets.saturating_sub(RESERVED_SOCKETS)
     }
 
     /// How many of them clients may hold at most: with the other half, connections to members never want for
@@ -83,18 +83,18 @@
     /// With more than this, a newcomer takes the place of the client that has been quiet for longest. Clients
     /// together use a third of all descriptors; many ask once and hold on to their connection for good, and
     /// those that have something to ask would find no room.
-    pub fn quiet_clients(&self) -> usize {
+    pub fn client_eviction_threshold(&self) -> usize {
         self.sockets / 4
     }
 
     /// Most memory, in bytes, that the book of sessions may come to take: a sixteenth.
-    pub fn book_bytes(&self) -> usize {
+    pub fn session_table_bytes(&self) -> usize {
         (self.memory_mb << 20) as usize / 16
     }
 
-    /// How many statements past [`LARGE`] may be on the way at a time: a quarter of the memory is theirs, and
+    /// How many statements past [`LARGE_STATEMENT_LEN`] may be on the way at a time: a quarter of the memory is theirs, and
     /// one may stand in memory twice while it is taken over.
-    pub fn large_statements(&self) -> usize {
+    pub fn max_large_statements(&self) -> usize {
         ((self.memory_mb << 20) as usize / 4 / (2 * LONGEST_STATEMENT)).max(1)
     }
 }
@@ -103,49 +103,49 @@
 pub const LONGEST_STATEMENT: usize = 160 * 1024;
 
 /// A client may have sent this much before it needs a place among the large statements.
-pub const LARGE: usize = 16 * 1024;
+pub const LARGE_STATEMENT_LEN: usize = 16 * 1024;
 
 /// Of one connection so many reads are asked side by side, where a client writes many commands at once.
-pub const READS_AT_ONCE: usize = 4;
+pub const MAX_CONCURRENT_READS: usize = 4;
 
 /// The share of the settings' idle time after which the router closes an idle connection itself, so that no
 /// request meets the member's closing.
-pub const IDLE_SHARE: f64 = 0.8;
+pub const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
 
 /// A member that has begun an answer writes the rest of it without pausing for this long, or it never will.
-pub const ANSWER_PAUSE: Time = Time::ms(100);
+pub const ANSWER_STALL_TIMEOUT: Time = Time::ms(100);
 
 /// After an answer, a connection to a member rests for this long before it carries the next query: what the
 /// member sends right behind an answer shows itself by then, and is never taken for the next one.
-pub const ANSWER_REST: Time = Time::ms(2);
+pub const HOST_REUSE_DELAY: Time = Time::ms(2);
 
 /// Where descriptors are short, a client with no open request makes room after this time: one that has just
 /// connected, or has just had its answer, may be about to ask.
-pub const CLIENT_QUIET: Time = Time::ms(20);
+pub const CLIENT_EVICTION_IDLE: Time = Time::ms(20);
 
 /// A client has this long from connecting to its first request, and for each message from its first byte to
 /// its last.
-pub const CLIENT_WHOLE: Time = Time::ms(2000);
+pub const CLIENT_MESSAGE_TIMEOUT: Time = Time::ms(2000);
 
 /// A router may be held up for this long between a look at its clock and its writing. A drain's grace has to
 /// cover that: the router's own grace is shorter by as much.
 pub const HELD_UP: Time = Time::ms(150);
 
 /// A client takes an answer within this time, or its connection is closed.
-pub const CLIENT_TAKES: Time = Time::ms(5000);
+pub const CLIENT_WRITE_TIMEOUT: Time = Time::ms(5000);
 
 /// So many commands running that are none of ours end a client's connection.
-pub const CLIENT_FAULTS: u32 = 16;
+pub const MAX_CLIENT_FAULTS: u32 = 16;
 
 /// A router that has no list of members takes clients in after this time all the same.
-pub const READY_WITHIN: Time = Time::ms(5000);
+pub const READY_TIMEOUT: Time = Time::ms(5000);
 
 /// After the signal to stop, requests are taken as usual for this long: the front goes on dealing meanwhile.
-pub const STOP_SERVING: Time = Time::ms(500);
+pub const STOP_GRACE: Time = Time::ms(500);
 
 /// What is unanswered this long after the signal to stop is failed; the program then ends. A machine's stop
 /// takes the longest deadline (three seconds at most) and 0.7 s.
-pub fn stop_limit(site: &Site) -> Time {
+pub fn shutdown_timeout(site: &Deployment) -> Time {
     let longest = site.settings.classes.iter().map(|c| c.client_timeout).max().unwrap_or_default();
     longest.min(Time::ms(3000)).plus(Time::ms(500))
 }
@@ -186,14 +186,14 @@
     path: &Path,
     settings: Option<&Path>,
     variable: impl Fn(&str) -> Option<String>,
-    reading: Reading,
+    phase: LoadPhase,
 ) -> Result<RouterConfig, ConfigError> {
     let shown = path.display().to_string();
     let text = std::fs::read(path).map_err(|e| ConfigError::unread(path, &e))?;
-    let mut config = parse(&text, variable, reading)
+    let mut config = parse(&text, variable, phase)
         .map_err(|e| ConfigError::new(format!("{shown}: {}", e.key), e.problem))?;
     if let Some(path) = settings {
-        config.own = own::load(path)?;
+        config.local_settings = local_settings::load(path)?;
         in_fleet(&config)
             .map_err(|e| ConfigError::new(format!("{}: {}", path.display(), e.key), e.problem))?;
     }
@@ -204,19 +204,19 @@
 pub fn parse(
     text: &[u8],
     variable: impl Fn(&str) -> Option<String>,
-    reading: Reading,
+    phase: LoadPhase,
 ) -> Result<RouterConfig, ConfigError> {
     let value: Value = serde_json::from_slice(text).map_err(|e| ConfigError::new("(file)", e.to_string()))?;
     if !value.is_object() {
         return Err(ConfigError::new("(file)", "must be a JSON object"));
     }
     let file: File = typed(value)?;
-    let mut overruled = Vec::new();
+    let mut overridden_keys = Vec::new();
     let mut pick = |key: &str, name: &str, in_file: Option<String>| {
-        let file_wins = reading == Reading::Again && key == "discovery" && in_file.is_some();
+        let file_wins = phase == LoadPhase::Reload && key == "discovery" && in_file.is_some();
         let outside = variable(name).filter(|v| !v.is_empty() && !file_wins);
         if outside.is_some() && in_file.is_some() && outside != in_file {
-            overruled.push(key.to_string());
+            overridden_keys.push(key.to_string());
         }
         let value = outside.or(in_file);
         value.ok_or_else(|| ConfigError::new(key, format!("is missing, and {name} is not set")))
@@ -230,24 +230,34 @@
             ConfigError::new("seed", format!("{hex:?} is not a hexadecimal number of 64 bits"))
         })?,
     };
-    if file.limits.sockets < 2 * SOCKETS_RESERVED {
-        let problem = format!("must be {} at least", 2 * SOCKETS_RESERVED);
+    if file.limits.sockets < 2 * RESERVED_SOCKETS {
+        let problem = format!("must be {} at least", 2 * RESERVED_SOCKETS);
         return Err(ConfigError::new("limits.sockets", problem));
     }
     if !(file.known.is_null() || file.known.is_object()) {
         return Err(ConfigError::new("known", "must be an object"));
     }
-    let mut site = settings::from_value(file.settings)?;
-    in_range(&site).map_err(|e| e.under("settings"))?;
-    site.settings.drain_grace = site.settings.drain_grace.minus(HELD_UP);
+    let mut deployment = settings::from_value(file.settings)?;
+    in_range(&deployment).map_err(|e| e.under("settings"))?;
+    deployment.settings.drain_grace = deployment.settings.drain_grace.minus(HELD_UP);
     let limits = Limits { sockets: file.limits.sockets, memory_mb: file.limits.memory_mb };
-    let (known, own) = (file.known, Own::default());
-    Ok(RouterConfig { name, listen, discovery, seed, limits, known, site, own, overruled })
+    let (known_endpoints, local_settings) = (file.known, LocalSettings::default());
+    Ok(RouterConfig {
+        name,
+        listen,
+        discovery,
+        seed,
+        limits,
+        known_endpoints,
+        deployment,
+        local_settings,
+        overridden_keys,
+    })
 }
 
 /// Names of a fleet that the deployment does not know.
 fn in_fleet(config: &RouterConfig) -> Result<(), ConfigError> {
-    let Some(fleet) = &config.own.fleet else { return Ok(()) };
+    let Some(fleet) = &config.local_settings.fleet else { return Ok(()) };
     if fleet.names.get(NodeId::of(&config.name)).is_none() {
         return Err(ConfigError::new(
             "fleet.router",
@@ -256,8 +266,8 @@
     }
     for limit in &fleet.limits {
         let (what, name, known) = match &limit.subject {
-            Subject::Tenant(name) => ("tenant", name, &config.site.tenants),
-            Subject::Class(name) => ("class", name, &config.site.classes),
+            Subject::Tenant(name) => ("tenant", name, &config.deployment.tenants),
+            Subject::Class(name) => ("class", name, &config.deployment.classes),
             Subject::Group(_) | Subject::EachMember | Subject::Budget(_) => continue,
         };
         if !known.contains(name) {
@@ -269,7 +279,7 @@
 }
 
 /// Figures that no deployment can have.
-fn in_range(site: &Site) -> Result<(), ConfigError> {
+fn in_range(site: &Deployment) -> Result<(), ConfigError> {
     let s = &site.settings;
     let mut above_0 = vec![
         ("quantum".to_string(), s.tick.secs()),
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -8,7 +8,7 @@
 
 /// How members report on themselves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reports {
+pub enum LoadReportSource {
     /// In answers and in answers to probes.
     InAnswers,
     /// In answers to probes alone.
@@ -19,7 +19,7 @@
 
 /// A deployment: what the decisions are told, and what only the parts round them need.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Site {
+pub struct Deployment {
     /// What the decisions are told.
     pub settings: Settings,
     /// How session floors are known.
@@ -27,9 +27,9 @@
     /// Where positions count from on the bench's wire. On sockets they are Unix times.
     pub zero: Time,
     /// Names of a report's values.
-    pub columns: Vec<String>,
+    pub report_columns: Vec<String>,
     /// How members report.
-    pub reports: Reports,
+    pub load_reports: LoadReportSource,
     /// Names of the classes, in the order of their ids.
     pub classes: Vec<String>,
     /// Names of the tenants, in the order of their ids.
@@ -165,20 +165,20 @@
 }
 
 /// Reads the settings from their text.
-pub fn read(text: &[u8]) -> Result<Site, ConfigError> {
+pub fn read(text: &[u8]) -> Result<Deployment, ConfigError> {
     let value = serde_json::from_slice(text).map_err(|e| ConfigError::new("settings", e.to_string()))?;
     from_value(value)
 }
 
 /// Reads the settings from a JSON value.
-pub fn from_value(value: Value) -> Result<Site, ConfigError> {
+pub fn from_value(value: Value) -> Result<Deployment, ConfigError> {
     if !value.is_object() {
         return Err(ConfigError::new("settings", "must be an object"));
     }
     site(typed(value).map_err(|e| e.under("settings"))?).map_err(|e| e.under("settings"))
 }
 
-fn site(t: Text) -> Result<Site, ConfigError> {
+fn site(t: Text) -> Result<Deployment, ConfigError> {
     let f = &t.family_info;
     if f.consistency.len() != t.profiles.len() {
         let (has, wants) = (f.consistency.len(), t.profiles.len());
@@ -226,12 +226,13 @@
         });
     }
     let reports = match t.reporting.via.as_str() {
-        "answers" => Reports::InAnswers,
-        "probe" => Reports::InProbes,
-        "none" => Reports::None,
+        "answers" => LoadReportSource::InAnswers,
+        "probe" => LoadReportSource::InProbes,
+        "none" => LoadReportSource::None,
         other => return Err(unknown("reporting.via".into(), other)),
     };
-    let column = |name: &str| reports != Reports::None && t.reporting.columns.iter().any(|c| c == name);
+    let column =
+        |name: &str| reports != LoadReportSource::None && t.reporting.columns.iter().any(|c| c == name);
     let settings = Settings {
         router: RouterId(t.me),
         routers: t.balancers.max(1),
@@ -279,12 +280,12 @@
         "kept" => PlatformFloors::Remembered,
         other => return Err(unknown("familyInfo.tokenMode".into(), other)),
     };
-    Ok(Site {
+    Ok(Deployment {
         settings,
         tokens,
         zero: Time(f.zero),
-        columns: t.reporting.columns,
-        reports,
+        report_columns: t.reporting.columns,
+        load_reports: reports,
         classes: t.profiles.into_iter().map(|p| p.name).collect(),
         tenants: t.parties.into_iter().map(|p| p.name).collect(),
         zones: t.zones,
--- a/crates/config/tests/config.rs
+++ b/crates/config/tests/config.rs
@@ -1,7 +1,7 @@
 //! What the configuration says when something is wrong with it, and its defaults.
 
-use basalthill_config::router::{parse, stop_limit, Reading, RouterConfig};
-use basalthill_config::settings::Reports;
+use basalthill_config::router::{parse, shutdown_timeout, LoadPhase, RouterConfig};
+use basalthill_config::settings::LoadReportSource;
 use basalthill_config::ConfigError;
 use basalthill_policy::api::{Consistency, Effect, Time};
 use serde_json::{json, Value};
@@ -32,7 +32,7 @@
 }
 
 fn load(value: &Value) -> Result<RouterConfig, ConfigError> {
-    parse(value.to_string().as_bytes(), |_| None, Reading::Start)
+    parse(value.to_string().as_bytes(), |_| None, LoadPhase::Startup)
 }
 
 #[test]
@@ -40,23 +40,27 @@
     let c = load(&sound()).unwrap();
     assert_eq!((c.name.as_str(), c.listen.port(), c.seed), ("n1", 5432, 0x8c1f_30d2_7a5b_e964));
     assert_eq!((c.limits.sockets, c.limits.memory_mb), (512, 100));
-    assert_eq!((c.site.conn_idle, c.site.connect_timeout), (Time::ms(15_000), Time::ms(250)));
+    assert_eq!((c.deployment.conn_idle, c.deployment.connect_timeout), (Time::ms(15_000), Time::ms(250)));
     assert_eq!(
-        (c.site.reports, c.site.classes.as_slice()),
-        (Reports::InAnswers, &["w".to_string(), "r".into()][..])
+        (c.deployment.load_reports, c.deployment.classes.as_slice()),
+        (LoadReportSource::InAnswers, &["w".to_string(), "r".into()][..])
     );
-    let classes = &c.site.settings.classes;
+    let classes = &c.deployment.settings.classes;
     assert_eq!(
         (classes[0].effect, classes[1].consistency),
         (Effect::NonIdempotent, Consistency::BoundedStaleness(Time(3000)))
     );
-    assert_eq!(stop_limit(&c.site), Time::ms(3500), "deadlines past three seconds count as three");
+    assert_eq!(
+        shutdown_timeout(&c.deployment),
+        Time::ms(3500),
+        "deadlines past three seconds count as three"
+    );
     let mut bare = sound();
     for key in ["limits", "known", "seed"] {
         bare.as_object_mut().unwrap().remove(key);
     }
     let c = load(&bare).unwrap();
-    assert_eq!((c.limits.sockets, c.known.is_null(), c.seed), (1024, true, 0));
+    assert_eq!((c.limits.sockets, c.known_endpoints.is_null(), c.seed), (1024, true, 0));
 }
 
 #[test]
@@ -67,20 +71,23 @@
         "BALANCER_NAME" => Some("n1".to_string()),
         _ => None,
     };
-    let c = parse(text.as_bytes(), variables, Reading::Start).unwrap();
-    assert_eq!((c.listen.to_string().as_str(), c.overruled), ("127.0.0.2:6432", vec!["listen".to_string()]));
+    let c = parse(text.as_bytes(), variables, LoadPhase::Startup).unwrap();
+    assert_eq!(
+        (c.listen.to_string().as_str(), c.overridden_keys),
+        ("127.0.0.2:6432", vec!["listen".to_string()])
+    );
 }
 
 #[test]
 fn read_again_the_files_discovery_wins_over_the_variable_of_the_start() {
     let variables = |name: &str| (name == "BALANCER_DISCOVERY").then(|| "127.0.0.9:1".to_string());
     let read = |file: &Value, reading| parse(file.to_string().as_bytes(), variables, reading).unwrap();
-    assert_eq!(read(&sound(), Reading::Start).discovery.to_string(), "127.0.0.9:1");
-    let again = read(&sound(), Reading::Again);
-    assert_eq!((again.discovery.to_string().as_str(), again.overruled), ("127.0.0.1:8500", vec![]));
+    assert_eq!(read(&sound(), LoadPhase::Startup).discovery.to_string(), "127.0.0.9:1");
+    let again = read(&sound(), LoadPhase::Reload);
+    assert_eq!((again.discovery.to_string().as_str(), again.overridden_keys), ("127.0.0.1:8500", vec![]));
     let mut without = sound();
     without.as_object_mut().unwrap().remove("discovery");
-    assert_eq!(read(&without, Reading::Again).discovery.to_string(), "127.0.0.9:1");
+    assert_eq!(read(&without, LoadPhase::Reload).discovery.to_string(), "127.0.0.9:1");
 }
 
 #[test]
@@ -129,8 +136,11 @@
         *file.pointer_mut(pointer).unwrap() = value.clone();
         assert_eq!(load(&file).map_err(|e| e.key).err().as_deref(), Some(key), "{pointer} = {value}");
     }
-    assert_eq!(parse(b"{", |_| None, Reading::Start).map_err(|e| e.key).err().as_deref(), Some("(file)"));
-    assert_eq!(parse(b"[]", |_| None, Reading::Start).map_err(|e| e.key).err().as_deref(), Some("(file)"));
+    assert_eq!(parse(b"{", |_| None, LoadPhase::Startup).map_err(|e| e.key).err().as_deref(), Some("(file)"));
+    assert_eq!(
+        parse(b"[]", |_| None, LoadPhase::Startup).map_err(|e| e.key).err().as_deref(),
+        Some("(file)")
+    );
     let mut file = sound();
     file["settings"]["bounds"].as_object_mut().unwrap().remove("probes");
     let error = load(&file).err().unwrap();
@@ -142,7 +152,11 @@
     let grace = |ms: u64| {
         let mut file = sound();
         file["settings"]["rules"]["drainGrace"] = (ms * 1_000_000).into();
-        parse(file.to_string().as_bytes(), |_| None, Reading::Start).unwrap().site.settings.drain_grace
+        parse(file.to_string().as_bytes(), |_| None, LoadPhase::Startup)
+            .unwrap()
+            .deployment
+            .settings
+            .drain_grace
     };
     assert_eq!(grace(1000), Time::ms(850));
     assert_eq!(grace(250), Time::ms(100));
--- a/crates/config/tests/own.rs
+++ b/crates/config/tests/own.rs
@@ -1,10 +1,10 @@
 //! Our own settings: what they say, and how a fault is named.
 
-use basalthill_config::own::{load, parse, Own};
+use basalthill_config::local_settings::{load, parse, LocalSettings};
 use basalthill_fleet::{Bounds, Budget, NodeId, Subject};
 use basalthill_policy::api::Time;
-use basalthill_session::{TokenDelivery, DefaultFloor};
 use basalthill_session::token::KeyId;
+use basalthill_session::{DefaultFloor, TokenDelivery};
 use std::path::Path;
 
 const KEY: &str = r#"key 2 "9f1c64b0a2d75e3381c6f0aa47b95d1e" signs=#true"#;
@@ -19,7 +19,10 @@
     let sessions = shipped.sessions.unwrap();
     let keys = sessions.plan.keys.clone().unwrap();
     assert_eq!((keys.signing.id, keys.verifying.len()), (KeyId(2), 1));
-    assert_eq!((sessions.plan.token_delivery, sessions.plan.early_tokens), (TokenDelivery::WritesOnly, false));
+    assert_eq!(
+        (sessions.plan.token_delivery, sessions.plan.early_tokens),
+        (TokenDelivery::WritesOnly, false)
+    );
     assert_eq!(sessions.snapshot, None);
     let bare = parse("sessions floor=\"connection\"").unwrap().sessions.unwrap();
     assert_eq!((bare.plan.keys, bare.plan.token_delivery), (None, TokenDelivery::Never));
@@ -41,8 +44,14 @@
     );
     let sessions = parse(&text).unwrap().sessions.unwrap();
     let plan = &sessions.plan;
-    assert_eq!((plan.default_floor, plan.skew, plan.settle_time), (DefaultFloor::ReadArrival, Time::ms(7), Time(0)));
-    assert_eq!((plan.lead, plan.token_delivery, plan.early_tokens), (Time::ms(20), TokenDelivery::WritesAndReads, true));
+    assert_eq!(
+        (plan.default_floor, plan.skew, plan.settle_time),
+        (DefaultFloor::ReadArrival, Time::ms(7), Time(0))
+    );
+    assert_eq!(
+        (plan.lead, plan.token_delivery, plan.early_tokens),
+        (Time::ms(20), TokenDelivery::WritesAndReads, true)
+    );
     let keys = plan.keys.as_ref().unwrap();
     assert_eq!((keys.max_age, keys.verifying[0].id), (Time::ms(60_000), KeyId(7)));
     let snapshot = sessions.snapshot.unwrap();
@@ -57,9 +66,9 @@
         let sessions = parse(&format!("sessions floor={word:?}")).unwrap().sessions.unwrap();
         assert_eq!(sessions.plan.default_floor, default_floor);
     }
-    assert_eq!(parse("").unwrap(), Own::default());
-    assert!(parse("clients {\n farewell #true\n}").unwrap().farewell);
-    assert!(!parse("clients {\n farewell #false\n}").unwrap().farewell);
+    assert_eq!(parse("").unwrap(), LocalSettings::default());
+    assert!(parse("clients {\n farewell #true\n}").unwrap().close_notice);
+    assert!(!parse("clients {\n farewell #false\n}").unwrap().close_notice);
 }
 
 #[test]
--- a/crates/extproc/src/desk.rs
+++ b/crates/extproc/src/desk.rs
@@ -7,7 +7,7 @@
 
 use crate::decided::{Decided, Verdict};
 use crate::id::WriteId;
-use crate::lease::{Ended, Lease, LeaseId, Leases, Strays, StreamId, LeaseOutcome};
+use crate::lease::{Ended, Lease, LeaseId, LeaseOutcome, Leases, Strays, StreamId};
 use basalthill_policy::api::*;
 use std::collections::BTreeMap;
 
--- a/crates/extproc/src/lib.rs
+++ b/crates/extproc/src/lib.rs
@@ -10,7 +10,9 @@
 pub mod owner;
 
 pub use decided::{Decided, Verdict};
-pub use desk::{DecisionRequest, LeaseCoordinator, LeaseUsage, ProxyLimits, Output, ProxyReply, RejectReason};
+pub use desk::{
+    DecisionRequest, LeaseCoordinator, LeaseUsage, Output, ProxyLimits, ProxyReply, RejectReason,
+};
 pub use id::WriteId;
-pub use lease::{LeaseId, Leases, StreamId, LeaseOutcome};
+pub use lease::{LeaseId, LeaseOutcome, Leases, StreamId};
 pub use owner::{Owners, Roster};
--- a/crates/extproc/tests/desk.rs
+++ b/crates/extproc/tests/desk.rs
@@ -1,7 +1,10 @@
 //! The coordinator with the decision module itself behind it, before proxies that do whatever they like: ask twice,
 //! on several streams, leave, tell late, tell lies about others' leases, come back after a restart.
 
-use basalthill_extproc::{StreamId, DecisionRequest, LeaseCoordinator, LeaseId, LeaseUsage, ProxyLimits, Output, ProxyReply, LeaseOutcome, Verdict, RejectReason, WriteId};
+use basalthill_extproc::{
+    DecisionRequest, LeaseCoordinator, LeaseId, LeaseOutcome, LeaseUsage, Output, ProxyLimits, ProxyReply,
+    RejectReason, StreamId, Verdict, WriteId,
+};
 use basalthill_policy::api::*;
 use basalthill_policy::Policy;
 use std::collections::{BTreeMap, BTreeSet};
@@ -220,7 +223,11 @@
     b.told(1, b.lease(1), LeaseOutcome::ConnectFailed);
     b.pass(300);
     let second = b.lease(1);
-    assert_eq!(b.said.iter().filter(|s| matches!(s.1, ProxyReply::Member { .. })).count(), 2, "a further attempt");
+    assert_eq!(
+        b.said.iter().filter(|s| matches!(s.1, ProxyReply::Member { .. })).count(),
+        2,
+        "a further attempt"
+    );
     b.ask(2, WRITE, Some(w), 900);
     assert_eq!(b.last(2), Some(ProxyReply::AlreadyDecided), "while that is out");
     b.told(1, second, LeaseOutcome::NotSent);
@@ -261,8 +268,18 @@
         (WRITE, None, 900, ProxyReply::Invalid(RejectReason::MissingId)),
         (WRITE, Some(id(b.now, 1)), 0, ProxyReply::Invalid(RejectReason::DeadlinePassed)),
         (WRITE, Some(old), 900, ProxyReply::Invalid(RejectReason::UnusableId(Verdict::BeforeStart))),
-        (WRITE, Some(id(b.now.plus(Time::ms(99)), 1)), 900, ProxyReply::Invalid(RejectReason::UnusableId(Verdict::Future))),
-        (WRITE, Some(id(START.minus(Time::ms(20_000)), 1)), 900, ProxyReply::Invalid(RejectReason::UnusableId(Verdict::TooOld))),
+        (
+            WRITE,
+            Some(id(b.now.plus(Time::ms(99)), 1)),
+            900,
+            ProxyReply::Invalid(RejectReason::UnusableId(Verdict::Future)),
+        ),
+        (
+            WRITE,
+            Some(id(START.minus(Time::ms(20_000)), 1)),
+            900,
+            ProxyReply::Invalid(RejectReason::UnusableId(Verdict::TooOld)),
+        ),
     ];
     for (n, (class, id, ms, say)) in cases.into_iter().enumerate() {
         b.ask(n as u64, class, id, ms);
@@ -276,8 +293,13 @@
     for n in 100..200 {
         b.ask(n, READ, None, 900);
     }
-    let refused = (100..200).filter(|n| b.last(*n) == Some(ProxyReply::Rejected { retry_after: None })).count();
-    assert!(refused >= 40 && b.coordinator.usage().open_calls <= LIMITS.max_open_calls, "{refused}, {:?}", b.coordinator.usage());
+    let refused =
+        (100..200).filter(|n| b.last(*n) == Some(ProxyReply::Rejected { retry_after: None })).count();
+    assert!(
+        refused >= 40 && b.coordinator.usage().open_calls <= LIMITS.max_open_calls,
+        "{refused}, {:?}",
+        b.coordinator.usage()
+    );
     b.pass(3000);
     assert_eq!(b.coordinator.usage(), usage(0, 0, 0));
 }
@@ -369,7 +391,10 @@
             }
         }
         seen = b.said.len();
-        assert!(b.coordinator.usage().open_calls <= LIMITS.max_open_calls && b.coordinator.usage().remembered_writes <= LIMITS.max_remembered_writes);
+        assert!(
+            b.coordinator.usage().open_calls <= LIMITS.max_open_calls
+                && b.coordinator.usage().remembered_writes <= LIMITS.max_remembered_writes
+        );
     }
     println!("{named} members named, {again} of them for writes asked for before, {restarts} restarts");
     assert!(named > 5000 && again > 100 && restarts > 5, "{named}, {again}, {restarts}");
--- a/crates/extproc/tests/lease.rs
+++ b/crates/extproc/tests/lease.rs
@@ -1,7 +1,7 @@
 //! Leases and owners.
 
 use basalthill_extproc::lease::{Lease, Strays, StreamId};
-use basalthill_extproc::{LeaseId, Leases, Owners, Roster, LeaseOutcome, WriteId};
+use basalthill_extproc::{LeaseId, LeaseOutcome, Leases, Owners, Roster, WriteId};
 use basalthill_policy::api::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -74,7 +74,10 @@
                 let id = LeaseId(below(given.len() as u64 + 3));
                 let stream = given.get(&id).map_or(StreamId(0), |l| l.stream);
                 let stream = if below(5) == 0 { StreamId(below(40)) } else { stream };
-                leases.told(now, stream, id, LeaseOutcome::Served, ReplicationState::default()).into_iter().collect()
+                leases
+                    .told(now, stream, id, LeaseOutcome::Served, ReplicationState::default())
+                    .into_iter()
+                    .collect()
             }
             8 => leases.stream_ended(StreamId(below(40))),
             _ => leases.expire(now),
--- a/crates/fleet/src/account.rs
+++ b/crates/fleet/src/account.rs
@@ -114,7 +114,14 @@
 
 impl Account {
     /// An account that holds nothing but its floor, and that from a time on.
-    pub fn new(now: Time, key: LimitKey, bounds: Bounds, floor: u64, floor_from: Time, times: Timing) -> Account {
+    pub fn new(
+        now: Time,
+        key: LimitKey,
+        bounds: Bounds,
+        floor: u64,
+        floor_from: Time,
+        times: Timing,
+    ) -> Account {
         let tokens = match bounds {
             Bounds::Rate { per_s, burst } => Some(Tokens::new(now, per_s, burst)),
             Bounds::Concurrent(_) => None,
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -3,11 +3,11 @@
 
 use crate::account::Account;
 use crate::lease::{Asks, Claim, Life, Voter};
-use crate::limit::{Bounds, Budget, LimitKey, Limit, Subject};
+use crate::limit::{Bounds, Budget, Limit, LimitKey, Subject};
 use crate::loan::Question;
-use crate::names::{mix, Roster, NodeId};
-use crate::packet::{size, Payload, Message, Packet, Word, ROOM};
-use crate::seal::{DropReason, DatagramCodec, Window};
+use crate::names::{mix, NodeId, Roster};
+use crate::packet::{size, Message, Packet, Payload, Word, ROOM};
+use crate::seal::{DatagramCodec, DropReason, Window};
 use crate::swim::{self, Swim};
 use crate::times::Timing;
 use crate::{account, status};
@@ -182,7 +182,9 @@
     fn open_accounts(&mut self, now: Time) {
         for limit in &self.plan.limits {
             let keys: Vec<LimitKey> = match limit.subject {
-                Subject::EachMember => self.members.iter().map(|m| LimitKey::at_member(&limit.name, m)).collect(),
+                Subject::EachMember => {
+                    self.members.iter().map(|m| LimitKey::at_member(&limit.name, m)).collect()
+                }
                 _ => vec![LimitKey::global(&limit.name)],
             };
             for key in keys {
@@ -241,7 +243,9 @@
         }
         let names = old.roster.digest() != self.plan.roster.digest();
         let same = |key: &LimitKey| {
-            let of = |plan: &FleetConfig| plan.limits.iter().find(|l| LimitKey::global(&l.name).limit == key.limit).cloned();
+            let of = |plan: &FleetConfig| {
+                plan.limits.iter().find(|l| LimitKey::global(&l.name).limit == key.limit).cloned()
+            };
             let times = old.timing != self.plan.timing;
             of(&old) == of(&self.plan) && of(&old).is_some() && !names && !times
         };
@@ -268,7 +272,8 @@
                 continue;
             }
             for (key, account) in self.accounts.iter_mut().filter(|(key, _)| !self.opens.contains_key(key)) {
-                let Some(limit) = self.plan.limits.iter().find(|l| LimitKey::global(&l.name).limit == key.limit)
+                let Some(limit) =
+                    self.plan.limits.iter().find(|l| LimitKey::global(&l.name).limit == key.limit)
                 else {
                     continue;
                 };
@@ -284,7 +289,9 @@
     pub fn receive_datagram(&mut self, now: Time, bytes: &[u8], out: &mut Vec<Effect>) {
         match self.seal.decode(bytes) {
             Ok(Payload::Packet(packet)) => self.receive_packet(now, packet, out),
-            Ok(Payload::Status(_)) | Err(DropReason::Malformed) => self.count_dropped(DropReason::Malformed, 1),
+            Ok(Payload::Status(_)) | Err(DropReason::Malformed) => {
+                self.count_dropped(DropReason::Malformed, 1)
+            }
             Err(why) => self.count_dropped(why, 1),
         }
     }
@@ -598,7 +605,8 @@
             let Some(account) = self.accounts.get_mut(key) else { continue };
             account.settle(now);
             let (share, back) = account.asked(now);
-            open = Availability { fraction: open.fraction.min(share), retry_after: open.retry_after.max(back) };
+            open =
+                Availability { fraction: open.fraction.min(share), retry_after: open.retry_after.max(back) };
         }
         open
     }
@@ -781,7 +789,8 @@
         for (key, account) in &self.accounts {
             let limit = self.plan.limits.iter().find(|l| LimitKey::global(&l.name).limit == key.limit);
             let name = limit.map_or("?", |l| l.name.as_str());
-            let member = self.members.iter().find(|m| key.member != 0 && LimitKey::at_member(name, m) == *key);
+            let member =
+                self.members.iter().find(|m| key.member != 0 && LimitKey::at_member(name, m) == *key);
             let at = member.map(|m| format!(" at {m}")).unwrap_or_default();
             let f = account.figures(now);
             let lapsing = f.lapses.map(|at| format!(" next lapse in {:.1} s", at.since(now).secs()));
@@ -817,7 +826,14 @@
     (floor, part - floor)
 }
 
-fn account_of(now: Time, plan: &FleetConfig, limit: &Limit, key: LimitKey, me: NodeId, settled: Time) -> Account {
+fn account_of(
+    now: Time,
+    plan: &FleetConfig,
+    limit: &Limit,
+    key: LimitKey,
+    me: NodeId,
+    settled: Time,
+) -> Account {
     let floor = parts(&plan.roster, limit, key, me).0;
     match limit.bounds {
         // Tokens are spent at once: loans of them need not outlast any use.
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -34,5 +34,10 @@
     let StatusMessage::Request { id: number, page, padding } = asked else { return None };
     let pages = pages(&lines());
     let text = pages.get(usize::from(*page)).filter(|text| text.len() <= padding.len())?;
-    Some(Payload::Status(StatusMessage::Response { id: *number, page: *page, pages: pages.len() as u16, text: text.clone() }))
+    Some(Payload::Status(StatusMessage::Response {
+        id: *number,
+        page: *page,
+        pages: pages.len() as u16,
+        text: text.clone(),
+    }))
 }
--- a/crates/fleet/src/swim.rs
+++ b/crates/fleet/src/swim.rs
@@ -14,7 +14,7 @@
 //! The list of names is given: nobody has to join, and the dead are asked now and then, so that a split
 //! heals.
 
-use crate::names::{Roster, NodeId};
+use crate::names::{NodeId, Roster};
 use crate::packet::{Message, News, Word};
 use basalthill_policy::api::Time;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/fleet/tests/limits.rs
+++ b/crates/fleet/tests/limits.rs
@@ -38,7 +38,8 @@
 
 fn fleet(routers: usize, seed: u64) -> Model {
     let plan = plan(routers);
-    let mut model = Model::new(plan, Some(LimitKey::global("acme")), Some(LimitKey::global("hosts")), LONGEST, seed);
+    let mut model =
+        Model::new(plan, Some(LimitKey::global("acme")), Some(LimitKey::global("hosts")), LONGEST, seed);
     (0..routers).for_each(|n| model.start(n));
     model
 }
@@ -329,7 +330,8 @@
     rates_only.limits.truncate(1);
     rates_only.timing = Timing::new(0.01, Time(0));
     for lonely in [6, 7] {
-        let mut model = Model::new(plan(8), Some(LimitKey::global("acme")), None, LONGEST, 30 + lonely as u64);
+        let mut model =
+            Model::new(plan(8), Some(LimitKey::global("acme")), None, LONGEST, 30 + lonely as u64);
         (4..8).for_each(|n| model.start(n));
         model.plan(rates_only.clone());
         (0..4).for_each(|n| model.start(n));
--- a/crates/lab/src/fleet_limits.rs
+++ b/crates/lab/src/fleet_limits.rs
@@ -305,7 +305,13 @@
         };
         let times = Timing::new(0.01, Time(0));
         let quiet = times.lender_span(times.lease);
-        let plan = FleetConfig { roster: names(routers), limits: vec![limit], timing: times, max_use: Time(0), vote_quarantine: quiet };
+        let plan = FleetConfig {
+            roster: names(routers),
+            limits: vec![limit],
+            timing: times,
+            max_use: Time(0),
+            vote_quarantine: quiet,
+        };
         let mut model = Model::new(plan, Some(LimitKey::global("acme")), None, Time(0), common.seed);
         model.sums = false;
         (0..routers).for_each(|n| model.start(n));
--- a/crates/router/src/program/fleet.rs
+++ b/crates/router/src/program/fleet.rs
@@ -1,6 +1,6 @@
 //! `basalthill fleet`: asks a running router over its fleet socket, signed with the fleet's key.
 
-use basalthill_config::own::{self, FleetSettings};
+use basalthill_config::local_settings::{self, FleetSettings};
 use basalthill_fleet::packet::{Payload, StatusMessage, MAX_DATAGRAM};
 use basalthill_fleet::{status, DatagramCodec, NodeId};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, UdpSocket};
@@ -39,7 +39,7 @@
 }
 
 fn asked(options: &Options) -> Result<String, String> {
-    let own = own::load(&options.settings).map_err(|e| e.to_string())?;
+    let own = local_settings::load(&options.settings).map_err(|e| e.to_string())?;
     let fleet = own.fleet.ok_or("the settings name no fleet")?;
     let addr = address(options, &fleet)?;
     let any = if addr.is_ipv4() { Ipv4Addr::UNSPECIFIED.into() } else { IpAddr::from([0u16; 8]) };
@@ -84,7 +84,9 @@
             let _ = socket.set_read_timeout(Some(left));
             let Ok(len) = socket.recv(&mut bytes) else { break };
             match seal.decode(&bytes[..len]) {
-                Ok(Payload::Status(StatusMessage::Response { id: n, page: p, pages, text: lines })) if (n, p) == (number, page) => {
+                Ok(Payload::Status(StatusMessage::Response { id: n, page: p, pages, text: lines }))
+                    if (n, p) == (number, page) =>
+                {
                     return Ok((pages, lines));
                 }
                 _ => {}
--- a/crates/router/src/program/mod.rs
+++ b/crates/router/src/program/mod.rs
@@ -4,11 +4,11 @@
 mod fleet;
 mod logger;
 
-use crate::protocol::host::{self, Ending, HostMessage, HostSide};
+use crate::protocol::host::{self, HostCodec, HostMessage, QueryOutcome};
 use crate::transport::{self, Command as Ask};
 use async_io::Timer;
 use async_signal::{Signal, Signals};
-use basalthill_config::router::{load, Reading, RouterConfig};
+use basalthill_config::router::{load, LoadPhase, RouterConfig};
 use basalthill_config::ConfigError;
 use clap::{Parser, Subcommand};
 use futures_lite::{future, stream, Stream, StreamExt};
@@ -91,7 +91,7 @@
             println!("basalthill {}", env!("CARGO_PKG_VERSION"));
             ExitCode::SUCCESS
         }
-        Command::CheckConfig(argument) => match files(argument).and_then(|f| read(&f, Reading::Start)) {
+        Command::CheckConfig(argument) => match files(argument).and_then(|f| read(&f, LoadPhase::Startup)) {
             Ok(config) => {
                 println!("{}: the configuration is sound", config.name);
                 ExitCode::SUCCESS
@@ -124,9 +124,9 @@
     Ok(Files { config: argument.config.ok_or_else(missing)?, settings: argument.settings })
 }
 
-fn read(files: &Files, reading: Reading) -> Result<RouterConfig, ConfigError> {
-    let config = load(&files.config, files.settings.as_deref(), |name| std::env::var(name).ok(), reading)?;
-    for key in &config.overruled {
+fn read(files: &Files, phase: LoadPhase) -> Result<RouterConfig, ConfigError> {
+    let config = load(&files.config, files.settings.as_deref(), |name| std::env::var(name).ok(), phase)?;
+    for key in &config.overridden_keys {
         log::warn!("configuration: a variable overrules the file's {key}");
     }
     Ok(config)
@@ -142,12 +142,12 @@
     let mut stream = TcpStream::connect_timeout(&listen, READY_WITHIN)?;
     stream.set_read_timeout(Some(READY_WITHIN))?;
     stream.write_all(&[host::startup(), host::query("")].concat())?;
-    let mut side = HostSide::default();
+    let mut side = HostCodec::default();
     let mut bytes = [0; 1024];
     loop {
-        match side.take().map_err(|e| std::io::Error::other(e.to_string()))? {
-            Some(HostMessage::Ready) => side.begin(),
-            Some(HostMessage::Done(Ending::Nothing, _)) => return Ok(()),
+        match side.next_message().map_err(|e| std::io::Error::other(e.to_string()))? {
+            Some(HostMessage::Ready) => side.begin_query(),
+            Some(HostMessage::QueryEnded(QueryOutcome::Empty, _)) => return Ok(()),
             Some(other) => return Err(std::io::Error::other(format!("it answered {other:?}"))),
             None => match stream.read(&mut bytes)? {
                 0 => return Err(std::io::ErrorKind::UnexpectedEof.into()),
@@ -173,7 +173,7 @@
     Box::pin(blocking::unblock(move || {
         let until = Instant::now() + READ_WITHIN;
         loop {
-            match read(&files, Reading::Again) {
+            match read(&files, LoadPhase::Reload) {
                 // It may be replaced just now, or a call has failed for a moment.
                 Err(e) if e.unread.is_some() && Instant::now() < until => std::thread::sleep(READ_AGAIN),
                 done => return done,
@@ -235,7 +235,7 @@
             return ExitCode::FAILURE;
         }
     };
-    let config = match read(&files, Reading::Start) {
+    let config = match read(&files, LoadPhase::Startup) {
         Ok(config) => config,
         Err(e) => return bad(&e),
     };
--- a/crates/router/src/protocol/client.rs
+++ b/crates/router/src/protocol/client.rs
@@ -3,8 +3,8 @@
 use basalthill_config::router::LONGEST_STATEMENT;
 use basalthill_policy::api::Time;
 use basalthill_wire::{
-    put_cstring, put_error_response, put_message, read_cstring, MessageBuffer, MessageHeader, ProtocolError, Severity,
-    READY_FOR_QUERY,
+    put_cstring, put_error_response, put_message, read_cstring, MessageBuffer, MessageHeader, ProtocolError,
+    Severity, READY_FOR_QUERY,
 };
 use std::collections::VecDeque;
 
@@ -54,7 +54,7 @@
 /// The protocol's state for one client. Messages are told apart as they come, each with the moment of its
 /// last byte: a client's time counts from there, however many commands it has written before.
 #[derive(Debug, Default)]
-pub struct ClientSide {
+pub struct ClientCodec {
     inbox: MessageBuffer,
     stage: Stage,
     /// Messages that have come whole, and when.
@@ -72,7 +72,7 @@
     bytes: usize,
 }
 
-impl ClientSide {
+impl ClientCodec {
     /// Takes in bytes that came at `came`.
     pub fn feed(&mut self, bytes: &[u8], came: Time) {
         if self.broken.is_some() {
@@ -98,9 +98,13 @@
     }
 
     /// Takes in what is left of the message that has begun, and nothing behind it; how much that was.
-    pub fn finish(&mut self, bytes: &[u8], came: Time) -> usize {
+    pub fn finish_message(&mut self, bytes: &[u8], came: Time) -> usize {
         let (whole, mut fed) = (self.whole.len(), 0);
-        while fed < bytes.len() && self.broken.is_none() && self.whole.len() == whole && self.partial() > 0 {
+        while fed < bytes.len()
+            && self.broken.is_none()
+            && self.whole.len() == whole
+            && self.partial_bytes() > 0
+        {
             let n = self.missing().clamp(1, bytes.len() - fed);
             self.feed(&bytes[fed..fed + n], came);
             fed += n;
@@ -116,22 +120,22 @@
     }
 
     /// Bytes of messages that have come whole and not been taken.
-    pub fn whole(&self) -> usize {
+    pub fn queued_bytes(&self) -> usize {
         self.queued
     }
 
     /// Bytes of the message that has not come whole.
-    pub fn partial(&self) -> usize {
+    pub fn partial_bytes(&self) -> usize {
         self.inbox.len()
     }
 
     /// Whether something came that can't be read.
-    pub fn broken(&self) -> bool {
+    pub fn is_broken(&self) -> bool {
         self.broken.is_some()
     }
 
     /// The next message, if it has come whole, and when its last byte came.
-    pub fn take(&mut self) -> Result<Option<(ClientMessage, Time)>, ProtocolError> {
+    pub fn next_message(&mut self) -> Result<Option<(ClientMessage, Time)>, ProtocolError> {
         match (self.whole.pop_front(), &self.broken) {
             (Some(Whole { message, came, bytes }), _) => {
                 self.queued -= bytes;
@@ -147,7 +151,9 @@
             return self.startup();
         }
         loop {
-            let Some(MessageHeader { kind, body_len: len }) = self.inbox.message_header(LONGEST)? else { return Ok(None) };
+            let Some(MessageHeader { kind, body_len: len }) = self.inbox.message_header(LONGEST)? else {
+                return Ok(None);
+            };
             let body = &self.inbox.unread()[5..5 + len];
             let message = match kind {
                 b'Q' if self.stage == Stage::Open => match read_cstring(body) {
@@ -200,8 +206,7 @@
                 let mut left = options;
                 while let Some((name, after)) = read_cstring(left).filter(|(name, _)| !name.is_empty()) {
                     newer |= name.starts_with(b"_pq_.");
-                    left =
-                        read_cstring(after).ok_or(ProtocolError::StartupOptionWithoutValue)?.1;
+                    left = read_cstring(after).ok_or(ProtocolError::StartupOptionWithoutValue)?.1;
                 }
                 if left != [0] {
                     return Err(ProtocolError::UnterminatedStartup);
--- a/crates/router/src/protocol/discovery.rs
+++ b/crates/router/src/protocol/discovery.rs
@@ -104,7 +104,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchMessage {
     /// An empty line: nothing has changed.
-    Nothing,
+    KeepAlive,
     /// A list or a change.
     List(HostList),
     /// The answer has ended.
@@ -128,7 +128,7 @@
 
 /// The protocol's state for one answer of discovery.
 #[derive(Debug, Default)]
-pub struct WatchSide {
+pub struct WatchCodec {
     inbox: MessageBuffer,
     stage: Stage,
     line: Vec<u8>,
@@ -137,14 +137,14 @@
     turned_away: bool,
 }
 
-impl WatchSide {
+impl WatchCodec {
     /// Takes bytes in.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.inbox.extend(bytes);
     }
 
     /// The next message, if one has come whole.
-    pub fn take(&mut self) -> Result<Option<WatchMessage>, DiscoveryError> {
+    pub fn next_message(&mut self) -> Result<Option<WatchMessage>, DiscoveryError> {
         loop {
             if let Some(message) = self.line()? {
                 return Ok(Some(message));
@@ -167,7 +167,7 @@
     }
 
     /// Whether the call was turned away, for want of capacity above all: what is known stays good.
-    pub fn turned_away(&self) -> bool {
+    pub fn was_rejected(&self) -> bool {
         self.turned_away
     }
 
@@ -187,7 +187,7 @@
                 continue;
             }
             let message = match text {
-                [] => WatchMessage::Nothing,
+                [] => WatchMessage::KeepAlive,
                 text => match serde_json::from_slice(text) {
                     Ok(list) => WatchMessage::List(list),
                     Err(e) if e.is_eof() => continue,
@@ -202,7 +202,7 @@
     }
 
     /// The connection has ended; what it has brought without its end is dropped.
-    pub fn closed(&mut self) {
+    pub fn on_close(&mut self) {
         if !matches!(self.stage, Stage::Plain(None)) {
             self.line.clear();
             self.seen = 0;
@@ -237,8 +237,7 @@
                         next = Stage::Size;
                     } else if h.name.eq_ignore_ascii_case("content-length") && next != Stage::Size {
                         let len = std::str::from_utf8(value).ok().and_then(|v| v.parse().ok());
-                        next =
-                            Stage::Plain(Some(len.ok_or(DiscoveryError::ContentLength)?));
+                        next = Stage::Plain(Some(len.ok_or(DiscoveryError::ContentLength)?));
                     }
                 }
                 self.stage = next;
--- a/crates/router/src/protocol/host.rs
+++ b/crates/router/src/protocol/host.rs
@@ -1,7 +1,8 @@
 //! The side towards database hosts: bytes in, answers out.
 
 use basalthill_wire::{
-    error_code, put_cstring, put_message, read_cstring, ByteRange, MessageBuffer, MessageHeader, ProtocolError,
+    error_code, put_cstring, put_message, read_cstring, ByteRange, MessageBuffer, MessageHeader,
+    ProtocolError,
 };
 
 /// Longest message body taken from a host: a value of 64 KiB and its heads.
@@ -19,25 +20,25 @@
 
 /// What a host's ParameterStatus messages have said before a ReadyForQuery.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Telling {
+pub struct ReportedState {
     /// Whether it called itself the primary.
     pub primary: Option<bool>,
     /// Its position, a Unix time in milliseconds.
-    pub as_of: Option<u64>,
+    pub position_ms: Option<u64>,
     /// Its load report as it stood.
-    pub vitals: Option<String>,
+    pub load_report: Option<String>,
 }
 
 /// How a host ended a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum QueryOutcome {
     /// One row of one column came, and CommandComplete. The parts of `bytes` that a client gets, in order:
     /// the description, the row, the completion.
     Row(Row),
     /// An ErrorResponse with this SQLSTATE.
     Error(String),
     /// Nothing that counts as an answer: the query was empty, or it gave no row.
-    Nothing,
+    Empty,
 }
 
 /// A row, held whole where it was received.
@@ -59,9 +60,9 @@
     /// It has welcomed us.
     Ready,
     /// It won't have us: an ErrorResponse during startup.
-    Unwelcome(String),
+    Rejected(String),
     /// A query has ended, and what the host said of itself.
-    Done(Ending, Telling),
+    QueryEnded(QueryOutcome, ReportedState),
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -85,31 +86,31 @@
 
 /// The protocol's state for one connection to a host.
 #[derive(Debug, Default)]
-pub struct HostSide {
+pub struct HostCodec {
     inbox: MessageBuffer,
     stage: Stage,
-    telling: Telling,
+    telling: ReportedState,
 }
 
-impl HostSide {
+impl HostCodec {
     /// Takes bytes in.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.inbox.extend(bytes);
     }
 
     /// Whether a query may be written.
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.stage == Stage::Idle && self.inbox.is_empty()
     }
 
     /// A query is about to be written.
-    pub fn begin(&mut self) {
+    pub fn begin_query(&mut self) {
         self.stage = Stage::Busy(Progress::default());
-        self.telling = Telling::default();
+        self.telling = ReportedState::default();
     }
 
     /// Whether an answer has begun and its end has not come.
-    pub fn begun(&self) -> bool {
+    pub fn answer_started(&self) -> bool {
         match &self.stage {
             Stage::Busy(p) => !p.parts.is_empty() || p.error.is_some() || !self.inbox.is_empty(),
             _ => false,
@@ -118,19 +119,19 @@
 
     /// The connection has ended: how the query did, if its row is whole or an error had come that ends
     /// connections.
-    pub fn closed(&mut self) -> Option<(Ending, Telling)> {
+    pub fn on_close(&mut self) -> Option<(QueryOutcome, ReportedState)> {
         match std::mem::take(&mut self.stage) {
             Stage::Busy(Progress { error: Some(code), .. }) => {
-                Some((Ending::Error(code), std::mem::take(&mut self.telling)))
+                Some((QueryOutcome::Error(code), std::mem::take(&mut self.telling)))
             }
-            Stage::Busy(p) => p.row().map(|row| (Ending::Row(row), Telling::default())),
+            Stage::Busy(p) => p.row().map(|row| (QueryOutcome::Row(row), ReportedState::default())),
             _ => None,
         }
     }
 
     /// What follows can't be read, or never comes: the row, if it is whole. What the host has told of itself
     /// is not believed.
-    pub fn spoilt(&mut self) -> Option<Row> {
+    pub fn take_complete_row(&mut self) -> Option<Row> {
         match std::mem::take(&mut self.stage) {
             Stage::Busy(p) => p.row(),
             _ => None,
@@ -138,10 +139,12 @@
     }
 
     /// The next thing the host has said, if it has come whole.
-    pub fn take(&mut self) -> Result<Option<HostMessage>, ProtocolError> {
+    pub fn next_message(&mut self) -> Result<Option<HostMessage>, ProtocolError> {
         loop {
             self.fits()?;
-            let Some(MessageHeader { kind, body_len: len }) = self.inbox.message_header(LONGEST)? else { return Ok(None) };
+            let Some(MessageHeader { kind, body_len: len }) = self.inbox.message_header(LONGEST)? else {
+                return Ok(None);
+            };
             let out = self.message(kind, len)?;
             self.inbox.consume(5 + len);
             if out.is_some() {
@@ -187,7 +190,9 @@
         match (kind, &mut self.stage) {
             (b'S', _) => {
                 // One that can't be read tells nothing; the answer is no worse for it.
-                if let Some((name, (value, _))) = read_cstring(body).and_then(|(n, rest)| Some((n, read_cstring(rest)?))) {
+                if let Some((name, (value, _))) =
+                    read_cstring(body).and_then(|(n, rest)| Some((n, read_cstring(rest)?)))
+                {
                     tell(&mut self.telling, name, value);
                 }
             }
@@ -197,7 +202,7 @@
             (b'K' | b'v', Stage::Starting) => {}
             (b'E', Stage::Starting) => {
                 let code = error_code(body).map(|c| String::from_utf8_lossy(c).into_owned());
-                return Ok(Some(HostMessage::Unwelcome(code.unwrap_or_default())));
+                return Ok(Some(HostMessage::Rejected(code.unwrap_or_default())));
             }
             (b'Z', stage @ Stage::Starting) => {
                 *stage = Stage::Idle;
@@ -206,10 +211,10 @@
             (b'Z', stage @ Stage::Busy(_)) => {
                 let Stage::Busy(p) = std::mem::replace(stage, Stage::Idle) else { return Ok(None) };
                 let ending = match p.error {
-                    Some(code) => Ending::Error(code),
-                    None => p.row().map_or(Ending::Nothing, Ending::Row),
+                    Some(code) => QueryOutcome::Error(code),
+                    None => p.row().map_or(QueryOutcome::Empty, QueryOutcome::Row),
                 };
-                return Ok(Some(HostMessage::Done(ending, std::mem::take(&mut self.telling))));
+                return Ok(Some(HostMessage::QueryEnded(ending, std::mem::take(&mut self.telling))));
             }
             (b'E', Stage::Busy(p)) => {
                 let code = error_code(body).map(|c| String::from_utf8_lossy(c).into_owned());
@@ -267,13 +272,13 @@
 }
 
 /// Takes a note of what a host tells of itself; a word that can't be read says nothing.
-fn tell(telling: &mut Telling, name: &[u8], value: &[u8]) {
+fn tell(telling: &mut ReportedState, name: &[u8], value: &[u8]) {
     let word = std::str::from_utf8(value).unwrap_or_default().trim();
     match (name, word) {
         (b"rank", "source") => telling.primary = Some(true),
         (b"rank", "copy") => telling.primary = Some(false),
-        (b"as_of", _) => telling.as_of = word.parse().ok().filter(|p| *p < LATEST_MS),
-        (b"vitals", _) => telling.vitals = Some(word.to_string()),
+        (b"as_of", _) => telling.position_ms = word.parse().ok().filter(|p| *p < LATEST_MS),
+        (b"vitals", _) => telling.load_report = Some(word.to_string()),
         _ => {}
     }
 }
@@ -305,7 +310,7 @@
 }
 
 /// The figures of a load report: `inflight=7,util=0.61`.
-pub fn report(text: &str) -> impl Iterator<Item = (&str, f64)> {
+pub fn parse_load_report(text: &str) -> impl Iterator<Item = (&str, f64)> {
     text.split(',').filter_map(|pair| {
         let (name, value) = pair.split_once('=')?;
         Some((name.trim(), value.trim().parse().ok().filter(|v: &f64| v.is_finite())?))
--- a/crates/router/src/protocol/statement.rs
+++ b/crates/router/src/protocol/statement.rs
@@ -54,17 +54,17 @@
     tenant: Range<usize>,
     patience: Range<usize>,
     /// Milliseconds that the client will wait from when it sent the request.
-    pub patience_ms: u64,
+    pub deadline_ms: u64,
     /// The group.
-    pub cluster: u32,
+    pub group: u32,
     /// The position that the read has to see, a Unix time in milliseconds; the latest if several are given.
-    pub after: Option<u64>,
+    pub min_position_ms: Option<u64>,
     /// Where the figures of `after` stand.
     afters: Vec<Range<usize>>,
     session: Option<Range<usize>>,
     tokens: Vec<Range<usize>>,
     /// The client says that it is repeating.
-    pub repeat: bool,
+    pub is_retry: bool,
 }
 
 impl Statement {
@@ -118,7 +118,7 @@
         }
         let class = class.ok_or_else(|| invalid("the comment holds no class (c)"))?;
         let tenant = tenant.unwrap_or(0..0);
-        let (patience_ms, patience) = patience.ok_or_else(|| invalid("the comment holds no deadline (d)"))?;
+        let (deadline_ms, patience) = patience.ok_or_else(|| invalid("the comment holds no deadline (d)"))?;
         let cluster = cluster.ok_or_else(|| invalid("the comment holds no cluster"))?;
         Ok(Statement {
             text,
@@ -128,13 +128,13 @@
             class,
             tenant,
             patience,
-            patience_ms,
-            cluster,
-            after,
+            deadline_ms,
+            group: cluster,
+            min_position_ms: after,
             afters,
             session,
             tokens,
-            repeat,
+            is_retry: repeat,
         })
     }
 
@@ -164,7 +164,7 @@
     }
     /// The text in parts, with another figure for `d`, which is written anew for each attempt, and where a
     /// floor is given, that floor in `after`.
-    pub fn parts<'a>(&'a self, patience: &'a str, after: Option<&'a str>) -> Vec<&'a [u8]> {
+    pub fn text_parts<'a>(&'a self, patience: &'a str, after: Option<&'a str>) -> Vec<&'a [u8]> {
         let mut cuts: Vec<(&Range<usize>, [&str; 2])> = vec![(&self.patience, [patience, ""])];
         match after {
             Some(floor) if self.afters.is_empty() => cuts.push((&self.patience, [",after=", floor])),
--- a/crates/router/src/routing/limits.rs
+++ b/crates/router/src/routing/limits.rs
@@ -2,12 +2,12 @@
 //! with each request, and what was admitted is told the fleet's core. It decides nothing.
 
 use super::{Effect, Router};
-use basalthill_config::own::FleetSettings;
-use basalthill_config::settings::Site;
+use basalthill_config::local_settings::FleetSettings;
+use basalthill_config::settings::Deployment;
 use basalthill_fleet::packet::{Packet, StatusMessage};
 use basalthill_fleet::{
-    Bounds, Budget, DatagramCodec, DropReason, Effect as FleetEffect, Fleet, FleetConfig, Limit, LimitKey, Subject,
-    Timing,
+    Bounds, Budget, DatagramCodec, DropReason, Effect as FleetEffect, Fleet, FleetConfig, Limit, LimitKey,
+    Subject, Timing,
 };
 use basalthill_policy::api::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -25,7 +25,7 @@
 }
 
 /// A fleet's plan as a deployment's settings need it.
-pub fn plan(site: &Site, fleet: &FleetSettings) -> FleetConfig {
+pub fn plan(site: &Deployment, fleet: &FleetSettings) -> FleetConfig {
     let longest = site.settings.classes.iter().map(|c| c.client_timeout).max().unwrap_or_default();
     let at_once = fleet.limits.iter().any(|l| matches!(l.bounds, Bounds::Concurrent(_)));
     let any = Timing::new(fleet.drift, longest);
@@ -55,7 +55,7 @@
 
 impl Limits {
     /// The limits of a router that has just started.
-    pub fn new(now: Time, name: &str, site: &Site, settings: &FleetSettings, seed: u64) -> Limits {
+    pub fn new(now: Time, name: &str, site: &Deployment, settings: &FleetSettings, seed: u64) -> Limits {
         let (plan, seal) = (plan(site, settings), DatagramCodec::new(settings.keys.clone()));
         let (each, longest) = (each(&plan.limits), plan.max_use);
         let fleet = Fleet::new(now, name, now.0 / 1_000_000, plan, seal, seed);
@@ -76,7 +76,8 @@
 
     /// What is left of the budgets that the decisions spend.
     fn left(&mut self, now: Time) -> [Option<u32>; 2] {
-        [Budget::Retries, Budget::Probes].map(|b| self.fleet.budget_key(b).map(|key| self.fleet.tokens_left(now, key)))
+        [Budget::Retries, Budget::Probes]
+            .map(|b| self.fleet.budget_key(b).map(|key| self.fleet.tokens_left(now, key)))
     }
 
     fn number(id: RequestId, attempt: Attempt) -> u64 {
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -17,10 +17,10 @@
 pub use tally::Tally;
 
 use crate::protocol::discovery::HostList;
-use crate::protocol::host::{Ending, Row, Telling};
+use crate::protocol::host::{QueryOutcome, ReportedState, Row};
 use crate::protocol::statement::{Statement, StatementError};
-use basalthill_config::settings::{Reports, Site};
-use basalthill_extproc::{StreamId, DecisionRequest, LeaseCoordinator, LeaseId, ProxyReply, LeaseOutcome};
+use basalthill_config::settings::{Deployment, LoadReportSource};
+use basalthill_extproc::{DecisionRequest, LeaseCoordinator, LeaseId, LeaseOutcome, ProxyReply, StreamId};
 use basalthill_fleet::{Budget, LimitKey};
 use basalthill_policy::api::*;
 use basalthill_policy::Policy;
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Ended {
     /// The host answered the query.
-    Answered(Ending, Telling),
+    Answered(QueryOutcome, ReportedState),
     /// The host would not have the connection: an ErrorResponse with this SQLSTATE during startup.
     Unwelcome(String),
     /// No connection, or it broke before the request's last byte was written.
@@ -190,7 +190,7 @@
 /// A router without its sockets.
 pub struct Router {
     policy: Policy,
-    site: Site,
+    site: Deployment,
     sessions: Sessions,
     /// Calls of other proxies, where they are served.
     coordinator: Option<LeaseCoordinator>,
@@ -215,7 +215,7 @@
     /// A router that has just started with the list as it last had it.
     pub fn new(
         now: Time,
-        site: Site,
+        site: Deployment,
         sessions: Sessions,
         seed: u64,
         known: Option<HostList>,
@@ -403,7 +403,7 @@
             Action::Cancel(id, attempt) => {
                 if let Some(x) = self.take_attempt(id, attempt) {
                     out.push(Effect::Abandon(ExchangeId::Attempt(id, attempt)));
-                    self.outcome(now, id, attempt, x, Status::Cancelled, Telling::default());
+                    self.outcome(now, id, attempt, x, Status::Cancelled, ReportedState::default());
                 }
             }
             Action::Timer(after, token) => {
@@ -426,7 +426,8 @@
                     sent: now,
                     timer: timers.add(due, Timer::Probe(number)),
                 });
-                let text = if self.site.reports == Reports::None { "SELECT 1" } else { "SHOW vitals" };
+                let text =
+                    if self.site.load_reports == LoadReportSource::None { "SELECT 1" } else { "SHOW vitals" };
                 let (id, query) = (ExchangeId::Probe(number), Query::Own(text));
                 out.push(Effect::Begin(Order { id, member, client: None, addr, query }));
             }
@@ -439,10 +440,15 @@
     }
 
     /// A client's request; its number, and the limits that count it.
-    fn request(&mut self, now: Time, asked: Asked, out: &mut Vec<Effect>) -> Option<(RequestId, Vec<LimitKey>)> {
+    fn request(
+        &mut self,
+        now: Time,
+        asked: Asked,
+        out: &mut Vec<Effect>,
+    ) -> Option<(RequestId, Vec<LimitKey>)> {
         let Asked { client, command, statement, came } = asked;
         let named = |names: &[String], word: &[u8]| names.iter().position(|n| n.as_bytes() == word);
-        let group = GroupId(statement.cluster);
+        let group = GroupId(statement.group);
         let mut invalid = |what: &str| {
             self.tally.invalid += 1;
             let error = StatementError { code: "22023", message: what.into() };
@@ -465,7 +471,7 @@
         // A tenant that the settings don't name is one without a share.
         let tenant = named(&self.site.tenants, statement.tenant()).unwrap_or(self.site.tenants.len());
         let id = self.requests.number();
-        let deadline = came.min(now).plus(Time::ms(statement.patience_ms));
+        let deadline = came.min(now).plus(Time::ms(statement.deadline_ms));
         let (tracked, floor) = self.session(now, client, &statement, class, group);
         let request = Request {
             id,
@@ -475,13 +481,23 @@
             group,
             floor: self.wall.own(floor.position),
             lead: floor.lead,
-            client_retry: statement.repeat,
+            client_retry: statement.is_retry,
         };
         let floor_ms = floor.send_to_hosts.then(|| floor.position.0.div_ceil(1_000_000));
         let statement = Rc::from(statement);
         let (answered, served, attempts) = (false, false, Vec::new());
-        let open =
-            Open { client, command, statement, deadline, group, tracked, floor_ms, answered, served, attempts };
+        let open = Open {
+            client,
+            command,
+            statement,
+            deadline,
+            group,
+            tracked,
+            floor_ms,
+            answered,
+            served,
+            attempts,
+        };
         self.requests.put(id, open);
         let (event, keys) = self.limited(now, request);
         self.events.push_back(event);
@@ -501,18 +517,18 @@
         let Some(open) = self.requests.get_mut(id) else {
             // Ended and off the books: it goes nowhere, and that is told.
             let x = Exchange { member, sent: now, timer: TimerKey::default() };
-            return self.outcome(now, id, Attempt(u16::MAX), x, Status::NotSent, Telling::default());
+            return self.outcome(now, id, Attempt(u16::MAX), x, Status::NotSent, ReportedState::default());
         };
         let attempt = Attempt(open.attempts.len() as u16);
         if open.answered || open.attempts.len() >= most || now >= open.deadline {
             open.attempts.push(None);
             let x = Exchange { member, sent: now, timer: TimerKey::default() };
-            return self.outcome(now, id, attempt, x, Status::NotSent, Telling::default());
+            return self.outcome(now, id, attempt, x, Status::NotSent, ReportedState::default());
         }
         let Some(addr) = addr else {
             open.attempts.push(None);
             let x = Exchange { member, sent: now, timer: TimerKey::default() };
-            return self.outcome(now, id, attempt, x, Status::ConnectFailed, Telling::default());
+            return self.outcome(now, id, attempt, x, Status::ConnectFailed, ReportedState::default());
         };
         let left = open.deadline.since(now);
         let wait = limit.unwrap_or(left).min(left);
@@ -543,35 +559,40 @@
             ExchangeId::Attempt(id, attempt) => {
                 let Some(x) = self.take_attempt(id, attempt) else { return };
                 let (status, telling) = match ended {
-                    Ended::Answered(Ending::Row(row), telling) => {
-                        self.served(now, id, telling.as_of.map(unix_ms), out);
+                    Ended::Answered(QueryOutcome::Row(row), telling) => {
+                        self.served(now, id, telling.position_ms.map(unix_ms), out);
                         self.answer(now, id, Answer::Served(row), out);
                         (Status::Ok, telling)
                     }
-                    Ended::Answered(Ending::Error(code), telling) if of_the_statement(&code) => {
+                    Ended::Answered(QueryOutcome::Error(code), telling) if of_the_statement(&code) => {
                         let error = StatementError { code: "22023", message: "a host can't use it".into() };
                         self.answer(now, id, Answer::Invalid(error), out);
                         (Status::NotSent, telling)
                     }
-                    Ended::Answered(Ending::Error(code), telling) => (by_code(&code), telling),
-                    Ended::Answered(Ending::Nothing, telling) => (Status::Error, telling),
-                    Ended::Unwelcome(code) if code == "53300" => (Status::Overloaded, Telling::default()),
-                    Ended::Unwelcome(_) | Ended::NotSent => (Status::ConnectFailed, Telling::default()),
-                    Ended::Withheld => (Status::NotSent, Telling::default()),
-                    Ended::Broken => (Status::Reset, Telling::default()),
+                    Ended::Answered(QueryOutcome::Error(code), telling) => (by_code(&code), telling),
+                    Ended::Answered(QueryOutcome::Empty, telling) => (Status::Error, telling),
+                    Ended::Unwelcome(code) if code == "53300" => {
+                        (Status::Overloaded, ReportedState::default())
+                    }
+                    Ended::Unwelcome(_) | Ended::NotSent => (Status::ConnectFailed, ReportedState::default()),
+                    Ended::Withheld => (Status::NotSent, ReportedState::default()),
+                    Ended::Broken => (Status::Reset, ReportedState::default()),
                     // It may have run, like an error; the member is there, and answers.
-                    Ended::Spoilt => (Status::Error, Telling::default()),
+                    Ended::Spoilt => (Status::Error, ReportedState::default()),
                 };
                 self.outcome(now, id, attempt, x, status, telling);
             }
             ExchangeId::Probe(number) => {
                 let Some(x) = self.take_probe(number) else { return };
                 let (status, report) = match ended {
-                    Ended::Answered(Ending::Row(row), _) => {
+                    Ended::Answered(QueryOutcome::Row(row), _) => {
                         let value = row.value.clone().map(|v| &row.bytes[v]).unwrap_or_default();
                         (
                             Status::Ok,
-                            reported(&self.site.columns, std::str::from_utf8(value).unwrap_or_default()),
+                            reported(
+                                &self.site.report_columns,
+                                std::str::from_utf8(value).unwrap_or_default(),
+                            ),
                         )
                     }
                     Ended::Answered(..) => (Status::Error, ReplicationState::default()),
@@ -609,7 +630,7 @@
                 Timer::Attempt(id, attempt) => {
                     if let Some(x) = self.take_attempt(id, attempt) {
                         out.push(Effect::Abandon(ExchangeId::Attempt(id, attempt)));
-                        self.outcome(now, id, attempt, x, Status::Timeout, Telling::default());
+                        self.outcome(now, id, attempt, x, Status::Timeout, ReportedState::default());
                     }
                 }
                 Timer::Probe(number) => {
@@ -666,11 +687,11 @@
         attempt: Attempt,
         x: Exchange,
         status: Status,
-        t: Telling,
+        t: ReportedState,
     ) {
         self.tally.attempt(status);
         self.place_back(now, id, attempt, x.member, status);
-        if let Some(position) = t.as_of {
+        if let Some(position) = t.position_ms {
             self.sessions.observe_position(self.wall.unix(now), self.wall.unix(x.sent), unix_ms(position));
         }
         if let Some(open) = self.requests.get_mut(id).filter(|o| !o.served && !status.proves_not_executed()) {
@@ -681,8 +702,9 @@
             self.close(now, id);
         }
         let role = t.primary.map(|p| if p { Role::Primary } else { Role::Replica });
-        let replication = self.on_own_clock(ReplicationState { position: t.as_of.map(unix_ms), role });
-        let report = t.vitals.as_deref().map(|v| reported(&self.site.columns, v)).unwrap_or_default();
+        let replication = self.on_own_clock(ReplicationState { position: t.position_ms.map(unix_ms), role });
+        let report =
+            t.load_report.as_deref().map(|v| reported(&self.site.report_columns, v)).unwrap_or_default();
         let report = self.on_own_clock(report);
         let took = now.since(x.sent);
         let outcome =
--- a/crates/router/src/routing/proxies.rs
+++ b/crates/router/src/routing/proxies.rs
@@ -1,8 +1,8 @@
 //! Other proxies, which ask for a decision and do the sending themselves. The coordinator owns what is known of
 //! them; here its words and the decisions' are carried over.
 
-use super::{Effect, Router, ProxyMessage};
-use basalthill_extproc::{StreamId, LeaseCoordinator, LeaseUsage, ProxyLimits, Output, ProxyReply};
+use super::{Effect, ProxyMessage, Router};
+use basalthill_extproc::{LeaseCoordinator, LeaseUsage, Output, ProxyLimits, ProxyReply, StreamId};
 use basalthill_policy::api::*;
 
 impl Router {
@@ -24,7 +24,7 @@
             ProxyMessage::Request(call) => coordinator.request(now, stream, call, &mut said),
             ProxyMessage::Outcome { lease, outcome, replication } => {
                 coordinator.report_outcome(now, stream, lease, outcome, replication, &mut said)
-            },
+            }
             ProxyMessage::StreamClosed => coordinator.stream_closed(now, stream, &mut said),
         }
         self.apply_coordinator_outputs(said, out);
--- a/crates/router/src/routing/sessions.rs
+++ b/crates/router/src/routing/sessions.rs
@@ -5,7 +5,7 @@
 use crate::protocol::statement::Statement;
 use basalthill_policy::api::*;
 use basalthill_session::TrackedRequest;
-use basalthill_session::{SessionRequest, ReadFloor, PlatformFloors};
+use basalthill_session::{PlatformFloors, ReadFloor, SessionRequest};
 
 impl Router {
     /// What a request's session is known by, and the floor of its read.
@@ -27,14 +27,15 @@
         let asked = SessionRequest {
             identity: owner(&self.sessions, statement),
             group,
-            after: statement.after.map(unix_ms),
+            after: statement.min_position_ms.map(unix_ms),
             tokens: &tokens,
             // One that nobody saw come counts as new, which is stricter.
             accepted_at: self.wall.unix(self.accepted.get(&client).copied().unwrap_or(now)),
         };
         let now = self.wall.unix(now);
         let tracked = self.sessions.begin_request(now, &asked, write);
-        let floor = if write { ReadFloor::default() } else { self.sessions.read_floor(now, &asked, &tracked) };
+        let floor =
+            if write { ReadFloor::default() } else { self.sessions.read_floor(now, &asked, &tracked) };
         (Some(tracked), floor)
     }
 
@@ -53,7 +54,10 @@
     pub(super) fn doubtful(&mut self, now: Time, id: RequestId, out: &mut Vec<Effect>) {
         let Some(open) = self.requests.get_mut(id).filter(|o| !o.answered && !o.served) else { return };
         let still_out = open.attempts.iter().any(Option::is_some);
-        let Some(tracked) = open.tracked.as_mut().filter(|b| b.is_write && (b.outcome_unknown || still_out)) else { return };
+        let Some(tracked) = open.tracked.as_mut().filter(|b| b.is_write && (b.outcome_unknown || still_out))
+        else {
+            return;
+        };
         tracked.outcome_unknown = true;
         let owner = owner(&self.sessions, &open.statement);
         let token = self.sessions.write_outcome_unknown(self.wall.unix(now), owner, open.group, tracked);
--- a/crates/router/src/routing/terms.rs
+++ b/crates/router/src/routing/terms.rs
@@ -1,6 +1,6 @@
 //! The words of hosts and statements in the decisions' terms. Nothing is remembered here.
 
-use crate::protocol::host::report;
+use crate::protocol::host::parse_load_report;
 use crate::protocol::statement::Statement;
 use basalthill_policy::api::*;
 use basalthill_session::token::SessionIdentity;
@@ -15,7 +15,7 @@
 /// What a load report says of its member's standing.
 pub fn reported(columns: &[String], text: &str) -> ReplicationState {
     let mut standing = ReplicationState::default();
-    for (name, value) in report(text).filter(|(name, _)| columns.iter().any(|c| c == name)) {
+    for (name, value) in parse_load_report(text).filter(|(name, _)| columns.iter().any(|c| c == name)) {
         match name {
             // Rounded down past the error of a float of this size.
             "x0" if value > 0.0 => {
--- a/crates/router/src/transport/client.rs
+++ b/crates/router/src/transport/client.rs
@@ -6,7 +6,9 @@
 use crate::protocol::client::{self, CancelKey};
 use crate::routing::{Answer, Asked, ClientId, Command, Input};
 use async_io::{Async, Timer};
-use basalthill_config::router::{RouterConfig, CLIENT_QUIET, CLIENT_TAKES, CLIENT_WHOLE, SOCKETS_RESERVED};
+use basalthill_config::router::{
+    RouterConfig, CLIENT_EVICTION_IDLE, CLIENT_MESSAGE_TIMEOUT, CLIENT_WRITE_TIMEOUT, RESERVED_SOCKETS,
+};
 use basalthill_policy::api::Time;
 use futures_lite::future;
 use std::cell::{Cell, RefCell};
@@ -87,11 +89,11 @@
         Clients {
             slots: RefCell::default(),
             admissions: Semaphore::new(config.limits.client_descriptors()),
-            crowd: config.limits.quiet_clients(),
-            rejection_slots: Semaphore::new(SOCKETS_RESERVED / 3),
-            large: Semaphore::new(config.limits.large_statements()),
+            crowd: config.limits.client_eviction_threshold(),
+            rejection_slots: Semaphore::new(RESERVED_SOCKETS / 3),
+            large: Semaphore::new(config.limits.max_large_statements()),
             ready: Cell::new(false),
-            farewell: Cell::new(config.own.farewell),
+            farewell: Cell::new(config.local_settings.close_notice),
             secrets: RandomState::new(),
             rejected: Cell::new(0),
             dismissed: Cell::new(0),
@@ -206,10 +208,10 @@
 
     /// How readily it makes room.
     pub fn eviction(&self) -> Eviction {
-        let (quiet, stage) = (Duration::from_nanos(CLIENT_QUIET.0), self.stage.get());
+        let (quiet, stage) = (Duration::from_nanos(CLIENT_EVICTION_IDLE.0), self.stage.get());
         // One that is at its message gets a good part of its time for it, whoever else may come.
         let begun = self.begun.get().map(|since| match since.elapsed() {
-            age if age < Duration::from_nanos(CLIENT_WHOLE.0 / 2) => Eviction::Soon,
+            age if age < Duration::from_nanos(CLIENT_MESSAGE_TIMEOUT.0 / 2) => Eviction::Soon,
             age => Eviction::Begun(age),
         });
         match stage {
@@ -344,8 +346,9 @@
 /// come and go, none waiting for another.
 async fn converse(admitted: &Admitted, stream: &Async<TcpStream>, talk: &RefCell<Conversation>) -> Over {
     let (hub, slot) = (&admitted.hub, &admitted.slot);
-    let (takes, whole) = (Duration::from_nanos(CLIENT_TAKES.0), Duration::from_nanos(CLIENT_WHOLE.0));
-    let quiet = Duration::from_nanos(CLIENT_QUIET.0);
+    let (takes, whole) =
+        (Duration::from_nanos(CLIENT_WRITE_TIMEOUT.0), Duration::from_nanos(CLIENT_MESSAGE_TIMEOUT.0));
+    let quiet = Duration::from_nanos(CLIENT_EVICTION_IDLE.0);
     let mut stuck = None; // since when the answer that is being written has its client's time
     loop {
         let more = admitted.pass_on(&mut talk.borrow_mut());
--- a/crates/router/src/transport/conversation.rs
+++ b/crates/router/src/transport/conversation.rs
@@ -5,10 +5,10 @@
 //! side by side, a few at a time. A write waits until all before it is answered, and what stands behind it
 //! waits for its answer: a session's commands take effect in their order.
 
-use crate::protocol::client::{self, CancelKey, ClientMessage, ClientSide};
+use crate::protocol::client::{self, CancelKey, ClientCodec, ClientMessage};
 use crate::protocol::statement::{Statement, Verb};
 use crate::routing::{Answer, Command};
-use basalthill_config::router::{CLIENT_FAULTS, LARGE, READS_AT_ONCE};
+use basalthill_config::router::{LARGE_STATEMENT_LEN, MAX_CLIENT_FAULTS, MAX_CONCURRENT_READS};
 use basalthill_policy::api::Time;
 use basalthill_wire::READY_FOR_QUERY;
 use std::collections::VecDeque;
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub struct Conversation {
     key: CancelKey,
-    side: ClientSide,
+    side: ClientCodec,
     next: Option<Next>,
     /// Answers of the commands taken, in order, as far as they are not among `out`.
     replies: VecDeque<Reply>,
@@ -86,7 +86,7 @@
     pub fn new(key: CancelKey, since: Time) -> Conversation {
         Conversation {
             key,
-            side: ClientSide::default(),
+            side: ClientCodec::default(),
             next: None,
             replies: VecDeque::new(),
             ahead: 0,
@@ -119,7 +119,7 @@
         if self.ending || self.cut.is_some() {
             return;
         }
-        let before = self.side.partial();
+        let before = self.side.partial_bytes();
         let fed = match self.last_call {
             None => {
                 self.side.feed(bytes, came);
@@ -129,10 +129,10 @@
                 let (now, later) = bytes.split_at(left.min(bytes.len()));
                 self.side.feed(now, came);
                 self.last_call = Some(if drained { 0 } else { left - now.len() });
-                now.len() + self.side.finish(later, came)
+                now.len() + self.side.finish_message(later, came)
             }
         };
-        let partial = self.side.partial();
+        let partial = self.side.partial_bytes();
         self.begun = match (partial, self.begun) {
             (0, _) => None,
             // The message goes on.
@@ -164,8 +164,8 @@
     pub fn takes(&self) -> bool {
         let open = !self.ending
             && self.cut.is_none()
-            && self.last_call.is_none_or(|left| left > 0 || self.side.partial() > 0);
-        open && self.side.whole() + self.next.as_ref().map_or(0, |n| n.bytes) <= LARGE
+            && self.last_call.is_none_or(|left| left > 0 || self.side.partial_bytes() > 0);
+        open && self.side.queued_bytes() + self.next.as_ref().map_or(0, |n| n.bytes) <= LARGE_STATEMENT_LEN
     }
 
     /// What comes from now on is not taken, but for what the socket holds, so many bytes, and the rest of a
@@ -187,7 +187,7 @@
 
     /// Whether the message that is not whole needs a place among the large ones to be read on.
     pub fn large(&self) -> bool {
-        self.side.partial() > LARGE
+        self.side.partial_bytes() > LARGE_STATEMENT_LEN
     }
 
     /// Since when a message is not whole, if one is.
@@ -205,11 +205,11 @@
             }
             self.pass();
         }
-        if self.ending || self.unwritten() > LARGE || self.ahead > LARGE {
+        if self.ending || self.unwritten() > LARGE_STATEMENT_LEN || self.ahead > LARGE_STATEMENT_LEN {
             return None;
         }
         if self.next.is_none() {
-            match self.side.take() {
+            match self.side.next_message() {
                 Ok(None) => {
                     let (code, message) = self.cut?;
                     self.close_with_error(code, message);
@@ -230,7 +230,7 @@
         let write = next.statement.verb == Verb::Insert;
         let room = match write {
             true => self.asked == 0,
-            false => !self.writing && self.asked < READS_AT_ONCE,
+            false => !self.writing && self.asked < MAX_CONCURRENT_READS,
         };
         if !room {
             return None;
@@ -291,7 +291,7 @@
 
     fn faulty(&mut self) {
         self.faults += 1;
-        if self.faults >= CLIENT_FAULTS && self.dismissed.is_none() {
+        if self.faults >= MAX_CLIENT_FAULTS && self.dismissed.is_none() {
             self.close_with_error("08P01", "too many commands that are not served");
         }
     }
@@ -389,7 +389,7 @@
     /// Takes nothing more, and ends once all that was taken is answered.
     pub fn end(&mut self) {
         self.ending = true;
-        (self.side, self.begun, self.cut) = (ClientSide::default(), None, None);
+        (self.side, self.begun, self.cut) = (ClientCodec::default(), None, None);
     }
 
     /// Says that the connection ends, behind the answers of all that was taken. What stands behind that is
@@ -431,8 +431,8 @@
     pub fn answered(&self) -> bool {
         self.next.is_none()
             && self.replies.is_empty()
-            && self.side.whole() == 0
-            && !self.side.broken()
+            && self.side.queued_bytes() == 0
+            && !self.side.is_broken()
             && self.cut.is_none()
     }
 
--- a/crates/router/src/transport/conversation/tests.rs
+++ b/crates/router/src/transport/conversation/tests.rs
@@ -83,10 +83,10 @@
 #[test]
 fn reads_are_asked_side_by_side_and_answered_in_order() {
     let mut talk = talk();
-    let commands: Vec<u8> = (0..READS_AT_ONCE + 2).flat_map(|n| query(&text(n, false))).collect();
+    let commands: Vec<u8> = (0..MAX_CONCURRENT_READS + 2).flat_map(|n| query(&text(n, false))).collect();
     talk.read(&[startup(), commands].concat(), true, Time::ms(5));
     let first = asks(&mut talk);
-    assert_eq!(first.len(), READS_AT_ONCE);
+    assert_eq!(first.len(), MAX_CONCURRENT_READS);
     assert!(first.iter().all(|(_, _, came)| *came == Time::ms(5)));
     all(&mut talk);
     talk.answer(first[1].0, served(b"second"));
@@ -141,7 +141,7 @@
         asked += now.len();
         now.into_iter().for_each(|(command, ..)| talk.answer(command, served(&[7; 8000])));
     }
-    assert!(asked <= 2 * READS_AT_ONCE, "{asked}");
+    assert!(asked <= 2 * MAX_CONCURRENT_READS, "{asked}");
     all(&mut talk);
     assert!(!asks(&mut talk).is_empty(), "it goes on once they are taken");
 }
@@ -150,7 +150,7 @@
 fn reading_stops_while_much_waits_and_goes_on_later() {
     let mut talk = talk();
     let write = query(&text(0, true));
-    let many = LARGE / write.len() + 2;
+    let many = LARGE_STATEMENT_LEN / write.len() + 2;
     let bytes: Vec<u8> = (0..many).flat_map(|n| query(&text(n, true))).collect();
     talk.read(&[startup(), bytes].concat(), true, Time(0));
     let mut answered = 0;
@@ -172,7 +172,7 @@
     let bad = query("DROP TABLE records");
     let commands = [
         query(&text(0, false)),
-        bad.repeat(CLIENT_FAULTS as usize),
+        bad.repeat(MAX_CLIENT_FAULTS as usize),
         query(&text(1, false)),
         query(&text(2, true)),
     ];
@@ -181,7 +181,7 @@
     assert_eq!(open.len(), 1, "nothing behind the faults is sent on");
     talk.answer(open[0].0, served(b"x"));
     let told = answers(&all(&mut talk));
-    let faults = CLIENT_FAULTS as usize;
+    let faults = MAX_CLIENT_FAULTS as usize;
     assert_eq!(told.len(), 1 + 1 + faults + 1, "welcome, row, faults, the end");
     assert_eq!(told[1].0, b'D');
     assert!(told[2..2 + faults].iter().all(|t| code(t) == "42601"));
@@ -352,7 +352,7 @@
                     let n = usize::from_str_radix(std::str::from_utf8(statement.id()).unwrap(), 16).unwrap();
                     let write = statement.verb == Verb::Insert;
                     prop_assert!(open.iter().all(|o| !o.2 && !write), "nothing passes a write");
-                    prop_assert!(open.len() < READS_AT_ONCE);
+                    prop_assert!(open.len() < MAX_CONCURRENT_READS);
                     prop_assert!(fates.insert(n, u8::MAX).is_none(), "asked once");
                     open.push((command, n, write));
                 }
@@ -423,7 +423,7 @@
             };
             let fatal = answer.0 == b'E' && answer.1.starts_with(b"SFATAL");
             if fatal {
-                prop_assert!(late || faults >= CLIENT_FAULTS, "a connection ends for a reason");
+                prop_assert!(late || faults >= MAX_CLIENT_FAULTS, "a connection ends for a reason");
                 prop_assert!(told.next().is_none(), "nothing comes behind the end");
                 return Ok(());
             }
--- a/crates/router/src/transport/disk.rs
+++ b/crates/router/src/transport/disk.rs
@@ -2,10 +2,10 @@
 //! read, so that it never counts twice. Whatever goes wrong costs freshness only, and is said in one line.
 
 use super::Hub;
-use basalthill_config::own::{Own, Snapshot};
+use basalthill_config::local_settings::{LocalSettings, Snapshot};
 use basalthill_config::router::RouterConfig;
 use basalthill_policy::api::Time;
-use basalthill_session::{snapshot, Sessions, PlatformFloors};
+use basalthill_session::{snapshot, PlatformFloors, Sessions};
 use std::fs::File;
 use std::io::{self, ErrorKind, Write};
 use std::path::{Path, PathBuf};
@@ -15,11 +15,11 @@
 
 /// The sessions of a router that starts.
 pub fn sessions(now: Time, config: &RouterConfig) -> Sessions {
-    let own = config.own.sessions.as_ref();
-    let remembers = own.is_some() || config.site.tokens == PlatformFloors::Remembered;
-    let bytes = if remembers { config.limits.book_bytes() } else { 0 };
+    let own = config.local_settings.sessions.as_ref();
+    let remembers = own.is_some() || config.deployment.tokens == PlatformFloors::Remembered;
+    let bytes = if remembers { config.limits.session_table_bytes() } else { 0 };
     let plan = own.map(|s| s.plan.clone());
-    let mut sessions = Sessions::new(now, config.site.tokens, plan, bytes, config.seed);
+    let mut sessions = Sessions::new(now, config.deployment.tokens, plan, bytes, config.seed);
     if let Some(place) = own.and_then(|s| s.snapshot.as_ref()) {
         recall(&mut sessions, now, place, &config.name);
     }
@@ -60,7 +60,7 @@
 }
 
 /// Keeps the book at a stop in good order, all answers given.
-pub fn keep(hub: &Hub, own: &Own, router: &str) {
+pub fn keep(hub: &Hub, own: &LocalSettings, router: &str) {
     let Some(place) = own.sessions.as_ref().and_then(|s| s.snapshot.as_ref()) else { return };
     let mut routing = hub.router.borrow_mut();
     let now = routing.unix(hub.clock.now());
--- a/crates/router/src/transport/exchange.rs
+++ b/crates/router/src/transport/exchange.rs
@@ -3,10 +3,10 @@
 use super::pool::{HostConnection, Taken};
 use super::semaphore::{Permit, LOOK_AGAIN};
 use super::{io, Hub};
-use crate::protocol::host::{self, Ending, HostMessage, HostSide, Telling};
+use crate::protocol::host::{self, HostCodec, HostMessage, QueryOutcome, ReportedState};
 use crate::routing::{Ended, Input, Order, Query};
 use async_io::{Async, Timer};
-use basalthill_config::router::ANSWER_PAUSE;
+use basalthill_config::router::ANSWER_STALL_TIMEOUT;
 use basalthill_fleet::Budget;
 use futures_lite::future;
 use std::cell::Cell;
@@ -41,13 +41,13 @@
         hub.pool.put(addr, connection);
         return Ended::Withheld;
     }
-    connection.side.begin();
+    connection.side.begin_query();
     if let Err(e) = write(hub, &connection.stream, &query).await {
         log::debug!("{addr}: broke before the last byte: {e}");
         return Ended::NotSent;
     }
     let ended = answer(hub, addr, &mut connection).await;
-    if connection.side.idle() && !hub.closing.get() {
+    if connection.side.is_idle() && !hub.closing.get() {
         hub.pool.put(addr, connection);
     }
     ended
@@ -99,12 +99,12 @@
 ) -> Result<HostConnection, Ended> {
     let _ = stream.get_ref().set_nodelay(true);
     io::write(&stream, &[&host::startup()]).await.map_err(|_| Ended::NotSent)?;
-    let mut side = HostSide::default();
+    let mut side = HostCodec::default();
     loop {
-        match side.take() {
+        match side.next_message() {
             Ok(Some(HostMessage::Ready)) => return Ok(HostConnection { stream, side, _permit: permit }),
-            Ok(Some(HostMessage::Unwelcome(code))) => return Err(Ended::Unwelcome(code)),
-            Ok(Some(HostMessage::Done(..))) => return Err(Ended::NotSent),
+            Ok(Some(HostMessage::Rejected(code))) => return Err(Ended::Unwelcome(code)),
+            Ok(Some(HostMessage::QueryEnded(..))) => return Err(Ended::NotSent),
             Ok(None) => {}
             Err(e) => {
                 log::warn!("{addr}: {e}");
@@ -123,7 +123,7 @@
             // What is left now: the connection may have taken its time to come up.
             let left_ms = until.since(hub.clock.now()).0 / 1_000_000;
             let (figure, floor) = (left_ms.max(1).to_string(), floor.map(|ms| ms.to_string()));
-            let text = statement.parts(&figure, floor.as_deref());
+            let text = statement.text_parts(&figure, floor.as_deref());
             let head = host::query_head(text.iter().map(|part| part.len()).sum());
             let mut parts = Vec::with_capacity(text.len() + 2);
             parts.push(&head[..]);
@@ -139,13 +139,13 @@
 /// host has written all that it ever will.
 async fn answer(hub: &Rc<Hub>, addr: SocketAddr, connection: &mut HostConnection) -> Ended {
     let HostConnection { stream, side, .. } = connection;
-    let salvaged = |side: &mut HostSide| match side.spoilt() {
-        Some(row) => Ended::Answered(Ending::Row(row), Telling::default()),
+    let salvaged = |side: &mut HostCodec| match side.take_complete_row() {
+        Some(row) => Ended::Answered(QueryOutcome::Row(row), ReportedState::default()),
         None => Ended::Spoilt,
     };
     loop {
-        match side.take() {
-            Ok(Some(HostMessage::Done(ending, telling))) => return Ended::Answered(ending, telling),
+        match side.next_message() {
+            Ok(Some(HostMessage::QueryEnded(ending, telling))) => return Ended::Answered(ending, telling),
             Ok(Some(_)) => return Ended::Spoilt,
             Ok(None) => {}
             Err(e) => {
@@ -153,10 +153,10 @@
                 return salvaged(side);
             }
         }
-        let begun = side.begun();
+        let begun = side.answer_started();
         let pause = async {
             match begun {
-                true => drop(Timer::after(Duration::from_nanos(ANSWER_PAUSE.0)).await),
+                true => drop(Timer::after(Duration::from_nanos(ANSWER_STALL_TIMEOUT.0)).await),
                 false => future::pending().await,
             }
             None
@@ -166,7 +166,7 @@
             Some(Ok(1..)) => {}
             // An error that ends the connection comes without ReadyForQuery.
             Some(_) => {
-                return side.closed().map_or(Ended::Broken, |(e, telling)| Ended::Answered(e, telling))
+                return side.on_close().map_or(Ended::Broken, |(e, telling)| Ended::Answered(e, telling))
             }
             None => {
                 log::debug!("{addr}: an answer that has begun does not go on");
--- a/crates/router/src/transport/exchange/tests.rs
+++ b/crates/router/src/transport/exchange/tests.rs
@@ -2,7 +2,7 @@
 use crate::protocol::discovery::HostList;
 use crate::routing::ExchangeId;
 use async_executor::LocalExecutor;
-use basalthill_config::router::{parse, Reading};
+use basalthill_config::router::{parse, LoadPhase};
 use basalthill_policy::api::{Attempt, MemberId, RequestId};
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener};
@@ -21,7 +21,7 @@
     let text = CONFIG.replace("\"drainGrace\": 1000000000", &format!("\"drainGrace\": {grace}"));
     // No probe takes the connection first.
     let text = text.replace("\"probes\": true", "\"probes\": false");
-    let config = parse(text.as_bytes(), |_| None, Reading::Start).expect("a sound example");
+    let config = parse(text.as_bytes(), |_| None, LoadPhase::Startup).expect("a sound example");
     let member = format!(r#"{{"id":"a","addr":"{addr}","cell":1,"state":"{state}"}}"#);
     let list = format!(r#"{{"version":1,"full":true,"servers":[{member}]}}"#);
     let executor = Rc::new(LocalExecutor::new());
@@ -32,9 +32,9 @@
     if broken {
         stream.shutdown(Shutdown::Write)?;
     }
-    let mut side = HostSide::default();
+    let mut side = HostCodec::default();
     side.feed(b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I");
-    assert_eq!(side.take(), Ok(Some(HostMessage::Ready)));
+    assert_eq!(side.next_message(), Ok(Some(HostMessage::Ready)));
     let permit = hub.descriptors.take().expect("a descriptor");
     hub.pool.put(addr, HostConnection { stream: Async::new(stream)?, side, _permit: permit });
     let query = Query::Own("SELECT 1");
@@ -69,7 +69,7 @@
 fn over_a_want_of_descriptors(id: ExchangeId) -> std::io::Result<(Ended, usize)> {
     let host = TcpListener::bind(("127.0.0.1", 0))?;
     let addr = host.local_addr()?;
-    let config = parse(CONFIG.as_bytes(), |_| None, Reading::Start).expect("a sound example");
+    let config = parse(CONFIG.as_bytes(), |_| None, LoadPhase::Startup).expect("a sound example");
     let executor = Rc::new(LocalExecutor::new());
     let hub = Hub::new(&config, None, &executor);
     let mut taken: Vec<_> = std::iter::from_fn(|| hub.descriptors.take()).collect();
--- a/crates/router/src/transport/fleet.rs
+++ b/crates/router/src/transport/fleet.rs
@@ -5,7 +5,7 @@
 use crate::routing::{FromFleet, Input};
 use async_channel::{Receiver, Sender};
 use async_executor::Task;
-use basalthill_config::own::FleetSettings;
+use basalthill_config::local_settings::FleetSettings;
 use basalthill_fleet::packet::{Payload, MAX_DATAGRAM};
 use basalthill_fleet::{DatagramCodec, DropReason, NodeId};
 use std::collections::BTreeMap;
@@ -65,7 +65,8 @@
 
     /// Checks with other keys from now on.
     pub fn keys(&self, settings: &FleetSettings) {
-        *self.seal.write().unwrap_or_else(PoisonError::into_inner) = DatagramCodec::new(settings.keys.clone());
+        *self.seal.write().unwrap_or_else(PoisonError::into_inner) =
+            DatagramCodec::new(settings.keys.clone());
     }
 
     /// Where it was asked to listen.
--- a/crates/router/src/transport/mod.rs
+++ b/crates/router/src/transport/mod.rs
@@ -17,9 +17,9 @@
 use crate::routing::{ClientId, Clock, Effect, Ended, ExchangeId, Input, Order, Router, Tally};
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer};
-use basalthill_config::own::FleetSettings;
+use basalthill_config::local_settings::FleetSettings;
 use basalthill_config::router::{
-    stop_limit, RouterConfig, ANSWER_REST, IDLE_SHARE, READY_WITHIN, STOP_SERVING,
+    shutdown_timeout, RouterConfig, HOST_REUSE_DELAY, IDLE_TIMEOUT_FRACTION, READY_TIMEOUT, STOP_GRACE,
 };
 use basalthill_policy::api::Time;
 use basalthill_session::SessionCounts;
@@ -112,19 +112,19 @@
     /// A router that has just started.
     fn new(config: &RouterConfig, known: Option<HostList>, executor: &Rc<LocalExecutor<'static>>) -> Rc<Hub> {
         let clock = Clock::anchored();
-        let connect_timeout = Duration::from_nanos(config.site.connect_timeout.0);
-        let idle = Duration::from_nanos(config.site.conn_idle.times(IDLE_SHARE).0);
+        let connect_timeout = Duration::from_nanos(config.deployment.connect_timeout.0);
+        let idle = Duration::from_nanos(config.deployment.conn_idle.times(IDLE_TIMEOUT_FRACTION).0);
         let mut effects = Vec::new();
         let now = clock.now();
         let sessions = disk::sessions(now, config);
-        let router = Router::new(now, config.site.clone(), sessions, config.seed, known, &mut effects);
+        let router = Router::new(now, config.deployment.clone(), sessions, config.seed, known, &mut effects);
         let hub = Rc::new(Hub {
             clock,
             router: RefCell::new(router),
             executor: RefCell::new(Some(Rc::clone(executor))),
             clients: Clients::new(config),
             exchanges: RefCell::default(),
-            pool: Pool::new(Duration::from_nanos(ANSWER_REST.0), idle),
+            pool: Pool::new(Duration::from_nanos(HOST_REUSE_DELAY.0), idle),
             descriptors: Semaphore::new(config.limits.descriptors()),
             scratch: RefCell::new(vec![0; READ_AT_ONCE]),
             following: Following::new(config.discovery),
@@ -134,7 +134,7 @@
             last_call: Signal::default(),
             closing: Cell::new(false),
             connect_timeout,
-            turns: config.site.settings.poll_endpoint_list,
+            turns: config.deployment.settings.poll_endpoint_list,
             seed: config.seed,
         });
         hub.carry_out(effects);
@@ -229,7 +229,7 @@
     commands: impl Stream<Item = Command>,
 ) -> std::io::Result<()> {
     let listener = Async::new(listener)?;
-    let limit = stop_limit(&config.site);
+    let limit = shutdown_timeout(&config.deployment);
     let known = known(&config);
     let from = known.as_ref().map(|list| list.version);
     let named = known.as_ref().is_some_and(|list| !list.servers.is_empty());
@@ -243,12 +243,12 @@
     ];
     join(&hub, &config)?;
     Following::at(&hub, config.discovery, from);
-    let mut own = config.own.clone();
+    let mut own = config.local_settings.clone();
     async_io::block_on(executor.run(async {
         let mut commands = std::pin::pin!(commands);
         while let Some(Command::Reload(again)) = commands.next().await {
             reload(&hub, &config, &again);
-            own = again.own;
+            own = again.local_settings;
         }
         stop_in_order(&hub, listening, limit).await;
     }));
@@ -263,7 +263,7 @@
 
 /// Joins the fleet, if our own settings name one.
 fn join(hub: &Rc<Hub>, config: &RouterConfig) -> std::io::Result<()> {
-    let Some(settings) = &config.own.fleet else { return Ok(()) };
+    let Some(settings) = &config.local_settings.fleet else { return Ok(()) };
     let Some(listen) = fleet::address(&config.name, settings) else { return Ok(()) };
     let link = Link::start(hub, listen, settings)
         .map_err(|e| std::io::Error::new(e.kind(), format!("fleet: {listen}: {e}")))?;
@@ -301,10 +301,10 @@
     for key in started.needs_restart(again) {
         log::warn!("configuration: {key} has changed, which needs a restart; the old value stays");
     }
-    hub.clients.farewell.set(again.own.farewell);
-    rejoin(hub, &started.name, again.own.fleet.as_ref());
-    let plan = again.own.sessions.as_ref().map(|s| s.plan.clone());
-    let bytes = started.limits.book_bytes();
+    hub.clients.farewell.set(again.local_settings.close_notice);
+    rejoin(hub, &started.name, again.local_settings.fleet.as_ref());
+    let plan = again.local_settings.sessions.as_ref().map(|s| s.plan.clone());
+    let bytes = started.limits.session_table_bytes();
     let mut router = hub.router.borrow_mut();
     let now = router.unix(hub.clock.now());
     router.sessions().reconfigure(now, plan, bytes, started.seed);
@@ -320,10 +320,10 @@
 
 /// The list in the configuration, if there is one that can be read.
 fn known(config: &RouterConfig) -> Option<HostList> {
-    if config.known.is_null() {
+    if config.known_endpoints.is_null() {
         return None;
     }
-    let list = HostList::deserialize(&config.known);
+    let list = HostList::deserialize(&config.known_endpoints);
     list.inspect_err(|e| log::warn!("known: {e}; waiting for discovery")).ok()
 }
 
@@ -331,7 +331,7 @@
 async fn stop_in_order(hub: &Rc<Hub>, listening: Option<Task<()>>, limit: Time) {
     let stopped = hub.clock.now();
     log::info!("stopping: {} requests unanswered", hub.router.borrow().unanswered());
-    Timer::after(Duration::from_nanos(STOP_SERVING.0)).await;
+    Timer::after(Duration::from_nanos(STOP_GRACE.0)).await;
     // What the machine has accepted by now is taken in; no more comes after that.
     hub.last_call.notify();
     if let Some(listening) = listening {
@@ -368,7 +368,7 @@
             true
         };
         let late = async {
-            Timer::after(Duration::from_nanos(READY_WITHIN.0)).await;
+            Timer::after(Duration::from_nanos(READY_TIMEOUT.0)).await;
             false
         };
         if !future::or(listed, late).await {
--- a/crates/router/src/transport/pool.rs
+++ b/crates/router/src/transport/pool.rs
@@ -2,7 +2,7 @@
 
 use super::io;
 use super::semaphore::Permit;
-use crate::protocol::host::HostSide;
+use crate::protocol::host::HostCodec;
 use async_io::Async;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
     /// Its socket.
     pub stream: Async<TcpStream>,
     /// Its protocol's state.
-    pub side: HostSide,
+    pub side: HostCodec,
     /// Its descriptor.
     pub _permit: Permit,
 }
--- a/crates/router/src/transport/pool/tests.rs
+++ b/crates/router/src/transport/pool/tests.rs
@@ -11,7 +11,7 @@
     let connected = || -> std::io::Result<(HostConnection, TcpStream)> {
         let (near, far) = (TcpStream::connect(addr)?, host.accept()?.0);
         let permit = budget.take().expect("a descriptor");
-        Ok((HostConnection { stream: Async::new(near)?, side: HostSide::default(), _permit: permit }, far))
+        Ok((HostConnection { stream: Async::new(near)?, side: HostCodec::default(), _permit: permit }, far))
     };
     let (day, zero) = (Duration::from_secs(86_400), Duration::ZERO);
     let resting = Pool::new(day, day);
@@ -41,7 +41,7 @@
         let near = TcpStream::connect(addr)?;
         far.push(host.accept()?.0);
         let _permit = budget.take().expect("a descriptor");
-        pool.put(addr, HostConnection { stream: Async::new(near)?, side: HostSide::default(), _permit });
+        pool.put(addr, HostConnection { stream: Async::new(near)?, side: HostCodec::default(), _permit });
         Ok(())
     };
     idles()?;
--- a/crates/router/src/transport/tests.rs
+++ b/crates/router/src/transport/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use basalthill_config::router::{parse, Reading};
+use basalthill_config::router::{parse, LoadPhase};
 
 const CONFIG: &str = include_str!("../../../../examples/router.json");
 
@@ -7,7 +7,7 @@
 fn what_the_machine_has_accepted_is_taken_in_before_the_listener_closes() -> std::io::Result<()> {
     let listener = TcpListener::bind(("127.0.0.1", 0))?;
     let addr = listener.local_addr()?;
-    let config = parse(CONFIG.as_bytes(), |_| None, Reading::Start).expect("a sound example");
+    let config = parse(CONFIG.as_bytes(), |_| None, LoadPhase::Startup).expect("a sound example");
     let executor = Rc::new(LocalExecutor::new());
     let hub = Hub::new(&config, None, &executor);
     let waiting: std::io::Result<Vec<TcpStream>> = (0..50).map(|_| TcpStream::connect(addr)).collect();
--- a/crates/router/src/transport/watch.rs
+++ b/crates/router/src/transport/watch.rs
@@ -4,7 +4,7 @@
 use super::backoff::{Backoff, Call};
 use super::signal::Signal;
 use super::{io, Hub};
-use crate::protocol::discovery::{watch_request, WatchMessage, WatchSide};
+use crate::protocol::discovery::{watch_request, WatchCodec, WatchMessage};
 use crate::routing::Input;
 use async_executor::Task;
 use async_io::{Async, Timer};
@@ -140,11 +140,11 @@
         Ok(asked) => asked,
         Err(end) => return end,
     };
-    let mut side = WatchSide::default();
+    let mut side = WatchCodec::default();
     let mut over = None;
     let (mut head, mut first) = (false, true);
     loop {
-        let message = side.take();
+        let message = side.next_message();
         if !head && side.has_head() {
             (head, until) = (true, Instant::now() + SILENCE);
         }
@@ -158,7 +158,7 @@
                 hub.following.told(number);
                 continue;
             }
-            Ok(Some(WatchMessage::Nothing)) => {
+            Ok(Some(WatchMessage::KeepAlive)) => {
                 until = Instant::now() + SILENCE;
                 // It has come after all that there was to tell.
                 (*heard, first) = (hub.clock.now(), false);
@@ -169,7 +169,9 @@
             }
             Ok(None) => {}
             // What is known stays known: asked for anew, the whole list would cost discovery the more.
-            Err(e) if side.turned_away() => return End::TurnedAway(format!("the call is turned away ({e})")),
+            Err(e) if side.was_rejected() => {
+                return End::TurnedAway(format!("the call is turned away ({e})"))
+            }
             Err(e) => return End::Unreadable(e.to_string()),
         }
         if let Some(end) = over {
@@ -180,7 +182,7 @@
             Ok(0) if !head => return End::TurnedAway("the call has ended without an answer".into()),
             Ok(0) => {
                 // A body that ends with its connection may hold a last line.
-                side.closed();
+                side.on_close();
                 over = Some(End::Failed("the connection has ended".into()));
             }
             Ok(_) => {}
--- a/crates/router/tests/codec.rs
+++ b/crates/router/tests/codec.rs
@@ -1,9 +1,9 @@
 //! Protocol machines fed at every split point, and with garbage.
 
 use basalthill_policy::api::Time;
-use basalthill_router::protocol::client::{ClientMessage, ClientSide, LONGEST};
-use basalthill_router::protocol::discovery::{HostList, HostState, WatchMessage, WatchSide};
-use basalthill_router::protocol::host::{report, Ending, HostMessage, HostSide};
+use basalthill_router::protocol::client::{ClientCodec, ClientMessage, LONGEST};
+use basalthill_router::protocol::discovery::{HostList, HostState, WatchCodec, WatchMessage};
+use basalthill_router::protocol::host::{parse_load_report, HostCodec, HostMessage, QueryOutcome};
 use basalthill_router::protocol::statement::{Statement, Verb};
 use basalthill_standin::client::{query, startup};
 use basalthill_standin::host::row;
@@ -20,11 +20,11 @@
 
 /// All messages of a stream that is fed in the pieces given.
 fn client_messages<'a>(pieces: impl Iterator<Item = &'a [u8]>) -> (Vec<ClientMessage>, bool) {
-    let (mut side, mut out) = (ClientSide::default(), Vec::new());
+    let (mut side, mut out) = (ClientCodec::default(), Vec::new());
     for piece in pieces {
         side.feed(piece, Time(0));
         loop {
-            match side.take() {
+            match side.next_message() {
                 Ok(Some((message, _))) => out.push(message),
                 Ok(None) => break,
                 Err(_) => return (out, true),
@@ -35,17 +35,17 @@
 }
 
 fn host_messages<'a>(pieces: impl Iterator<Item = &'a [u8]>, queries: usize) -> (Vec<HostMessage>, bool) {
-    let (mut side, mut out, mut begun) = (HostSide::default(), Vec::new(), 0);
+    let (mut side, mut out, mut begun) = (HostCodec::default(), Vec::new(), 0);
     for piece in pieces {
         side.feed(piece);
         loop {
-            match side.take() {
+            match side.next_message() {
                 Ok(Some(message)) => out.push(message),
                 Ok(None) => break,
                 Err(_) => return (out, true),
             }
             if begun < queries {
-                side.begin();
+                side.begin_query();
                 begun += 1;
             }
         }
@@ -54,11 +54,11 @@
 }
 
 fn watch_messages<'a>(pieces: impl Iterator<Item = &'a [u8]>) -> (Vec<WatchMessage>, bool) {
-    let (mut side, mut out) = (WatchSide::default(), Vec::new());
+    let (mut side, mut out) = (WatchCodec::default(), Vec::new());
     for piece in pieces {
         side.feed(piece);
         loop {
-            match side.take() {
+            match side.next_message() {
                 Ok(Some(WatchMessage::End)) => {
                     out.push(WatchMessage::End);
                     return (out, false);
@@ -122,7 +122,7 @@
     let stream = host_stream();
     let (want, failed) = host_messages([&stream[..]].into_iter(), 2);
     assert!(!failed);
-    let [HostMessage::Ready, HostMessage::Done(Ending::Row(row), told), HostMessage::Done(error, _)] =
+    let [HostMessage::Ready, HostMessage::QueryEnded(QueryOutcome::Row(row), told), HostMessage::QueryEnded(error, _)] =
         &want[..]
     else {
         panic!("{want:?}");
@@ -131,9 +131,12 @@
         (&row.bytes[row.value.clone().unwrap()], row.binary, row.parts.len()),
         (&b"\x9f\x03"[..], true, 3)
     );
-    assert_eq!((told.primary, told.as_of), (Some(false), Some(1_767_225_600_123)));
-    assert_eq!(report(told.vitals.as_deref().unwrap()).collect::<Vec<_>>(), [("x0", 1.5), ("x1", 0.0)]);
-    assert_eq!(error, &Ending::Error("72000".into()));
+    assert_eq!((told.primary, told.position_ms), (Some(false), Some(1_767_225_600_123)));
+    assert_eq!(
+        parse_load_report(told.load_report.as_deref().unwrap()).collect::<Vec<_>>(),
+        [("x0", 1.5), ("x1", 0.0)]
+    );
+    assert_eq!(error, &QueryOutcome::Error("72000".into()));
     for cut in 0..=stream.len() {
         let cut_so = host_messages([&stream[..cut], &stream[cut..]].into_iter(), 2).0;
         assert_eq!(cut_so, want, "cut at {cut}");
@@ -173,15 +176,15 @@
     assert!(host_messages([&message(b'R', &[0, 0, 0, 3])[..]].into_iter(), 0).1);
     let empty = [&welcome[..], &message(b'I', b""), &ready[..]].concat();
     let (messages, _) = host_messages([&empty[..]].into_iter(), 1);
-    assert!(matches!(messages[1], HostMessage::Done(Ending::Nothing, _)), "{messages:?}");
+    assert!(matches!(messages[1], HostMessage::QueryEnded(QueryOutcome::Empty, _)), "{messages:?}");
 }
 
 /// A connection whose query has been written.
-fn asked() -> HostSide {
-    let mut side = HostSide::default();
+fn asked() -> HostCodec {
+    let mut side = HostCodec::default();
     side.feed(&[message(b'R', &[0; 4]), message(b'Z', b"I")].concat());
-    assert_eq!(side.take(), Ok(Some(HostMessage::Ready)));
-    side.begin();
+    assert_eq!(side.next_message(), Ok(Some(HostMessage::Ready)));
+    side.begin_query();
     side
 }
 
@@ -201,8 +204,8 @@
     for (what, head) in heads {
         let mut side = asked();
         side.feed(&[described, head].concat());
-        assert!(side.take().is_err(), "{what}");
-        assert_eq!(side.spoilt(), None, "{what}");
+        assert!(side.next_message().is_err(), "{what}");
+        assert_eq!(side.take_complete_row(), None, "{what}");
     }
 }
 
@@ -219,11 +222,13 @@
     for odd in odd {
         let mut side = asked();
         side.feed(&[row(b"x"), odd.clone(), message(b'Z', b"I")].concat());
-        let done = side.take().unwrap();
-        let Some(HostMessage::Done(Ending::Row(_), told)) = done else { panic!("{odd:?}: {done:?}") };
-        assert_eq!((told.primary, told.as_of), (None, None));
-        assert_eq!(report(told.vitals.as_deref().unwrap_or_default()).count(), 0);
-        assert!(side.idle(), "the connection is as good as before");
+        let done = side.next_message().unwrap();
+        let Some(HostMessage::QueryEnded(QueryOutcome::Row(_), told)) = done else {
+            panic!("{odd:?}: {done:?}")
+        };
+        assert_eq!((told.primary, told.position_ms), (None, None));
+        assert_eq!(parse_load_report(told.load_report.as_deref().unwrap_or_default()).count(), 0);
+        assert!(side.is_idle(), "the connection is as good as before");
     }
 }
 
@@ -234,23 +239,23 @@
     for cut in 0..stream.len() {
         let mut side = asked();
         side.feed(&stream[..cut]);
-        assert_eq!(side.take(), Ok(None), "cut at {cut}");
-        assert_eq!(side.begun(), cut > 0, "cut at {cut}");
-        assert_eq!(side.spoilt().is_some(), cut >= value.len(), "cut at {cut}");
-        assert!(!side.idle());
+        assert_eq!(side.next_message(), Ok(None), "cut at {cut}");
+        assert_eq!(side.answer_started(), cut > 0, "cut at {cut}");
+        assert_eq!(side.take_complete_row().is_some(), cut >= value.len(), "cut at {cut}");
+        assert!(!side.is_idle());
     }
 }
 
 #[test]
 fn an_error_that_ends_the_connection_needs_no_ready() {
-    let mut side = HostSide::default();
+    let mut side = HostCodec::default();
     side.feed(&[message(b'R', &[0; 4]), message(b'Z', b"I")].concat());
-    assert_eq!(side.take(), Ok(Some(HostMessage::Ready)));
-    side.begin();
+    assert_eq!(side.next_message(), Ok(Some(HostMessage::Ready)));
+    side.begin_query();
     side.feed(&message(b'E', b"SFATAL\0C53300\0Mfull\0\0"));
-    assert_eq!(side.take(), Ok(None));
-    assert_eq!(side.closed().map(|c| c.0), Some(Ending::Error("53300".into())));
-    assert_eq!(side.closed(), None);
+    assert_eq!(side.next_message(), Ok(None));
+    assert_eq!(side.on_close().map(|c| c.0), Some(QueryOutcome::Error("53300".into())));
+    assert_eq!(side.on_close(), None);
 }
 
 #[test]
@@ -265,7 +270,7 @@
         [head, &chunk("\n"), &chunk(a), &chunk(&format!("{b}\n\n")), "0\r\n\r\n"].concat().into_bytes();
     let (want, failed) = watch_messages([&stream[..]].into_iter());
     assert!(!failed);
-    let [WatchMessage::Nothing, WatchMessage::List(list), WatchMessage::Nothing, WatchMessage::End] =
+    let [WatchMessage::KeepAlive, WatchMessage::List(list), WatchMessage::KeepAlive, WatchMessage::End] =
         &want[..]
     else {
         panic!("{want:?}");
@@ -313,8 +318,8 @@
         (read.verb, read.key(), read.class(), read.tenant()),
         (Verb::Select, &b"7f3a9c21e0b4d655"[..], &b"basket"[..], &b"acme"[..])
     );
-    assert_eq!((read.patience_ms, read.cluster, read.after), (480, 2, Some(1_767_225_600_123)));
-    let again = |s: &Statement, floor| String::from_utf8(s.parts("17", floor).concat()).unwrap();
+    assert_eq!((read.deadline_ms, read.group, read.min_position_ms), (480, 2, Some(1_767_225_600_123)));
+    let again = |s: &Statement, floor| String::from_utf8(s.text_parts("17", floor).concat()).unwrap();
     assert_eq!(again(&read, None), READ.replace("d=480", "d=17"));
     let told = READ.replace("d=480", "d=17").replace("after=1767225600123", "after=99");
     assert_eq!(again(&read, Some("99")), told, "a floor takes the place of the client's");
@@ -323,15 +328,15 @@
     assert_eq!(again(&Statement::parse(bare.into()).unwrap(), Some("99")), told);
     let twice = READ.replace("d=480", "after=7,d=480");
     let floors = Statement::parse(twice.clone().into()).unwrap();
-    assert_eq!(floors.after, Some(1_767_225_600_123), "the later one counts");
+    assert_eq!(floors.min_position_ms, Some(1_767_225_600_123), "the later one counts");
     let told = twice.replace("after=7,d=480", "after=99,d=17").replace("after=1767225600123", "after=99");
     assert_eq!(again(&floors, Some("99")), told);
     let write = Statement::parse(WRITE.into()).unwrap();
-    assert_eq!((write.verb, write.after, write.repeat), (Verb::Insert, None, false));
+    assert_eq!((write.verb, write.min_position_ms, write.is_retry), (Verb::Insert, None, false));
     let patient = Statement::parse(READ.replace("d=480", "d=18446744073709551615").into()).unwrap();
-    assert_eq!(patient.patience_ms, 86_400_000, "no more than a day");
+    assert_eq!(patient.deadline_ms, 86_400_000, "no more than a day");
     let repeat = Statement::parse(WRITE.replace("cluster=2", "cluster=2, r=1, new=x").into()).unwrap();
-    assert!(repeat.repeat);
+    assert!(repeat.is_retry);
 }
 
 #[test]
@@ -359,27 +364,27 @@
 
 #[test]
 fn over_long_messages_are_refused_before_they_are_held() {
-    let mut side = ClientSide::default();
+    let mut side = ClientCodec::default();
     side.feed(&startup(), Time(0));
-    assert!(side.take().is_ok());
+    assert!(side.next_message().is_ok());
     side.feed(b"Q", Time(0));
     side.feed(&(LONGEST as u32 + 5).to_be_bytes(), Time(0));
-    assert!(side.take().is_err());
-    let mut side = ClientSide::default();
+    assert!(side.next_message().is_err());
+    let mut side = ClientCodec::default();
     side.feed(&[0x7f, 0, 0, 0], Time(0));
-    assert!(side.take().is_err());
+    assert!(side.next_message().is_err());
 }
 
 #[test]
 fn each_command_has_the_moment_of_its_last_byte() {
     let (one, two, three) = (query(READ), query(WRITE), query(""));
-    let mut side = ClientSide::default();
+    let mut side = ClientCodec::default();
     side.feed(&[startup(), one.clone(), two[..30].to_vec()].concat(), Time::ms(1));
     side.feed(&two[30..40], Time::ms(2));
     side.feed(&[two[40..].to_vec(), three].concat(), Time::ms(3));
     // Taken later, and all at once.
     let mut came = Vec::new();
-    while let Some((_, at)) = side.take().unwrap() {
+    while let Some((_, at)) = side.next_message().unwrap() {
         came.push(at);
     }
     assert_eq!(came, [1, 1, 3, 3].map(Time::ms));
@@ -387,13 +392,13 @@
 
 #[test]
 fn sound_commands_before_one_that_cannot_be_read_are_still_had() {
-    let mut side = ClientSide::default();
+    let mut side = ClientCodec::default();
     side.feed(&[startup(), query(READ), b"!!!!!!!!!".to_vec(), query(READ)].concat(), Time(0));
-    assert!(matches!(side.take(), Ok(Some((ClientMessage::Startup { .. }, _)))));
-    assert!(matches!(side.take(), Ok(Some((ClientMessage::Query(_), _)))));
+    assert!(matches!(side.next_message(), Ok(Some((ClientMessage::Startup { .. }, _)))));
+    assert!(matches!(side.next_message(), Ok(Some((ClientMessage::Query(_), _)))));
     side.feed(&query(READ), Time(0));
-    assert!(side.take().is_err() && side.take().is_err(), "nothing behind it is believed");
-    assert_eq!((side.whole(), side.partial()), (0, 0));
+    assert!(side.next_message().is_err() && side.next_message().is_err(), "nothing behind it is believed");
+    assert_eq!((side.queued_bytes(), side.partial_bytes()), (0, 0));
 }
 
 fn pieces<'a>(bytes: &'a [u8], cuts: &[usize]) -> Vec<&'a [u8]> {
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -4,11 +4,11 @@
 pub mod served;
 pub mod shim;
 
-use basalthill_config::settings::{read, Site};
+use basalthill_config::settings::{read, Deployment};
 use basalthill_policy::api::Time;
 use basalthill_router::protocol::discovery::HostList;
 use basalthill_router::protocol::statement::Statement;
-use basalthill_session::{Sessions, PlatformFloors};
+use basalthill_session::{PlatformFloors, Sessions};
 use basalthill_standin::discovery::list;
 pub use basalthill_standin::SETTINGS;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -18,7 +18,7 @@
     Sessions::new(Time::ms(1), PlatformFloors::FromRequest, None, 0, 0)
 }
 
-pub fn site() -> Site {
+pub fn site() -> Deployment {
     read(SETTINGS.as_bytes()).expect("sound settings")
 }
 
--- a/crates/router/tests/common/served.rs
+++ b/crates/router/tests/common/served.rs
@@ -2,7 +2,7 @@
 
 use super::SETTINGS;
 use async_io::Async;
-use basalthill_config::router::{parse, Reading, RouterConfig};
+use basalthill_config::router::{parse, LoadPhase, RouterConfig};
 use basalthill_router::transport::{self, Command};
 use basalthill_standin::client::{Answer, Client};
 use basalthill_standin::discovery::{list, Discovery};
@@ -37,7 +37,7 @@
             "limits":{{"cores":1.0,"memory_mb":{MEMORY_MB},"sockets":{sockets}}},
             "known":{known},"settings":{settings}}}"#
         );
-        let config = parse(text.as_bytes(), |_| None, Reading::Start).unwrap();
+        let config = parse(text.as_bytes(), |_| None, LoadPhase::Startup).unwrap();
         let door = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
         let stop = TcpStream::connect(door.local_addr().unwrap()).unwrap();
         let stopped = door.accept().unwrap().0;
@@ -62,7 +62,7 @@
     pub fn moved(&self, from: SocketAddr, to: SocketAddr) {
         let text =
             self.config.replace(&format!("\"discovery\":\"{from}\""), &format!("\"discovery\":\"{to}\""));
-        self.again.send(parse(text.as_bytes(), |_| None, Reading::Again).unwrap()).unwrap();
+        self.again.send(parse(text.as_bytes(), |_| None, LoadPhase::Reload).unwrap()).unwrap();
         self.stop.as_ref().unwrap().write_all(&[0]).unwrap();
     }
 
--- a/crates/router/tests/routing.rs
+++ b/crates/router/tests/routing.rs
@@ -2,15 +2,17 @@
 
 mod common;
 
-use basalthill_extproc::{StreamId, DecisionRequest, LeaseId, LeaseUsage, ProxyLimits, ProxyReply, LeaseOutcome, WriteId};
+use basalthill_extproc::{
+    DecisionRequest, LeaseId, LeaseOutcome, LeaseUsage, ProxyLimits, ProxyReply, StreamId, WriteId,
+};
 use basalthill_policy::api::{
     ClassId, GroupId, MemberId, ReplicationState, RequestId, Role, Status, TenantId, Time,
 };
 use basalthill_router::protocol::discovery::HostList;
-use basalthill_router::protocol::host::{Ending, Row, Telling};
+use basalthill_router::protocol::host::{QueryOutcome, ReportedState, Row};
 use basalthill_router::protocol::statement::Statement;
 use basalthill_router::routing::{
-    Answer, Asked, ClientId, Command, Effect, Ended, ExchangeId, Input, Query, Router, ProxyMessage,
+    Answer, Asked, ClientId, Command, Effect, Ended, ExchangeId, Input, ProxyMessage, Query, Router,
 };
 use common::{hosts, sessions, site, statement};
 use proptest::prelude::*;
@@ -32,8 +34,8 @@
     Row { bytes: value.to_vec(), parts: vec![0..end, end..end, end..end], value: Some(0..end), binary: true }
 }
 
-fn told(primary: bool, ms_ago: u64, now: Time) -> Telling {
-    Telling { primary: Some(primary), as_of: Some(now.0 / 1_000_000 - ms_ago), vitals: None }
+fn told(primary: bool, ms_ago: u64, now: Time) -> ReportedState {
+    ReportedState { primary: Some(primary), position_ms: Some(now.0 / 1_000_000 - ms_ago), load_report: None }
 }
 
 impl Driven {
@@ -48,7 +50,7 @@
             let report = format!("x0=1767225600.000,x1={}", u8::from(addr == PRIMARY.parse().unwrap()));
             d.input(Input::Ended(
                 id,
-                Ended::Answered(Ending::Row(row(report.as_bytes())), Telling::default()),
+                Ended::Answered(QueryOutcome::Row(row(report.as_bytes())), ReportedState::default()),
             ));
         }
         d
@@ -138,7 +140,7 @@
     let Query::Statement(statement, until, None) = query else { panic!("{query:?}") };
     assert!(statement.text().starts_with(b"INSERT") && (460..480).contains(&d.left_ms(until)), "{until:?}");
     let now = d.now;
-    let effects = d.end(id, Ended::Answered(Ending::Row(row(b"x")), told(true, 0, now)));
+    let effects = d.end(id, Ended::Answered(QueryOutcome::Row(row(b"x")), told(true, 0, now)));
     assert_eq!(answers(&effects), [(1, Answer::Served(row(b"x")))]);
     assert_eq!(d.router.unanswered(), 0);
     d.empty();
@@ -172,9 +174,11 @@
 
 #[test]
 fn a_write_that_may_have_run_fails_and_is_not_sent_again() {
-    for ended in
-        [Ended::Broken, Ended::Spoilt, Ended::Answered(Ending::Error("XX000".into()), Telling::default())]
-    {
+    for ended in [
+        Ended::Broken,
+        Ended::Spoilt,
+        Ended::Answered(QueryOutcome::Error("XX000".into()), ReportedState::default()),
+    ] {
         let mut d = Driven::new();
         let (id, ..) = d.attempt(1, "write");
         let mut effects = d.end(id, ended.clone());
@@ -191,10 +195,10 @@
         Ended::NotSent,
         Ended::Unwelcome("53300".into()),
         Ended::Unwelcome("28000".into()),
-        Ended::Answered(Ending::Error("53300".into()), Telling::default()),
+        Ended::Answered(QueryOutcome::Error("53300".into()), ReportedState::default()),
         Ended::Answered(
-            Ending::Error("25006".into()),
-            Telling { primary: Some(false), ..Telling::default() },
+            QueryOutcome::Error("25006".into()),
+            ReportedState { primary: Some(false), ..ReportedState::default() },
         ),
     ];
     for ended in never {
@@ -221,15 +225,15 @@
 
 #[test]
 fn each_end_of_an_attempt_has_its_status() {
-    let error = |code: &str| Ended::Answered(Ending::Error(code.into()), Telling::default());
+    let error = |code: &str| Ended::Answered(QueryOutcome::Error(code.into()), ReportedState::default());
     let cases = [
-        (Ended::Answered(Ending::Row(row(b"x")), Telling::default()), Status::Ok),
+        (Ended::Answered(QueryOutcome::Row(row(b"x")), ReportedState::default()), Status::Ok),
         (error("25006"), Status::Misdirected),
         (error("72000"), Status::Misdirected),
         (error("53300"), Status::Overloaded),
         (error("XX000"), Status::Error),
         (error("57P03"), Status::Error),
-        (Ended::Answered(Ending::Nothing, Telling::default()), Status::Error),
+        (Ended::Answered(QueryOutcome::Empty, ReportedState::default()), Status::Error),
         (Ended::Unwelcome("53300".into()), Status::Overloaded),
         (Ended::Unwelcome("28P01".into()), Status::ConnectFailed),
         (Ended::NotSent, Status::ConnectFailed),
@@ -274,7 +278,8 @@
     assert!(effects.iter().any(|e| matches!(e, Effect::Abandon(x) if *x == id)), "{effects:?}");
     assert!(answers(&effects).is_empty());
     d.empty();
-    assert!(answers(&d.end(id, Ended::Answered(Ending::Row(row(b"x")), Telling::default()))).is_empty());
+    assert!(answers(&d.end(id, Ended::Answered(QueryOutcome::Row(row(b"x")), ReportedState::default())))
+        .is_empty());
 }
 
 #[test]
@@ -283,7 +288,7 @@
     let (id, ..) = d.attempt(1, "write");
     d.input(Input::ClientGone(ClientId(1)));
     assert_eq!(d.router.books().0, 1);
-    let effects = d.end(id, Ended::Answered(Ending::Row(row(b"x")), Telling::default()));
+    let effects = d.end(id, Ended::Answered(QueryOutcome::Row(row(b"x")), ReportedState::default()));
     assert!(answers(&effects).is_empty());
     d.empty();
 }
@@ -292,7 +297,7 @@
 fn a_bad_row_is_an_error_and_an_unknown_class_or_group_never_goes_out() {
     let mut d = Driven::new();
     let (id, ..) = d.attempt(1, "write");
-    let effects = d.end(id, Ended::Answered(Ending::Nothing, Telling::default()));
+    let effects = d.end(id, Ended::Answered(QueryOutcome::Empty, ReportedState::default()));
     assert_eq!(answers(&effects), [(1, Answer::Failed)]);
     let effects = d.ask(2, "nonsense", "");
     let [(2, Answer::Invalid(e))] = &answers(&effects)[..] else { panic!("{effects:?}") };
@@ -311,7 +316,7 @@
         let (id, addr, _) = d.attempt(1, "report");
         assert_eq!(addr, COPY.parse().unwrap());
         let now = d.now;
-        d.end(id, Ended::Answered(Ending::Row(row(b"x")), told(false, 0, now)));
+        d.end(id, Ended::Answered(QueryOutcome::Row(row(b"x")), told(false, 0, now)));
         let more = after.map_or(String::new(), |ms| format!(",after={}", now.0 / 1_000_000 + ms));
         let effects = d.ask(2, "own", &more);
         let copy: SocketAddr = COPY.parse().unwrap();
@@ -332,7 +337,7 @@
     assert!(effects.iter().any(|e| matches!(e, Effect::Abandon(x) if *x == probe)), "{effects:?}");
     assert!(!begun(&effects).iter().any(|b| b.0 == probe));
     let now = d.now;
-    d.end(probe, Ended::Answered(Ending::Row(row(b"x0=1,x1=1")), told(true, 0, now)));
+    d.end(probe, Ended::Answered(QueryOutcome::Row(row(b"x0=1,x1=1")), told(true, 0, now)));
     let (requests, probes, timers) = d.router.books();
     assert_eq!((requests, timers - probes), (0, 1));
 }
@@ -364,7 +369,7 @@
     d.list(hosts(2, false, &[("s-1", moved, "active", "source")]));
     let (id, addr, _) = d.attempt(1, "write");
     assert_eq!(addr, moved.parse().unwrap());
-    d.end(id, Ended::Answered(Ending::Row(row(b"x")), Telling::default()));
+    d.end(id, Ended::Answered(QueryOutcome::Row(row(b"x")), ReportedState::default()));
     // A full list without the replica: after the grace it gets nothing more.
     d.list(hosts(3, true, &[("s-1", moved, "active", "source")]));
     d.pass(1100);
@@ -372,7 +377,7 @@
         let effects = d.ask(client, "report", "");
         for (id, addr, _) in begun(&effects).into_iter().filter(|b| is_attempt(b.0)) {
             assert_eq!(addr, moved.parse().unwrap());
-            d.end(id, Ended::Answered(Ending::Row(row(b"x")), Telling::default()));
+            d.end(id, Ended::Answered(QueryOutcome::Row(row(b"x")), ReportedState::default()));
         }
     }
 }
@@ -406,7 +411,7 @@
     let mut d = Driven::new();
     let (id, ..) = d.attempt(1, "write");
     assert_eq!(answers(&d.input(Input::Shutdown)), [(1, Answer::Failed)]);
-    let effects = d.end(id, Ended::Answered(Ending::Row(row(b"x")), Telling::default()));
+    let effects = d.end(id, Ended::Answered(QueryOutcome::Row(row(b"x")), ReportedState::default()));
     assert!(answers(&effects).is_empty());
     d.empty();
 }
@@ -425,8 +430,8 @@
                 let ended = match (n + round) % 7 {
                     0 => Ended::NotSent,
                     1 => Ended::Broken,
-                    2 => Ended::Answered(Ending::Error("72000".into()), told(primary, 10, now)),
-                    _ => Ended::Answered(Ending::Row(row(b"x")), told(primary, 1, now)),
+                    2 => Ended::Answered(QueryOutcome::Error("72000".into()), told(primary, 10, now)),
+                    _ => Ended::Answered(QueryOutcome::Row(row(b"x")), told(primary, 1, now)),
                 };
                 next.extend(d.end(id, ended));
             }
@@ -446,11 +451,12 @@
 
 /// What a host may do with an attempt.
 fn an_end() -> impl Strategy<Value = Option<Ended>> {
-    let answered = |ending| Some(Ended::Answered(ending, Telling::default()));
-    let coded = |code: &str| Some(Ended::Answered(Ending::Error(code.into()), Telling::default()));
+    let answered = |ending| Some(Ended::Answered(ending, ReportedState::default()));
+    let coded =
+        |code: &str| Some(Ended::Answered(QueryOutcome::Error(code.into()), ReportedState::default()));
     prop_oneof![
-        6 => Just(answered(Ending::Row(row(b"x")))),
-        1 => Just(answered(Ending::Nothing)),
+        6 => Just(answered(QueryOutcome::Row(row(b"x")))),
+        1 => Just(answered(QueryOutcome::Empty)),
         1 => Just(coded("25006")),
         1 => Just(coded("72000")),
         1 => Just(coded("53300")),
@@ -539,7 +545,7 @@
                                 Some(ended) => {
                                     let ran = match ended {
                                         Ended::Broken => true,
-                                        Ended::Answered(Ending::Error(code), _) => code == "XX000",
+                                        Ended::Answered(QueryOutcome::Error(code), _) => code == "XX000",
                                         Ended::Answered(..) => true,
                                         _ => false,
                                     };
@@ -579,7 +585,7 @@
     assert!(matches!(&said[..], [(2, Answer::Invalid(e))] if e.code == "22023"), "{said:?}");
     assert!(begun(&effects).is_empty());
     // The first is none the worse, and once it has ended its id is free.
-    let effects = d.end(first, Ended::Answered(Ending::Row(row(b"x")), Telling::default()));
+    let effects = d.end(first, Ended::Answered(QueryOutcome::Row(row(b"x")), ReportedState::default()));
     assert!(matches!(&answers(&effects)[..], [(1, Answer::Served(_))]));
     let effects = d.input(asked(2, statement("write", ",id=same"), d.now));
     assert_eq!((answers(&effects).len(), begun(&effects).len()), (0, 1));
@@ -591,7 +597,8 @@
         let mut d = Driven::new();
         for n in 0..5 {
             let (id, ..) = d.attempt(n, "write");
-            let effects = d.end(id, Ended::Answered(Ending::Error(code.into()), Telling::default()));
+            let effects =
+                d.end(id, Ended::Answered(QueryOutcome::Error(code.into()), ReportedState::default()));
             assert!(matches!(&answers(&effects)[..], [(_, Answer::Invalid(_))]), "{code}: {effects:?}");
             assert!(begun(&effects).is_empty(), "as wrong anywhere else");
         }
@@ -620,7 +627,10 @@
 
     fn proxy_tells(&mut self, stream: u64, lease: LeaseId, told: LeaseOutcome, role: Role) -> Vec<Effect> {
         let standing = ReplicationState { position: Some(self.now), role: Some(role) };
-        self.input(Input::Proxy(StreamId(stream), ProxyMessage::Outcome { lease, outcome: told, replication: standing }))
+        self.input(Input::Proxy(
+            StreamId(stream),
+            ProxyMessage::Outcome { lease, outcome: told, replication: standing },
+        ))
     }
 }
 
@@ -630,7 +640,9 @@
 
 fn named(effects: &[Effect]) -> Option<(LeaseId, SocketAddr, Time)> {
     effects.iter().find_map(|e| match e {
-        Effect::Proxy(_, ProxyReply::Member { lease, send_by: by, .. }, Some(addr)) => Some((*lease, *addr, *by)),
+        Effect::Proxy(_, ProxyReply::Member { lease, send_by: by, .. }, Some(addr)) => {
+            Some((*lease, *addr, *by))
+        }
         _ => None,
     })
 }
@@ -667,7 +679,11 @@
     d.input(Input::Proxy(StreamId(1), ProxyMessage::StreamClosed));
     assert_eq!(d.router.lease_usage(), usage(0, 0, 1));
     d.pass(11_000);
-    assert_eq!(d.router.lease_usage(), usage(0, 0, 0), "the id is forgotten once it is too old to be asked for");
+    assert_eq!(
+        d.router.lease_usage(),
+        usage(0, 0, 0),
+        "the id is forgotten once it is too old to be asked for"
+    );
 }
 
 #[test]
--- a/crates/session/src/lib.rs
+++ b/crates/session/src/lib.rs
@@ -12,7 +12,10 @@
 pub mod snapshot;
 pub mod token;
 
+pub use book::{FloorEntry, FloorTable, BUCKET_BYTES};
 pub use counts::SessionCounts;
 pub use floors::GroupFloors;
-pub use book::{FloorTable, FloorEntry, BUCKET_BYTES};
-pub use sessions::{SessionRequest, TrackedRequest, ReadFloor, TokenDelivery, SessionConfig, Sessions, DefaultFloor, PlatformFloors};
+pub use sessions::{
+    DefaultFloor, PlatformFloors, ReadFloor, SessionConfig, SessionRequest, Sessions, TokenDelivery,
+    TrackedRequest,
+};
--- a/crates/session/src/sessions.rs
+++ b/crates/session/src/sessions.rs
@@ -3,7 +3,7 @@
 use crate::book::FloorTable;
 use crate::counts::SessionCounts;
 use crate::floors::GroupFloors;
-use crate::token::{self, TokenError, KeyRing, SessionIdentity};
+use crate::token::{self, KeyRing, SessionIdentity, TokenError};
 use basalthill_policy::api::{GroupId, SessionKey, Time};
 use std::collections::BTreeMap;
 
@@ -123,7 +123,13 @@
 
 impl Sessions {
     /// A router that has just started; its book takes `bytes` at most.
-    pub fn new(now: Time, platform: PlatformFloors, plan: Option<SessionConfig>, bytes: usize, seed: u64) -> Sessions {
+    pub fn new(
+        now: Time,
+        platform: PlatformFloors,
+        plan: Option<SessionConfig>,
+        bytes: usize,
+        seed: u64,
+    ) -> Sessions {
         let (ahead, counts) = (Time(0), SessionCounts::default());
         let book = FloorTable::new(now, bytes, seed);
         Sessions { platform, plan, book, initial: now, unsettled: BTreeMap::new(), ahead, counts }
@@ -219,7 +225,13 @@
                 (false, false) => &mut self.counts.no_floor,
             } += 1;
         }
-        TrackedRequest { key, floors: known, is_write: write, counted: write && self.plan.is_some(), outcome_unknown: false }
+        TrackedRequest {
+            key,
+            floors: known,
+            is_write: write,
+            counted: write && self.plan.is_some(),
+            outcome_unknown: false,
+        }
     }
 
     /// The floor of a session read that has just come in.
@@ -280,11 +292,22 @@
         if tracked.is_write {
             self.book.raise(group, tracked.key, position.unwrap_or(least));
         }
-        self.hand(now, owner, &tracked.floors, if tracked.is_write { TokenDelivery::WritesOnly } else { TokenDelivery::WritesAndReads })
+        self.hand(
+            now,
+            owner,
+            &tracked.floors,
+            if tracked.is_write { TokenDelivery::WritesOnly } else { TokenDelivery::WritesAndReads },
+        )
     }
 
     /// A write got no answer from a host, and may have run or may yet; the token that says so.
-    pub fn write_outcome_unknown(&mut self, now: Time, owner: SessionIdentity, group: GroupId, tracked: &mut TrackedRequest) -> Option<String> {
+    pub fn write_outcome_unknown(
+        &mut self,
+        now: Time,
+        owner: SessionIdentity,
+        group: GroupId,
+        tracked: &mut TrackedRequest,
+    ) -> Option<String> {
         let plan = self.plan.as_ref()?;
         let settled = now.plus(plan.settle_time).plus(self.skew(plan));
         tracked.floors.raise(group, settled);
@@ -320,7 +343,13 @@
         }
     }
 
-    fn hand(&mut self, now: Time, owner: SessionIdentity, floors: &GroupFloors, with: TokenDelivery) -> Option<String> {
+    fn hand(
+        &mut self,
+        now: Time,
+        owner: SessionIdentity,
+        floors: &GroupFloors,
+        with: TokenDelivery,
+    ) -> Option<String> {
         let plan = self.plan.as_ref().filter(|p| p.token_delivery >= with)?;
         let text = token::issue(plan.keys.as_ref()?, now, owner, floors);
         self.counts.issued += 1;
--- a/crates/session/src/token.rs
+++ b/crates/session/src/token.rs
@@ -163,7 +163,13 @@
 }
 
 /// Reads a token that a session has brought. `skew` is what clocks may be apart.
-pub fn verify(keys: &KeyRing, now: Time, skew: Time, owner: SessionIdentity, text: &[u8]) -> Result<GroupFloors, TokenError> {
+pub fn verify(
+    keys: &KeyRing,
+    now: Time,
+    skew: Time,
+    owner: SessionIdentity,
+    text: &[u8],
+) -> Result<GroupFloors, TokenError> {
     if text.len() > MAX_TOKEN_LEN {
         return Err(TokenError::Malformed);
     }
--- a/crates/session/tests/book.rs
+++ b/crates/session/tests/book.rs
@@ -1,11 +1,11 @@
 //! The book of floors, and its snapshot.
 
 use basalthill_policy::api::{GroupId, SessionKey, Time};
-use basalthill_session::{FloorTable, BUCKET_BYTES};
-use basalthill_session::{SessionRequest, TokenDelivery, SessionConfig, DefaultFloor};
 use basalthill_session::snapshot::{restore, write, Refused};
 use basalthill_session::token::SessionIdentity;
-use basalthill_session::{Sessions, PlatformFloors};
+use basalthill_session::{DefaultFloor, SessionConfig, SessionRequest, TokenDelivery};
+use basalthill_session::{FloorTable, BUCKET_BYTES};
+use basalthill_session::{PlatformFloors, Sessions};
 use std::collections::BTreeMap;
 
 const START: Time = Time::ms(1_767_225_600_000);
@@ -69,7 +69,15 @@
 
 fn plan(default_floor: DefaultFloor) -> SessionConfig {
     let (skew, settle_time, lead) = (Time::ms(5), Time(0), Time(0));
-    SessionConfig { default_floor, skew, settle_time, lead, token_delivery: TokenDelivery::Never, early_tokens: false, keys: None }
+    SessionConfig {
+        default_floor,
+        skew,
+        settle_time,
+        lead,
+        token_delivery: TokenDelivery::Never,
+        early_tokens: false,
+        keys: None,
+    }
 }
 
 fn asked(key: u64, accepted: Time) -> SessionRequest<'static> {
@@ -79,7 +87,8 @@
 
 /// A router by `default_floor` that has answered a write of each session at a time of its own.
 fn router(default_floor: DefaultFloor, writes: &[(u64, Time)]) -> Sessions {
-    let mut sessions = Sessions::new(START, PlatformFloors::FromRequest, Some(plan(default_floor)), 1 << 12, 5);
+    let mut sessions =
+        Sessions::new(START, PlatformFloors::FromRequest, Some(plan(default_floor)), 1 << 12, 5);
     for (key, at) in writes {
         let asked = asked(*key, *at);
         let mut tracked = sessions.begin_request(*at, &asked, true);
@@ -105,7 +114,13 @@
     let bytes = write(&mut before, at(10_000), "n1");
     let now = at(12_000);
     let fresh = |bytes: &[u8], name, age| {
-        let mut after = Sessions::new(now, PlatformFloors::FromRequest, Some(plan(DefaultFloor::RouterStart)), 1 << 12, 77);
+        let mut after = Sessions::new(
+            now,
+            PlatformFloors::FromRequest,
+            Some(plan(DefaultFloor::RouterStart)),
+            1 << 12,
+            77,
+        );
         let done = restore(&mut after, now, name, Time::ms(age), bytes);
         (done, floor(&mut after, at(20_000), 2), floor(&mut after, at(20_000), 3))
     };
@@ -132,7 +147,8 @@
         flipped[i] ^= 0x10;
         assert_eq!(fresh(&flipped, "n1", 60_000).0, Err(Refused::Torn), "byte {i}");
     }
-    let mut small = Sessions::new(now, PlatformFloors::FromRequest, Some(plan(DefaultFloor::RouterStart)), 1 << 11, 77);
+    let mut small =
+        Sessions::new(now, PlatformFloors::FromRequest, Some(plan(DefaultFloor::RouterStart)), 1 << 11, 77);
     assert_eq!(restore(&mut small, now, "n1", DAY, &bytes), Err(Refused::Large(1 << 12)));
     assert_eq!(floor(&mut small, at(20_000), 2), start);
 }
--- a/crates/session/tests/model.rs
+++ b/crates/session/tests/model.rs
@@ -2,9 +2,9 @@
 //! restart, over connections of each kind; what a read must see is known to the model alone.
 
 use basalthill_policy::api::{GroupId, SessionKey, Time};
-use basalthill_session::{SessionRequest, TrackedRequest, TokenDelivery, SessionConfig, DefaultFloor};
 use basalthill_session::token::{Key, KeyId, KeyRing, SessionIdentity};
-use basalthill_session::{Sessions, PlatformFloors};
+use basalthill_session::{DefaultFloor, SessionConfig, SessionRequest, TokenDelivery, TrackedRequest};
+use basalthill_session::{PlatformFloors, Sessions};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
@@ -96,7 +96,13 @@
         let owner = SessionIdentity { name: &name, key: SessionKey(s as u64 * 77 + 1) };
         let token = self.tokens[s].clone().filter(|_| self.way == Way::PooledWithTokens);
         let tokens: Vec<&[u8]> = token.iter().map(|t| t.as_bytes()).collect();
-        let asked = SessionRequest { identity: owner, group: GroupId(g), after: None, tokens: &tokens, accepted_at: accepted };
+        let asked = SessionRequest {
+            identity: owner,
+            group: GroupId(g),
+            after: None,
+            tokens: &tokens,
+            accepted_at: accepted,
+        };
         f(&mut self.routers[router], self.now, &asked)
     }
 
@@ -112,7 +118,8 @@
                 self.now = self.now.plus(Time::ms(1));
                 self.started[router] = self.now;
                 let plan = Some(self.plan.clone());
-                self.routers[router] = Sessions::new(self.now, PlatformFloors::FromRequest, plan, self.book, 1);
+                self.routers[router] =
+                    Sessions::new(self.now, PlatformFloors::FromRequest, plan, self.book, 1);
                 for at in self.at.iter_mut().filter(|at| at.0 == router) {
                     at.1 = self.now;
                 }
@@ -120,14 +127,17 @@
             Step::Write { session, group, end, commits } => {
                 let (s, g) = (usize::from(session), u32::from(group));
                 let mut tracked = self.with(s, g, |r, now, asked| r.begin_request(now, asked, true));
-                let early = self.with(s, g, |r, now, a| r.early_token(now, a.identity, a.group, &tracked, now));
+                let early =
+                    self.with(s, g, |r, now, a| r.early_token(now, a.identity, a.group, &tracked, now));
                 self.tokens[s] = early.or(self.tokens[s].take());
                 // The host's clock is ahead of the routers' by the skew.
                 let stamp = |now: Time, ms: u16| now.plus(Time::ms(u64::from(ms))).plus(SKEW);
                 match end {
                     0 | 1 => {
                         // In doubt: it commits within its time to settle, or never.
-                        let token = self.with(s, g, |r, now, a| r.write_outcome_unknown(now, a.identity, a.group, &mut tracked));
+                        let token = self.with(s, g, |r, now, a| {
+                            r.write_outcome_unknown(now, a.identity, a.group, &mut tracked)
+                        });
                         tracked.outcome_unknown = true;
                         self.with(s, g, |r, now, a| r.end_request(now, a.group, &tracked));
                         self.tokens[s] = token.or(self.tokens[s].take());
--- a/crates/session/tests/token.rs
+++ b/crates/session/tests/token.rs
@@ -2,9 +2,11 @@
 
 use basalthill_policy::api::{GroupId, SessionKey, Time};
 use basalthill_session::floors::MAX_GROUPS;
-use basalthill_session::{SessionRequest, TokenDelivery, SessionConfig, DefaultFloor};
-use basalthill_session::token::{issue, verify, TokenError, Key, KeyId, KeyRing, SessionIdentity, MAX_TOKEN_LEN};
-use basalthill_session::{SessionCounts, GroupFloors, Sessions, PlatformFloors};
+use basalthill_session::token::{
+    issue, verify, Key, KeyId, KeyRing, SessionIdentity, TokenError, MAX_TOKEN_LEN,
+};
+use basalthill_session::{DefaultFloor, SessionConfig, SessionRequest, TokenDelivery};
+use basalthill_session::{GroupFloors, PlatformFloors, SessionCounts, Sessions};
 
 const NOW: Time = Time::ms(1_767_225_600_123);
 const SKEW: Time = Time::ms(5);
@@ -96,7 +98,15 @@
 
 fn plan(keys: Option<KeyRing>) -> SessionConfig {
     let (default_floor, settle_time, lead) = (DefaultFloor::RememberedOnly, Time::ms(3000), Time::ms(50));
-    SessionConfig { default_floor, skew: SKEW, settle_time, lead, token_delivery: TokenDelivery::WritesAndReads, early_tokens: true, keys }
+    SessionConfig {
+        default_floor,
+        skew: SKEW,
+        settle_time,
+        lead,
+        token_delivery: TokenDelivery::WritesAndReads,
+        early_tokens: true,
+        keys,
+    }
 }
 
 /// What a read's floor is that brings these tokens, and what was counted.
@@ -109,7 +119,8 @@
 
 #[test]
 fn a_bad_token_gets_the_strictest_floor_and_is_counted_by_its_fault() {
-    let made = |keys: &KeyRing, now, owner| issue(keys, now, owner, &floors(&[(2, NOW.minus(Time::ms(900)))]));
+    let made =
+        |keys: &KeyRing, now, owner| issue(keys, now, owner, &floors(&[(2, NOW.minus(Time::ms(900)))]));
     let sound = made(&keys(1, &[]), NOW, ANNE);
     let strictest = NOW.plus(SKEW);
     assert_eq!(floor(ANNE, None, &[sound.as_bytes()]).0, NOW.minus(Time::ms(900)));
@@ -156,7 +167,8 @@
     let one = issue(&keys, NOW, ANNE, &floors(&[(7, NOW.minus(Time::ms(40)))]));
     let two = issue(&keys, NOW, ANNE, &floors(&[(8, NOW.minus(Time::ms(30)))]));
     let tokens = [one.as_bytes(), two.as_bytes()];
-    let asked = SessionRequest { identity: ANNE, group: GroupId(2), after: None, tokens: &tokens, accepted_at: NOW };
+    let asked =
+        SessionRequest { identity: ANNE, group: GroupId(2), after: None, tokens: &tokens, accepted_at: NOW };
     let mut tracked = sessions.begin_request(NOW, &asked, true);
     let read = |text: String| verify(&keys, NOW, SKEW, ANNE, text.as_bytes()).unwrap();
     let limit = NOW.plus(Time::ms(900));
--- a/crates/sim/src/main.rs
+++ b/crates/sim/src/main.rs
@@ -1,11 +1,11 @@
 //! Hosts one decision module per router on the bench's wire; each is kept apart from the others.
 
-use basalthill_config::settings::Site;
+use basalthill_config::settings::Deployment;
 use basalthill_policy::api::*;
 use basalthill_policy::Policy;
-use basalthill_session::TrackedRequest;
 use basalthill_session::token::SessionIdentity;
-use basalthill_session::{SessionRequest, Sessions, PlatformFloors};
+use basalthill_session::TrackedRequest;
+use basalthill_session::{PlatformFloors, SessionRequest, Sessions};
 use basalthill_sim::wire::{reply, Decoder, Incoming};
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
@@ -25,7 +25,7 @@
 struct Router {
     policy: Policy,
     sessions: Sessions,
-    site: Site,
+    site: Deployment,
     /// Writes of sessions that are out, where the router remembers them.
     writes: BTreeMap<RequestId, (GroupId, TrackedRequest)>,
 }
@@ -34,7 +34,7 @@
 const BOOK: usize = 1 << 20;
 
 impl Router {
-    fn new(now: Time, seed: u64, site: Site) -> Router {
+    fn new(now: Time, seed: u64, site: Deployment) -> Router {
         let policy = Policy::new(site.settings.clone(), seed);
         // No plan of our own: the platform's meaning holds, and without memory the book is never looked at.
         let bytes = if site.tokens == PlatformFloors::Remembered { BOOK } else { 0 };
@@ -55,7 +55,13 @@
             return Event::Request(request);
         };
         let (owner, group) = (SessionIdentity { name: &[], key }, request.group);
-        let asked = SessionRequest { identity: owner, group, after: token.map(|t| now.minus(t)), tokens: &[], accepted_at: now };
+        let asked = SessionRequest {
+            identity: owner,
+            group,
+            after: token.map(|t| now.minus(t)),
+            tokens: &[],
+            accepted_at: now,
+        };
         let floor = match consistency {
             Consistency::Write if self.site.tokens == PlatformFloors::Remembered => {
                 let tracked = self.sessions.begin_request(now, &asked, true);
--- a/crates/sim/src/wire.rs
+++ b/crates/sim/src/wire.rs
@@ -1,6 +1,6 @@
 //! Encoding and decoding of the bench's frames, and of the settings text. No decision lives here.
 
-use basalthill_config::settings::Site;
+use basalthill_config::settings::Deployment;
 use basalthill_policy::api::*;
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 #[derive(Debug)]
 pub enum Incoming {
     /// An instance starts with a seed and its deployment.
-    Start(u64, Box<Site>),
+    Start(u64, Box<Deployment>),
     /// An instance was killed.
     Stop,
     /// A request, its session, and how long ago that last wrote if the request says so. The floor is not
@@ -110,7 +110,7 @@
                 let seed = c.u64()?;
                 let text = slice(tail, c.u32()?, c.u32()?)?;
                 let site = basalthill_config::settings::read(text).map_err(|e| e.to_string())?;
-                self.zeros.insert(inst, (site.zero, site.columns.clone()));
+                self.zeros.insert(inst, (site.zero, site.report_columns.clone()));
                 return Ok(Some((inst, Incoming::Start(seed, Box::new(site)))));
             }
             10 => return Ok(Some((inst, Incoming::Stop))),
--- a/crates/standin/src/model.rs
+++ b/crates/standin/src/model.rs
@@ -127,7 +127,13 @@
 
 impl Model {
     /// Routers of a plan, none of them started. `rate` and `at_once` are the keys that requests count under.
-    pub fn new(plan: FleetConfig, rate: Option<LimitKey>, at_once: Option<LimitKey>, longest: Time, seed: u64) -> Model {
+    pub fn new(
+        plan: FleetConfig,
+        rate: Option<LimitKey>,
+        at_once: Option<LimitKey>,
+        longest: Time,
+        seed: u64,
+    ) -> Model {
         let mut dice = Dice(seed);
         let nodes = (0..plan.roster.len()).map(|_| {
             // Rates lie all over what the plan allows, the ends among them.
@@ -382,7 +388,9 @@
                 Happens::Ends(n, number) => {
                     let (now, key) = (self.local(n), self.at_once);
                     if self.places.remove(&number) {
-                        self.with(n, |fleet, _| key.into_iter().for_each(|k| fleet.release_slot(now, k, number)));
+                        self.with(n, |fleet, _| {
+                            key.into_iter().for_each(|k| fleet.release_slot(now, k, number))
+                        });
                     }
                 }
             }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -170,7 +170,13 @@
 }
 
 /// Appends an ErrorResponse.
-pub fn put_error_response(out: &mut Vec<u8>, severity: Severity, code: &str, message: &str, detail: Option<&str>) {
+pub fn put_error_response(
+    out: &mut Vec<u8>,
+    severity: Severity,
+    code: &str,
+    message: &str,
+    detail: Option<&str>,
+) {
     let severity = if severity == Severity::Fatal { "FATAL" } else { "ERROR" };
     put_message(out, b'E', |out| {
         let fields =
