--- a/crates/client/src/core.rs
+++ b/crates/client/src/core.rs
@@ -2,7 +2,8 @@
 //! and the same inputs always give the same effects.
 
 use crate::request::{
-    of_the_statement, Config, Effect, End, Invalid, Priority, Report, Request, TryEnd, TryRecord, Written,
+    of_the_statement, Config, Idempotency, Invalid, Priority, Report, Request, RequestOutcome, TryEnd,
+    TryRecord, Written,
 };
 use crate::wire::{query, startup, Said, Side};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -255,7 +256,11 @@
         let id = RequestId(self.next);
         self.counts.requests += 1;
         if let Some(fault) = request.fault() {
-            let report = Report { end: End::Invalid(fault), tries: Vec::new(), took: Duration::ZERO };
+            let report = Report {
+                outcome: RequestOutcome::Invalid(fault),
+                attempts: Vec::new(),
+                elapsed: Duration::ZERO,
+            };
             self.out.push_back(Action::Done(id, report));
             return id;
         }
@@ -353,7 +358,11 @@
         let all: Vec<RequestId> = self.jobs.keys().copied().collect();
         for id in all {
             let may_have_run = self.drop_try(now, id);
-            self.finish(now, id, if may_have_run { End::MayHaveRun } else { End::Stopped });
+            self.finish(
+                now,
+                id,
+                if may_have_run { RequestOutcome::MayHaveRun } else { RequestOutcome::Stopped },
+            );
         }
         let conns: Vec<ConnId> = self.conns.keys().copied().collect();
         conns.into_iter().for_each(|id| self.close(id));
@@ -436,7 +445,7 @@
         for n in 0..self.routers.len() {
             let draw = self.dice();
             let r = &self.routers[n];
-            let open = r.rest.is_none_or(|at| at <= now) && r.conns < self.config.connections;
+            let open = r.rest.is_none_or(|at| at <= now) && r.conns < self.config.max_connections_per_router;
             let probing = match r.breaker {
                 Breaker::Closed => false,
                 Breaker::Open(until) => until > now || r.conns > 0,
@@ -567,7 +576,9 @@
             let end = TryEnd::GivenUp(talk.written());
             self.note(now, id, router, end);
         }
-        self.jobs.get(&id).is_some_and(|j| j.request.effect != Effect::Safe && j.doubt.is_some())
+        self.jobs
+            .get(&id)
+            .is_some_and(|j| j.request.idempotency != Idempotency::Idempotent && j.doubt.is_some())
     }
 
     /// Notes how the last try ended.
@@ -582,7 +593,7 @@
         if doubtful && job.doubt.is_none() {
             job.doubt = Some(began);
             // A repeat is dropped inside the window only, and `d` tells all that carry it until when that is.
-            if let Effect::Keyed(window) = job.request.effect {
+            if let Idempotency::Keyed(window) = job.request.idempotency {
                 self.deadlines.remove(&(job.request.deadline, id));
                 job.request.deadline = job.request.deadline.min(began + window);
                 self.deadlines.insert((job.request.deadline, id));
@@ -601,17 +612,21 @@
         Some(job)
     }
 
-    fn finish(&mut self, now: Instant, id: RequestId, end: End) {
+    fn finish(&mut self, now: Instant, id: RequestId, end: RequestOutcome) {
         let Some(job) = self.forget(id) else { return };
         let took = now.saturating_duration_since(job.begun);
-        self.out.push_back(Action::Done(id, Report { end, tries: job.tries, took }));
+        self.out.push_back(Action::Done(id, Report { outcome: end, attempts: job.tries, elapsed: took }));
     }
 
     /// Ends all that is past its deadline, before anything else is done.
     fn expire(&mut self, now: Instant) {
         while let Some((_, id)) = self.deadlines.first().copied().filter(|(at, _)| *at <= now) {
             let may_have_run = self.drop_try(now, id);
-            self.finish(now, id, if may_have_run { End::MayHaveRun } else { End::Late });
+            self.finish(
+                now,
+                id,
+                if may_have_run { RequestOutcome::MayHaveRun } else { RequestOutcome::Late },
+            );
         }
     }
 
@@ -621,7 +636,7 @@
         LEAST_LEFT.max(Duration::from_secs_f64(quick))
     }
 
-    /// A try has ended by itself: the request is done, or goes on if its effect, its time and the budget
+    /// A try has ended by itself: the request is done, or goes on if its idempotency, its time and the budget
     /// allow.
     fn ended(&mut self, now: Instant, talk: Talk, end: TryEnd) {
         let id = talk.request;
@@ -634,21 +649,22 @@
         if end == TryEnd::Served {
             let (class, took) = (job.request.class.clone(), job.tries.last().map(|t| t.took));
             self.learn(class, took.unwrap_or_default());
-            return self.finish(now, id, End::Served(talk.row.flatten()));
+            return self.finish(now, id, RequestOutcome::Served(talk.row.flatten()));
         }
         if let Some(invalid) = talk.invalid {
-            return self.finish(now, id, End::Invalid(invalid));
+            return self.finish(now, id, RequestOutcome::Invalid(invalid));
         }
-        let (effect, priority, deadline) = (job.request.effect, job.request.priority, job.request.deadline);
+        let (idempotency, priority, deadline) =
+            (job.request.idempotency, job.request.priority, job.request.deadline);
         let (doubt, tries, least) = (job.doubt, job.tries.len() as u32, self.least(&job.request.class));
         let given_up = match &end {
-            _ if effect != Effect::Safe && doubt.is_some() => End::MayHaveRun,
-            TryEnd::Refused(after) => End::Refused(*after),
-            _ if doubt.is_none() => End::Refused(None),
-            _ => End::Failed,
+            _ if idempotency != Idempotency::Idempotent && doubt.is_some() => RequestOutcome::MayHaveRun,
+            TryEnd::Refused(after) => RequestOutcome::Refused(*after),
+            _ if doubt.is_none() => RequestOutcome::Refused(None),
+            _ => RequestOutcome::Failed,
         };
-        if effect == Effect::Unsafe && doubt.is_some() {
-            return self.finish(now, id, End::MayHaveRun);
+        if idempotency == Idempotency::NonIdempotent && doubt.is_some() {
+            return self.finish(now, id, RequestOutcome::MayHaveRun);
         }
         let draw = self.dice();
         let wait = match &end {
@@ -728,9 +744,9 @@
         let Some(job) = self.jobs.get(&id) else { return };
         let deadline = job.request.deadline;
         if now + self.least(&job.request.class) >= deadline {
-            let end = match job.request.effect != Effect::Safe && job.doubt.is_some() {
-                true => End::MayHaveRun,
-                false => End::Late,
+            let end = match job.request.idempotency != Idempotency::Idempotent && job.doubt.is_some() {
+                true => RequestOutcome::MayHaveRun,
+                false => RequestOutcome::Late,
             };
             return self.finish(now, id, end);
         }
--- a/crates/client/src/driver.rs
+++ b/crates/client/src/driver.rs
@@ -1,7 +1,7 @@
 //! The driver: sockets, timers and the hand-over from callers, on a thread of its own.
 
 use crate::core::{Action, ConnId, Core, Counts, Lost, RequestId};
-use crate::request::{Config, End, Report, Request};
+use crate::request::{Config, Report, Request, RequestOutcome};
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer};
@@ -94,7 +94,11 @@
         let polled = self.answer.as_mut().poll_next(cx);
         polled.map(|report| {
             self.over = true;
-            report.unwrap_or(Report { end: End::Stopped, tries: Vec::new(), took: Duration::ZERO })
+            report.unwrap_or(Report {
+                outcome: RequestOutcome::Stopped,
+                attempts: Vec::new(),
+                elapsed: Duration::ZERO,
+            })
         })
     }
 }
@@ -106,7 +110,7 @@
     }
 
     /// Asks, and hears by the request's deadline. Dropping the future gives the request up.
-    pub fn ask(&self, request: Request) -> impl Future<Output = Report> + Send + 'static {
+    pub fn execute(&self, request: Request) -> impl Future<Output = Report> + Send + 'static {
         let span = tracing::debug_span!("request", class = %request.class, group = request.group);
         let (done, answer) = async_channel::bounded(1);
         let runtime = &self.0.runtime.0;
@@ -116,14 +120,14 @@
         async move {
             let report = asked.await;
             let _in = span.enter();
-            tracing::debug!(end = ?report.end, tries = report.tries.len(), took = ?report.took, "ended");
+            tracing::debug!(end = ?report.outcome, tries = report.attempts.len(), took = ?report.elapsed, "ended");
             report
         }
     }
 
     /// Asks, and blocks this thread until the request has ended.
-    pub fn ask_blocking(&self, request: Request) -> Report {
-        future::block_on(self.ask(request))
+    pub fn execute_blocking(&self, request: Request) -> Report {
+        future::block_on(self.execute(request))
     }
 
     /// What the client has counted so far; nothing if its thread is gone.
@@ -312,18 +316,18 @@
 
 /// Counters on whatever recorder the program has installed.
 fn count(report: &Report) {
-    let end = match &report.end {
-        End::Served(_) => "served",
-        End::Refused(_) => "refused",
-        End::Late => "late",
-        End::Failed => "failed",
-        End::MayHaveRun => "may_have_run",
-        End::Invalid(_) => "invalid",
-        End::Stopped => "stopped",
+    let end = match &report.outcome {
+        RequestOutcome::Served(_) => "served",
+        RequestOutcome::Refused(_) => "refused",
+        RequestOutcome::Late => "late",
+        RequestOutcome::Failed => "failed",
+        RequestOutcome::MayHaveRun => "may_have_run",
+        RequestOutcome::Invalid(_) => "invalid",
+        RequestOutcome::Stopped => "stopped",
     };
     metrics::counter!("basalthill_client_requests_total", "end" => end).increment(1);
-    metrics::counter!("basalthill_client_tries_total").increment(report.tries.len() as u64);
-    metrics::histogram!("basalthill_client_request_seconds").record(report.took.as_secs_f64());
+    metrics::counter!("basalthill_client_tries_total").increment(report.attempts.len() as u64);
+    metrics::histogram!("basalthill_client_request_seconds").record(report.elapsed.as_secs_f64());
 }
 
 /// Writes what there is, up to each part's time; how many bytes the system has taken.
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -2,16 +2,16 @@
 //! honoured, retries stay within a budget, and reconnects spread.
 //!
 //! ```no_run
-//! use basalthill_client::{Client, Config, End, Request};
+//! use basalthill_client::{Client, Config, RequestOutcome, Request};
 //! use std::time::Duration;
 //!
 //! let client = Client::start(Config::new(["127.0.0.1:6432".parse()?]))?;
 //! let deadline = Duration::from_millis(900);
-//! let write = Request::write("log-write", 1, "s1", b"hello").tenant("demo").within(deadline);
-//! match client.ask_blocking(write).end {
-//!     End::Served(value) => println!("stored {value:?}"),
-//!     End::Refused(after) => println!("not done; worth another try after {after:?}"),
-//!     End::MayHaveRun => println!("unknown: read before you write again"),
+//! let write = Request::write("log-write", 1, "s1", b"hello").tenant("demo").timeout(deadline);
+//! match client.execute_blocking(write).outcome {
+//!     RequestOutcome::Served(value) => println!("stored {value:?}"),
+//!     RequestOutcome::Refused(after) => println!("not done; worth another try after {after:?}"),
+//!     RequestOutcome::MayHaveRun => println!("unknown: read before you write again"),
 //!     other => println!("not done: {other:?}"),
 //! }
 //! # Ok::<(), Box<dyn std::error::Error>>(())
@@ -27,6 +27,6 @@
 
 pub use driver::{Client, Runtime};
 pub use request::{
-    Config, Effect, End, Invalid, Priority, Report, Request, TryEnd, TryRecord, What, Written,
+    Config, Idempotency, Invalid, Priority, Report, Request, RequestOutcome, TryEnd, TryRecord, What, Written,
 };
 pub use session::{BadSession, Session};
--- a/crates/client/src/request.rs
+++ b/crates/client/src/request.rs
@@ -11,7 +11,7 @@
     /// The routers, all alike.
     pub routers: Vec<SocketAddr>,
     /// Connections to each router at most.
-    pub connections: usize,
+    pub max_connections_per_router: usize,
     /// What a first try earns, as a share of a further one.
     pub retry_share: f64,
     /// Most further tries in store.
@@ -36,7 +36,7 @@
         let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         Config {
             routers: routers.into(),
-            connections: 32,
+            max_connections_per_router: 32,
             retry_share: 0.1,
             retry_store: 10.0,
             spread: Duration::from_secs(1),
@@ -51,13 +51,13 @@
 
 /// What a repeat of a request does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// No harm.
-    Safe,
+    Idempotent,
     /// Its group drops repeats for this long from the first try that may have run.
     Keyed(Duration),
     /// It must never run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// Which requests may spend the store of further tries.
@@ -97,7 +97,7 @@
     /// The caller hears by then, whatever happens.
     pub deadline: Instant,
     /// What a repeat does.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Whether it may spend the store of further tries.
     pub priority: Priority,
     /// Its session, whose tokens go with it.
@@ -114,7 +114,7 @@
             key: key.into(),
             what: What::Read,
             deadline: Instant::now() + Duration::from_secs(1),
-            effect: Effect::Safe,
+            idempotency: Idempotency::Idempotent,
             priority: Priority::Normal,
             session: None,
         }
@@ -122,8 +122,8 @@
 
     /// A write, never to run twice, with a deadline one second from now.
     pub fn write(class: &str, group: u32, key: &str, value: &[u8]) -> Request {
-        let (what, effect) = (What::Write(value.into()), Effect::Unsafe);
-        Request { what, effect, ..Request::read(class, group, key) }
+        let (what, idempotency) = (What::Write(value.into()), Idempotency::NonIdempotent);
+        Request { what, idempotency, ..Request::read(class, group, key) }
     }
 
     /// For a tenant.
@@ -132,18 +132,18 @@
     }
 
     /// With a deadline so long from now.
-    pub fn within(self, time: Duration) -> Request {
+    pub fn timeout(self, time: Duration) -> Request {
         Request { deadline: Instant::now() + time, ..self }
     }
 
     /// With a deadline.
-    pub fn by(self, deadline: Instant) -> Request {
+    pub fn deadline(self, deadline: Instant) -> Request {
         Request { deadline, ..self }
     }
 
-    /// With another effect.
-    pub fn effect(self, effect: Effect) -> Request {
-        Request { effect, ..self }
+    /// With another idempotency.
+    pub fn idempotency(self, idempotency: Idempotency) -> Request {
+        Request { idempotency, ..self }
     }
 
     /// With another priority.
@@ -203,7 +203,7 @@
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[must_use = "MayHaveRun obliges the caller to look"]
-pub enum End {
+pub enum RequestOutcome {
     /// The value; none if it is null.
     Served(Option<Vec<u8>>),
     /// Turned away, and nothing has run. Worth asking again, not sooner than after this if it is told.
@@ -291,9 +291,9 @@
 #[derive(Clone, Debug)]
 pub struct Report {
     /// Its end.
-    pub end: End,
+    pub outcome: RequestOutcome,
     /// Its tries, in order.
-    pub tries: Vec<TryRecord>,
+    pub attempts: Vec<TryRecord>,
     /// How long it took in all.
-    pub took: Duration,
+    pub elapsed: Duration,
 }
--- a/crates/client/tests/core.rs
+++ b/crates/client/tests/core.rs
@@ -1,7 +1,9 @@
 //! The core: its rules, case by case, and in a world of routers that do whatever they like.
 
 use basalthill_client::core::{Action, ConnId, Core, Lost, RequestId};
-use basalthill_client::{Config, Effect, End, Priority, Report, Request, Session, TryEnd, Written};
+use basalthill_client::{
+    Config, Idempotency, Priority, Report, Request, RequestOutcome, Session, TryEnd, Written,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -83,8 +85,8 @@
         self.act(true);
     }
 
-    fn ask(&mut self, effect: Effect, ms: u32) -> RequestId {
-        let request = Request::write("w", 1, "k", b"v").effect(effect).by(self.now + ms * MS);
+    fn ask(&mut self, idempotency: Idempotency, ms: u32) -> RequestId {
+        let request = Request::write("w", 1, "k", b"v").idempotency(idempotency).deadline(self.now + ms * MS);
         let id = self.core.submit(self.now, request);
         self.act(true);
         id
@@ -101,8 +103,8 @@
         self.now = until;
     }
 
-    fn end(&self, id: RequestId) -> Option<&End> {
-        self.done.get(&id).map(|r| &r.end)
+    fn end(&self, id: RequestId) -> Option<&RequestOutcome> {
+        self.done.get(&id).map(|r| &r.outcome)
     }
 }
 
@@ -131,15 +133,18 @@
 fn a_connection_that_ends_at_each_byte_of_a_statement_and_what_that_proves() {
     let total = {
         let mut b = Bench::new(config(1));
-        b.ask(Effect::Unsafe, 900);
+        b.ask(Idempotency::NonIdempotent, 900);
         let conn = b.up();
         b.written[&conn].len()
     };
     for written in 0..=total {
-        for effect in [Effect::Unsafe, Effect::Safe, Effect::Keyed(500 * MS)] {
+        for idempotency in [Idempotency::NonIdempotent, Idempotency::Idempotent, Idempotency::Keyed(500 * MS)]
+        {
             let mut b = Bench::new(config(1));
-            let id =
-                b.core.submit(b.now, Request::write("w", 1, "k", b"v").effect(effect).by(b.now + 900 * MS));
+            let id = b.core.submit(
+                b.now,
+                Request::write("w", 1, "k", b"v").idempotency(idempotency).deadline(b.now + 900 * MS),
+            );
             b.act(false);
             let conn = *b.conns.keys().next().unwrap();
             b.core.connected(b.now, conn);
@@ -151,15 +156,15 @@
             b.conns.remove(&conn);
             b.act(true);
             let unrun = written < total;
-            if effect == Effect::Unsafe && !unrun {
-                assert_eq!(b.end(id), Some(&End::MayHaveRun), "all of {total} bytes");
-                let tries = &b.done[&id].tries;
+            if idempotency == Idempotency::NonIdempotent && !unrun {
+                assert_eq!(b.end(id), Some(&RequestOutcome::MayHaveRun), "all of {total} bytes");
+                let tries = &b.done[&id].attempts;
                 assert_eq!(tries[0].end, TryEnd::Closed(Written::All));
                 continue;
             }
             assert_eq!(b.end(id), None, "{written} of {total} bytes: it goes on");
             b.up();
-            assert_eq!(b.sent.len(), 2, "{written} of {total} bytes, {effect:?}");
+            assert_eq!(b.sent.len(), 2, "{written} of {total} bytes, {idempotency:?}");
             assert!(b.sent[1].2.contains(",r=1"), "a further try says so");
         }
     }
@@ -177,7 +182,7 @@
     ];
     for (what, answer, again) in cases {
         let mut b = Bench::new(config(1));
-        let id = b.ask(Effect::Unsafe, 2000);
+        let id = b.ask(Idempotency::NonIdempotent, 2000);
         let conn = b.up();
         b.hear(conn, &answer);
         if what == "half an answer" {
@@ -193,10 +198,10 @@
             assert_eq!(b.sent.len(), 2, "{what}");
             let conn = b.sent[1].0;
             b.hear(conn, &row(b"v"));
-            assert_eq!(b.end(id), Some(&End::Served(Some(b"v".to_vec()))), "{what}");
-            assert_eq!(b.done[&id].tries.len(), 2);
+            assert_eq!(b.end(id), Some(&RequestOutcome::Served(Some(b"v".to_vec()))), "{what}");
+            assert_eq!(b.done[&id].attempts.len(), 2);
         } else {
-            assert_eq!(b.end(id), Some(&End::MayHaveRun), "{what}");
+            assert_eq!(b.end(id), Some(&RequestOutcome::MayHaveRun), "{what}");
         }
     }
     // A farewell behind the beginning of an answer, or behind an early token, proves nothing.
@@ -205,10 +210,10 @@
     let token = message(b'S', b"session_token\0x\0");
     for before in [description, whole_row, token] {
         let mut b = Bench::new(config(1));
-        let id = b.ask(Effect::Unsafe, 2000);
+        let id = b.ask(Idempotency::NonIdempotent, 2000);
         let conn = b.up();
         b.hear(conn, &[before.clone(), error("FATAL", "57P01", None)].concat());
-        assert_eq!(b.end(id), Some(&End::MayHaveRun), "{before:?}");
+        assert_eq!(b.end(id), Some(&RequestOutcome::MayHaveRun), "{before:?}");
     }
 }
 
@@ -228,13 +233,17 @@
     for (detail, wait) in cases {
         for seed in 0..20 {
             let mut b = Bench::new(Config { seed, ..config(1) });
-            let id = b.ask(Effect::Unsafe, 900);
+            let id = b.ask(Idempotency::NonIdempotent, 900);
             let conn = b.up();
             let refused = b.now;
             b.hear(conn, &error("ERROR", "53300", detail));
             let Some((least, most)) = wait else {
                 let told = detail.and_then(|d| d.parse().ok()).map(Duration::from_millis);
-                assert_eq!(b.end(id), Some(&End::Refused(told)), "{detail:?}: the caller is told now");
+                assert_eq!(
+                    b.end(id),
+                    Some(&RequestOutcome::Refused(told)),
+                    "{detail:?}: the caller is told now"
+                );
                 continue;
             };
             b.pass(least - 1);
@@ -255,43 +264,46 @@
     };
     // Waiting for a connection.
     let mut b = Bench::new(config(1));
-    let id = b.ask(Effect::Unsafe, 900);
-    assert_eq!(late(&mut b, id), Some(End::Late));
+    let id = b.ask(Idempotency::NonIdempotent, 900);
+    assert_eq!(late(&mut b, id), Some(RequestOutcome::Late));
     // With all written, and in the middle of an answer.
     for part in [&b""[..], &row(b"v")[..20]] {
-        for (effect, end) in [(Effect::Unsafe, End::MayHaveRun), (Effect::Safe, End::Late)] {
+        for (idempotency, end) in [
+            (Idempotency::NonIdempotent, RequestOutcome::MayHaveRun),
+            (Idempotency::Idempotent, RequestOutcome::Late),
+        ] {
             let mut b = Bench::new(config(1));
-            let id = b.ask(effect, 900);
+            let id = b.ask(idempotency, 900);
             let conn = b.up();
             b.hear(conn, part);
-            assert_eq!(late(&mut b, id), Some(end), "{effect:?}, {} bytes", part.len());
+            assert_eq!(late(&mut b, id), Some(end), "{idempotency:?}, {} bytes", part.len());
             assert!(!b.conns.contains_key(&conn), "its connection goes with it");
             // What comes late is nobody's.
-            let next = b.ask(Effect::Safe, 900);
+            let next = b.ask(Idempotency::Idempotent, 900);
             b.hear(conn, &row(b"v"));
             assert_eq!(b.end(next), None);
         }
     }
     // In a queue behind others, for the only connection.
-    let mut b = Bench::new(Config { connections: 1, ..config(1) });
-    b.ask(Effect::Safe, 5000);
+    let mut b = Bench::new(Config { max_connections_per_router: 1, ..config(1) });
+    b.ask(Idempotency::Idempotent, 5000);
     b.up();
-    let id = b.ask(Effect::Unsafe, 900);
-    assert_eq!(late(&mut b, id), Some(End::Late));
+    let id = b.ask(Idempotency::NonIdempotent, 900);
+    assert_eq!(late(&mut b, id), Some(RequestOutcome::Late));
     // Between two tries: the connection goes as well, and no other comes up.
     let mut b = Bench::new(config(1));
-    let id = b.ask(Effect::Unsafe, 900);
+    let id = b.ask(Idempotency::NonIdempotent, 900);
     let conn = b.up();
     b.pass(500);
     b.hear(conn, &error("FATAL", "53300", Some("100")));
-    assert_eq!(late(&mut b, id), Some(End::Late));
+    assert_eq!(late(&mut b, id), Some(RequestOutcome::Late));
     assert_eq!(b.sent.len(), 1);
 }
 
 #[test]
 fn after_a_clock_that_stood_still_nothing_late_is_written() {
     let mut b = Bench::new(config(1));
-    let ids: Vec<_> = (0..3).map(|_| b.ask(Effect::Unsafe, 500)).collect();
+    let ids: Vec<_> = (0..3).map(|_| b.ask(Idempotency::NonIdempotent, 500)).collect();
     let conn = *b.conns.keys().next().unwrap();
     // The connection came up long ago, and is only heard of now.
     b.now += 1000 * MS;
@@ -299,25 +311,25 @@
     b.core.received(b.now, conn, READY);
     b.act(true);
     assert!(b.sent.is_empty());
-    assert!(ids.iter().all(|id| b.end(*id) == Some(&End::Late)));
+    assert!(ids.iter().all(|id| b.end(*id) == Some(&RequestOutcome::Late)));
 }
 
 #[test]
 fn no_try_begins_that_can_not_be_answered() {
     let mut b = Bench::new(config(1));
-    b.ask(Effect::Safe, 5000);
+    b.ask(Idempotency::Idempotent, 5000);
     let conn = b.up();
     for _ in 0..30 {
         b.pass(100);
         b.hear(conn, &row(b"v"));
-        b.ask(Effect::Safe, 5000);
+        b.ask(Idempotency::Idempotent, 5000);
     }
     b.hear(conn, &row(b"v"));
     let sent = b.sent.len();
-    let short = b.ask(Effect::Safe, 60);
-    assert_eq!(b.end(short), Some(&End::Late), "answers take 100 ms");
+    let short = b.ask(Idempotency::Idempotent, 60);
+    assert_eq!(b.end(short), Some(&RequestOutcome::Late), "answers take 100 ms");
     assert_eq!(b.sent.len(), sent);
-    let enough = b.ask(Effect::Safe, 150);
+    let enough = b.ask(Idempotency::Idempotent, 150);
     assert_eq!(b.end(enough), None);
 }
 
@@ -325,10 +337,10 @@
 fn further_tries_stay_within_the_budget_and_the_lowest_stop_first() {
     // All refuse: a tier in overload.
     let played = |priority| {
-        let mut b = Bench::new(Config { connections: 1, ..config(1) });
+        let mut b = Bench::new(Config { max_connections_per_router: 1, ..config(1) });
         let mut first = 0;
         for _ in 0..500 {
-            let request = Request::read("r", 1, "k").priority(priority).by(b.now + 5000 * MS);
+            let request = Request::read("r", 1, "k").priority(priority).deadline(b.now + 5000 * MS);
             let id = b.core.submit(b.now, request);
             first += 1;
             b.act(true);
@@ -352,7 +364,8 @@
     // One store: the low ones leave the rest to the high ones.
     let mut b = Bench::new(config(1));
     let mut refused = |b: &mut Bench, priority| {
-        let id = b.core.submit(b.now, Request::read("r", 1, "k").priority(priority).by(b.now + 900 * MS));
+        let id =
+            b.core.submit(b.now, Request::read("r", 1, "k").priority(priority).deadline(b.now + 900 * MS));
         b.act(true);
         if b.sent.is_empty() {
             b.up();
@@ -377,7 +390,7 @@
 fn a_router_that_refuses_connections_is_left_until_one_probe_finds_it() {
     let mut b = Bench::new(config(2));
     // The first connection is refused wherever it goes.
-    b.ask(Effect::Safe, 9000);
+    b.ask(Idempotency::Idempotent, 9000);
     let (dead_conn, dead) = b.conns.iter().next().map(|(c, a)| (*c, *a)).unwrap();
     b.core.lost(b.now, dead_conn, Lost::Refused);
     b.conns.remove(&dead_conn);
@@ -388,7 +401,7 @@
     // Load beyond one connection: its cooldown is over by now, and one connection probes it.
     b.pass(1600);
     for _ in 0..6 {
-        b.ask(Effect::Safe, 9000);
+        b.ask(Idempotency::Idempotent, 9000);
     }
     let probes = b.conns.values().filter(|a| **a == dead).count();
     assert_eq!(probes, 1, "{:?}", b.conns);
@@ -398,20 +411,20 @@
 fn refusals_are_no_failures_of_their_router_and_full_ones_slow_reconnects_down() {
     let mut b = Bench::new(config(1));
     for _ in 0..20 {
-        let id = b.ask(Effect::Unsafe, 900);
+        let id = b.ask(Idempotency::NonIdempotent, 900);
         if b.sent.is_empty() {
             b.up();
         }
         let conn = b.sent.last().unwrap().0;
         b.hear(conn, &error("ERROR", "53300", Some("5000")));
-        assert_eq!(b.end(id), Some(&End::Refused(Some(5000 * MS))));
+        assert_eq!(b.end(id), Some(&RequestOutcome::Refused(Some(5000 * MS))));
     }
     assert_eq!((b.core.counts().ejections, b.core.counts().connects), (0, 1));
     // 53300 to the startup: the span of the next draw doubles each time.
     let mut waits = Vec::new();
     for seed in 0..200 {
         let mut b = Bench::new(Config { seed, ..config(1) });
-        b.ask(Effect::Safe, 60_000);
+        b.ask(Idempotency::Idempotent, 60_000);
         let mut total = Duration::ZERO;
         for _ in 0..3 {
             let conn = *b.conns.keys().next().unwrap();
@@ -435,14 +448,14 @@
     let mut at = Vec::new();
     for seed in 0..400 {
         let mut b = Bench::new(Config { seed: seed * 7919, ..config(4) });
-        let id = b.ask(Effect::Safe, 5000);
+        let id = b.ask(Idempotency::Idempotent, 5000);
         let conn = b.up();
         b.hear(conn, &row(b"v"));
         assert!(b.end(id).is_some());
         b.core.lost(b.now, conn, Lost::Broken);
         b.conns.remove(&conn);
         let from = b.now;
-        b.ask(Effect::Safe, 900);
+        b.ask(Idempotency::Idempotent, 900);
         while b.conns.is_empty() {
             b.pass(1);
         }
@@ -460,9 +473,9 @@
 #[test]
 fn a_sessions_tokens_go_with_its_requests_and_each_answer_covers_what_was_brought() {
     let session = Session::new("anne").unwrap();
-    let mut b = Bench::new(Config { connections: 64, ..config(1) });
+    let mut b = Bench::new(Config { max_connections_per_router: 64, ..config(1) });
     let ask = |b: &mut Bench| {
-        let request = Request::write("w", 1, "k", b"v").session(&session).by(b.now + 9000 * MS);
+        let request = Request::write("w", 1, "k", b"v").session(&session).deadline(b.now + 9000 * MS);
         b.core.submit(b.now, request);
         b.act(true);
     };
@@ -527,15 +540,15 @@
     for request in wrong {
         let id = b.core.submit(b.now, request);
         b.act(true);
-        assert!(matches!(b.end(id), Some(End::Invalid(_))));
+        assert!(matches!(b.end(id), Some(RequestOutcome::Invalid(_))));
     }
     assert!(b.conns.is_empty() && b.core.books() == (0, 0, 0));
     // A quote in a key stays inside its literal; what a host can't use is invalid, and not tried again.
-    let id = b.core.submit(b.now, Request::read("a", 1, "o'x' /* id=7 */").by(b.now + 900 * MS));
+    let id = b.core.submit(b.now, Request::read("a", 1, "o'x' /* id=7 */").deadline(b.now + 900 * MS));
     let conn = b.up();
     assert!(b.sent[0].2.starts_with("SELECT v FROM records WHERE k = 'o''x'' /* id=7 */' /* id="));
     b.hear(conn, &error("ERROR", "22023", None));
-    assert!(matches!(b.end(id), Some(End::Invalid(i)) if i.code == "22023"));
+    assert!(matches!(b.end(id), Some(RequestOutcome::Invalid(i)) if i.code == "22023"));
 }
 
 // ---- A world of routers that do whatever they like ----
@@ -558,7 +571,7 @@
 
 #[derive(Default)]
 struct Seen {
-    effect: Option<Effect>,
+    idempotency: Option<Idempotency>,
     deadline: Option<Instant>,
     /// When each try was written whole, and whether it is proved not to have run.
     whole: Vec<(Instant, bool)>,
@@ -641,18 +654,23 @@
                     seen.gone = true;
                     assert!(self.now <= seen.deadline.unwrap(), "{key}: told late");
                     let doubt = seen.whole.iter().any(|w| !w.1);
-                    match &report.end {
-                        End::Served(value) => {
+                    match &report.outcome {
+                        RequestOutcome::Served(value) => {
                             assert_eq!(value.as_deref(), Some(key.as_bytes()), "its own answer")
                         }
-                        End::Refused(_) => assert!(!doubt || seen.effect == Some(Effect::Safe), "{key}"),
-                        End::Late | End::Failed => {
-                            assert!(!doubt || seen.effect == Some(Effect::Safe), "{key}")
+                        RequestOutcome::Refused(_) => {
+                            assert!(!doubt || seen.idempotency == Some(Idempotency::Idempotent), "{key}")
+                        }
+                        RequestOutcome::Late | RequestOutcome::Failed => {
+                            assert!(!doubt || seen.idempotency == Some(Idempotency::Idempotent), "{key}")
                         }
                         // What a router has refused may not have been heard of: it has had the statement,
                         // though.
-                        End::MayHaveRun => {
-                            assert!(!seen.whole.is_empty() && seen.effect != Some(Effect::Safe), "{key}");
+                        RequestOutcome::MayHaveRun => {
+                            assert!(
+                                !seen.whole.is_empty() && seen.idempotency != Some(Idempotency::Idempotent),
+                                "{key}"
+                            );
                         }
                         other => panic!("{key}: {other:?}"),
                     }
@@ -674,10 +692,10 @@
         let first = seen.whole.is_empty();
         (self.firsts, self.further) = (self.firsts + u64::from(first), self.further + u64::from(!first));
         if let Some((since, _)) = seen.whole.iter().find(|w| !w.1) {
-            match seen.effect.unwrap() {
-                Effect::Unsafe => panic!("{key}: run twice, for all one knows"),
-                Effect::Keyed(window) => assert!(self.now < *since + window, "{key}: past its window"),
-                Effect::Safe => {}
+            match seen.idempotency.unwrap() {
+                Idempotency::NonIdempotent => panic!("{key}: run twice, for all one knows"),
+                Idempotency::Keyed(window) => assert!(self.now < *since + window, "{key}: past its window"),
+                Idempotency::Idempotent => {}
             }
         }
         let now = self.now;
@@ -729,7 +747,7 @@
 }
 
 fn play(seed: u64) -> (u64, u64) {
-    let config = Config { seed, connections: 3, idle: 300 * MS, age: 700 * MS, ..config(3) };
+    let config = Config { seed, max_connections_per_router: 3, idle: 300 * MS, age: 700 * MS, ..config(3) };
     let mut w = World {
         core: Core::new(config),
         now: Instant::now(),
@@ -771,14 +789,17 @@
         w.now = came;
         if asks == Some(next) {
             let key = format!("k{asked}");
-            let effect = [Effect::Safe, Effect::Unsafe, Effect::Keyed(200 * MS)][w.dice.below(3) as usize];
+            let idempotency =
+                [Idempotency::Idempotent, Idempotency::NonIdempotent, Idempotency::Keyed(200 * MS)]
+                    [w.dice.below(3) as usize];
             let deadline = w.now + Duration::from_millis(w.dice.below(900));
             let priority = [Priority::Low, Priority::Normal, Priority::High][w.dice.below(3) as usize];
             w.seen.insert(
                 key.clone(),
-                Seen { effect: Some(effect), deadline: Some(deadline), ..Seen::default() },
+                Seen { idempotency: Some(idempotency), deadline: Some(deadline), ..Seen::default() },
             );
-            let request = Request::read("c", 1, &key).effect(effect).priority(priority).by(deadline);
+            let request =
+                Request::read("c", 1, &key).idempotency(idempotency).priority(priority).deadline(deadline);
             asked += 1;
             let id = w.core.submit(w.now, request);
             w.by_id.insert(id, key);
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -1,6 +1,6 @@
 //! Loads by many clients, of the library's kind and of the naive kind, and what hosts have seen of them.
 
-use basalthill_client::{Config, Effect, End, Priority, Request, Runtime};
+use basalthill_client::{Config, Idempotency, Priority, Request, RequestOutcome, Runtime};
 use basalthill_standin::client::{Answer, Client as Raw};
 use basalthill_standin::fleet::{Dice, World};
 use std::collections::BTreeMap;
@@ -171,14 +171,14 @@
                     let (key, write) = requests.take(zero, deadline);
                     let request = match write {
                         true => Request::write("write", 2, &key, b"1"),
-                        false => Request::read("view", 2, &key).effect(Effect::Safe),
+                        false => Request::read("view", 2, &key).idempotency(Idempotency::Idempotent),
                     };
-                    let request = request.tenant("acme").by(deadline).priority(Priority::Normal);
+                    let request = request.tenant("acme").deadline(deadline).priority(Priority::Normal);
                     // One at a time, as the naive ones.
-                    let report = client.ask(request).await;
+                    let report = client.execute(request).await;
                     let mut seen = seen.lock().unwrap_or_else(|e| e.into_inner());
-                    seen.tries += report.tries.len() as u64;
-                    seen.ends.push((Instant::now(), matches!(report.end, End::Served(_))));
+                    seen.tries += report.attempts.len() as u64;
+                    seen.ends.push((Instant::now(), matches!(report.outcome, RequestOutcome::Served(_))));
                     drop(seen);
                     requests.advance();
                 }
--- a/crates/lab/src/overhead.rs
+++ b/crates/lab/src/overhead.rs
@@ -3,7 +3,7 @@
 
 use crate::results::{table, Table};
 use crate::{Common, Done, Outcome, ALLOCATOR};
-use basalthill_client::{Client, Config, End, Request};
+use basalthill_client::{Client, Config, Request, RequestOutcome};
 use basalthill_standin::client::Client as Raw;
 use basalthill_standin::host::{Host, Reply};
 use std::time::{Duration, Instant};
@@ -56,15 +56,15 @@
 
 /// One client, so many requests at once.
 fn library(host: &Host, at_once: usize, requests: usize) -> std::io::Result<Figures> {
-    let client = Client::start(Config { connections: at_once, ..Config::new([host.addr]) })?;
+    let client = Client::start(Config { max_connections_per_router: at_once, ..Config::new([host.addr]) })?;
     let each = requests / at_once;
     let executor = async_executor::LocalExecutor::new();
     let run = |client: Client| async move {
         let mut took = Vec::with_capacity(each);
         for _ in 0..each {
-            let request = Request::read("view", 2, "k").tenant("acme").within(Duration::from_secs(20));
+            let request = Request::read("view", 2, "k").tenant("acme").timeout(Duration::from_secs(20));
             let from = Instant::now();
-            if matches!(client.ask(request).await.end, End::Served(_)) {
+            if matches!(client.execute(request).await.outcome, RequestOutcome::Served(_)) {
                 took.push(from.elapsed());
             }
         }
--- a/crates/router/src/program/ask.rs
+++ b/crates/router/src/program/ask.rs
@@ -1,6 +1,6 @@
 //! `basalthill ask`: the client library on the command line.
 
-use basalthill_client::{Client, Config, Effect, End, Report, Request, Session};
+use basalthill_client::{Client, Config, Idempotency, Report, Request, RequestOutcome, Session};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -43,27 +43,29 @@
 /// Asks, and says what came of it.
 pub fn run(options: Options) -> ExitCode {
     match asked(options) {
-        Ok(Report { end, tries, took }) => {
+        Ok(Report { outcome: end, attempts: tries, elapsed: took }) => {
             let ms = took.as_millis();
             let said = match &end {
-                End::Served(Some(value)) => format!("served: {}", String::from_utf8_lossy(value)),
-                End::Served(None) => "served: null".into(),
-                End::Refused(None) => "refused; trying again does no harm".into(),
-                End::Refused(Some(after)) => format!("refused; come back in {} ms", after.as_millis()),
-                End::Late => "too late; nothing has run".into(),
-                End::Failed => "failed; trying again does no harm".into(),
-                End::MayHaveRun => "it may have run, or may yet: look before you ask again".into(),
-                End::Invalid(invalid) => format!("invalid: {invalid}"),
-                End::Stopped => "not asked".into(),
+                RequestOutcome::Served(Some(value)) => format!("served: {}", String::from_utf8_lossy(value)),
+                RequestOutcome::Served(None) => "served: null".into(),
+                RequestOutcome::Refused(None) => "refused; trying again does no harm".into(),
+                RequestOutcome::Refused(Some(after)) => {
+                    format!("refused; come back in {} ms", after.as_millis())
+                }
+                RequestOutcome::Late => "too late; nothing has run".into(),
+                RequestOutcome::Failed => "failed; trying again does no harm".into(),
+                RequestOutcome::MayHaveRun => "it may have run, or may yet: look before you ask again".into(),
+                RequestOutcome::Invalid(invalid) => format!("invalid: {invalid}"),
+                RequestOutcome::Stopped => "not asked".into(),
             };
             println!("{said}");
-            if !matches!(end, End::Served(_)) || tries.len() > 1 {
+            if !matches!(end, RequestOutcome::Served(_)) || tries.len() > 1 {
                 let tries: Vec<String> = tries.iter().map(|t| format!("{} {:?}", t.router, t.end)).collect();
                 eprintln!("{ms} ms, {} tries: {}", tries.len(), tries.join(", "));
             }
             match end {
-                End::Served(_) => ExitCode::SUCCESS,
-                End::MayHaveRun => ExitCode::from(MAY_HAVE_RUN),
+                RequestOutcome::Served(_) => ExitCode::SUCCESS,
+                RequestOutcome::MayHaveRun => ExitCode::from(MAY_HAVE_RUN),
                 _ => ExitCode::FAILURE,
             }
         }
@@ -84,14 +86,14 @@
         Some(value) => Request::write(&class, group, &key, value.as_bytes()),
         None => Request::read(&class, group, &key),
     };
-    let mut request = request.tenant(&tenant).within(Duration::from_millis(within_ms));
+    let mut request = request.tenant(&tenant).timeout(Duration::from_millis(within_ms));
     if let Some(ms) = keyed_ms {
-        request = request.effect(Effect::Keyed(Duration::from_millis(ms)));
+        request = request.idempotency(Idempotency::Keyed(Duration::from_millis(ms)));
     }
     if let Some(session) = &session {
         request = request.session(session);
     }
-    let report = Client::start(Config::new(router))?.ask_blocking(request);
+    let report = Client::start(Config::new(router))?.execute_blocking(request);
     if let (Some(path), Some(session)) = (path, session) {
         std::fs::write(path, session.export())?;
     }
--- a/crates/router/tests/client.rs
+++ b/crates/router/tests/client.rs
@@ -1,6 +1,6 @@
 //! The client library against the program itself: killed routers, lost answers, requests dropped at random.
 
-use basalthill_client::{Client, Config, Effect, End, Request, Runtime, Session, TryEnd};
+use basalthill_client::{Client, Config, Idempotency, Request, RequestOutcome, Runtime, Session, TryEnd};
 use basalthill_standin::fleet::{Dice, World};
 use basalthill_standin::group::Manner;
 use futures_lite::future::{self, block_on};
@@ -24,12 +24,12 @@
 }
 
 fn write(key: &str, value: &str) -> Request {
-    Request::write("write", 2, key, value.as_bytes()).tenant("acme").within(900 * MS)
+    Request::write("write", 2, key, value.as_bytes()).tenant("acme").timeout(900 * MS)
 }
 
 /// The value of a served read, without the stand-in's marks.
-fn value(end: &End) -> String {
-    let End::Served(Some(value)) = end else { panic!("{end:?}") };
+fn value(end: &RequestOutcome) -> String {
+    let RequestOutcome::Served(Some(value)) = end else { panic!("{end:?}") };
     String::from_utf8_lossy(value).split('@').next().unwrap_or_default().to_string()
 }
 
@@ -39,18 +39,18 @@
     let client = Client::start(Config::new(addrs(&world))).unwrap();
     let session = Session::new("anne").unwrap();
     for n in 0..5 {
-        let report = client.ask_blocking(write("k", &n.to_string()).session(&session));
-        assert_eq!(value(&report.end), n.to_string(), "{report:?}");
+        let report = client.execute_blocking(write("k", &n.to_string()).session(&session));
+        assert_eq!(value(&report.outcome), n.to_string(), "{report:?}");
         let read = Request::read("own", 2, "k").tenant("acme").session(&session);
-        assert_eq!(value(&client.ask_blocking(read).end), n.to_string());
+        assert_eq!(value(&client.execute_blocking(read).outcome), n.to_string());
     }
     // Another process goes on with it.
     let again = Session::import(&session.export()).unwrap();
     let other = Client::start(Config::new(addrs(&world))).unwrap();
     let read = Request::read("own", 2, "k").tenant("acme").session(&again);
-    assert_eq!(value(&other.ask_blocking(read).end), "4");
-    let wrong = other.ask_blocking(Request::read("nothing", 2, "k"));
-    assert!(matches!(&wrong.end, End::Invalid(i) if i.code == "22023"), "{wrong:?}");
+    assert_eq!(value(&other.execute_blocking(read).outcome), "4");
+    let wrong = other.execute_blocking(Request::read("nothing", 2, "k"));
+    assert!(matches!(&wrong.outcome, RequestOutcome::Invalid(i) if i.code == "22023"), "{wrong:?}");
 }
 
 #[test]
@@ -73,15 +73,15 @@
                         0 => {
                             // Given up at some moment.
                             let wait = Duration::from_micros(dice.below(9000));
-                            let ask = client.ask(write(&key, &text));
+                            let ask = client.execute(write(&key, &text));
                             let late = async {
                                 async_io::Timer::after(wait).await;
                                 None
                             };
                             let report = block_on(future::or(async { Some(ask.await) }, late));
-                            (report.map(|r| r.end), true)
+                            (report.map(|r| r.outcome), true)
                         }
-                        _ => (Some(client.ask_blocking(write(&key, &text)).end), false),
+                        _ => (Some(client.execute_blocking(write(&key, &text)).outcome), false),
                     };
                     ended.lock().unwrap().insert((key, text), (end, dropped));
                 }
@@ -105,8 +105,8 @@
         *by_end.entry(name.split('(').next().unwrap_or_default().to_string()).or_default() += 1;
         assert!(times <= 1, "{text} ran {times} times: {end:?}");
         match end {
-            Some(End::Served(_)) => assert_eq!(times, 1, "{text}"),
-            Some(End::MayHaveRun) | None => {}
+            Some(RequestOutcome::Served(_)) => assert_eq!(times, 1, "{text}"),
+            Some(RequestOutcome::MayHaveRun) | None => {}
             Some(other) => assert_eq!(times, 0, "{text}: {other:?}, dropped: {dropped}"),
         }
     }
@@ -117,11 +117,14 @@
 #[test]
 fn thousands_in_flight_dropped_at_random_leave_nothing_behind() {
     let world = world(2, Manner { read_takes: 5 * MS, ..Manner::default() });
-    let client = Client::start(Config { connections: 64, ..Config::new(addrs(&world)) }).unwrap();
+    let client =
+        Client::start(Config { max_connections_per_router: 64, ..Config::new(addrs(&world)) }).unwrap();
     let mut dice = Dice(5);
     for _ in 0..4 {
         let asks: Vec<_> = (0..1000)
-            .map(|n| client.ask(Request::read("own", 2, &format!("k{n}")).tenant("acme").within(800 * MS)))
+            .map(|n| {
+                client.execute(Request::read("own", 2, &format!("k{n}")).tenant("acme").timeout(800 * MS))
+            })
             .collect();
         for ask in asks {
             match dice.below(3) {
@@ -149,8 +152,8 @@
         std::thread::sleep(20 * MS);
     }
     assert_eq!(block_on(client.books()), (0, 0, 0));
-    let served = client.ask_blocking(Request::read("own", 2, "k").tenant("acme"));
-    assert!(matches!(served.end, End::Served(_)), "and it goes on: {served:?}");
+    let served = client.execute_blocking(Request::read("own", 2, "k").tenant("acme"));
+    assert!(matches!(served.outcome, RequestOutcome::Served(_)), "and it goes on: {served:?}");
 }
 
 #[test]
@@ -164,13 +167,16 @@
     };
     for addr in [world.routers[0].addr, silent.local_addr().unwrap(), dead] {
         let client = Client::start(Config::new([addr])).unwrap();
-        for effect in [Effect::Safe, Effect::Unsafe] {
+        for idempotency in [Idempotency::Idempotent, Idempotency::NonIdempotent] {
             let from = Instant::now();
-            let request = Request::read("own", 2, "k").tenant("acme").effect(effect).by(from + 300 * MS);
-            let report = client.ask_blocking(request);
+            let request = Request::read("own", 2, "k")
+                .tenant("acme")
+                .idempotency(idempotency)
+                .deadline(from + 300 * MS);
+            let report = client.execute_blocking(request);
             let took = from.elapsed();
-            assert!(!matches!(report.end, End::Served(_)), "{report:?}");
-            assert!(took < 400 * MS, "{addr}, {effect:?}: {took:?}");
+            assert!(!matches!(report.outcome, RequestOutcome::Served(_)), "{report:?}");
+            assert!(took < 400 * MS, "{addr}, {idempotency:?}: {took:?}");
         }
     }
 }
@@ -202,13 +208,13 @@
             }
         });
         let client = Client::start(Config::new([addr])).unwrap();
-        let report = client.ask_blocking(write("k", "v"));
+        let report = client.execute_blocking(write("k", "v"));
         match farewell {
             true => {
-                assert_eq!(report.end, End::Served(Some(b"v".to_vec())), "{report:?}");
-                assert_eq!(report.tries[0].end, TryEnd::Farewell);
+                assert_eq!(report.outcome, RequestOutcome::Served(Some(b"v".to_vec())), "{report:?}");
+                assert_eq!(report.attempts[0].end, TryEnd::Farewell);
             }
-            false => assert_eq!(report.end, End::MayHaveRun, "{report:?}"),
+            false => assert_eq!(report.outcome, RequestOutcome::MayHaveRun, "{report:?}"),
         }
     }
 }
--- a/crates/router/tests/reconnect.rs
+++ b/crates/router/tests/reconnect.rs
@@ -1,7 +1,7 @@
 //! Many clients of one router lose it, against the program itself: they arrive at the others spread over
 //! their slack, nothing reaches a host after its deadline, and no write runs twice.
 
-use basalthill_client::{Client, Config, End, Request, Runtime};
+use basalthill_client::{Client, Config, Request, RequestOutcome, Runtime};
 use basalthill_standin::fleet::{Dice, World};
 use basalthill_standin::group::Manner;
 use std::path::Path;
@@ -45,7 +45,7 @@
 fn write(client: u64, n: u64, zero: Instant) -> Request {
     let deadline = Instant::now() + 900 * MS;
     let key = format!("{client}-{n}-{}", (deadline - zero).as_micros());
-    Request::write("write", 2, &key, b"1").tenant("acme").by(deadline)
+    Request::write("write", 2, &key, b"1").tenant("acme").deadline(deadline)
 }
 
 #[test]
@@ -65,16 +65,17 @@
             let asks = (0..CLIENTS).map(|c| {
                 scope.spawn(move || {
                     std::thread::sleep(gap.mul_f64(Dice(c).below(1000) as f64 / 1000.0));
-                    clients[c as usize].ask_blocking(write(c, n, zero)).end
+                    clients[c as usize].execute_blocking(write(c, n, zero)).outcome
                 })
             });
             let asks: Vec<_> = asks.collect();
-            asks.into_iter().map(|a| a.join().unwrap()).collect::<Vec<End>>()
+            asks.into_iter().map(|a| a.join().unwrap()).collect::<Vec<RequestOutcome>>()
         })
     };
     // All have a connection; about half of them lose it, all at the same moment, and all ask right after
     // that.
-    let served = |ends: &[End]| ends.iter().filter(|e| matches!(e, End::Served(_))).count();
+    let served =
+        |ends: &[RequestOutcome]| ends.iter().filter(|e| matches!(e, RequestOutcome::Served(_))).count();
     assert_eq!(served(&round(0, 100 * MS)), CLIENTS as usize);
     world.routers[0].kill().unwrap();
     let died = Instant::now();
@@ -93,7 +94,7 @@
         (0..6).map(|n| within(n * 100, n * 100 + 100)).collect::<Vec<_>>()
     );
     // One that wrote into the very moment of the death does not know; nobody else goes without.
-    let unknown = ends.iter().filter(|e| **e == End::MayHaveRun).count();
+    let unknown = ends.iter().filter(|e| **e == RequestOutcome::MayHaveRun).count();
     assert_eq!(served(&ends) + unknown, CLIENTS as usize, "{} served, {unknown} unknown", served(&ends));
     assert!(unknown < 16, "{unknown}");
     assert!(connects.len() > 40, "so many have lost theirs: {}", connects.len());
