--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -2,7 +2,8 @@
 
 use basalthill_client::{Config, Idempotency, Priority, Request, RequestOutcome, Runtime};
 use basalthill_standin::client::{Answer, Client as Raw};
-use basalthill_standin::fleet::{Dice, World};
+use basalthill_standin::deployment::Deployment;
+use basalthill_standin::fleet::Dice;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, OnceLock};
@@ -218,7 +219,7 @@
                 false => (format!("SELECT v FROM records WHERE k = '{key}'"), "view"),
             };
             let text = format!("{what} /* id={id},c={class},t=acme,d={ms},cluster=2 */");
-            match conn.as_mut().map(|c| c.ask(&text)) {
+            match conn.as_mut().map(|c| c.query(&text)) {
                 Some(Ok(Answer::Row(_))) => {
                     served = Instant::now() <= deadline;
                     break;
@@ -269,12 +270,13 @@
 
 /// What hosts have seen: statements in all, writes committed more than once, and statements that came after
 /// the deadline that their key holds.
-pub fn at_hosts(world: &World, zero: Instant) -> (usize, usize, usize) {
+pub fn at_hosts(world: &Deployment, zero: Instant) -> (usize, usize, usize) {
     let (mut all, mut late) = (0, 0);
     let mut writes: BTreeMap<String, usize> = BTreeMap::new();
     for host in &world.group.hosts {
         let seen = host.seen.lock();
-        for ((_, text), at) in seen.statements.iter().zip(&seen.times) {
+        for statement in &seen.statements {
+            let (text, at) = (&statement.text, &statement.received_at);
             let Some(key) = text.split('\'').nth(1) else { continue };
             all += 1;
             let deadline = key.rsplit('-').next().and_then(|d| d.parse().ok()).map(Duration::from_micros);
@@ -285,7 +287,7 @@
         }
     }
     for (key, times) in &mut writes {
-        *times = world.group.commits(key).len();
+        *times = world.group.committed_values(key).len();
     }
     (all, writes.values().filter(|n| **n > 1).count(), late)
 }
--- a/crates/lab/src/cost.rs
+++ b/crates/lab/src/cost.rs
@@ -8,8 +8,8 @@
 use basalthill_session::token::{issue, verify, Key, KeyId, KeyRing, SessionIdentity};
 use basalthill_session::GroupFloors;
 use basalthill_standin::client::{Answer, Client};
-use basalthill_standin::fleet::World;
-use basalthill_standin::group::Manner;
+use basalthill_standin::deployment::Deployment;
+use basalthill_standin::group::GroupBehavior;
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
@@ -25,7 +25,7 @@
 
 /// One of the routers, and what it took so far.
 struct Side {
-    world: World,
+    world: Deployment,
     token: Option<String>,
     cpu: Duration,
     took_us: Vec<u32>,
@@ -35,10 +35,14 @@
 impl Side {
     fn start(mode: Mode, common: &Common) -> Result<Side, Box<dyn std::error::Error>> {
         let quick = [Duration::ZERO; 2];
-        let manner =
-            Manner { lag_ms: 1, write_takes: quick, read_takes: Duration::ZERO, ..Manner::default() };
+        let manner = GroupBehavior {
+            lag_ms: 1,
+            write_delays: quick,
+            read_delay: Duration::ZERO,
+            ..GroupBehavior::default()
+        };
         let own = mode.plan("").0;
-        let world = World::start(&common.program()?, &std::env::temp_dir(), 1, manner, own.as_deref())?;
+        let world = Deployment::start(&common.program()?, &std::env::temp_dir(), 1, manner, own.as_deref())?;
         Ok(Side { world, token: None, cpu: Duration::ZERO, took_us: Vec::new(), bytes: 0 })
     }
 
@@ -56,7 +60,7 @@
             };
             let text = format!("{what} /* id={id:016x},c={class},t=acme,d=900,cluster=2{token} */");
             let sent = Instant::now();
-            let answer = client.ask(&text)?;
+            let answer = client.query(&text)?;
             self.took_us.push(sent.elapsed().as_micros() as u32);
             if !matches!(answer, Answer::Row(_)) {
                 return Err(std::io::Error::other(format!("not served: {answer:?}")));
--- a/crates/lab/src/fleet_limits.rs
+++ b/crates/lab/src/fleet_limits.rs
@@ -7,8 +7,10 @@
 use basalthill_fleet::{Bounds, FleetConfig, Limit, LimitKey, Subject, Timing};
 use basalthill_policy::api::Time;
 use basalthill_standin::fleet::Dice;
-use basalthill_standin::model::{names, Model};
-use basalthill_standin::rig::{over, Clients, HostsDo, Rig, Setup};
+use basalthill_standin::harness::{
+    rate_excess, ClientTotals, FleetHarness, HarnessConfig, HostBehavior, PacedClients,
+};
+use basalthill_standin::simulated_fleet::{numbered_names, SimulatedFleet};
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -83,14 +85,14 @@
     curve: Vec<(f64, f64)>,
 }
 
-fn setup(routers: usize, way: Way, seed: u64) -> Setup {
-    Setup {
+fn setup(routers: usize, way: Way, seed: u64) -> HarnessConfig {
+    HarnessConfig {
         routers,
         hosts: 6,
-        work: Duration::ZERO,
-        hosts_do: HostsDo::Serve,
+        service_time: Duration::ZERO,
+        host_behavior: HostBehavior::Serve,
         limits: way.limits(),
-        alone: way == Way::Whole,
+        isolated: way == Way::Whole,
         direct: false,
         seed,
     }
@@ -101,16 +103,17 @@
 }
 
 /// Half of the routers ask ten times what the others ask, and together so much of the limit.
-fn ten_to_one(clients: &Clients, routers: usize, of_limit: f64) {
+fn ten_to_one(clients: &PacedClients, routers: usize, of_limit: f64) {
     let unit = of_limit * PER_S / (routers as f64 / 2.0 * 11.0);
-    (0..routers).for_each(|n| clients.pace(n, if n % 2 == 0 { 10.0 * unit } else { unit }));
+    (0..routers).for_each(|n| clients.set_rate(n, if n % 2 == 0 { 10.0 * unit } else { unit }));
 }
 
 fn play(options: &Options, common: &Common, way: Way) -> Result<Shown, Box<dyn std::error::Error>> {
     let routers = options.routers;
-    let mut rig = Rig::start(&common.program()?, &std::env::temp_dir(), &setup(routers, way, common.seed))?;
+    let mut rig =
+        FleetHarness::start(&common.program()?, &std::env::temp_dir(), &setup(routers, way, common.seed))?;
     let addrs: Vec<SocketAddr> = rig.routers.iter().map(|r| r.addr).collect();
-    let clients = Clients::start(&addrs, 2, COMMENT, common.seed);
+    let clients = PacedClients::start(&addrs, 2, COMMENT, common.seed);
     let third = Duration::from_secs_f64(options.minutes * 60.0 / 6.0);
     ten_to_one(&clients, routers, 1.5);
     sleep(Duration::from_secs(8));
@@ -119,10 +122,11 @@
     let (whole_until, bytes_per_s) = (Instant::now(), (bytes(&rig) - sent) / third.as_secs_f64());
     ten_to_one(&clients, routers, 0.7);
     sleep(Duration::from_secs(3));
-    let (served, refused, _) = clients.sums();
+    let ClientTotals { served, rejected: refused, .. } = clients.totals();
     sleep(third);
-    let after = clients.sums();
-    let needlessly = (after.1 - refused) as f64 / ((after.1 - refused) + (after.0 - served)).max(1) as f64;
+    let after = clients.totals();
+    let needlessly = (after.rejected - refused) as f64
+        / ((after.rejected - refused) + (after.served - served)).max(1) as f64;
     ten_to_one(&clients, routers, 1.5);
     sleep(Duration::from_secs(3));
     let (faults, mut healed, mut dice) = (Instant::now(), Vec::new(), Dice(common.seed));
@@ -131,7 +135,7 @@
     }
     let until = Instant::now();
     drop(clients);
-    let came = rig.came("t=acme");
+    let came = rig.arrivals("t=acme");
     let rate = |from: Instant, until: Instant| {
         let within = came.iter().filter(|at| **at >= from && **at < until).count();
         within as f64 / (until - from).as_secs_f64() / PER_S
@@ -149,7 +153,7 @@
     let at = |n: u64| zero + Duration::from_secs(n);
     Ok(Shown {
         admitted: came.len(),
-        over: over(&came, PER_S, 0.0),
+        over: rate_excess(&came, PER_S, 0.0),
         used: rate(zero, whole_until),
         used_faults: rate(faults, until),
         needlessly,
@@ -159,12 +163,12 @@
     })
 }
 
-fn bytes(rig: &Rig) -> f64 {
+fn bytes(rig: &FleetHarness) -> f64 {
     rig.relay.as_ref().map_or(0.0, |r| r.links().sent.iter().map(|s| s.1).sum::<u64>() as f64)
 }
 
 /// One fault, and the time after it; when it was over, if it was a split.
-fn fault(rig: &mut Rig, dice: &mut Dice, routers: usize) -> std::io::Result<Option<Instant>> {
+fn fault(rig: &mut FleetHarness, dice: &mut Dice, routers: usize) -> std::io::Result<Option<Instant>> {
     let mut group = |count: u64| {
         let mut groups = vec![Vec::new(); count as usize];
         (0..routers).for_each(|n| groups[dice.below(count) as usize].push(n));
@@ -175,13 +179,13 @@
     let mut split = None;
     match dice.below(6) {
         0 | 1 => {
-            rig.split(&two);
+            rig.partition(&two);
             sleep(FAULT / 2);
             rig.heal();
             split = Some(Instant::now());
         }
         2 => {
-            rig.split(&three);
+            rig.partition(&three);
             sleep(FAULT / 2);
             rig.heal();
             split = Some(Instant::now());
@@ -195,13 +199,13 @@
             back.sort_unstable();
             back.dedup();
             for n in back {
-                rig.again(n)?;
+                rig.restart(n)?;
             }
         }
         4 => {
-            rig.freeze(victims[0], true)?;
+            rig.set_paused(victims[0], true)?;
             sleep(FAULT / 2);
-            rig.freeze(victims[0], false)?;
+            rig.set_paused(victims[0], false)?;
         }
         _ => {
             rig.lossy(300, (500, 20_000));
@@ -306,33 +310,35 @@
         let times = Timing::new(0.01, Time(0));
         let quiet = times.lender_span(times.lease);
         let plan = FleetConfig {
-            roster: names(routers),
+            roster: numbered_names(routers),
             limits: vec![limit],
             timing: times,
             max_use: Time(0),
             vote_quarantine: quiet,
         };
-        let mut model = Model::new(plan, Some(LimitKey::global("acme")), None, Time(0), common.seed);
+        let mut model = SimulatedFleet::new(plan, Some(LimitKey::global("acme")), None, Time(0), common.seed);
         model.sums = false;
         (0..routers).for_each(|n| model.start(n));
         // Until all know of all.
-        model.run(Time::ms(20_000));
+        model.run_until(Time::ms(20_000));
         let mut row = vec![routers.to_string()];
         for asked in [false, true] {
             if asked {
                 (0..routers).for_each(|n| model.demand(n, if n % 2 == 0 { 7.0 } else { 0.7 }, 0.0));
-                model.run(model.now.plus(Time::ms(3000)));
+                model.run_until(model.now.plus(Time::ms(3000)));
             }
-            let counts = |model: &Model| -> Vec<u64> {
+            let counts = |model: &SimulatedFleet| -> Vec<u64> {
                 (0..routers).map(|n| model.fleet(n).map_or(0, |f| f.counters().sent)).collect()
             };
-            let (sent, bytes, each) = (model.seen.datagrams, model.seen.bytes, counts(&model));
+            let (sent, bytes, each) =
+                (model.observations.datagrams, model.observations.bytes, counts(&model));
             let began = Instant::now();
-            model.run(model.now.plus(Time::ms(10_000)));
+            model.run_until(model.now.plus(Time::ms(10_000)));
             let cpu = began.elapsed().as_micros() as f64 / routers as f64 / 10.0;
             let per = |now: u64, before: u64| (now - before) as f64 / routers as f64 / 10.0;
             let most = counts(&model).iter().zip(&each).map(|(n, b)| n - b).max().unwrap_or(0) as f64 / 10.0;
-            let (datagrams, bytes) = (per(model.seen.datagrams, sent), per(model.seen.bytes, bytes));
+            let (datagrams, bytes) =
+                (per(model.observations.datagrams, sent), per(model.observations.bytes, bytes));
             row.extend([format!("{datagrams:.1}"), format!("{bytes:.0}"), format!("{cpu:.0}")]);
             if !asked {
                 row.push(format!("{most:.1}"));
@@ -358,9 +364,9 @@
 
 /// Many real processes that talk to each other without a relay.
 fn crowd(options: &Options, common: &Common) -> Done {
-    let setup = Setup { direct: true, hosts: 3, ..setup(options.routers, Way::Fleet, common.seed) };
+    let setup = HarnessConfig { direct: true, hosts: 3, ..setup(options.routers, Way::Fleet, common.seed) };
     let began = Instant::now();
-    let rig = Rig::start(&common.program()?, &std::env::temp_dir(), &setup)?;
+    let rig = FleetHarness::start(&common.program()?, &std::env::temp_dir(), &setup)?;
     let started = began.elapsed();
     sleep(Duration::from_secs(20));
     let cpu = || rig.routers.iter().filter_map(|r| r.cpu()).sum::<Duration>();
@@ -370,12 +376,12 @@
     sleep(span);
     let idle = per(cpu() - before);
     let addrs: Vec<SocketAddr> = rig.routers.iter().map(|r| r.addr).collect();
-    let clients = Clients::start(&addrs, 1, COMMENT, common.seed);
-    (0..options.routers).for_each(|n| clients.pace(n, 2.0));
+    let clients = PacedClients::start(&addrs, 1, COMMENT, common.seed);
+    (0..options.routers).for_each(|n| clients.set_rate(n, 2.0));
     sleep(Duration::from_secs(5));
-    let (before, had) = (cpu(), clients.sums());
+    let (before, had) = (cpu(), clients.totals());
     sleep(span);
-    let (light, had) = (per(cpu() - before), clients.sums().0 - had.0);
+    let (light, had) = (per(cpu() - before), clients.totals().served - had.served);
     let status = rig.status(&common.program()?, 0)?;
     let alive = status.lines().next().and_then(|l| l.split("alive ").nth(1)?.split(' ').next()?.parse().ok());
     let alive: usize = alive.unwrap_or(0);
@@ -413,14 +419,14 @@
 fn overhead(common: &Common) -> Done {
     let limit = "limit \"acme\" tenant=\"acme\" per-s=100000 alone-percent=10".to_string();
     let start = |limits| {
-        let setup = Setup { limits, ..setup(2, Way::Nothing, common.seed) };
-        Rig::start(&common.program()?, &std::env::temp_dir(), &setup)
+        let setup = HarnessConfig { limits, ..setup(2, Way::Nothing, common.seed) };
+        FleetHarness::start(&common.program()?, &std::env::temp_dir(), &setup)
     };
     let rigs = [start(Some(limit))?, start(None)?];
     let mut clients = Vec::new();
     for rig in &rigs {
         let addrs: Vec<SocketAddr> = rig.routers.iter().map(|r| r.addr).collect();
-        clients.push(Clients::start(&addrs, 4, COMMENT, common.seed));
+        clients.push(PacedClients::start(&addrs, 4, COMMENT, common.seed));
     }
     sleep(Duration::from_secs(8));
     let cpu = |n: usize| rigs[n].routers.iter().filter_map(|r| r.cpu()).sum::<Duration>();
@@ -435,22 +441,22 @@
     }
     for _ in 0..6 {
         for n in 0..2 {
-            let (before, had) = (cpu(n), clients[n].sums().0);
-            (0..2).for_each(|r| clients[n].pace(r, 1500.0));
+            let (before, had) = (cpu(n), clients[n].totals().served);
+            (0..2).for_each(|r| clients[n].set_rate(r, 1500.0));
             sleep(turn);
-            (0..2).for_each(|r| clients[n].pace(r, 0.0));
+            (0..2).for_each(|r| clients[n].set_rate(r, 0.0));
             sleep(REST);
             spent[n] +=
                 (cpu(n) - before).saturating_sub(alone[n].mul_f64((turn + REST).div_duration_f64(turn)));
-            served[n] += clients[n].sums().0 - had;
+            served[n] += clients[n].totals().served - had;
         }
     }
     let mut cells = Vec::new();
     let mut per = [0.0; 2];
     for n in 0..2 {
         let mut took: Vec<u32> = Vec::new();
-        for had in &clients[n].had {
-            took.extend(had.took_us.lock().map(|t| t.clone()).unwrap_or_default());
+        for had in &clients[n].counts {
+            took.extend(had.latencies_us.lock().map(|t| t.clone()).unwrap_or_default());
         }
         took.sort_unstable();
         let at = |share: f64| took.get((took.len() as f64 * share) as usize).copied().unwrap_or(0);
@@ -463,7 +469,7 @@
             format!("{:.1}", per[n]),
             format!("{:.0}", alone[n].as_secs_f64() / turn.as_secs_f64() * 1e6 / 2.0),
         ]);
-        let failed = clients[n].had.iter().map(|h| h.failed.load(Ordering::Relaxed)).sum::<u64>();
+        let failed = clients[n].counts.iter().map(|h| h.failed.load(Ordering::Relaxed)).sum::<u64>();
         if failed > 0 {
             return Err(format!("{failed} requests failed").into());
         }
--- a/crates/lab/src/overhead.rs
+++ b/crates/lab/src/overhead.rs
@@ -43,7 +43,7 @@
                 let Ok(mut raw) = Raw::connect(host.addr) else { return Vec::new() };
                 let one = |_| {
                     let from = Instant::now();
-                    raw.ask(TEXT).ok().map(|_| from.elapsed())
+                    raw.query(TEXT).ok().map(|_| from.elapsed())
                 };
                 (0..each).filter_map(one).collect::<Vec<_>>()
             })
@@ -87,9 +87,9 @@
     let host = Host::start(|_| (Reply::Row(b"v".to_vec()), Vec::new()))?;
     let (mut rows, mut lines) = (Vec::new(), Vec::new());
     for at_once in [1, 64, 1024] {
-        host.seen.change(|s| (s.statements.clear(), s.times.clear()));
+        host.seen.change(|s| s.statements.clear());
         let bare = bare(&host, at_once, options.requests);
-        host.seen.change(|s| (s.statements.clear(), s.times.clear()));
+        host.seen.change(|s| s.statements.clear());
         let library = library(&host, at_once, options.requests)?;
         for (name, f) in [("bare loop, a thread each", &bare), ("library", &library)] {
             let allocations = if name == "library" { format!("{:.1}", f.allocations) } else { "-".into() };
--- a/crates/lab/src/overload.rs
+++ b/crates/lab/src/overload.rs
@@ -3,8 +3,8 @@
 use crate::clients::{at_hosts, play, Kind, Load};
 use crate::results::{table, Table};
 use crate::{Common, Done, Outcome};
-use basalthill_standin::fleet::World;
-use basalthill_standin::group::Manner;
+use basalthill_standin::deployment::Deployment;
+use basalthill_standin::group::GroupBehavior;
 use std::time::{Duration, Instant};
 
 #[derive(clap::Args)]
@@ -30,9 +30,14 @@
     let (mut rows, mut tries) = (Vec::new(), Vec::new());
     for (name, kind) in [("no retries", Kind::Once), ("naive", Kind::Naive), ("library", Kind::Library)] {
         let slots = options.slots;
-        let (read_takes, come_back_ms) = (Duration::from_millis(20), options.come_back_ms);
-        let manner = Manner { read_takes, slots, come_back_ms, ..Manner::default() };
-        let world = World::start(&common.program()?, &std::env::temp_dir(), 2, manner, None)?;
+        let (read_delay, come_back_ms) = (Duration::from_millis(20), options.come_back_ms);
+        let manner = GroupBehavior {
+            read_delay,
+            max_concurrent: slots,
+            retry_after_ms: come_back_ms,
+            ..GroupBehavior::default()
+        };
+        let world = Deployment::start(&common.program()?, &std::env::temp_dir(), 2, manner, None)?;
         let load = Load {
             kind,
             clients: options.clients,
--- a/crates/lab/src/reconnect.rs
+++ b/crates/lab/src/reconnect.rs
@@ -3,8 +3,8 @@
 use crate::clients::{at_hosts, peak, play, Kind, Load, Seen};
 use crate::results::{chart, table, Axes, Line, Table};
 use crate::{Common, Done, Outcome};
-use basalthill_standin::fleet::World;
-use basalthill_standin::group::Manner;
+use basalthill_standin::deployment::Deployment;
+use basalthill_standin::group::GroupBehavior;
 use std::time::{Duration, Instant};
 
 #[derive(clap::Args)]
@@ -40,10 +40,10 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 fn measured(options: &Options, common: &Common, kind: Kind) -> Result<Shown, Box<dyn std::error::Error>> {
-    let manner = Manner { write_takes: [Duration::from_millis(1); 2], ..Manner::default() };
+    let manner = GroupBehavior { write_delays: [Duration::from_millis(1); 2], ..GroupBehavior::default() };
     let own = "clients {\n farewell #true\n}\n";
     let folder = std::env::temp_dir();
-    let mut world = World::start(&common.program()?, &folder, options.routers, manner, Some(own))?;
+    let mut world = Deployment::start(&common.program()?, &folder, options.routers, manner, Some(own))?;
     let load = Load {
         kind,
         clients: options.clients,
@@ -60,7 +60,7 @@
         std::thread::sleep(DIES);
         drop(victim.kill());
         std::thread::sleep(RETURNS - DIES);
-        drop(victim.again());
+        drop(victim.restart());
     })?;
     let (dies, returns) = (zero + DIES, zero + RETURNS);
     let bucket = Duration::from_millis(100);
--- a/crates/lab/src/restart.rs
+++ b/crates/lab/src/restart.rs
@@ -3,8 +3,8 @@
 use crate::results::{table, Table};
 use crate::{Common, Done, Outcome};
 use basalthill_standin::client::{Answer, Client};
-use basalthill_standin::fleet::World;
-use basalthill_standin::group::{Behind, Manner};
+use basalthill_standin::deployment::Deployment;
+use basalthill_standin::group::{GroupBehavior, StaleRead};
 use std::time::Duration;
 
 #[derive(clap::Args)]
@@ -28,10 +28,11 @@
     let path = folder.join(format!("basalthill-lab-{}", std::process::id()));
     let line = if snapshot { format!("snapshot {:?}", path.to_str().unwrap_or("")) } else { String::new() };
     let own = format!("sessions floor=\"router\" {{\nsettle-ms 0\n{line}\n}}");
-    let manner = Manner { lag_ms: options.lag_ms, behind: Behind::Refuses, ..Manner::default() };
-    let mut world = World::start(&common.program()?, &folder, 1, manner, Some(&own))?;
+    let manner =
+        GroupBehavior { lag_ms: options.lag_ms, stale_reads: StaleRead::Reject, ..GroupBehavior::default() };
+    let mut world = Deployment::start(&common.program()?, &folder, 1, manner, Some(&own))?;
     let write = |client: &mut Client, n: usize| {
-        client.ask(&format!(
+        client.query(&format!(
             "INSERT INTO records (k, v) VALUES ('s{n}', '1') RETURNING v \
              /* id=w{n},c=write,t=acme,d=900,cluster=2 */"
         ))
@@ -51,7 +52,7 @@
     for n in 0..options.sessions {
         let text =
             format!("SELECT v FROM records WHERE k = 's{n}' /* id=r{n},c=own,t=acme,d=900,cluster=2 */");
-        if let Answer::Row(value) = client.ask(&text)? {
+        if let Answer::Row(value) = client.query(&text)? {
             let value = String::from_utf8_lossy(&value).into_owned();
             if !value.starts_with("1@") {
                 return Err(format!("s{n} did not see its write: {value:?}").into());
--- a/crates/lab/src/sessions.rs
+++ b/crates/lab/src/sessions.rs
@@ -3,8 +3,9 @@
 
 use crate::results::{chart, table, Axes, Line, Table};
 use crate::{Common, Done, Outcome};
-use basalthill_standin::fleet::{Load, Tally, Way, World};
-use basalthill_standin::group::{Behind, Manner};
+use basalthill_standin::deployment::Deployment;
+use basalthill_standin::group::{GroupBehavior, StaleRead};
+use basalthill_standin::session_load::{ConnectionMode, SessionLoad, SessionLoadReport};
 use clap::ValueEnum;
 use hdrhistogram::Histogram;
 use std::time::Duration;
@@ -28,7 +29,7 @@
 
 impl Mode {
     /// The settings and the way of connecting.
-    pub fn plan(self, more: &str) -> (Option<String>, Way) {
+    pub fn plan(self, more: &str) -> (Option<String>, ConnectionMode) {
         let own = |floor: &str, tokens: &str| {
             let key = "key 1 \"00112233445566778899aabbccddeeff\" signs=#true";
             let tokens =
@@ -36,12 +37,16 @@
             Some(format!("sessions floor=\"{floor}\" {{\n{tokens}{more}\n}}\n"))
         };
         match self {
-            Mode::Connection => (own("connection", ""), Way::OneAtATime),
-            Mode::Arrival => (own("arrival", ""), Way::Pooled),
-            Mode::Tokens => (own("nothing", "tokens with=\"writes\" early=#true"), Way::PooledTokens),
-            Mode::TokensReads => (own("nothing", "tokens with=\"reads\" early=#true"), Way::PooledTokens),
-            Mode::Router => (own("router", ""), Way::OneRouter),
-            Mode::Off => (None, Way::OneAtATime),
+            Mode::Connection => (own("connection", ""), ConnectionMode::OneAtATime),
+            Mode::Arrival => (own("arrival", ""), ConnectionMode::Pooled),
+            Mode::Tokens => {
+                (own("nothing", "tokens with=\"writes\" early=#true"), ConnectionMode::PooledTokens)
+            }
+            Mode::TokensReads => {
+                (own("nothing", "tokens with=\"reads\" early=#true"), ConnectionMode::PooledTokens)
+            }
+            Mode::Router => (own("router", ""), ConnectionMode::OneRouter),
+            Mode::Off => (None, ConnectionMode::OneAtATime),
         }
     }
 }
@@ -59,11 +64,11 @@
 
 impl WhenBehind {
     /// In the stand-in's terms.
-    pub fn behind(self) -> Behind {
+    pub fn behind(self) -> StaleRead {
         match self {
-            WhenBehind::Waits => Behind::Waits(Duration::from_millis(100)),
-            WhenBehind::Refuses => Behind::Refuses,
-            WhenBehind::Answers => Behind::Answers,
+            WhenBehind::Waits => StaleRead::Wait(Duration::from_millis(100)),
+            WhenBehind::Refuses => StaleRead::Reject,
+            WhenBehind::Answers => StaleRead::Serve,
         }
     }
 }
@@ -100,7 +105,7 @@
 }
 
 /// The share of reads that were served within each time, in milliseconds.
-fn curve(tally: &Tally) -> Result<Vec<(f64, f64)>, Box<dyn std::error::Error>> {
+fn curve(tally: &SessionLoadReport) -> Result<Vec<(f64, f64)>, Box<dyn std::error::Error>> {
     let mut histogram = Histogram::<u32>::new_with_bounds(1, 10_000_000, 3)?;
     tally.took_us.iter().try_for_each(|us| histogram.record(u64::from(*us).max(1)))?;
     let points = histogram.iter_quantiles(5).map(|v| (v.value_iterated_to() as f64 / 1000.0, v.quantile()));
@@ -110,22 +115,27 @@
 pub fn run(options: &Options, common: &Common) -> Done {
     let all = [Mode::Connection, Mode::Arrival, Mode::Tokens, Mode::TokensReads, Mode::Router];
     let modes = if options.mode.is_empty() { all.to_vec() } else { options.mode.clone() };
-    let (mut sum, mut lines, mut rows) = (Tally::default(), Vec::new(), Vec::new());
+    let (mut sum, mut lines, mut rows) = (SessionLoadReport::default(), Vec::new(), Vec::new());
     let mut kept = true;
     for mode in modes {
         let (own, way) = mode.plan(&options.more);
-        let manner = Manner { lag_ms: options.lag_ms, behind: options.behind.behind(), ..Manner::default() };
+        let manner = GroupBehavior {
+            lag_ms: options.lag_ms,
+            stale_reads: options.behind.behind(),
+            ..GroupBehavior::default()
+        };
         let folder = std::env::temp_dir();
-        let mut world = World::start(&common.program()?, &folder, options.routers, manner, own.as_deref())?;
-        let load = Load {
-            way,
+        let mut world =
+            Deployment::start(&common.program()?, &folder, options.routers, manner, own.as_deref())?;
+        let load = SessionLoad {
+            mode: way,
             sessions: options.sessions,
             reads: options.reads,
             status_every: 8,
-            rest_us: 8000,
+            max_think_time_us: 8000,
             seed: common.seed,
         };
-        let tally = world.play(&load, options.kills, &[]);
+        let tally = world.run_load(&load, options.kills, &[]);
         println!("mode={mode:?} kills={} {tally}", options.kills);
         tally.first_stale.iter().for_each(|s| println!("  {s}"));
         kept &= tally.stale == 0 || mode == Mode::Off;
@@ -134,7 +144,7 @@
             tally.reads.to_string(),
             options.kills.to_string(),
             tally.stale.to_string(),
-            format!("{:.4}", tally.replica_share()),
+            format!("{:.4}", tally.replica_fraction()),
             format!("{:.1}", f64::from(tally.quantile_us(0.5)) / 1000.0),
             format!("{:.1}", f64::from(tally.quantile_us(0.99)) / 1000.0),
             tally.writes.to_string(),
@@ -167,7 +177,8 @@
         chart(out, &options.name, &Axes { title, x, y, range: 0.0..1.0 }, &lines)?;
     }
     let (reads, stale, kills) = (sum.reads, sum.stale, options.kills);
-    let line = format!("reads={reads} kills={kills} stale={stale} replica_share={:.4}", sum.replica_share());
+    let line =
+        format!("reads={reads} kills={kills} stale={stale} replica_share={:.4}", sum.replica_fraction());
     let line = format!("{line} p50_us={} p99_us={}", sum.quantile_us(0.5), sum.quantile_us(0.99));
     Ok(Outcome { line, kept })
 }
--- a/crates/router/tests/client.rs
+++ b/crates/router/tests/client.rs
@@ -1,8 +1,8 @@
 //! The client library against the program itself: killed routers, lost answers, requests dropped at random.
 
 use basalthill_client::{Client, Config, Idempotency, Request, RequestOutcome, Runtime, Session, TryEnd};
-use basalthill_standin::fleet::{Dice, World};
-use basalthill_standin::group::Manner;
+use basalthill_standin::deployment::Deployment;
+use basalthill_standin::group::GroupBehavior;
 use futures_lite::future::{self, block_on};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,12 +14,12 @@
     "clients {\n farewell #true\n}\nsessions floor=\"nothing\" {\n tokens with=\"writes\" early=#true {\n \
                    key 1 \"00112233445566778899aabbccddeeff\" signs=#true\n }\n}\n";
 
-fn world(routers: usize, manner: Manner) -> World {
+fn world(routers: usize, manner: GroupBehavior) -> Deployment {
     let program = Path::new(env!("CARGO_BIN_EXE_basalthill"));
-    World::start(program, Path::new(env!("CARGO_TARGET_TMPDIR")), routers, manner, Some(OWN)).unwrap()
+    Deployment::start(program, Path::new(env!("CARGO_TARGET_TMPDIR")), routers, manner, Some(OWN)).unwrap()
 }
 
-fn addrs(world: &World) -> Vec<SocketAddr> {
+fn addrs(world: &Deployment) -> Vec<SocketAddr> {
     world.routers.iter().map(|r| r.addr).collect()
 }
 
@@ -35,7 +35,7 @@
 
 #[test]
 fn a_request_is_served_with_what_its_session_has_written() {
-    let world = world(2, Manner { lag_ms: 300, ..Manner::default() });
+    let world = world(2, GroupBehavior { lag_ms: 300, ..GroupBehavior::default() });
     let client = Client::start(Config::new(addrs(&world))).unwrap();
     let session = Session::new("anne").unwrap();
     for n in 0..5 {
@@ -56,7 +56,7 @@
 #[test]
 fn no_write_runs_twice_and_what_is_told_of_it_is_true_while_routers_die() {
     let slow = [3 * MS, 3 * MS];
-    let mut world = world(3, Manner { write_takes: slow, ..Manner::default() });
+    let mut world = world(3, GroupBehavior { write_delays: slow, ..GroupBehavior::default() });
     let runtime = Runtime::start().unwrap();
     let (clients, group, addrs) = (30u64, world.group.clone(), addrs(&world));
     let ended = std::sync::Mutex::new(BTreeMap::new());
@@ -65,14 +65,14 @@
             let client = runtime.client(Config { seed: n, ..Config::new(addrs.clone()) });
             let ended = &ended;
             scope.spawn(move || {
-                let mut dice = Dice(n);
+                let mut rng = fastrand::Rng::with_seed(n);
                 for i in 0..150 {
                     // Keys that only this client writes to; each value once.
                     let (key, text) = (format!("c{n}"), format!("{n}-{i}"));
-                    let (end, dropped) = match dice.below(10) {
+                    let (end, dropped) = match rng.u64(..10) {
                         0 => {
                             // Given up at some moment.
-                            let wait = Duration::from_micros(dice.below(9000));
+                            let wait = Duration::from_micros(rng.u64(..9000));
                             let ask = client.execute(write(&key, &text));
                             let late = async {
                                 async_io::Timer::after(wait).await;
@@ -100,7 +100,7 @@
     let ended = ended.into_inner().unwrap();
     let mut by_end: BTreeMap<String, u32> = BTreeMap::new();
     for ((key, text), (end, dropped)) in &ended {
-        let times = group.commits(key).iter().filter(|v| *v == text).count();
+        let times = group.committed_values(key).iter().filter(|v| *v == text).count();
         let name = end.as_ref().map_or("given up".into(), |e| format!("{e:?}"));
         *by_end.entry(name.split('(').next().unwrap_or_default().to_string()).or_default() += 1;
         assert!(times <= 1, "{text} ran {times} times: {end:?}");
@@ -116,10 +116,10 @@
 
 #[test]
 fn thousands_in_flight_dropped_at_random_leave_nothing_behind() {
-    let world = world(2, Manner { read_takes: 5 * MS, ..Manner::default() });
+    let world = world(2, GroupBehavior { read_delay: 5 * MS, ..GroupBehavior::default() });
     let client =
         Client::start(Config { max_connections_per_router: 64, ..Config::new(addrs(&world)) }).unwrap();
-    let mut dice = Dice(5);
+    let mut rng = fastrand::Rng::with_seed(5);
     for _ in 0..4 {
         let asks: Vec<_> = (0..1000)
             .map(|n| {
@@ -127,10 +127,10 @@
             })
             .collect();
         for ask in asks {
-            match dice.below(3) {
+            match rng.u64(..3) {
                 0 => drop(ask),
                 1 => {
-                    let wait = Duration::from_micros(dice.below(500));
+                    let wait = Duration::from_micros(rng.u64(..500));
                     let late = async {
                         async_io::Timer::after(wait).await;
                     };
@@ -159,7 +159,7 @@
 #[test]
 fn the_caller_hears_by_the_deadline_whatever_the_routers_do() {
     // A member that does not answer in time, a router that nobody reaches, a port where nobody listens.
-    let world = world(1, Manner { read_takes: 2000 * MS, ..Manner::default() });
+    let world = world(1, GroupBehavior { read_delay: 2000 * MS, ..GroupBehavior::default() });
     let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let dead = {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -222,12 +222,12 @@
 #[test]
 fn the_program_says_farewell_between_two_requests_where_it_is_told_to() {
     use basalthill_standin::client::Client as Raw;
-    let world = world(1, Manner::default());
+    let world = world(1, GroupBehavior::default());
     let mut raw = Raw::connect(world.routers[0].addr).unwrap();
-    assert!(raw.ask("").is_ok());
+    assert!(raw.query("").is_ok());
     world.routers[0].signal("TERM").unwrap();
-    let (kind, body) = raw.message().unwrap();
+    let basalthill_standin::client::Message { kind, body } = raw.read_message().unwrap();
     assert_eq!(kind, b'E');
     assert!(String::from_utf8_lossy(&body).contains("C57P01"));
-    assert!(raw.ended());
+    assert!(raw.is_closed());
 }
--- a/crates/router/tests/client_moments.rs
+++ b/crates/router/tests/client_moments.rs
@@ -3,10 +3,10 @@
 
 mod common;
 
-use basalthill_standin::client::{query, startup, Client};
-use basalthill_standin::discovery::{list, Discovery};
+use basalthill_standin::client::{query, startup, Client, Message};
+use basalthill_standin::discovery::{endpoint_list, Discovery, Endpoint};
 use basalthill_standin::host::{Host, Reply};
-use basalthill_standin::{unix_ms, Watched, PATIENCE};
+use basalthill_standin::{unix_ms, Watched, TIMEOUT};
 use common::served::{code, host, primary, row, Served};
 use common::{text, SETTINGS};
 use std::io::{ErrorKind, Read, Write};
@@ -21,13 +21,13 @@
 
 /// A client that has been welcomed, and the key of its connection.
 fn keyed(addr: SocketAddr) -> (Client, Vec<u8>) {
-    let mut client = Client::silent(addr).unwrap();
+    let mut client = Client::connect_without_startup(addr).unwrap();
     client.stream.write_all(&startup()).unwrap();
     let mut key = Vec::new();
     loop {
-        match client.message().unwrap() {
-            (b'K', body) => key = body,
-            (b'Z', _) => return (client, key),
+        match client.read_message().unwrap() {
+            Message { kind: b'K', body } => key = body,
+            Message { kind: b'Z', .. } => return (client, key),
             _ => {}
         }
     }
@@ -35,32 +35,34 @@
 
 /// Calls off what is open on the connection with a key; the router closes this one without a word.
 fn cancel(addr: SocketAddr, key: &[u8]) {
-    let mut client = Client::silent(addr).unwrap();
+    let mut client = Client::connect_without_startup(addr).unwrap();
     client.stream.write_all(&[&[0, 0, 0, 16, 4, 210, 22, 46], key].concat()).unwrap();
-    assert!(client.ended());
+    assert!(client.is_closed());
 }
 
 /// A router whose host closes each connection after one answer, and now welcomes nobody: what is asked next
 /// waits for a connection.
 fn aloof() -> (Host, Served) {
     let host = Host::start(|text| match text {
-        "SHOW vitals" => (Reply::Last(format!("x0={}.0,x1=1", unix_ms() / 1000).into_bytes()), Vec::new()),
-        _ => (Reply::Last(b"x".to_vec()), primary()),
+        "SHOW vitals" => {
+            (Reply::RowThenClose(format!("x0={}.0,x1=1", unix_ms() / 1000).into_bytes()), Vec::new())
+        }
+        _ => (Reply::RowThenClose(b"x".to_vec()), primary()),
     })
     .unwrap();
     let settings = SETTINGS.replace("\"connectTimeout\": 250000000", "\"connectTimeout\": 2000000000");
-    let known = list(1, true, &[("s-1", host.addr, 2, "active", "source")]);
+    let known = endpoint_list(1, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]);
     let discovery = Discovery::start(known.clone()).unwrap();
     let served = Served::start(&known, discovery.addr, 256, &settings);
-    assert_eq!(served.client().ask(&write("first")).unwrap(), row(b"x"));
-    host.seen.change(|s| s.aloof = true);
+    assert_eq!(served.client().query(&write("first")).unwrap(), row(b"x"));
+    host.seen.change(|s| s.withhold_welcome = true);
     (host, served)
 }
 
 /// A client whose write waits for a connection that its host has accepted. It has read nothing yet.
 fn waits(host: &Host, served: &Served, id: &str) -> Client {
     let before = host.seen.lock().accepted;
-    let mut client = Client::silent(served.addr).unwrap();
+    let mut client = Client::connect_without_startup(served.addr).unwrap();
     client.stream.write_all(&[startup(), query(&write(id))].concat()).unwrap();
     host.seen.wait(|s| (s.accepted > before).then_some(())).unwrap();
     client
@@ -74,16 +76,16 @@
     go(client);
     // So long after it has gone, a host may not be sent anything for it.
     std::thread::sleep(Duration::from_millis(100));
-    host.seen.change(|s| s.aloof = false);
-    assert_eq!(served.client().ask(&write("after")).unwrap(), row(b"x"));
-    host.saw("id=after").unwrap();
+    host.seen.change(|s| s.withhold_welcome = false);
+    assert_eq!(served.client().query(&write("after")).unwrap(), row(b"x"));
+    host.wait_for_statement("id=after").unwrap();
     std::thread::sleep(Duration::from_millis(50));
-    assert_eq!(host.count("id=gone"), 0, "what its client left is never sent");
+    assert_eq!(host.statement_count("id=gone"), 0, "what its client left is never sent");
 }
 
 #[test]
 fn a_write_whose_client_closed_while_it_waited_for_a_connection_is_never_sent() {
-    leaves(|mut client| client.welcome().unwrap());
+    leaves(|mut client| client.read_until_ready().unwrap());
 }
 
 #[test]
@@ -114,15 +116,15 @@
     cancel(served.addr, &[0; 8]);
     let asked = Instant::now();
     cancel(served.addr, &key);
-    assert_eq!(code(&client.answer().unwrap()), "57014");
+    assert_eq!(code(&client.read_answer().unwrap()), "57014");
     assert!(asked.elapsed() < Duration::from_millis(1500), "{:?}", asked.elapsed());
     std::thread::sleep(Duration::from_millis(100));
-    host.seen.change(|s| s.aloof = false);
-    assert_eq!(client.ask(&write("after")).unwrap(), row(b"x"), "its connection goes on");
-    assert_eq!(host.count("id=cancelled"), 0);
+    host.seen.change(|s| s.withhold_welcome = false);
+    assert_eq!(client.query(&write("after")).unwrap(), row(b"x"), "its connection goes on");
+    assert_eq!(host.statement_count("id=cancelled"), 0);
     // With nothing open it calls off nothing.
     cancel(served.addr, &key);
-    assert_eq!(client.ask(&write("again")).unwrap(), row(b"x"));
+    assert_eq!(client.query(&write("again")).unwrap(), row(b"x"));
 }
 
 /// Clients that send as fast as they can while `busy` holds: empty queries, many at once.
@@ -152,22 +154,22 @@
             client
         })
         .collect();
-    let before = host.count("id=left");
+    let before = host.statement_count("id=left");
     for client in clients.drain(..) {
         drop(client);
         went.change(|w| w.push(Instant::now()));
         std::thread::sleep(Duration::from_millis(5));
     }
-    host.seen.change(|s| s.aloof = false);
+    host.seen.change(|s| s.withhold_welcome = false);
     let began = Instant::now();
-    assert_eq!(served.client().ask(&write("after")).unwrap(), row(b"x"));
+    assert_eq!(served.client().query(&write("after")).unwrap(), row(b"x"));
     assert!(began.elapsed() < Duration::from_secs(3), "others keep their time: {:?}", began.elapsed());
     std::thread::sleep(Duration::from_millis(200));
     busy.store(false, Ordering::Relaxed);
     let seen = host.seen.lock();
-    let late = seen.statements.iter().zip(&seen.times).filter(|((_, text), at)| {
-        let left = text.split("id=left").nth(1).and_then(|t| t[..2].parse::<usize>().ok());
-        left.is_some_and(|n| **at > went.lock()[n] + Duration::from_millis(100))
+    let late = seen.statements.iter().filter(|s| {
+        let left = s.text.split("id=left").nth(1).and_then(|t| t[..2].parse::<usize>().ok());
+        left.is_some_and(|n| s.received_at > went.lock()[n] + Duration::from_millis(100))
     });
     assert_eq!(late.count(), 0, "{before} were out before they left");
 }
@@ -189,17 +191,17 @@
     half.stream.write_all(&whole[..60]).unwrap();
     served.stop();
     // They are closed together: the first that ends tells the moment.
-    assert!(sentinel.ended());
+    assert!(sentinel.is_closed());
     half.stream.write_all(&whole[60..]).unwrap();
     for (n, client) in resting.iter_mut().enumerate() {
         // A connection that is closed already may take no more; that is no answer either.
         let _ = client.stream.write_all(&query(&write(&format!("cross{n:02}"))));
     }
-    assert_eq!(half.answer().unwrap(), row(b"x"), "what had begun to come is waited for");
+    assert_eq!(half.read_answer().unwrap(), row(b"x"), "what had begun to come is waited for");
     for (n, client) in resting.iter_mut().enumerate() {
         let (bytes, reset) = rest(&mut client.stream);
         assert!(!reset, "client {n} is reset");
-        let sent = host.count(&format!("id=cross{n:02}"));
+        let sent = host.statement_count(&format!("id=cross{n:02}"));
         assert_eq!(sent, usize::from(!bytes.is_empty()), "client {n} has its answer if it was sent on");
     }
     assert!(served.over.wait(|o| o.then_some(())).is_some());
@@ -218,12 +220,12 @@
     for n in 0..ASKED {
         slow.send(&write(&format!("large{n:02}"))).unwrap();
     }
-    host.saw(&format!("id=large{:02}", ASKED - 1)).unwrap();
+    host.wait_for_statement(&format!("id=large{:02}", ASKED - 1)).unwrap();
     served.stop();
-    assert!(sentinel.ended());
+    assert!(sentinel.is_closed());
     slow.stream.write_all(&query(&write("cross"))[..50]).unwrap();
     for n in 0..ASKED {
-        assert_eq!(slow.answer().unwrap(), row(&value), "answer {n}");
+        assert_eq!(slow.read_answer().unwrap(), row(&value), "answer {n}");
     }
     let _ = rest(&mut slow.stream);
 }
@@ -235,7 +237,7 @@
     let busy = Arc::new(AtomicBool::new(true));
     flood(served.addr, 3, &busy);
     let mut sentinel = served.client();
-    assert_eq!(sentinel.ask(&write("before")).unwrap(), row(b"x"));
+    assert_eq!(sentinel.query(&write("before")).unwrap(), row(b"x"));
     let began = Instant::now();
     served.stop();
     assert!(served.over.wait(|o| o.then_some(())).is_some());
@@ -246,20 +248,20 @@
 
 #[test]
 fn at_the_end_of_a_stop_requests_behind_others_are_answered_too() {
-    let host = host(|_| Reply::Silence);
+    let host = host(|_| Reply::NoAnswer);
     let mut served = Served::of(&host);
     let mut client = served.client();
     let patient = |id: &str| text("report", "").replace("id=9", id).replace("d=480", "d=60000");
     // A write behind a read waits for its turn.
     let behind = write("2").replace("d=2900", "d=60000");
     client.stream.write_all(&[query(&patient("id=1")), query(&behind)].concat()).unwrap();
-    host.saw("id=1").unwrap();
+    host.wait_for_statement("id=1").unwrap();
     served.stop();
-    assert_eq!(code(&client.answer().unwrap()), "58000");
+    assert_eq!(code(&client.read_answer().unwrap()), "58000");
     // Read with the one before, and taken: it is given up at once, and never sent on.
-    assert_eq!(code(&client.answer().unwrap()), "53300");
-    assert!(client.ended());
-    assert_eq!(host.count("id=2"), 0);
+    assert_eq!(code(&client.read_answer().unwrap()), "53300");
+    assert!(client.is_closed());
+    assert_eq!(host.statement_count("id=2"), 0);
     assert!(served.over.wait(|o| o.then_some(())).is_some());
 }
 
@@ -280,10 +282,14 @@
     };
     let commands = [timed("id=1", 2900), timed("id=2", 600), timed("id=3", 5000)];
     client.stream.write_all(&commands.concat()).unwrap();
-    assert_eq!(client.answer().unwrap(), row(b"x"));
-    assert_eq!(code(&client.answer().unwrap()), "53300", "its client does not wait for it any more");
-    assert_eq!(client.answer().unwrap(), row(b"x"), "the next has time left, and its connection goes on");
-    assert_eq!((host.count("id=2"), host.count("id=3")), (0, 1));
+    assert_eq!(client.read_answer().unwrap(), row(b"x"));
+    assert_eq!(code(&client.read_answer().unwrap()), "53300", "its client does not wait for it any more");
+    assert_eq!(
+        client.read_answer().unwrap(),
+        row(b"x"),
+        "the next has time left, and its connection goes on"
+    );
+    assert_eq!((host.statement_count("id=2"), host.statement_count("id=3")), (0, 1));
 }
 
 /// A client that makes room for another, and asks in that very moment: it is served, or its request was never
@@ -295,16 +301,16 @@
     let mut unserved = 0;
     for round in 0..40 {
         let mut quiet = served.client();
-        assert_eq!(quiet.ask(&write(&format!("quiet{round:02}"))).unwrap(), row(b"x"));
+        assert_eq!(quiet.query(&write(&format!("quiet{round:02}"))).unwrap(), row(b"x"));
         std::thread::sleep(Duration::from_millis(25));
         let crowd = std::thread::spawn({
             let addr = served.addr;
-            move || (0..30).filter_map(|_| Client::silent(addr).ok()).collect::<Vec<_>>()
+            move || (0..30).filter_map(|_| Client::connect_without_startup(addr).ok()).collect::<Vec<_>>()
         });
         std::thread::sleep(Duration::from_micros(50 * (round % 20)));
         let id = format!("cross{round:02}");
-        let answered = quiet.ask(&write(&id)).is_ok_and(|a| a == row(b"x"));
-        let sent = host.count(&format!("id={id}"));
+        let answered = quiet.query(&write(&id)).is_ok_and(|a| a == row(b"x"));
+        let sent = host.statement_count(&format!("id={id}"));
         assert_eq!(sent, usize::from(answered), "round {round}");
         unserved += usize::from(!answered);
         drop(crowd.join().unwrap());
@@ -329,20 +335,20 @@
             break;
         }
     }
-    let mut drip = Client::silent(served.addr).unwrap();
+    let mut drip = Client::connect_without_startup(served.addr).unwrap();
     for byte in &startup()[..20] {
         drip.stream.write_all(&[*byte]).unwrap();
         let began = Instant::now();
-        assert_eq!(served.client().ask(&write("quick")).unwrap(), row(b"x"));
+        assert_eq!(served.client().query(&write("quick")).unwrap(), row(b"x"));
         assert!(began.elapsed() < Duration::from_secs(1), "{:?}", began.elapsed());
         std::thread::sleep(Duration::from_millis(20));
     }
     // The one that takes nothing is ended in time; the other, too.
     assert!(drip.stream.read_to_end(&mut Vec::new()).is_ok());
     let (began, mut ended) = (Instant::now(), false);
-    while !ended && began.elapsed() < PATIENCE {
+    while !ended && began.elapsed() < TIMEOUT {
         std::thread::sleep(Duration::from_millis(100));
-        ended = host.count("id=slow") > 0 && slow.stream.write(&[0]).is_err();
+        ended = host.statement_count("id=slow") > 0 && slow.stream.write(&[0]).is_err();
     }
     assert!(ended, "a client that takes no bytes holds its place for ever");
 }
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use basalthill_router::protocol::discovery::HostList;
 use basalthill_router::protocol::statement::Statement;
 use basalthill_session::{PlatformFloors, Sessions};
-use basalthill_standin::discovery::list;
+use basalthill_standin::discovery::{endpoint_list, Endpoint};
 pub use basalthill_standin::SETTINGS;
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -46,8 +46,8 @@
     members: &[(&'static str, &str, &'static str, &'static str)],
 ) -> HostList {
     let member = |m: &(&'static str, &str, &'static str, &'static str)| {
-        (m.0, m.1.parse().expect("an address"), 2, m.2, m.3)
+        Endpoint::new(m.0, m.1.parse().expect("an address"), 2, m.2, m.3)
     };
     let members: Vec<_> = members.iter().map(member).collect();
-    HostList::parse(list(version, full, &members).as_bytes()).expect("a sound list")
+    HostList::parse(endpoint_list(version, full, &members).as_bytes()).expect("a sound list")
 }
--- a/crates/router/tests/common/served.rs
+++ b/crates/router/tests/common/served.rs
@@ -5,8 +5,8 @@
 use basalthill_config::router::{parse, LoadPhase, RouterConfig};
 use basalthill_router::transport::{self, Command};
 use basalthill_standin::client::{Answer, Client};
-use basalthill_standin::discovery::{list, Discovery};
-use basalthill_standin::host::{Host, Reply, Telling};
+use basalthill_standin::discovery::{endpoint_list, Discovery, Endpoint};
+use basalthill_standin::host::{Host, ParameterStatuses, Reply};
 use basalthill_standin::{unix_ms, Watched};
 use futures_lite::{stream, AsyncReadExt};
 use std::io::Write;
@@ -73,7 +73,7 @@
 
     /// The same with so many descriptors.
     pub fn with(host: &Host, sockets: usize) -> Served {
-        let known = list(1, true, &[("s-1", host.addr, 2, "active", "source")]);
+        let known = endpoint_list(1, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]);
         let discovery = Discovery::start(known.clone()).unwrap();
         Served::start(&known, discovery.addr, sockets, SETTINGS)
     }
@@ -96,7 +96,7 @@
     }
 }
 
-pub fn primary() -> Telling {
+pub fn primary() -> ParameterStatuses {
     vec![("rank", "source".into()), ("as_of", unix_ms().to_string())]
 }
 
--- a/crates/router/tests/common/shim.rs
+++ b/crates/router/tests/common/shim.rs
@@ -1,6 +1,6 @@
 //! The program with some of its calls to the system failing, by a small library loaded before the system's.
 
-use basalthill_standin::fleet::file;
+use basalthill_standin::router_process::write_unique_file;
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -10,14 +10,14 @@
 /// A script that starts the program after some lines of its own.
 pub fn program(lines: &str) -> PathBuf {
     let text = format!("#!/bin/sh\n{lines}\nexec {} \"$@\"\n", env!("CARGO_BIN_EXE_basalthill"));
-    let path = file(Path::new(FOLDER), "program.sh", &text).unwrap();
+    let path = write_unique_file(Path::new(FOLDER), "program.sh", &text).unwrap();
     std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o755)).unwrap();
     path
 }
 
 /// The library that stands before the system's.
 pub fn library() -> PathBuf {
-    let library = file(Path::new(FOLDER), "local_calls.so", "").unwrap();
+    let library = write_unique_file(Path::new(FOLDER), "local_calls.so", "").unwrap();
     let source = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/shim/local_calls.c");
     let mut build = Command::new("cc");
     build.args(["-shared", "-fPIC", "-O1", "-o"]).arg(&library).arg(source).arg("-ldl");
--- a/crates/router/tests/effect_moments.rs
+++ b/crates/router/tests/effect_moments.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use basalthill_standin::client::{startup, Answer, Client};
-use basalthill_standin::discovery::{list, Discovery};
+use basalthill_standin::discovery::{endpoint_list, Discovery, Endpoint};
 use basalthill_standin::host::{Host, Reply};
 use basalthill_standin::{unix_ms, Watched};
 use common::served::{code, host, primary, row, Served};
@@ -20,7 +20,7 @@
 
 /// A router of one host, with settings.
 fn served(addr: SocketAddr, settings: &str) -> Served {
-    let known = list(1, true, &[("s-1", addr, 2, "active", "source")]);
+    let known = endpoint_list(1, true, &[Endpoint::new("s-1", addr, 2, "active", "source")]);
     let discovery = Discovery::start(known.clone()).unwrap();
     Served::start(&known, discovery.addr, 256, settings)
 }
@@ -74,7 +74,7 @@
         let served = served(addr, SETTINGS);
         for (n, size) in [40, 2_000, 65_536].into_iter().enumerate() {
             let statement = write(&format!("cut{n}")).replace("9f03", &"9f".repeat(size));
-            let answer = served.client().ask(&statement).unwrap();
+            let answer = served.client().query(&statement).unwrap();
             let came = whole.lock().iter().filter(|t| t.contains(&format!("id=cut{n}"))).count();
             assert!(came <= 1, "cut after {after:?} of {size}: {came} times");
             // Only what can't have run is called harmless to ask again.
@@ -86,9 +86,11 @@
 #[test]
 fn a_keyed_write_is_not_repeated_past_its_window_over_a_connection_that_comes_up_late() {
     let host = Host::start(|text| match text {
-        "SHOW vitals" => (Reply::Last(format!("x0={}.0,x1=1", unix_ms() / 1000).into_bytes()), Vec::new()),
-        text if text.contains("id=short") => (Reply::Break, Vec::new()),
-        _ => (Reply::Last(b"x".to_vec()), primary()),
+        "SHOW vitals" => {
+            (Reply::RowThenClose(format!("x0={}.0,x1=1", unix_ms() / 1000).into_bytes()), Vec::new())
+        }
+        text if text.contains("id=short") => (Reply::Close, Vec::new()),
+        _ => (Reply::RowThenClose(b"x".to_vec()), primary()),
     })
     .unwrap();
     let window = Duration::from_millis(300);
@@ -98,29 +100,31 @@
     );
     let keyed = keyed.replace("\"connectTimeout\": 250000000", "\"connectTimeout\": 2000000000");
     let served = served(host.addr, &keyed);
-    assert_eq!(served.client().ask(&write("first")).unwrap(), row(b"x"));
+    assert_eq!(served.client().query(&write("first")).unwrap(), row(b"x"));
     let mut client = served.client();
     client.send(&write("short")).unwrap();
-    host.saw("id=short").unwrap();
+    host.wait_for_statement("id=short").unwrap();
     // Its connection has broken after the last byte; the next ones come up late, after the window.
-    host.seen.change(|s| s.aloof = true);
+    host.seen.change(|s| s.withhold_welcome = true);
     std::thread::sleep(window + Duration::from_millis(100));
-    host.seen.change(|s| s.aloof = false);
-    assert!(matches!(client.answer().unwrap(), Answer::Error(..)));
-    assert_eq!(served.client().ask(&write("after")).unwrap(), row(b"x"));
+    host.seen.change(|s| s.withhold_welcome = false);
+    assert!(matches!(client.read_answer().unwrap(), Answer::Error(..)));
+    assert_eq!(served.client().query(&write("after")).unwrap(), row(b"x"));
     let seen = host.seen.lock();
-    let times: Vec<_> =
-        seen.statements.iter().zip(&seen.times).filter(|((_, t), _)| t.contains("id=short")).collect();
-    let span = *times.last().unwrap().1 - *times[0].1;
+    let times: Vec<_> = seen.statements.iter().filter(|s| s.text.contains("id=short")).collect();
+    let span = times.last().unwrap().received_at - times[0].received_at;
     assert!(span < window, "{} came, the last {span:?} after the first", times.len());
 }
 
 #[test]
 fn a_host_whose_connections_come_up_slowly_takes_no_time_from_others() {
     let (slow, quick) = (host(|_| Reply::Row(b"x".to_vec())), host(|_| Reply::Row(b"x".to_vec())));
-    slow.seen.change(|s| s.aloof = true);
-    let members = [("s-1", quick.addr, 2, "active", "source"), ("s-2", slow.addr, 3, "active", "source")];
-    let known = list(1, true, &members);
+    slow.seen.change(|s| s.withhold_welcome = true);
+    let members = [
+        Endpoint::new("s-1", quick.addr, 2, "active", "source"),
+        Endpoint::new("s-2", slow.addr, 3, "active", "source"),
+    ];
+    let known = endpoint_list(1, true, &members);
     let discovery = Discovery::start(known.clone()).unwrap();
     let served = Served::start(&known, discovery.addr, 256, SETTINGS);
     let mut waiting: Vec<Client> = (0..40)
@@ -132,32 +136,32 @@
         .collect();
     for n in 0..50 {
         let began = Instant::now();
-        assert_eq!(served.client().ask(&write(&format!("quick{n}"))).unwrap(), row(b"x"));
+        assert_eq!(served.client().query(&write(&format!("quick{n}"))).unwrap(), row(b"x"));
         assert!(began.elapsed() < Duration::from_secs(1), "{:?}", began.elapsed());
     }
     for client in &mut waiting {
-        assert!(matches!(client.answer().unwrap(), Answer::Error(..)), "given up in its time");
+        assert!(matches!(client.read_answer().unwrap(), Answer::Error(..)), "given up in its time");
     }
-    assert_eq!(slow.count("INSERT"), 0);
+    assert_eq!(slow.statement_count("INSERT"), 0);
 }
 
 /// The time that a host is told is what is left as the statement is written, not as its connection was begun.
 #[test]
 fn over_a_connection_that_comes_up_late_a_host_is_told_no_more_time_than_is_left() {
-    let host = host(|_| Reply::Last(b"x".to_vec()));
+    let host = host(|_| Reply::RowThenClose(b"x".to_vec()));
     let late = SETTINGS.replace("\"connectTimeout\": 250000000", "\"connectTimeout\": 2000000000");
     let served = served(host.addr, &late);
     let mut client = served.client();
-    host.seen.change(|s| s.aloof = true);
+    host.seen.change(|s| s.withhold_welcome = true);
     let sent = Instant::now();
     client.send(&write("late")).unwrap();
     std::thread::sleep(Duration::from_millis(600));
-    host.seen.change(|s| s.aloof = false);
-    let (_, text) = host.saw("id=late").unwrap();
+    host.seen.change(|s| s.withhold_welcome = false);
+    let text = host.wait_for_statement("id=late").unwrap().text;
     let told: u64 = text.split_once(",d=").unwrap().1.split_once(',').unwrap().0.parse().unwrap();
     let at = host.seen.lock();
-    let n = at.statements.iter().position(|(_, t)| t.contains("id=late")).unwrap();
-    let left = Duration::from_millis(2900).saturating_sub(at.times[n] - sent);
+    let n = at.statements.iter().position(|s| s.text.contains("id=late")).unwrap();
+    let left = Duration::from_millis(2900).saturating_sub(at.statements[n].received_at - sent);
     assert!(
         Duration::from_millis(told) <= left + Duration::from_millis(150),
         "{told} ms told, {left:?} left"
--- a/crates/router/tests/list_moments.rs
+++ b/crates/router/tests/list_moments.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use basalthill_standin::client::{Answer, Client};
-use basalthill_standin::discovery::{list, Discovery, Manner};
+use basalthill_standin::discovery::{endpoint_list, Discovery, Endpoint, ResponseMode};
 use basalthill_standin::host::{Host, Reply};
 use common::served::{host, row, Served};
 use common::{text, SETTINGS};
@@ -22,8 +22,11 @@
 }
 
 fn drained(version: u64, full: bool, one: &Host, two: &Host) -> String {
-    let members = [("s-1", one.addr, 2, "leaving", "copy"), ("s-2", two.addr, 2, "active", "source")];
-    list(version, full, &members)
+    let members = [
+        Endpoint::new("s-1", one.addr, 2, "leaving", "copy"),
+        Endpoint::new("s-2", two.addr, 2, "active", "source"),
+    ];
+    endpoint_list(version, full, &members)
 }
 
 /// Writes again and again, up to the first that the other member serves and for `after` beyond that; how long
@@ -37,7 +40,7 @@
         count += 1;
         let text = text("write", "").replace("id=9", &format!("id={count:x}a"));
         let mut at = client.take().or_else(|| Client::connect(addr).ok());
-        match at.as_mut().map(|c| c.ask(&text)) {
+        match at.as_mut().map(|c| c.query(&text)) {
             Some(Ok(answer)) => {
                 if answer == row(b"two") && moved.is_none() {
                     moved = Some(began.elapsed());
@@ -54,23 +57,23 @@
 /// When the last write came that a host saw.
 fn last_write(host: &Host) -> Option<Instant> {
     let seen = host.seen.lock();
-    let writes = seen.statements.iter().zip(&seen.times).filter(|((_, text), _)| text.contains("INSERT"));
-    writes.map(|(_, at)| *at).max()
+    let writes = seen.statements.iter().filter(|s| s.text.contains("INSERT"));
+    writes.map(|s| s.received_at).max()
 }
 
 /// The first watch drips while discovery learns of a drain, and the calls after it go as told; clients hold
 /// all the descriptors that they can get. The drain is acted on in time, and the host's record shows it.
-fn drain_after(calls: &[Manner]) {
+fn drain_after(calls: &[ResponseMode]) {
     let (one, two) = pair();
-    let known = list(1, true, &[("s-1", one.addr, 2, "active", "source")]);
+    let known = endpoint_list(1, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
     let discovery = Discovery::start(known.clone()).unwrap();
-    discovery.told.change(|t| t.manners.push_back(Manner::Drips));
+    discovery.state.change(|t| t.next_responses.push_back(ResponseMode::Drip));
     let served = Served::start(&known, discovery.addr, 64, SETTINGS);
-    assert_eq!(served.client().ask(&text("write", "")).unwrap(), row(b"one"));
-    let held: Vec<_> = (0..80).map(|_| Client::silent(served.addr).unwrap()).collect();
+    assert_eq!(served.client().query(&text("write", "")).unwrap(), row(b"one"));
+    let held: Vec<_> = (0..80).map(|_| Client::connect_without_startup(served.addr).unwrap()).collect();
     // From now on discovery has it, and could tell.
-    discovery.told.change(|t| t.manners.extend(calls));
-    discovery.break_off(drained(2, true, &one, &two));
+    discovery.state.change(|t| t.next_responses.extend(calls));
+    discovery.restart_watches(drained(2, true, &one, &two));
     let had = Instant::now();
     let moved = writes(served.addr, GRACE);
     assert!(moved < TOLD, "{calls:?}: {moved:?}");
@@ -86,29 +89,29 @@
 
 #[test]
 fn a_drain_is_acted_on_in_time_through_a_silent_and_a_refused_call() {
-    drain_after(&[Manner::Silent, Manner::Closed]);
+    drain_after(&[ResponseMode::Silent, ResponseMode::Closed]);
 }
 
 #[test]
 fn a_drain_is_acted_on_in_time_through_a_refused_call_and_one_that_ends_with_its_head() {
-    drain_after(&[Manner::Closed, Manner::Head]);
+    drain_after(&[ResponseMode::Closed, ResponseMode::HeadOnly]);
 }
 
 #[test]
 fn a_drain_is_acted_on_in_time_through_two_refused_calls_and_a_silent_one() {
-    drain_after(&[Manner::Closed, Manner::Closed, Manner::Silent]);
+    drain_after(&[ResponseMode::Closed, ResponseMode::Closed, ResponseMode::Silent]);
 }
 
 /// Discovery is away for so long that calls are far apart; at its return the drain is there.
 #[test]
 fn discovery_that_comes_back_is_heard_at_once() {
     let (one, two) = pair();
-    let known = list(1, true, &[("s-1", one.addr, 2, "active", "source")]);
+    let known = endpoint_list(1, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
     let nobody = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = nobody.local_addr().unwrap();
     drop(nobody);
     let served = Served::start(&known, addr, 64, SETTINGS);
-    assert_eq!(served.client().ask(&text("write", "")).unwrap(), row(b"one"));
+    assert_eq!(served.client().query(&text("write", "")).unwrap(), row(b"one"));
     std::thread::sleep(Duration::from_millis(2500));
     let _discovery = Discovery::start_at(addr, drained(2, true, &one, &two)).unwrap();
     let had = Instant::now();
@@ -121,14 +124,14 @@
 #[test]
 fn a_new_address_is_heard_in_time_though_its_first_call_is_lost() {
     let (one, two) = pair();
-    let known = list(70, true, &[("s-1", one.addr, 2, "active", "source")]);
+    let known = endpoint_list(70, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
     let old = Discovery::start(known.clone()).unwrap();
-    old.told.change(|t| t.manners.extend([Manner::Silent; 8]));
+    old.state.change(|t| t.next_responses.extend([ResponseMode::Silent; 8]));
     let new = Discovery::start(drained(3, true, &one, &two)).unwrap();
-    new.told.change(|t| t.manners.push_back(Manner::Silent));
+    new.state.change(|t| t.next_responses.push_back(ResponseMode::Silent));
     let served = Served::start(&known, old.addr, 64, SETTINGS);
-    assert_eq!(served.client().ask(&text("write", "")).unwrap(), row(b"one"));
-    let held: Vec<_> = (0..80).map(|_| Client::silent(served.addr).unwrap()).collect();
+    assert_eq!(served.client().query(&text("write", "")).unwrap(), row(b"one"));
+    let held: Vec<_> = (0..80).map(|_| Client::connect_without_startup(served.addr).unwrap()).collect();
     served.moved(old.addr, new.addr);
     let moved = writes(served.addr, Duration::from_millis(1));
     assert!(moved < Duration::from_secs(4), "{moved:?} after the signal");
@@ -140,15 +143,17 @@
 #[test]
 fn a_drain_that_was_there_before_the_start_has_no_grace_left_when_it_comes_late() {
     let one = host(|_| Reply::Row(b"one".to_vec()));
-    let known = list(1, true, &[("s-1", one.addr, 2, "active", "source")]);
-    let discovery = Discovery::start(list(2, true, &[("s-1", one.addr, 2, "leaving", "source")])).unwrap();
-    discovery.told.change(|t| t.manners.push_back(Manner::Silent));
+    let known = endpoint_list(1, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
+    let discovery =
+        Discovery::start(endpoint_list(2, true, &[Endpoint::new("s-1", one.addr, 2, "leaving", "source")]))
+            .unwrap();
+    discovery.state.change(|t| t.next_responses.push_back(ResponseMode::Silent));
     let served = Served::start(&known, discovery.addr, 64, SETTINGS);
-    assert_eq!(served.client().ask(&text("write", "")).unwrap(), row(b"one"));
-    discovery.told.wait(|t| (t.requests.len() >= 2).then_some(())).unwrap();
+    assert_eq!(served.client().query(&text("write", "")).unwrap(), row(b"one"));
+    discovery.state.wait(|t| (t.requests.len() >= 2).then_some(())).unwrap();
     let told = Instant::now();
     while told.elapsed() < GRACE {
-        let _ = served.client().ask(&text("write", ""));
+        let _ = served.client().query(&text("write", ""));
     }
     // A moment for the list to come, and for what was on its way.
     let last = last_write(&one).unwrap();
@@ -160,25 +165,25 @@
 #[test]
 fn a_router_that_is_turned_away_asks_again_for_what_has_changed_alone() {
     let (one, two) = pair();
-    let known = list(7, true, &[("s-1", one.addr, 2, "active", "source")]);
+    let known = endpoint_list(7, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
     let discovery = Discovery::start(drained(8, false, &one, &two)).unwrap();
-    discovery.told.change(|t| t.manners.extend([Manner::TurnedAway; 3]));
+    discovery.state.change(|t| t.next_responses.extend([ResponseMode::Unavailable; 3]));
     let settings = SETTINGS.replace("\"automatic\"", "\"subscribe\"");
     let served = Served::start(&known, discovery.addr, 64, &settings);
-    let requests = discovery.told.wait(|t| (t.requests.len() >= 4).then(|| t.requests.clone())).unwrap();
+    let requests = discovery.state.wait(|t| (t.requests.len() >= 4).then(|| t.requests.clone())).unwrap();
     assert!(requests.iter().all(|r| r.contains("watch=1") && r.contains("from=7")), "{requests:?}");
     writes(served.addr, 2 * GRACE);
-    assert!(two.count("INSERT") > 0, "the change is acted on");
+    assert!(two.statement_count("INSERT") > 0, "the change is acted on");
 }
 
 #[test]
 fn a_list_that_comes_indented_is_read() {
     let (one, two) = pair();
-    let known = list(1, true, &[("s-1", one.addr, 2, "active", "source")]);
+    let known = endpoint_list(1, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
     let discovery = Discovery::start(drained(2, true, &one, &two)).unwrap();
-    discovery.told.change(|t| t.manners.extend([Manner::Indented; 8]));
+    discovery.state.change(|t| t.next_responses.extend([ResponseMode::Indented; 8]));
     let served = Served::start(&known, discovery.addr, 64, SETTINGS);
     assert!(writes(served.addr, Duration::from_millis(1)) < Duration::from_secs(2));
     let mut client = served.client();
-    assert!(matches!(client.ask(&text("write", "")), Ok(Answer::Row(_))));
+    assert!(matches!(client.query(&text("write", "")), Ok(Answer::Row(_))));
 }
--- a/crates/router/tests/local_calls.rs
+++ b/crates/router/tests/local_calls.rs
@@ -5,11 +5,12 @@
 mod common;
 
 use basalthill_standin::client::{Answer, Client};
-use basalthill_standin::discovery::{list, Discovery};
-use basalthill_standin::fleet::{file, Router, Start, World};
-use basalthill_standin::group::Manner;
+use basalthill_standin::deployment::Deployment;
+use basalthill_standin::discovery::{endpoint_list, Discovery, Endpoint};
+use basalthill_standin::group::GroupBehavior;
 use basalthill_standin::host::{Host, Reply};
-use basalthill_standin::{unix_ms, PATIENCE, SETTINGS};
+use basalthill_standin::router_process::{write_unique_file, RouterOptions, RouterProcess};
+use basalthill_standin::{unix_ms, SETTINGS, TIMEOUT};
 use common::shim::{failing, library, program, FOLDER};
 use std::net::TcpStream;
 use std::path::Path;
@@ -24,23 +25,24 @@
 /// Clients ask one after the other and many at once, through a router whose calls fail; it reads its file
 /// again, and stops in order.
 fn serves_all(calls: &[(&str, i32, u32)]) {
-    let mut world = World::start(&failing(calls), Path::new(FOLDER), 1, Manner::default(), None).unwrap();
+    let mut world =
+        Deployment::start(&failing(calls), Path::new(FOLDER), 1, GroupBehavior::default(), None).unwrap();
     let addr = world.routers[0].addr;
     for n in 0..20 {
         let mut client = Client::connect(addr).unwrap();
         let asked = [10 * n, 10 * n + 1, 10 * n + 2].map(read);
-        assert!(matches!(client.ask(&asked[0]), Ok(Answer::Row(_))), "{calls:?}, client {n}");
+        assert!(matches!(client.query(&asked[0]), Ok(Answer::Row(_))), "{calls:?}, client {n}");
         asked[1..].iter().for_each(|text| client.send(text).unwrap());
         for _ in 1..asked.len() {
-            assert!(matches!(client.answer(), Ok(Answer::Row(_))), "{calls:?}, client {n}, in a row");
+            assert!(matches!(client.read_answer(), Ok(Answer::Row(_))), "{calls:?}, client {n}, in a row");
         }
     }
     let router = &mut world.routers[0];
     router.signal("HUP").unwrap();
-    assert!(router.said("configuration: read again").is_some(), "{calls:?}");
-    assert!(matches!(Client::connect(addr).unwrap().ask(&read(900)), Ok(Answer::Row(_))), "{calls:?}");
+    assert!(router.wait_for_log("configuration: read again").is_some(), "{calls:?}");
+    assert!(matches!(Client::connect(addr).unwrap().query(&read(900)), Ok(Answer::Row(_))), "{calls:?}");
     router.signal("TERM").unwrap();
-    assert_eq!(router.exits().unwrap().code(), Some(0), "{calls:?}");
+    assert_eq!(router.wait_for_exit().unwrap().code(), Some(0), "{calls:?}");
 }
 
 #[test]
@@ -59,18 +61,19 @@
 #[test]
 fn a_want_of_descriptors_is_waited_out_and_no_failure_of_a_member() {
     let world =
-        World::start(&program("ulimit -n 64"), Path::new(FOLDER), 1, Manner::default(), None).unwrap();
+        Deployment::start(&program("ulimit -n 64"), Path::new(FOLDER), 1, GroupBehavior::default(), None)
+            .unwrap();
     let router = &world.routers[0];
     let (mut asking, mut other) =
         (Client::connect(router.addr).unwrap(), Client::connect(router.addr).unwrap());
-    assert!(asking.ask("").is_ok());
+    assert!(asking.query("").is_ok());
     // More than fit: what idles towards members makes room for them.
     let crowd: Vec<_> = (0..80).map(|_| TcpStream::connect(router.addr).unwrap()).collect();
     // The router goes on serving meanwhile, as long as several attempts and probes would take.
     let mut serve_others = || {
         let began = Instant::now();
         while began.elapsed() < Duration::from_millis(300) {
-            assert!(other.ask("").is_ok());
+            assert!(other.query("").is_ok());
         }
     };
     serve_others();
@@ -79,7 +82,7 @@
     asking.send(&format!("{write} /* id=a1,c=write,t=acme,d=1500,cluster=2 */")).unwrap();
     serve_others();
     drop(crowd);
-    let answer = asking.answer();
+    let answer = asking.read_answer();
     assert!(matches!(answer, Ok(Answer::Row(_))), "{answer:?}");
 }
 
@@ -87,7 +90,7 @@
 /// be half a second old go past a replica that is 0.8 s behind (not ejected: that takes a second), until it
 /// has caught up.
 fn reads_what_is_fresh_enough(ahead_ms: i64) {
-    let wall = file(Path::new(FOLDER), "wall-ahead", "").unwrap();
+    let wall = write_unique_file(Path::new(FOLDER), "wall-ahead", "").unwrap();
     std::fs::write(&wall, ahead_ms.to_ne_bytes()).unwrap();
     let lines = format!("export WALL_AHEAD={} LD_PRELOAD={}", wall.display(), library().display());
     let lag = Arc::new(AtomicU64::new(800));
@@ -101,32 +104,39 @@
         Host::start(tells).unwrap()
     };
     let (first, second) = (host("first", "source", Arc::default()), host("second", "copy", Arc::clone(&lag)));
-    let known = list(
+    let known = endpoint_list(
         1,
         true,
-        &[("s-1", first.addr, 2, "active", "source"), ("s-2", second.addr, 2, "active", "copy")],
+        &[
+            Endpoint::new("s-1", first.addr, 2, "active", "source"),
+            Endpoint::new("s-2", second.addr, 2, "active", "copy"),
+        ],
     );
     let discovery = Discovery::start(known.clone()).unwrap();
     let settings = SETTINGS.replace("\"await\"", "\"none\"").replace("[3000000000", "[500000000");
     let text = format!(r#"{{"seed":"1","known":{known},"settings":{settings}}}"#);
-    let start = Start {
+    let start = RouterOptions {
         program: program(&lines),
-        config: file(Path::new(FOLDER), "router.json", &text).unwrap(),
+        config: write_unique_file(Path::new(FOLDER), "router.json", &text).unwrap(),
         settings: None,
         discovery: discovery.addr,
     };
-    let router = Router::start("n1", start).unwrap();
+    let router = RouterProcess::start("n1", start).unwrap();
     let mut client = Client::connect(router.addr).unwrap();
-    assert!(matches!(client.ask(&read(0)), Ok(Answer::Row(_))));
+    assert!(matches!(client.query(&read(0)), Ok(Answer::Row(_))));
     std::fs::write(&wall, 0i64.to_ne_bytes()).unwrap();
     for n in 1..40 {
-        assert_eq!(client.ask(&read(n)).unwrap(), Answer::Row(b"first".to_vec()), "read {n}, {ahead_ms} ms");
+        assert_eq!(
+            client.query(&read(n)).unwrap(),
+            Answer::Row(b"first".to_vec()),
+            "read {n}, {ahead_ms} ms"
+        );
     }
     // It has caught up, and a probe finds it so.
     lag.store(0, Ordering::SeqCst);
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     for n in 100.. {
-        match client.ask(&read(n)).unwrap() {
+        match client.query(&read(n)).unwrap() {
             Answer::Row(value) if value == b"second" => break,
             other => assert!(Instant::now() < until, "{other:?}"),
         }
--- a/crates/router/tests/pipelines.rs
+++ b/crates/router/tests/pipelines.rs
@@ -4,10 +4,10 @@
 mod common;
 
 use basalthill_standin::client::{query, startup, Answer, Client};
-use basalthill_standin::discovery::{list, Discovery, Manner};
-use basalthill_standin::fleet::{file, Router, Start};
+use basalthill_standin::discovery::{endpoint_list, Discovery, Endpoint, ResponseMode};
 use basalthill_standin::host::{Host, Reply};
-use basalthill_standin::PATIENCE;
+use basalthill_standin::router_process::{write_unique_file, RouterOptions, RouterProcess};
+use basalthill_standin::TIMEOUT;
 use common::served::{code, nobody};
 use common::{text, SETTINGS};
 use std::io::{Read, Write};
@@ -50,18 +50,18 @@
     let text = format!(
         r#"{{"seed":"1","discovery":"{discovery}","limits":{limits},"known":{known},"settings":{settings}}}"#
     );
-    file(Path::new(env!("CARGO_TARGET_TMPDIR")), "pipelines.json", &text).unwrap()
+    write_unique_file(Path::new(env!("CARGO_TARGET_TMPDIR")), "pipelines.json", &text).unwrap()
 }
 
-fn router(name: &str, known: &str, discovery: SocketAddr, sockets: usize, settings: &str) -> Router {
+fn router(name: &str, known: &str, discovery: SocketAddr, sockets: usize, settings: &str) -> RouterProcess {
     let config = config(known, discovery, sockets, settings);
     let program = env!("CARGO_BIN_EXE_basalthill").into();
-    Router::start(name, Start { program, config, settings: None, discovery }).unwrap()
+    RouterProcess::start(name, RouterOptions { program, config, settings: None, discovery }).unwrap()
 }
 
 /// A router with one primary, and discovery.
-fn one(host: &Host, sockets: usize) -> Router {
-    let known = list(1, true, &[("s-1", host.addr, 2, "active", "source")]);
+fn one(host: &Host, sockets: usize) -> RouterProcess {
+    let known = endpoint_list(1, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]);
     let discovery = Discovery::start(known.clone()).unwrap();
     router("n1", &known, discovery.addr, sockets, SETTINGS)
 }
@@ -70,7 +70,7 @@
 fn in_order(client: &mut Client, class: &str, who: u32, count: usize) -> usize {
     let mut rows = 0;
     for n in 0..count {
-        match client.answer().unwrap_or_else(|e| panic!("{who}: no answer to command {n}: {e}")) {
+        match client.read_answer().unwrap_or_else(|e| panic!("{who}: no answer to command {n}: {e}")) {
             Answer::Row(row) => {
                 let id = format!("{who:08x}{n:08x}");
                 assert!(row.starts_with(id.as_bytes()), "{class}: {n} has another's answer");
@@ -91,7 +91,7 @@
         let mut client = Client::connect(addr).unwrap();
         while busy.load(Ordering::Relaxed) || n == 0 {
             let began = Instant::now();
-            assert!(matches!(client.ask(&statement("write", 99, n)).unwrap(), Answer::Row(_)));
+            assert!(matches!(client.query(&statement("write", 99, n)).unwrap(), Answer::Row(_)));
             longest = longest.max(began.elapsed());
             n += 1;
         }
@@ -103,7 +103,7 @@
 fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let began = Instant::now();
     while !holds() {
-        assert!(began.elapsed() < PATIENCE, "{what}");
+        assert!(began.elapsed() < TIMEOUT, "{what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
@@ -163,14 +163,14 @@
         client.stream.write_all(&commands).unwrap();
     }
     for who in 0..4 {
-        host.saw(&format!("id={who:08x}")).unwrap();
+        host.wait_for_statement(&format!("id={who:08x}")).unwrap();
     }
     router.signal("TERM").unwrap();
     for (who, client) in (0..).zip(&mut clients) {
         in_order(client, "write", who, 60);
-        assert!(client.ended());
+        assert!(client.is_closed());
     }
-    assert!(router.exits().unwrap().success());
+    assert!(router.wait_for_exit().unwrap().success());
 }
 
 #[test]
@@ -187,19 +187,25 @@
     let mut client = Client::connect(router.addr).unwrap();
     let commands: Vec<u8> = (0..400).flat_map(|n| query(&statement("write", 6, n))).collect();
     client.stream.write_all(&commands).unwrap();
-    host.saw("INSERT").unwrap();
+    host.wait_for_statement("INSERT").unwrap();
     router.signal("TERM").unwrap();
     in_order(&mut client, "write", 6, 400);
-    assert!(client.ended());
-    assert!(router.exits().unwrap().success());
+    assert!(client.is_closed());
+    assert!(router.wait_for_exit().unwrap().success());
 }
 
 #[test]
 fn a_pipeline_goes_on_while_others_make_room_and_the_list_moves() {
     let (one, two) = (primary(2_000), primary(2_000));
-    let known = list(1, true, &[("s-1", one.addr, 2, "active", "source")]);
-    let drained =
-        list(5, true, &[("s-1", one.addr, 2, "leaving", "copy"), ("s-2", two.addr, 2, "active", "source")]);
+    let known = endpoint_list(1, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
+    let drained = endpoint_list(
+        5,
+        true,
+        &[
+            Endpoint::new("s-1", one.addr, 2, "leaving", "copy"),
+            Endpoint::new("s-2", two.addr, 2, "active", "source"),
+        ],
+    );
     let (old, new) = (Discovery::start(known.clone()).unwrap(), Discovery::start(drained).unwrap());
     let router = router("n1", &known, old.addr, 64, SETTINGS);
     let mut client = Client::connect(router.addr).unwrap();
@@ -209,18 +215,20 @@
     };
     send(&mut client, 0, 200);
     // Twenty may come; all but the busy one make room.
-    let crowd: Vec<Client> = (0..60).filter_map(|_| Client::silent(router.addr).ok()).collect();
+    let crowd: Vec<Client> =
+        (0..60).filter_map(|_| Client::connect_without_startup(router.addr).ok()).collect();
     let path = config(&known, new.addr, 64, SETTINGS);
     std::fs::copy(path, router.config()).unwrap();
     router.signal("HUP").unwrap();
-    router.said("discovery is at").unwrap();
+    router.wait_for_log("discovery is at").unwrap();
     send(&mut client, 200, 400);
     assert!(in_order(&mut client, "write", 7, 400) > 300);
     drop(crowd);
     until("requests go to the new primary", || {
         let mut client = Client::connect(router.addr).unwrap();
-        let before = two.count("INSERT");
-        matches!(client.ask(&statement("write", 8, 0)), Ok(Answer::Row(_))) && two.count("INSERT") > before
+        let before = two.statement_count("INSERT");
+        matches!(client.query(&statement("write", 8, 0)), Ok(Answer::Row(_)))
+            && two.statement_count("INSERT") > before
     });
 }
 
@@ -237,7 +245,7 @@
     let mut fate = Fate::default();
     let mut n = 0;
     while busy.load(Ordering::Relaxed) {
-        let Ok(mut client) = Client::silent(addr) else {
+        let Ok(mut client) = Client::connect_without_startup(addr) else {
             std::thread::sleep(Duration::from_millis(5));
             continue;
         };
@@ -250,11 +258,13 @@
             })
             .collect();
         let began = Instant::now();
-        if client.stream.write_all(&[startup(), commands].concat()).is_err() || client.welcome().is_err() {
+        if client.stream.write_all(&[startup(), commands].concat()).is_err()
+            || client.read_until_ready().is_err()
+        {
             continue;
         }
         for _ in 0..12 {
-            match client.answer() {
+            match client.read_answer() {
                 Ok(_) => fate.answered += 1,
                 Err(_) => {
                     fate.closed += 1;
@@ -272,11 +282,17 @@
 #[test]
 fn ten_routers_killed_at_once_under_pipelines_leave_no_request_without_an_answer_in_its_time() {
     let host = primary(500);
-    let good = list(1, true, &[("s-1", host.addr, 2, "active", "source")]);
-    let old =
-        list(1, true, &[("s-1", host.addr, 2, "active", "source"), ("s-2", nobody(), 2, "active", "copy")]);
+    let good = endpoint_list(1, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]);
+    let old = endpoint_list(
+        1,
+        true,
+        &[
+            Endpoint::new("s-1", host.addr, 2, "active", "source"),
+            Endpoint::new("s-2", nobody(), 2, "active", "copy"),
+        ],
+    );
     let known = [good.as_str(), old.as_str(), "null"];
-    let mut routers: Vec<Router> =
+    let mut routers: Vec<RouterProcess> =
         (0..10).map(|n| router(&format!("n{n}"), known[n % 3], nobody(), 256, SETTINGS)).collect();
     let busy = Arc::new(AtomicBool::new(true));
     let clients: Vec<_> = (0..)
@@ -286,15 +302,15 @@
             std::thread::spawn(move || pipelines(addr, who, &busy))
         })
         .collect();
-    host.saw("INSERT").unwrap();
+    host.wait_for_statement("INSERT").unwrap();
     routers.iter_mut().for_each(|r| r.kill().unwrap());
     let began = Instant::now();
-    routers.iter_mut().for_each(|r| r.again().unwrap());
+    routers.iter_mut().for_each(|r| r.restart().unwrap());
     let ready: Vec<Duration> = routers
         .iter()
         .map(|r| {
             let mut client = Client::connect(r.addr).unwrap();
-            assert_eq!(client.ask("").unwrap(), Answer::Empty);
+            assert_eq!(client.query("").unwrap(), Answer::Empty);
             began.elapsed()
         })
         .collect();
@@ -311,12 +327,12 @@
     let host = primary(100);
     let now = basalthill_standin::unix_ms();
     let cold = |text: String| text.replace("\"started_ms\":0", &format!("\"started_ms\":{now}"));
-    let known = cold(list(1, true, &[("s-1", host.addr, 2, "active", "source")]));
+    let known = cold(endpoint_list(1, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]));
     let discovery = Discovery::start(known.clone()).unwrap();
     let settings = SETTINGS.replace("\"balancers\": 2", "\"balancers\": 30");
-    let mut routers: Vec<Router> =
+    let mut routers: Vec<RouterProcess> =
         (0..30).map(|n| router(&format!("n{n}"), &known, discovery.addr, 64, &settings)).collect();
-    let all_serve = |routers: &[Router], what: &str| {
+    let all_serve = |routers: &[RouterProcess], what: &str| {
         let began = Instant::now();
         std::thread::scope(|s| {
             for (who, router) in (0..).zip(routers) {
@@ -325,7 +341,7 @@
                     let mut n = 0;
                     loop {
                         let write = statement("write", who, n).replace("d=60000", "d=900");
-                        if matches!(client.ask(&write), Ok(Answer::Row(_))) {
+                        if matches!(client.query(&write), Ok(Answer::Row(_))) {
                             return;
                         }
                         assert!(began.elapsed() < Duration::from_secs(10), "{what}: n{who} serves nobody");
@@ -336,18 +352,23 @@
         });
     };
     all_serve(&routers, "at the start");
-    discovery.told.change(|t| t.silent = true);
+    discovery.state.change(|t| t.silent = true);
     routers.iter_mut().for_each(|r| r.kill().unwrap());
-    routers.iter_mut().for_each(|r| r.again().unwrap());
+    routers.iter_mut().for_each(|r| r.restart().unwrap());
     all_serve(&routers, "restarted, and the list silent");
-    discovery.told.change(|t| t.silent = false);
-    let moved = Discovery::start(cold(list(9, true, &[("s-1", host.addr, 2, "active", "source")]))).unwrap();
+    discovery.state.change(|t| t.silent = false);
+    let moved = Discovery::start(cold(endpoint_list(
+        9,
+        true,
+        &[Endpoint::new("s-1", host.addr, 2, "active", "source")],
+    )))
+    .unwrap();
     for router in &routers {
         std::fs::copy(config(&known, moved.addr, 64, &settings), router.config()).unwrap();
         router.signal("HUP").unwrap();
     }
     all_serve(&routers, "after a reload");
-    routers.iter().for_each(|r| drop(r.said("discovery is at").unwrap()));
+    routers.iter().for_each(|r| drop(r.wait_for_log("discovery is at").unwrap()));
     all_serve(&routers, "with the list come whole");
 }
 
@@ -359,22 +380,28 @@
     let members: Vec<_> = (0u32..)
         .zip(&names)
         .map(|(n, name)| match n {
-            1023 => (name.as_str(), host.addr, 2, "active", "source"),
-            n => (name.as_str(), nobody(), 3 + n / 3, "active", if n % 3 == 0 { "source" } else { "copy" }),
+            1023 => Endpoint::new(name.as_str(), host.addr, 2, "active", "source"),
+            n => Endpoint::new(
+                name.as_str(),
+                nobody(),
+                3 + n / 3,
+                "active",
+                if n % 3 == 0 { "source" } else { "copy" },
+            ),
         })
         .collect();
-    let discovery = Discovery::start(list(1, true, &members)).unwrap();
-    discovery.told.change(|t| t.manners.extend([Manner::Indented; 8]));
+    let discovery = Discovery::start(endpoint_list(1, true, &members)).unwrap();
+    discovery.state.change(|t| t.next_responses.extend([ResponseMode::Indented; 8]));
     let settings = SETTINGS.replace("\"balancers\": 2", "\"balancers\": 1024");
     let router = router("n1", "null", discovery.addr, 256, &settings);
     let mut client = Client::connect(router.addr).unwrap();
-    assert_eq!(client.ask("").unwrap(), Answer::Empty);
+    assert_eq!(client.query("").unwrap(), Answer::Empty);
     let mut n = 0;
     until("the last of them serves", || {
         n += 1;
-        matches!(client.ask(&statement("write", 5, n)).unwrap(), Answer::Row(_))
+        matches!(client.query(&statement("write", 5, n)).unwrap(), Answer::Row(_))
     });
-    router.said("1024 members").unwrap();
+    router.wait_for_log("1024 members").unwrap();
     let (memory, descriptors) = (router.resident_kib().unwrap(), router.descriptors().unwrap());
     println!("at rest with 1024 hosts: {memory} KiB, {descriptors} descriptors");
     // A debug build with its symbols; the list itself takes some hundred bytes a host.
--- a/crates/router/tests/platform.rs
+++ b/crates/router/tests/platform.rs
@@ -2,9 +2,10 @@
 //! which calls it can do without, what it starts, and that it rests when nothing is asked of it.
 
 use basalthill_standin::client::{query, Answer, Client};
-use basalthill_standin::fleet::{Load, Way, World};
-use basalthill_standin::group::Manner;
-use basalthill_standin::PATIENCE;
+use basalthill_standin::deployment::Deployment;
+use basalthill_standin::group::GroupBehavior;
+use basalthill_standin::session_load::{ConnectionMode, SessionLoad};
+use basalthill_standin::TIMEOUT;
 use object::read::elf::{Dyn, ElfFile64, FileHeader, ProgramHeader};
 use object::{elf, Endianness};
 use seccompiler::{
@@ -90,10 +91,10 @@
     stats.filter_map(|s| fs::read_to_string(s).ok()).filter(|s| parent(s) == Some(id)).collect()
 }
 
-fn ask(world: &World, n: usize) {
+fn ask(world: &Deployment, n: usize) {
     let mut client = Client::connect(world.routers[0].addr).unwrap();
     let text = format!("SELECT v FROM records WHERE k = 'a' /* id=a{n},c=view,t=acme,d=900,cluster=2 */");
-    assert!(matches!(client.ask(&text), Ok(Answer::Row(_))), "request {n}");
+    assert!(matches!(client.query(&text), Ok(Answer::Row(_))), "request {n}");
 }
 
 #[test]
@@ -103,19 +104,27 @@
         assert!(std::net::TcpListener::bind("[::1]:0").is_err(), "the filter is in force");
         assert!(std::os::unix::net::UnixDatagram::unbound().is_err(), "the filter is in force");
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
-        let mut world = World::start(Path::new(PROGRAM), folder, 1, Manner::default(), None).unwrap();
+        let mut world =
+            Deployment::start(Path::new(PROGRAM), folder, 1, GroupBehavior::default(), None).unwrap();
         ask(&world, 0);
-        let load = Load { way: Way::Pooled, sessions: 16, reads: 600, status_every: 8, rest_us: 0, seed: 24 };
-        assert!(world.play(&load, 0, &[]).reads >= 600);
-        let id = world.routers[0].id();
+        let load = SessionLoad {
+            mode: ConnectionMode::Pooled,
+            sessions: 16,
+            reads: 600,
+            status_every: 8,
+            max_think_time_us: 0,
+            seed: 24,
+        };
+        assert!(world.run_load(&load, 0, &[]).reads >= 600);
+        let id = world.routers[0].pid();
         assert!(children(id).is_empty(), "{:?}", children(id));
         assert!(threads(id).len() <= 8, "{:?}", threads(id));
         world.routers[0].signal("HUP").unwrap();
-        assert!(world.routers[0].said("configuration: read again").is_some());
+        assert!(world.routers[0].wait_for_log("configuration: read again").is_some());
         ask(&world, 1);
         assert!(children(id).is_empty(), "{:?}", children(id));
         world.routers[0].stop_and_restart().unwrap();
-        assert!(world.routers[0].said("stopped").is_some());
+        assert!(world.routers[0].wait_for_log("stopped").is_some());
         ask(&world, 2);
     };
     // A thread of its own: the filter stays with it, and with what it starts.
@@ -125,9 +134,9 @@
 #[test]
 fn a_router_that_is_asked_nothing_has_no_thread_that_goes_on() {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
-    let world = World::start(Path::new(PROGRAM), folder, 1, Manner::default(), None).unwrap();
+    let world = Deployment::start(Path::new(PROGRAM), folder, 1, GroupBehavior::default(), None).unwrap();
     ask(&world, 0);
-    let (id, until) = (world.routers[0].id(), Instant::now() + PATIENCE);
+    let (id, until) = (world.routers[0].pid(), Instant::now() + TIMEOUT);
     let mut seen = BTreeMap::new();
     while seen.values().any(|waits| !waits) || seen.is_empty() {
         assert!(Instant::now() < until, "threads that were never seen to wait: {seen:?}");
@@ -141,11 +150,18 @@
 #[test]
 fn requests_that_have_ended_leave_no_memory_behind() {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
-    let mut world = World::start(Path::new(PROGRAM), folder, 1, Manner::default(), None).unwrap();
-    let load = |seed| Load { way: Way::Pooled, sessions: 16, reads: 3000, status_every: 8, rest_us: 0, seed };
-    world.play(&load(1), 0, &[]);
+    let mut world = Deployment::start(Path::new(PROGRAM), folder, 1, GroupBehavior::default(), None).unwrap();
+    let load = |seed| SessionLoad {
+        mode: ConnectionMode::Pooled,
+        sessions: 16,
+        reads: 3000,
+        status_every: 8,
+        max_think_time_us: 0,
+        seed,
+    };
+    world.run_load(&load(1), 0, &[]);
     let before = world.routers[0].resident_kib().unwrap();
-    (2..5).for_each(|seed| drop(world.play(&load(seed), 0, &[])));
+    (2..5).for_each(|seed| drop(world.run_load(&load(seed), 0, &[])));
     let after = world.routers[0].resident_kib().unwrap();
     assert!(after < before + 1024, "{before} KiB after 3,000 reads, {after} KiB after 12,000");
 }
@@ -168,9 +184,9 @@
 #[test]
 fn after_floods_and_slow_clients_memory_and_descriptors_are_back_where_they_were() {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
-    let world = World::start(Path::new(PROGRAM), folder, 1, Manner::default(), None).unwrap();
+    let world = Deployment::start(Path::new(PROGRAM), folder, 1, GroupBehavior::default(), None).unwrap();
     let router = &world.routers[0];
-    let held = || fs::read_dir(format!("/proc/{}/fd", router.id())).unwrap().count();
+    let held = || fs::read_dir(format!("/proc/{}/fd", router.pid())).unwrap().count();
     ask(&world, 0);
     drop(rude(router.addr));
     let (mut before, mut n) = ((0, 0), 0);
@@ -183,7 +199,7 @@
             assert!(began.elapsed() < Duration::from_millis(900), "{:?}", began.elapsed());
         }
         drop(clients);
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TIMEOUT;
         // Clients have gone; what idles towards hosts may stay.
         while round > 0 && held() > before.0 + 8 {
             assert!(Instant::now() < until, "{} descriptors, {} before", held(), before.0);
--- a/crates/router/tests/program.rs
+++ b/crates/router/tests/program.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use basalthill_standin::client::{Answer, Client};
-use basalthill_standin::discovery::{list, Discovery};
+use basalthill_standin::discovery::{endpoint_list, Discovery, Endpoint};
 use basalthill_standin::host::{Host, Reply};
 use common::{text, SETTINGS};
 use std::io::{BufRead, BufReader, Read};
@@ -74,7 +74,7 @@
 }
 
 fn spawned(host: &Host, listen: &str) -> Child {
-    let known = list(1, true, &[("s-1", host.addr, 2, "active", "source")]);
+    let known = endpoint_list(1, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]);
     let discovery = Discovery::start(known.clone()).unwrap();
     let text = format!(r#"{{"seed":"1","known":{known},"settings":{SETTINGS}}}"#);
     program()
@@ -103,7 +103,7 @@
 #[test]
 fn on_sigterm_it_answers_what_it_has_taken_and_ends_with_0() {
     let host = Host::start(|text| match text.contains("INSERT") {
-        true => (Reply::Held(b"x".to_vec()), vec![("rank", "source".into())]),
+        true => (Reply::RowOnRelease(b"x".to_vec()), vec![("rank", "source".into())]),
         false => (Reply::Row(b"x1=1".to_vec()), Vec::new()),
     })
     .unwrap();
@@ -112,11 +112,11 @@
     assert!(ready.status.success(), "{}", said(&ready));
     let mut client = Client::connect(addr).unwrap();
     client.send(&text("write", "").replace("d=480", "d=2900")).unwrap();
-    host.saw("INSERT").unwrap();
+    host.wait_for_statement("INSERT").unwrap();
     signal(&child, "TERM");
     host.release();
-    assert_eq!(client.answer().unwrap(), Answer::Row(b"x".to_vec()));
-    assert!(client.ended());
+    assert_eq!(client.read_answer().unwrap(), Answer::Row(b"x".to_vec()));
+    assert!(client.is_closed());
     assert_eq!(child.wait().unwrap().code(), Some(0));
     let ready = program().args(["ready", "--listen", &addr.to_string()]).output().unwrap();
     assert_eq!(ready.status.code(), Some(1), "{}", said(&ready));
@@ -127,10 +127,10 @@
     let host = Host::start(|_| (Reply::Row(b"x1=1".to_vec()), Vec::new())).unwrap();
     let (mut child, addr) = started(&host);
     let mut client = Client::connect(addr).unwrap();
-    assert_eq!(client.ask("").unwrap(), Answer::Empty);
+    assert_eq!(client.query("").unwrap(), Answer::Empty);
     signal(&child, "KILL");
     child.wait().unwrap();
-    assert!(client.ended());
+    assert!(client.is_closed());
     let again = TcpListener::bind(addr);
     assert!(again.is_ok(), "the address is free again: {again:?}");
 }
@@ -146,7 +146,7 @@
     drop(held);
     assert!(lines.any(|line| line.unwrap().contains("listens on")));
     std::thread::spawn(move || lines.for_each(drop));
-    assert_eq!(Client::connect(addr).unwrap().ask("").unwrap(), Answer::Empty);
+    assert_eq!(Client::connect(addr).unwrap().query("").unwrap(), Answer::Empty);
     signal(&child, "TERM");
     assert_eq!(child.wait().unwrap().code(), Some(0));
 }
@@ -170,7 +170,7 @@
 fn on_sigterm_with_hosts_that_hang_all_is_answered_and_it_ends_in_time() {
     let host = Host::start(|text| match text {
         "SHOW vitals" => (Reply::Row(b"x1=1".to_vec()), Vec::new()),
-        _ => (Reply::Silence, Vec::new()),
+        _ => (Reply::NoAnswer, Vec::new()),
     })
     .unwrap();
     let (mut child, addr) = started(&host);
@@ -180,14 +180,14 @@
         let write = text("write", "").replace("id=9", &format!("id={n:02}"));
         client.send(&write.replace("d=480", patience)).unwrap();
     }
-    host.saw("INSERT").unwrap();
+    host.wait_for_statement("INSERT").unwrap();
     let began = Instant::now();
     signal(&child, "TERM");
     signal(&child, "HUP");
     signal(&child, "TERM");
     for (n, client) in clients.iter_mut().enumerate() {
-        assert!(matches!(client.answer().unwrap(), Answer::Error(..)), "client {n}");
-        assert!(client.ended(), "client {n}");
+        assert!(matches!(client.read_answer().unwrap(), Answer::Error(..)), "client {n}");
+        assert!(client.is_closed(), "client {n}");
     }
     assert_eq!(child.wait().unwrap().code(), Some(0));
     // The longest deadline, three seconds at most, and what the operators leave beyond it.
@@ -199,10 +199,10 @@
 fn restarted_while_discovery_is_down_it_is_ready_in_time_whatever_list_it_had() {
     let host = Host::start(|_| (Reply::Row(b"x1=1".to_vec()), vec![("rank", "source".into())])).unwrap();
     let gone = host.addr.to_string();
-    let stale = list(1, true, &[("s-1", host.addr, 2, "active", "source")]);
+    let stale = endpoint_list(1, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]);
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let nobody: SocketAddr = "127.0.0.1:1".parse().unwrap();
-    let empty = list(1, true, &[]);
+    let empty = endpoint_list(1, true, &[]);
     let cases = [
         ("null", nobody, false),
         ("null", silent.local_addr().unwrap(), false),
@@ -228,9 +228,9 @@
     for ((known, discovery, served), (_child, addr)) in cases.iter().zip(&started) {
         let case = format!("known {known:.40}, discovery {discovery}");
         let mut client = Client::connect(*addr).unwrap();
-        assert_eq!(client.ask("").unwrap(), Answer::Empty, "{case}");
+        assert_eq!(client.query("").unwrap(), Answer::Empty, "{case}");
         assert!(began.elapsed() < Duration::from_secs(8), "{case}: {:?}", began.elapsed());
-        let answer = client.ask(&text("write", "")).unwrap();
+        let answer = client.query(&text("write", "")).unwrap();
         match served {
             true => assert_eq!(answer, Answer::Row(b"x1=1".to_vec()), "{case}, {gone}"),
             false => assert!(matches!(&answer, Answer::Error(code, Some(_)) if code == "53300"), "{case}"),
@@ -241,7 +241,7 @@
 #[test]
 fn on_sighup_the_file_is_read_again_and_an_unsound_one_changes_nothing() {
     let host = Host::start(|_| (Reply::Row(b"x1=1".to_vec()), Vec::new())).unwrap();
-    let known = list(1, true, &[("s-1", host.addr, 2, "active", "source")]);
+    let known = endpoint_list(1, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]);
     let (one, two) = (Discovery::start(known.clone()).unwrap(), Discovery::start(known.clone()).unwrap());
     let text = |discovery: SocketAddr, name: &str, settings: &str| {
         format!(r#"{{"name":"{name}","discovery":"{discovery}","known":{known},"settings":{settings}}}"#)
@@ -274,7 +274,7 @@
         signal(&child.0, "HUP");
         let line = say("stays in force");
         assert!(line.contains(key), "{line}");
-        assert_eq!(client.ask("").unwrap(), Answer::Empty, "the connection stays");
+        assert_eq!(client.query("").unwrap(), Answer::Empty, "the connection stays");
     }
     std::fs::remove_file(&path).unwrap();
     signal(&child.0, "HUP");
@@ -285,16 +285,16 @@
     std::fs::write(&path, text(one.addr, "n1", SETTINGS)).unwrap();
     let line = say("configuration: ");
     assert!(line.contains("read again, discovery stays"), "{line}");
-    assert!(two.told.lock().requests.is_empty(), "nothing of an unsound file is taken over");
+    assert!(two.state.lock().requests.is_empty(), "nothing of an unsound file is taken over");
     // Several signals at once end with the newest file.
     std::fs::write(&path, text(two.addr, "another", SETTINGS)).unwrap();
     (0..20).for_each(|_| signal(&child.0, "HUP"));
     say("name has changed, which needs a restart");
-    assert!(two.told.wait(|t| (!t.requests.is_empty()).then_some(())).is_some());
-    assert_eq!(client.ask("").unwrap(), Answer::Empty);
+    assert!(two.state.wait(|t| (!t.requests.is_empty()).then_some(())).is_some());
+    assert_eq!(client.query("").unwrap(), Answer::Empty);
     signal(&child.0, "HUP");
     signal(&child.0, "TERM");
-    assert!(client.ended());
+    assert!(client.is_closed());
     assert_eq!(child.0.wait().unwrap().code(), Some(0));
 }
 
@@ -367,7 +367,7 @@
             let listen = after(child.0.stderr.take().unwrap(), "listens on ");
             (child, listen)
         };
-        let ask = |listen, text: &str| Client::connect(listen).unwrap().ask(text).unwrap();
+        let ask = |listen, text: &str| Client::connect(listen).unwrap().query(text).unwrap();
         let (first, listen) = router();
         assert_eq!(ask(listen, write), Answer::Row(b"mine".to_vec()));
         assert_eq!(ask(listen, read), Answer::Row(sees.as_bytes().to_vec()), "settings: {settings}");
--- a/crates/router/tests/reconnect.rs
+++ b/crates/router/tests/reconnect.rs
@@ -2,8 +2,8 @@
 //! their slack, nothing reaches a host after its deadline, and no write runs twice.
 
 use basalthill_client::{Client, Config, Request, RequestOutcome, Runtime};
-use basalthill_standin::fleet::{Dice, World};
-use basalthill_standin::group::Manner;
+use basalthill_standin::deployment::Deployment;
+use basalthill_standin::group::GroupBehavior;
 use std::path::Path;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -53,7 +53,7 @@
     metrics::set_global_recorder(Recorder).unwrap();
     let program = Path::new(env!("CARGO_BIN_EXE_basalthill"));
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
-    let mut world = World::start(program, folder, 2, Manner::default(), None).unwrap();
+    let mut world = Deployment::start(program, folder, 2, GroupBehavior::default(), None).unwrap();
     let addrs: Vec<_> = world.routers.iter().map(|r| r.addr).collect();
     let runtime = Runtime::start().unwrap();
     let client = |n| runtime.client(Config { seed: n, ..Config::new(addrs.clone()) });
@@ -64,7 +64,7 @@
         std::thread::scope(|scope| {
             let asks = (0..CLIENTS).map(|c| {
                 scope.spawn(move || {
-                    std::thread::sleep(gap.mul_f64(Dice(c).below(1000) as f64 / 1000.0));
+                    std::thread::sleep(gap.mul_f64(fastrand::Rng::with_seed(c).u64(..1000) as f64 / 1000.0));
                     clients[c as usize].execute_blocking(write(c, n, zero)).outcome
                 })
             });
@@ -101,17 +101,18 @@
     let most = (0..60).map(|n| within(n * 10, n * 10 + 50)).max().unwrap();
     assert!(most * 3 < connects.len(), "{most} of {} within 50 ms", connects.len());
     // It comes back: nobody runs there at once.
-    world.routers[0].again().unwrap();
+    world.routers[0].restart().unwrap();
     let returned = Instant::now();
     assert_eq!(served(&round(2, 300 * MS)), CLIENTS as usize);
     assert!(after(returned).len() < 20, "{:?}", after(returned));
     for host in &world.group.hosts {
         let seen = host.seen.lock();
-        for ((_, text), at) in seen.statements.iter().zip(&seen.times) {
+        for statement in &seen.statements {
+            let (text, at) = (&statement.text, &statement.received_at);
             let Some(key) = text.split('\'').nth(1) else { continue };
             let deadline: u64 = key.rsplit('-').next().unwrap().parse().unwrap();
             assert!(*at <= zero + Duration::from_micros(deadline), "{text}");
-            assert!(world.group.commits(key).len() <= 1, "{text}");
+            assert!(world.group.committed_values(key).len() <= 1, "{text}");
         }
     }
 }
--- a/crates/router/tests/sessions.rs
+++ b/crates/router/tests/sessions.rs
@@ -1,8 +1,10 @@
 //! Sessions through real router processes that are killed and restarted, against a group with an oracle.
 
 use basalthill_standin::client::{Answer, Client};
-use basalthill_standin::fleet::{file, Load, Router, Tally, Way, World};
-use basalthill_standin::group::{Behind, Manner};
+use basalthill_standin::deployment::Deployment;
+use basalthill_standin::group::{GroupBehavior, StaleRead};
+use basalthill_standin::router_process::{write_unique_file, RouterProcess};
+use basalthill_standin::session_load::{ConnectionMode, SessionLoad, SessionLoadReport};
 use std::path::Path;
 use std::time::Duration;
 
@@ -15,18 +17,18 @@
 /// A group of three and so many routers with our own settings, if any. Reads are wanted within two
 /// seconds: on a machine that is busy with other work members answer late, and none is to count as
 /// crowded for that.
-fn world(routers: usize, manner: Manner, own: Option<&str>) -> World {
+fn world(routers: usize, manner: GroupBehavior, own: Option<&str>) -> Deployment {
     // Nor do replicas miss a read because they are woken late.
-    let behind = match manner.behind {
-        Behind::Waits(_) => Behind::Waits(Duration::from_millis(600)),
+    let behind = match manner.stale_reads {
+        StaleRead::Wait(_) => StaleRead::Wait(Duration::from_millis(600)),
         other => other,
     };
-    let manner = Manner { aim_ms: 2000, behind, ..manner };
-    World::start(Path::new(env!("CARGO_BIN_EXE_basalthill")), folder(), routers, manner, own).unwrap()
+    let manner = GroupBehavior { latency_objective_ms: 2000, stale_reads: behind, ..manner };
+    Deployment::start(Path::new(env!("CARGO_BIN_EXE_basalthill")), folder(), routers, manner, own).unwrap()
 }
 
-fn load(way: Way, reads: usize) -> Load {
-    Load { way, sessions: 24, reads, status_every: 8, rest_us: 8000, seed: 16 }
+fn load(way: ConnectionMode, reads: usize) -> SessionLoad {
+    SessionLoad { mode: way, sessions: 24, reads, status_every: 8, max_think_time_us: 8000, seed: 16 }
 }
 
 fn own(floor: &str, more: &str) -> String {
@@ -40,9 +42,9 @@
 /// Floors leave reads to replicas: judged by the reads that were sent while the machine kept pace, by far the
 /// most where it is not overloaded. A member that says nothing for 250 ms is out of service for a second,
 /// whatever floors say.
-fn judge_share(tally: &Tally, case: &str) {
-    let (reads, share) = tally.replica_share_at_pace();
-    let all = tally.replica_share();
+fn judge_share(tally: &SessionLoadReport, case: &str) {
+    let (reads, share) = tally.replica_fraction_without_stalls();
+    let all = tally.replica_fraction();
     println!("{case}: {share} of {reads} reads at pace, {all} of all");
     assert!(share > 0.8 || reads < 100, "{case}: {share} of {reads} reads at pace, {all} of all");
     // Some are served by replicas on any machine.
@@ -52,13 +54,13 @@
 #[test]
 fn sessions_see_their_writes_through_any_router_while_routers_are_killed() {
     let ways = [
-        (own("connection", ""), Way::OneAtATime),
-        (own("arrival", ""), Way::Pooled),
-        (own("nothing", &tokens("writes")), Way::PooledTokens),
+        (own("connection", ""), ConnectionMode::OneAtATime),
+        (own("arrival", ""), ConnectionMode::Pooled),
+        (own("nothing", &tokens("writes")), ConnectionMode::PooledTokens),
     ];
     for (own, way) in ways {
-        let mut world = world(3, Manner::default(), Some(&own));
-        let tally = world.play(&load(way, 2500), 6, &[12, 3, 12, 40, 12]);
+        let mut world = world(3, GroupBehavior::default(), Some(&own));
+        let tally = world.run_load(&load(way, 2500), 6, &[12, 3, 12, 40, 12]);
         println!("{way:?}: {tally}");
         assert_eq!(tally.stale, 0, "{way:?}: {:?}", tally.first_stale);
         assert!(
@@ -74,18 +76,18 @@
 #[test]
 fn without_floors_the_same_load_finds_stale_reads() {
     // Replicas are behind by more than a read takes to get there, also where the machine is busy.
-    let manner = Manner { lag_ms: 600, ..Manner::default() };
+    let manner = GroupBehavior { lag_ms: 600, ..GroupBehavior::default() };
     for own in [None, Some(own("nothing", ""))] {
         let mut world = world(3, manner.clone(), own.as_deref());
-        let tally = world.play(&load(Way::OneAtATime, 1000), 2, &[600]);
+        let tally = world.run_load(&load(ConnectionMode::OneAtATime, 1000), 2, &[600]);
         println!("no floors: {} of {} reads are stale", tally.stale, tally.reads);
         assert!(tally.stale > 50, "the oracle finds them: {} of {}", tally.stale, tally.reads);
     }
     // A floor that does not fit the way of connecting: accept times of pooled connections are old.
     // They are older than the lag for most of the play.
-    let manner = Manner { lag_ms: 60, ..Manner::default() };
+    let manner = GroupBehavior { lag_ms: 60, ..GroupBehavior::default() };
     let mut world = world(3, manner, Some(&self::own("connection", "settle-ms 0")));
-    let tally = world.play(&load(Way::Pooled, 4000), 0, &[60]);
+    let tally = world.run_load(&load(ConnectionMode::Pooled, 4000), 0, &[60]);
     println!("accept times of pooled connections: {} of {} reads are stale", tally.stale, tally.reads);
     assert!(tally.stale > 10, "{} of {}", tally.stale, tally.reads);
 }
@@ -113,23 +115,23 @@
 fn a_router_is_killed_between_the_commit_and_the_answer() {
     // The answer takes long, the commit does not.
     let slow = [Duration::from_millis(1), Duration::from_millis(400)];
-    let manner = Manner { write_takes: slow, ..Manner::default() };
+    let manner = GroupBehavior { write_delays: slow, ..GroupBehavior::default() };
     for (own, brings) in [(own("connection", ""), false), (own("nothing", &tokens("writes")), true)] {
         let mut world = world(2, manner.clone(), Some(&own));
         let mut client = Client::connect(world.routers[0].addr).unwrap();
         client.send(&write(1, "anne", "7", "")).unwrap();
         // The early token comes ahead of any answer.
         if brings {
-            while client.message().unwrap().0 != b'S' {}
+            while client.read_message().unwrap().kind != b'S' {}
         }
-        world.group.committed("anne").unwrap();
+        world.group.wait_for_commit("anne").unwrap();
         world.routers[0].kill_and_restart().unwrap();
-        assert!(client.ended(), "no answer");
+        assert!(client.is_closed(), "no answer");
         for n in [1, 0] {
             let more = client.token.as_ref().map(|t| format!(",token={t}")).unwrap_or_default();
             assert_eq!(more.is_empty(), !brings);
             let mut other = Client::connect(world.routers[n].addr).unwrap();
-            assert_eq!(served(other.ask(&read(n as u32, "anne", &more))), ("7".into(), "copy".into()));
+            assert_eq!(served(other.query(&read(n as u32, "anne", &more))), ("7".into(), "copy".into()));
         }
     }
 }
@@ -137,37 +139,41 @@
 #[test]
 fn a_write_that_commits_after_its_router_died_is_seen_once_it_has() {
     let late = [Duration::from_millis(300), Duration::ZERO];
-    let mut world = world(2, Manner { write_takes: late, ..Manner::default() }, Some(&own("connection", "")));
+    let mut world = world(
+        2,
+        GroupBehavior { write_delays: late, ..GroupBehavior::default() },
+        Some(&own("connection", "")),
+    );
     let mut client = Client::connect(world.routers[0].addr).unwrap();
     client.send(&write(1, "anne", "7", "")).unwrap();
-    world.group.hosts[0].saw("c=write").unwrap();
+    world.group.hosts[0].wait_for_statement("c=write").unwrap();
     world.routers[0].kill_and_restart().unwrap();
     // Connected before the commit, asked after it: accept alone would not cover it.
     let mut other = Client::connect(world.routers[1].addr).unwrap();
-    assert_eq!(served(other.ask(&read(1, "anne", ""))).0, "", "not there yet");
-    world.group.committed("anne").unwrap();
-    assert_eq!(served(other.ask(&read(2, "anne", ""))), ("7".into(), "copy".into()));
+    assert_eq!(served(other.query(&read(1, "anne", ""))).0, "", "not there yet");
+    world.group.wait_for_commit("anne").unwrap();
+    assert_eq!(served(other.query(&read(2, "anne", ""))), ("7".into(), "copy".into()));
 }
 
 #[test]
 fn a_restart_in_good_order_and_a_crash_with_and_without_a_snapshot() {
-    let path = file(folder(), "book", "").unwrap();
+    let path = write_unique_file(folder(), "book", "").unwrap();
     std::fs::remove_file(&path).unwrap();
     let own = own("router", &format!("snapshot {:?}\nlead-ms 0\nsettle-ms 0", path.to_str().unwrap()));
     // Replicas a second behind: only sessions that need no more than they have may read there.
-    let manner = Manner { lag_ms: 900, behind: Behind::Refuses, ..Manner::default() };
+    let manner = GroupBehavior { lag_ms: 900, stale_reads: StaleRead::Reject, ..GroupBehavior::default() };
     let mut world = world(1, manner, Some(&own));
-    let ask = |world: &World, text: &str| {
+    let ask = |world: &Deployment, text: &str| {
         let mut client = Client::connect(world.routers[0].addr).unwrap();
-        served(client.ask(text))
+        served(client.query(text))
     };
-    assert!(world.routers[0].said("none; the start is the floor").is_some());
+    assert!(world.routers[0].wait_for_log("none; the start is the floor").is_some());
     let one = ask(&world, &write_row(1, "anne", "7"));
     assert_eq!(one.0, "7");
     assert_eq!(ask(&world, &read(1, "anne", "")).0, "7", "it sees its write, wherever");
     std::thread::sleep(Duration::from_millis(950)); // the replicas have it by now
     world.routers[0].stop_and_restart().unwrap();
-    assert!(world.routers[0].said("taken over").is_some());
+    assert!(world.routers[0].wait_for_log("taken over").is_some());
     assert!(!path.exists(), "it counts once");
     assert_eq!(ask(&world, &read(2, "anne", "")), ("7".into(), "copy".into()), "the snapshot's floor");
     assert_eq!(ask(&world, &read(3, "bert", "")).1, "copy", "one that has written nothing");
@@ -178,14 +184,14 @@
     // A snapshot that was put back by hand, from before the write, and torn: refused.
     std::fs::write(&path, b"bhsessn\n\0\x01").unwrap();
     world.routers[0].kill_and_restart().unwrap();
-    assert!(world.routers[0].said("is torn").is_some());
+    assert!(world.routers[0].wait_for_log("is torn").is_some());
     assert_eq!(ask(&world, &read(5, "anne", "")).0, "8");
 }
 
 /// What a router tells of its sessions as it stops.
-fn counts(router: &Router) -> String {
+fn counts(router: &RouterProcess) -> String {
     router.signal("TERM").unwrap();
-    router.said("stopped").unwrap();
+    router.wait_for_log("stopped").unwrap();
     let log = router.log.lock();
     log.iter().rev().find(|l| l.contains("sessions:")).cloned().unwrap_or_default()
 }
@@ -195,14 +201,14 @@
     // The members' clock is ahead: what a router takes for a floor by its own clock lies before their
     // commits.
     for (ahead_ms, said) in [(5, false), (60, true)] {
-        let manner = Manner { ahead_ms, ..Manner::default() };
+        let manner = GroupBehavior { clock_ahead_ms: ahead_ms, ..GroupBehavior::default() };
         // The lead covers how late a busy machine lets a router hear of positions.
         let mut world = world(2, manner, Some(&own("connection", "skew-ms 5\nlead-ms 200")));
         // Floors are raised once a router has heard of it; up to then only the configured skew is covered.
         for (n, router) in world.routers.iter().enumerate() {
-            served(Client::connect(router.addr).unwrap().ask(&write(n as u32, "first", "1", "")));
+            served(Client::connect(router.addr).unwrap().query(&write(n as u32, "first", "1", "")));
         }
-        let tally = world.play(&load(Way::OneAtATime, 800), if said { 0 } else { 2 }, &[12]);
+        let tally = world.run_load(&load(ConnectionMode::OneAtATime, 800), if said { 0 } else { 2 }, &[12]);
         assert_eq!(tally.stale, 0, "{ahead_ms} ms: {:?}", tally.first_stale);
         judge_share(&tally, &format!("{ahead_ms} ms"));
         let counts = counts(&world.routers[0]);
@@ -214,10 +220,10 @@
 fn keys_are_rotated_while_tokens_of_the_old_one_are_out() {
     let key = |n: u8, more: &str| format!("key {n} \"{}\" {more}\n", format!("{n:02x}").repeat(16));
     let with = |keys: &str| own("nothing", &format!("tokens with=\"writes\" {{\n{keys} }}"));
-    let world = world(1, Manner::default(), Some(&with(&key(1, "signs=#true"))));
+    let world = world(1, GroupBehavior::default(), Some(&with(&key(1, "signs=#true"))));
     let (router, path) = (&world.routers[0], world.settings.as_ref().unwrap());
     let mut client = Client::connect(router.addr).unwrap();
-    served(client.ask(&write(1, "anne", "7", "")));
+    served(client.query(&write(1, "anne", "7", "")));
     let token = format!(",token={}", client.token.take().unwrap());
     let reload = |text: &str, said: &str| {
         let seen = router.log.lock().len();
@@ -227,48 +233,48 @@
         assert!(line.as_ref().is_some_and(|l| l.contains(said)), "{line:?}");
     };
     reload(&with(&(key(1, "") + &key(2, "signs=#true"))), "read again");
-    assert_eq!(served(client.ask(&read(1, "anne", &token))), ("7".into(), "copy".into()));
-    served(client.ask(&write(2, "anne", "8", &token)));
+    assert_eq!(served(client.query(&read(1, "anne", &token))), ("7".into(), "copy".into()));
+    served(client.query(&write(2, "anne", "8", &token)));
     let newer = format!(",token={}", client.token.take().unwrap());
     assert_ne!(token, newer);
     reload(&with("key 1 \"00\""), "not taken over");
-    assert_eq!(served(client.ask(&read(2, "anne", &newer))).0, "8", "an unsound file changes nothing");
+    assert_eq!(served(client.query(&read(2, "anne", &newer))).0, "8", "an unsound file changes nothing");
     reload(&with(&key(2, "signs=#true")), "read again");
-    assert_eq!(served(client.ask(&read(3, "anne", &newer))).0, "8");
+    assert_eq!(served(client.query(&read(3, "anne", &newer))).0, "8");
     // What it says counts no longer, and it costs no more than a wait.
-    assert_eq!(served(client.ask(&read(4, "anne", &token))), ("8".into(), "copy".into()));
+    assert_eq!(served(client.query(&read(4, "anne", &token))), ("8".into(), "copy".into()));
     let counts = counts(router);
     assert!(counts.contains("1 tokens of an unknown key") && counts.contains("3 by token"), "{counts}");
 }
 
 #[test]
 fn a_change_of_primary_leaves_tokens_and_floors_as_they_are() {
-    let mut world = world(2, Manner::default(), Some(&own("connection", &tokens("reads"))));
+    let mut world = world(2, GroupBehavior::default(), Some(&own("connection", &tokens("reads"))));
     let mut client = Client::connect(world.routers[0].addr).unwrap();
-    served(client.ask(&write(1, "anne", "7", "")));
+    served(client.query(&write(1, "anne", "7", "")));
     let token = |client: &Client| format!(",token={}", client.token.as_ref().unwrap());
     let before = token(&client);
     // A write that the old primary has committed and nobody has been told of: the successor lacks it.
-    world.group.change(|m| m.write_takes[1] = Duration::from_millis(300));
+    world.group.reconfigure(|m| m.write_delays[1] = Duration::from_millis(300));
     client.send(&write(2, "bert", "1", "")).unwrap();
-    world.group.committed("bert").unwrap();
-    world.group.hand_over(1);
-    world.group.change(|m| m.write_takes[1] = Duration::ZERO);
-    world.tell(2);
+    world.group.wait_for_commit("bert").unwrap();
+    world.group.fail_over(1);
+    world.group.reconfigure(|m| m.write_delays[1] = Duration::ZERO);
+    world.publish_members(2);
     let mut other = Client::connect(world.routers[1].addr).unwrap();
     // Whoever the router takes for the primary by now.
-    assert_eq!(served(other.ask(&read(1, "anne", &before))).0, "7");
+    assert_eq!(served(other.query(&read(1, "anne", &before))).0, "7");
     let after = token(&other);
     // The successor takes the next write, found by a miss at the old one if need be; its replicas follow.
-    assert_eq!(served(other.ask(&write(3, "anne", "8", &after))).0, "8");
+    assert_eq!(served(other.query(&write(3, "anne", "8", &after))).0, "8");
     let newest = token(&other);
     for n in 0..2 {
         let mut third = Client::connect(world.routers[n].addr).unwrap();
-        assert_eq!(served(third.ask(&read(10 + n as u32, "anne", &newest))), ("8".into(), "copy".into()));
-        let lost = served(third.ask(&read(20 + n as u32, "bert", "")));
+        assert_eq!(served(third.query(&read(10 + n as u32, "anne", &newest))), ("8".into(), "copy".into()));
+        let lost = served(third.query(&read(20 + n as u32, "bert", "")));
         assert_eq!(lost, (String::new(), "copy".into()), "what is gone holds nobody up");
     }
-    let tally = world.play(&load(Way::OneAtATime, 400), 1, &[12]);
+    let tally = world.run_load(&load(ConnectionMode::OneAtATime, 400), 1, &[12]);
     assert_eq!(tally.stale, 0, "{:?}", tally.first_stale);
 }
 
@@ -280,20 +286,22 @@
         (Some(own("nothing", &tokens("writes"))), true, true),
     ];
     for (own, token, ours) in cases {
-        let world = world(1, Manner::default(), own.as_deref());
+        let world = world(1, GroupBehavior::default(), own.as_deref());
         let mut client = Client::connect(world.routers[0].addr).unwrap();
-        served(client.ask(&write(1, "anne", "7", "")));
+        served(client.query(&write(1, "anne", "7", "")));
         assert_eq!(client.token.is_some(), token, "handed out by our settings alone");
         let text = read(2, "anne", ",after=12345");
-        served(client.ask(&text));
+        served(client.query(&text));
         let more = client.token.as_ref().map(|t| format!(",token={t}")).unwrap_or_default();
-        served(client.ask(&read(3, "anne", &format!(",after=12345{more}"))));
+        served(client.query(&read(3, "anne", &format!(",after=12345{more}"))));
         let seen = |id: &str| {
             world
                 .group
                 .hosts
                 .iter()
-                .find_map(|h| h.seen.lock().statements.iter().find(|s| s.1.contains(id)).map(|s| s.1.clone()))
+                .find_map(|h| {
+                    h.seen.lock().statements.iter().find(|s| s.text.contains(id)).map(|s| s.text.clone())
+                })
                 .unwrap()
         };
         // The second read brings no token, the third one brings what it was handed.
--- a/crates/router/tests/stop_soak.rs
+++ b/crates/router/tests/stop_soak.rs
@@ -8,9 +8,9 @@
 mod common;
 
 use basalthill_standin::client::{query, startup, Client};
-use basalthill_standin::discovery::{list, Discovery};
-use basalthill_standin::fleet::{file, Dice, Router, Start};
+use basalthill_standin::discovery::{endpoint_list, Discovery, Endpoint};
 use basalthill_standin::host::{Host, Reply};
+use basalthill_standin::router_process::{write_unique_file, RouterOptions, RouterProcess};
 use basalthill_standin::{unix_ms, SETTINGS};
 use common::shim::failing;
 use std::io::{ErrorKind, Write};
@@ -27,8 +27,8 @@
 const CLIENTS: usize = 24;
 const AT_ONCE: usize = 5;
 
-fn ms(dice: &mut Dice, below: u64) -> Duration {
-    Duration::from_millis(dice.below(below))
+fn ms(rng: &mut fastrand::Rng, below: u64) -> Duration {
+    Duration::from_millis(rng.u64(..below))
 }
 
 /// Serves most at once, some late, and hangs at some.
@@ -40,7 +40,7 @@
             return (Reply::Row(format!("x0={}.0,x1=0", unix_ms() / 1000).into_bytes()), telling);
         };
         std::thread::sleep(Duration::from_millis(if id % 7 == 0 { id % 90 } else { 1 }));
-        (if id % 23 == 0 { Reply::Silence } else { Reply::Row(b"v".to_vec()) }, telling)
+        (if id % 23 == 0 { Reply::NoAnswer } else { Reply::Row(b"v".to_vec()) }, telling)
     })
     .unwrap()
 }
@@ -51,10 +51,10 @@
     patience: Duration,
 }
 
-fn request(dice: &mut Dice, client: usize, n: usize) -> Request {
-    let id = format!("{:04x}{client:03x}{n:05x}", dice.below(1 << 16));
-    let d = [1, 20, 200, 480, 900, 3000, 6000][dice.below(7) as usize];
-    let text = match dice.below(3) {
+fn request(rng: &mut fastrand::Rng, client: usize, n: usize) -> Request {
+    let id = format!("{:04x}{client:03x}{n:05x}", rng.u64(..1 << 16));
+    let d = [1, 20, 200, 480, 900, 3000, 6000][rng.u64(..7) as usize];
+    let text = match rng.u64(..3) {
         0 => format!("INSERT INTO records (k, v) VALUES ('k', '\\x9f') RETURNING v /* id={id},c=write"),
         _ => format!("SELECT v FROM records WHERE k = 'k' /* id={id},c=view"),
     };
@@ -68,32 +68,33 @@
     router: std::net::SocketAddr,
     term: Instant,
     number: usize,
-    mut dice: Dice,
+    mut rng: fastrand::Rng,
 ) -> (Vec<String>, Vec<String>) {
     let (mut wrong, mut unanswered, mut n) = (Vec::new(), Vec::new(), 0);
     'connections: while Instant::now() < term + DEALS {
-        let Ok(mut connection) = Client::silent(router) else { break };
+        let Ok(mut connection) = Client::connect_without_startup(router) else { break };
         connection.stream.set_read_timeout(Some(KILL + LATE)).unwrap();
         let (mut new, mut welcome) = (true, startup());
         while Instant::now() < term + KILL {
-            std::thread::sleep(ms(&mut dice, 40));
-            let count = if dice.below(4) == 0 { 3 } else { 1 };
-            let asked: Vec<Request> = (n..n + count).map(|n| request(&mut dice, number, n)).collect();
+            std::thread::sleep(ms(&mut rng, 40));
+            let count = if rng.u64(..4) == 0 { 3 } else { 1 };
+            let asked: Vec<Request> = (n..n + count).map(|n| request(&mut rng, number, n)).collect();
             n += count;
             let bytes: Vec<u8> = asked.iter().flat_map(|r| query(&r.text)).collect();
             let bytes = [std::mem::take(&mut welcome), bytes].concat();
             // Whole or in two pieces.
-            let cut = if dice.below(3) == 0 { dice.below(bytes.len() as u64) as usize } else { 0 };
+            let cut = if rng.u64(..3) == 0 { rng.u64(..bytes.len() as u64) as usize } else { 0 };
             let first = connection.stream.write_all(&bytes[..cut]);
             if cut > 0 {
-                std::thread::sleep(ms(&mut dice, 25));
+                std::thread::sleep(ms(&mut rng, 25));
             }
             let sent = first.and_then(|()| connection.stream.write_all(&bytes[cut..]));
             let since = Instant::now();
-            let sent = sent.and_then(|()| if new { connection.welcome() } else { Ok(()) });
+            let sent = sent.and_then(|()| if new { connection.read_until_ready() } else { Ok(()) });
             new = false;
             for (place, request) in asked.iter().enumerate() {
-                match sent.as_ref().map_err(|e| e.kind()).and(connection.answer().map_err(|e| e.kind())) {
+                match sent.as_ref().map_err(|e| e.kind()).and(connection.read_answer().map_err(|e| e.kind()))
+                {
                     // The time spent behind others does not count.
                     Ok(_) if place > 0 || since.elapsed() <= request.patience + LATE => {}
                     Ok(answer) => {
@@ -114,16 +115,17 @@
 }
 
 fn play(seed: u64) -> Vec<String> {
-    let mut dice = Dice(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
+    let mut rng = fastrand::Rng::with_seed(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
     let hosts = [host("source"), host("copy"), host("copy")];
     let named: Vec<_> =
         [("s-1", "source"), ("s-2", "copy"), ("s-3", "copy")].into_iter().zip(&hosts).collect();
-    let members: Vec<_> = named.iter().map(|((id, rank), h)| (*id, h.addr, 2, "active", *rank)).collect();
-    let known = list(1, true, &members);
+    let members: Vec<_> =
+        named.iter().map(|((id, rank), h)| Endpoint::new(*id, h.addr, 2, "active", *rank)).collect();
+    let known = endpoint_list(1, true, &members);
     let discovery = Discovery::start(known.clone()).unwrap();
     let limits = r#"{"sockets":192,"memory_mb":64}"#;
     let text = format!(r#"{{"seed":"{seed}","limits":{limits},"known":{known},"settings":{SETTINGS}}}"#);
-    let config = file(Path::new(env!("CARGO_TARGET_TMPDIR")), "soak.json", &text).unwrap();
+    let config = write_unique_file(Path::new(env!("CARGO_TARGET_TMPDIR")), "soak.json", &text).unwrap();
     let program = match seed % 4 {
         0 => failing(&[
             ("accept4", libc::ECONNABORTED, 2),
@@ -133,19 +135,19 @@
         ]),
         _ => env!("CARGO_BIN_EXE_basalthill").into(),
     };
-    let start = Start { program, config, settings: None, discovery: discovery.addr };
-    let mut router = Router::start("n1", start).unwrap();
-    assert!(Client::connect(router.addr).unwrap().ask("").is_ok());
+    let start = RouterOptions { program, config, settings: None, discovery: discovery.addr };
+    let mut router = RouterProcess::start("n1", start).unwrap();
+    assert!(Client::connect(router.addr).unwrap().query("").is_ok());
     let crowd = if seed % 3 == 0 { 150 } else { 0 };
     let crowd: Vec<_> = (0..crowd).map(|_| TcpStream::connect(router.addr)).collect();
-    let (addr, term) = (router.addr, Instant::now() + Duration::from_millis(300) + ms(&mut dice, 300));
+    let (addr, term) = (router.addr, Instant::now() + Duration::from_millis(300) + ms(&mut rng, 300));
     let clients: Vec<_> = (0..CLIENTS)
-        .map(|n| (n, Dice(dice.below(u64::MAX - 1) | 1)))
-        .map(|(n, dice)| std::thread::spawn(move || client(addr, term, n, dice)))
+        .map(|n| (n, fastrand::Rng::with_seed(rng.u64(..u64::MAX - 1) | 1)))
+        .map(|(n, rng)| std::thread::spawn(move || client(addr, term, n, rng)))
         .collect();
     std::thread::sleep(term.saturating_duration_since(Instant::now()));
     let mut signals = vec![(Duration::ZERO, "TERM")];
-    signals.extend((0..4).map(|_| (ms(&mut dice, 3000), ["HUP", "TERM", "INT"][dice.below(3) as usize])));
+    signals.extend((0..4).map(|_| (ms(&mut rng, 3000), ["HUP", "TERM", "INT"][rng.u64(..3) as usize])));
     signals.sort();
     let mut wrong = Vec::new();
     for (after, name) in signals {
@@ -153,13 +155,14 @@
         // One that has ended by then hears nothing more.
         let _ = router.signal(name);
     }
-    let code = router.exits().unwrap().code();
+    let code = router.wait_for_exit().unwrap().code();
     if code != Some(0) || term.elapsed() > KILL {
         wrong.push(format!("ended with {code:?} after {:?}", term.elapsed()));
     }
     let ends: Vec<_> = clients.into_iter().map(|c| c.join().unwrap()).collect();
     drop(crowd);
-    let had: Vec<String> = hosts.iter().flat_map(|h| h.seen.lock().statements.clone()).map(|s| s.1).collect();
+    let had: Vec<String> =
+        hosts.iter().flat_map(|h| h.seen.lock().statements.clone()).map(|s| s.text).collect();
     for (saw, unanswered) in ends {
         wrong.extend(saw);
         let forwarded = |id: &String| had.iter().any(|text| text.contains(&format!("id={id},")));
--- a/crates/router/tests/transport.rs
+++ b/crates/router/tests/transport.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use basalthill_standin::client::{query, startup, Answer, Client};
-use basalthill_standin::discovery::{list, Discovery};
+use basalthill_standin::discovery::{endpoint_list, Discovery, Endpoint};
 use basalthill_standin::host::{self, Reply};
-use basalthill_standin::PATIENCE;
+use basalthill_standin::TIMEOUT;
 use common::served::{code, host, nobody, row, Served};
 use common::{text, SETTINGS};
 use std::io::{Read, Write};
@@ -16,12 +16,12 @@
 fn a_statement_is_passed_on_unchanged_but_for_what_is_left_of_its_time() {
     let host = host(|_| Reply::Row(b"\x9f\x03".to_vec()));
     let served = Served::of(&host);
-    let mut client = Client::silent(served.addr).unwrap();
+    let mut client = Client::connect_without_startup(served.addr).unwrap();
     // Startup and the first query in one segment.
     client.stream.write_all(&[startup(), query(&text("write", ""))].concat()).unwrap();
-    client.welcome().unwrap();
-    assert_eq!(client.answer().unwrap(), row(b"\x9f\x03"));
-    let (_, seen) = host.saw("INSERT").unwrap();
+    client.read_until_ready().unwrap();
+    assert_eq!(client.read_answer().unwrap(), row(b"\x9f\x03"));
+    let seen = host.wait_for_statement("INSERT").unwrap().text;
     let (before, after) = seen.split_once(",d=").unwrap();
     let (figure, after) = after.split_once(',').unwrap();
     assert_eq!(format!("{before},d=480,{after}"), text("write", ""));
@@ -39,47 +39,47 @@
     for part in all.chunks(7) {
         client.stream.write_all(part).unwrap();
     }
-    assert_eq!(client.answer().unwrap(), row(b"1"));
-    assert_eq!(client.answer().unwrap(), Answer::Empty);
-    assert_eq!(client.answer().unwrap(), row(b"2"));
-    assert_eq!(code(&client.answer().unwrap()), "42601");
-    assert_eq!(client.answer().unwrap(), row(b"3"));
-    assert_eq!(host.count("SELECT 1"), 0, "what is no statement of ours never reaches a host");
+    assert_eq!(client.read_answer().unwrap(), row(b"1"));
+    assert_eq!(client.read_answer().unwrap(), Answer::Empty);
+    assert_eq!(client.read_answer().unwrap(), row(b"2"));
+    assert_eq!(code(&client.read_answer().unwrap()), "42601");
+    assert_eq!(client.read_answer().unwrap(), row(b"3"));
+    assert_eq!(host.statement_count("SELECT 1"), 0, "what is no statement of ours never reaches a host");
 }
 
 #[test]
 fn encryption_is_declined_and_what_is_no_protocol_ends_the_connection() {
     let host = host(|_| Reply::Row(b"x".to_vec()));
     let served = Served::of(&host);
-    let mut client = Client::silent(served.addr).unwrap();
+    let mut client = Client::connect_without_startup(served.addr).unwrap();
     client.stream.write_all(&[0, 0, 0, 8, 4, 210, 22, 47]).unwrap();
     let mut no = [0];
     client.stream.read_exact(&mut no).unwrap();
     assert_eq!(&no, b"N");
     client.stream.write_all(&startup()).unwrap();
-    client.welcome().unwrap();
-    assert_eq!(client.ask("").unwrap(), Answer::Empty);
+    client.read_until_ready().unwrap();
+    assert_eq!(client.query("").unwrap(), Answer::Empty);
     client.stream.write_all(b"X\0\0\0\x04").unwrap();
-    assert!(client.ended());
-    let mut client = Client::silent(served.addr).unwrap();
+    assert!(client.is_closed());
+    let mut client = Client::connect_without_startup(served.addr).unwrap();
     client.stream.write_all(b"GET / HTTP/1.1\r\n\r\n").unwrap();
-    assert_eq!(code(&client.answer().unwrap()), "08P01");
-    assert!(client.ended());
+    assert_eq!(code(&client.read_answer().unwrap()), "08P01");
+    assert!(client.is_closed());
 }
 
 #[test]
 fn a_connection_that_breaks_after_the_last_byte_fails_a_write_which_is_sent_once() {
-    let host = host(|_| Reply::Break);
+    let host = host(|_| Reply::Close);
     let served = Served::of(&host);
-    assert_eq!(code(&served.client().ask(&text("write", "")).unwrap()), "58000");
-    assert_eq!(host.count("INSERT"), 1);
+    assert_eq!(code(&served.client().query(&text("write", "")).unwrap()), "58000");
+    assert_eq!(host.statement_count("INSERT"), 1);
 }
 
 #[test]
 fn a_host_that_turns_away_with_a_fatal_error_is_known_not_to_have_run_it() {
     let host = host(|_| Reply::Fatal("53300"));
     let served = Served::of(&host);
-    let answer = served.client().ask(&text("write", "")).unwrap();
+    let answer = served.client().query(&text("write", "")).unwrap();
     let Answer::Error(code, Some(after)) = answer else { panic!("{answer:?}") };
     assert_eq!(code, "53300");
     assert!(after.parse::<u64>().unwrap() > 0);
@@ -87,60 +87,60 @@
 
 #[test]
 fn a_refused_connection_is_no_attempt_that_ran() {
-    let known = list(1, true, &[("s-1", nobody(), 2, "active", "source")]);
+    let known = endpoint_list(1, true, &[Endpoint::new("s-1", nobody(), 2, "active", "source")]);
     let discovery = Discovery::start(known.clone()).unwrap();
     let served = Served::start(&known, discovery.addr, 256, SETTINGS);
-    assert_eq!(code(&served.client().ask(&text("write", "")).unwrap()), "53300");
+    assert_eq!(code(&served.client().query(&text("write", "")).unwrap()), "53300");
 }
 
 #[test]
 fn nonsense_from_a_host_is_never_passed_on() {
     let host = host(|_| Reply::Raw(b"D\0\0\0\x08\0\x01\0\0Z\0\0\0\x05I".to_vec()));
     let served = Served::of(&host);
-    assert_eq!(code(&served.client().ask(&text("write", "")).unwrap()), "58000");
-    assert_eq!(host.count("INSERT"), 1);
+    assert_eq!(code(&served.client().query(&text("write", "")).unwrap()), "58000");
+    assert_eq!(host.statement_count("INSERT"), 1);
 }
 
 #[test]
 fn a_late_answer_never_meets_the_next_request() {
     let host = host(|text| match text.contains("id=1") {
-        true => Reply::Held(b"late".to_vec()),
+        true => Reply::RowOnRelease(b"late".to_vec()),
         false => Reply::Row(b"good".to_vec()),
     });
     let served = Served::of(&host);
     let mut client = served.client();
     let short = text("write", "").replace("id=9", "id=1").replace("d=480", "d=120");
-    assert_eq!(code(&client.ask(&short).unwrap()), "58000");
+    assert_eq!(code(&client.query(&short).unwrap()), "58000");
     host.release();
     for _ in 0..5 {
-        assert_eq!(client.ask(&text("write", "")).unwrap(), row(b"good"));
+        assert_eq!(client.query(&text("write", "")).unwrap(), row(b"good"));
     }
-    let (given_up, _) = host.saw("id=1").unwrap();
-    let last = host.seen.lock().statements.iter().rfind(|(n, _)| *n == given_up).cloned();
-    let last = last.unwrap().1;
+    let given_up = host.wait_for_statement("id=1").unwrap().connection;
+    let last = host.seen.lock().statements.iter().rfind(|s| s.connection == given_up).cloned();
+    let last = last.unwrap().text;
     assert!(last.contains("id=1"), "the connection that was given up is not used again: {last}");
 }
 
 #[test]
 fn a_pooled_connection_is_used_again_and_one_that_its_host_closed_is_replaced() {
     let host = host(|text| match text.contains("id=1") {
-        true => Reply::Last(b"last".to_vec()),
+        true => Reply::RowThenClose(b"last".to_vec()),
         false => Reply::Row(b"x".to_vec()),
     });
     let served = Served::of(&host);
     let mut client = served.client();
     for _ in 0..5 {
-        assert_eq!(client.ask(&text("write", "")).unwrap(), row(b"x"));
+        assert_eq!(client.query(&text("write", "")).unwrap(), row(b"x"));
     }
     // A second may have been opened for the probe at the start.
     let accepted = host.seen.lock().accepted;
     assert!(accepted <= 2, "{accepted} connections for five requests, one after another");
     for _ in 0..10 {
         let open = host.seen.lock().open;
-        assert_eq!(client.ask(&text("write", "").replace("id=9", "id=1")).unwrap(), row(b"last"));
+        assert_eq!(client.query(&text("write", "").replace("id=9", "id=1")).unwrap(), row(b"last"));
         host.seen.wait(|s| (s.open < open.max(1)).then_some(())).unwrap();
         assert_eq!(
-            client.ask(&text("write", "")).unwrap(),
+            client.query(&text("write", "")).unwrap(),
             row(b"x"),
             "no write is lost to a closed connection"
         );
@@ -150,24 +150,24 @@
 #[test]
 fn idle_connections_are_closed_before_the_settings_time() {
     let host = host(|_| Reply::Row(b"x".to_vec()));
-    let known = list(1, true, &[("s-1", host.addr, 2, "active", "source")]);
+    let known = endpoint_list(1, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]);
     let discovery = Discovery::start(known.clone()).unwrap();
     // Probes would keep a connection busy.
     let settings = SETTINGS.replace("\"connIdle\": 15000000000", "\"connIdle\": 1000000000");
     let settings = settings.replace("\"probes\": true", "\"probes\": false");
     let served = Served::start(&known, discovery.addr, 256, &settings);
-    assert_eq!(served.client().ask(&text("write", "")).unwrap(), row(b"x"));
+    assert_eq!(served.client().query(&text("write", "")).unwrap(), row(b"x"));
     assert_eq!(host.seen.lock().open, 1);
     assert!(host.seen.wait(|s| (s.open == 0).then_some(())).is_some());
 }
 
 #[test]
 fn a_client_that_leaves_has_its_read_called_off_at_the_host() {
-    let host = host(|_| Reply::Silence);
+    let host = host(|_| Reply::NoAnswer);
     let served = Served::of(&host);
     let mut client = served.client();
     client.send(&text("status", "").replace("d=480", "d=9000")).unwrap();
-    host.saw("SELECT v").unwrap();
+    host.wait_for_statement("SELECT v").unwrap();
     let open = host.seen.lock().open;
     client.stream.shutdown(Shutdown::Both).unwrap();
     assert!(host.seen.wait(|s| (s.open < open).then_some(())).is_some());
@@ -184,15 +184,15 @@
         client.send(&text("write", "").replace("id=9", &format!("id={n}"))).unwrap();
     }
     host.seen
-        .wait(|s| (s.statements.iter().filter(|(_, t)| t.contains("INSERT")).count() == 4).then_some(()));
+        .wait(|s| (s.statements.iter().filter(|s| s.text.contains("INSERT")).count() == 4).then_some(()));
     for client in &mut clients {
-        assert_eq!(client.answer().unwrap(), row(&value));
+        assert_eq!(client.read_answer().unwrap(), row(&value));
     }
 }
 
 #[test]
 fn descriptors_are_a_budget_and_newcomers_beyond_it_are_turned_away_cleanly() {
-    let host = host(|_| Reply::Held(b"x".to_vec()));
+    let host = host(|_| Reply::RowOnRelease(b"x".to_vec()));
     let served = Served::with(&host, 48);
     // 24 are kept back; of the other 24 half are for clients, and the members have the rest.
     let mut clients: Vec<Client> = (0..12).map(|_| served.client()).collect();
@@ -200,20 +200,20 @@
         client
             .send(&text("report", "").replace("id=9", &format!("id={n}")).replace("d=480", "d=60000"))
             .unwrap();
-        host.saw(&format!("id={n}")).unwrap();
+        host.wait_for_statement(&format!("id={n}")).unwrap();
     }
-    let mut newcomer = Client::silent(served.addr).unwrap();
+    let mut newcomer = Client::connect_without_startup(served.addr).unwrap();
     newcomer.stream.write_all(&startup()).unwrap();
-    assert_eq!(code(&newcomer.answer().unwrap()), "53300");
-    assert!(newcomer.ended());
+    assert_eq!(code(&newcomer.read_answer().unwrap()), "53300");
+    assert!(newcomer.is_closed());
     host.release();
     for client in &mut clients {
-        assert_eq!(client.answer().unwrap(), row(b"x"), "those that are in stay");
+        assert_eq!(client.read_answer().unwrap(), row(b"x"), "those that are in stay");
     }
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     let newcomer = std::iter::from_fn(|| (Instant::now() < until).then(|| Client::connect(served.addr)));
     let mut newcomer = newcomer.flatten().next().expect("one that is quiet makes room");
-    assert_eq!(newcomer.ask(&text("write", "")).unwrap(), row(b"x"));
+    assert_eq!(newcomer.query(&text("write", "")).unwrap(), row(b"x"));
 }
 
 #[test]
@@ -224,14 +224,14 @@
     let mut held: Vec<Client> = (0..60)
         .map(|_| {
             let mut client = served.client();
-            assert_eq!(client.ask(&text("write", "")).unwrap(), row(b"x"));
+            assert_eq!(client.query(&text("write", "")).unwrap(), row(b"x"));
             client
         })
         .collect();
     let last = held.split_off(40);
-    assert!(held.iter_mut().all(Client::ended), "the quiet ones that came first have made room");
+    assert!(held.iter_mut().all(Client::is_closed), "the quiet ones that came first have made room");
     for mut client in last.into_iter().skip(12) {
-        assert_eq!(client.ask(&text("write", "")).unwrap(), row(b"x"), "the latest are kept");
+        assert_eq!(client.query(&text("write", "")).unwrap(), row(b"x"), "the latest are kept");
     }
 }
 
@@ -241,7 +241,7 @@
     // and the request was lost where its last piece had been written by then.
     let host = host(|_| Reply::Row(b"x".to_vec()));
     let served = Served::with(&host, 64);
-    let asks = |client: &mut Client| assert_eq!(client.ask(&text("write", "")).unwrap(), row(b"x"));
+    let asks = |client: &mut Client| assert_eq!(client.query(&text("write", "")).unwrap(), row(b"x"));
     let mut slow = [served.client(), served.client()];
     asks(&mut slow[0]);
     // One has asked before, the other has not; each has written half of its request.
@@ -256,7 +256,7 @@
         .collect();
     for client in &mut slow {
         client.stream.write_all(&whole[40..]).unwrap();
-        assert_eq!(client.answer().unwrap(), row(b"x"));
+        assert_eq!(client.read_answer().unwrap(), row(b"x"));
     }
     drop(held);
 }
@@ -266,7 +266,8 @@
     let host = host(|_| Reply::Row(b"x".to_vec()));
     let served = Served::with(&host, 48);
     let began = Instant::now();
-    let mut silent: Vec<Client> = (0..100).map(|_| Client::silent(served.addr).unwrap()).collect();
+    let mut silent: Vec<Client> =
+        (0..100).map(|_| Client::connect_without_startup(served.addr).unwrap()).collect();
     // One sends half a startup message, one half a query, one a byte now and then.
     silent[97].stream.write_all(&startup()[..20]).unwrap();
     silent[98].stream.write_all(&[startup(), query(&text("write", ""))[..50].to_vec()].concat()).unwrap();
@@ -279,7 +280,7 @@
     });
     for _ in 0..20 {
         let mut client = served.client();
-        assert_eq!(client.ask(&text("write", "")).unwrap(), row(b"x"), "those that ask are served");
+        assert_eq!(client.query(&text("write", "")).unwrap(), row(b"x"), "those that ask are served");
     }
     for client in &mut silent {
         assert!(client.stream.read_to_end(&mut Vec::new()).is_ok());
@@ -297,12 +298,12 @@
     let mut stream = client.stream.try_clone().unwrap();
     std::thread::spawn(move || stream.write_all(&many));
     for n in 0..16 {
-        assert_eq!(code(&client.answer().unwrap()), ["42601", "22023", "22023"][n % 3]);
+        assert_eq!(code(&client.read_answer().unwrap()), ["42601", "22023", "22023"][n % 3]);
     }
-    assert_eq!(code(&client.answer().unwrap()), "08P01");
-    assert!(client.ended());
-    assert_eq!(served.client().ask(&text("write", "")).unwrap(), row(b"x"));
-    assert_eq!(host.count("INSERT"), 1, "none of them has reached a member");
+    assert_eq!(code(&client.read_answer().unwrap()), "08P01");
+    assert!(client.is_closed());
+    assert_eq!(served.client().query(&text("write", "")).unwrap(), row(b"x"));
+    assert_eq!(host.statement_count("INSERT"), 1, "none of them has reached a member");
 }
 
 #[test]
@@ -316,67 +317,71 @@
         let _ = stream.write_all(&[b"Q", &(size as u32 + 4).to_be_bytes()[..]].concat());
         (0..size / 65536).try_for_each(|_| stream.write_all(&[b'7'; 65536]))
     });
-    assert_eq!(code(&client.answer().unwrap()), "08P01");
+    assert_eq!(code(&client.read_answer().unwrap()), "08P01");
     let _ = sender.join().unwrap();
-    assert_eq!(served.client().ask(&text("write", "")).unwrap(), row(b"x"));
+    assert_eq!(served.client().query(&text("write", "")).unwrap(), row(b"x"));
 }
 
 #[test]
 fn a_router_that_stops_answers_what_it_has_takes_newcomers_for_a_while_and_ends() {
     let host = host(|text| match text.contains("id=1") {
-        true => Reply::Held(b"held".to_vec()),
+        true => Reply::RowOnRelease(b"held".to_vec()),
         false => Reply::Row(b"x".to_vec()),
     });
     let mut served = Served::of(&host);
     let (mut idle, mut busy) = (served.client(), served.client());
     busy.send(&text("write", "").replace("id=9", "id=1").replace("d=480", "d=2900")).unwrap();
-    host.saw("id=1").unwrap();
+    host.wait_for_statement("id=1").unwrap();
     served.stop();
     // Connections still come for a while, and those that are there go on being served.
-    assert_eq!(served.client().ask(&text("write", "")).unwrap(), row(b"x"));
-    assert_eq!(idle.ask(&text("write", "")).unwrap(), row(b"x"));
-    assert!(idle.ended(), "then idle ones are closed");
+    assert_eq!(served.client().query(&text("write", "")).unwrap(), row(b"x"));
+    assert_eq!(idle.query(&text("write", "")).unwrap(), row(b"x"));
+    assert!(idle.is_closed(), "then idle ones are closed");
     assert!(!*served.over.lock(), "what is unanswered is waited for");
     host.release();
-    assert_eq!(busy.answer().unwrap(), row(b"held"));
-    assert!(busy.ended());
+    assert_eq!(busy.read_answer().unwrap(), row(b"held"));
+    assert!(busy.is_closed());
     assert!(served.over.wait(|o| o.then_some(())).is_some());
     assert!(TcpStream::connect(served.addr).is_err());
 }
 
 #[test]
 fn a_router_that_stops_fails_what_is_never_answered_and_ends_in_time() {
-    let host = host(|_| Reply::Silence);
+    let host = host(|_| Reply::NoAnswer);
     let mut served = Served::of(&host);
     let mut client = served.client();
     client.send(&text("report", "").replace("d=480", "d=60000")).unwrap();
-    host.saw("SELECT v").unwrap();
+    host.wait_for_statement("SELECT v").unwrap();
     served.stop();
-    assert_eq!(code(&client.answer().unwrap()), "58000");
-    assert!(client.ended());
+    assert_eq!(code(&client.read_answer().unwrap()), "58000");
+    assert!(client.is_closed());
     assert!(served.over.wait(|o| o.then_some(())).is_some());
 }
 
 #[test]
 fn changes_of_the_list_are_followed_through_nonsense_and_broken_watches() {
     let (one, two) = (host(|_| Reply::Row(b"one".to_vec())), host(|_| Reply::Row(b"two".to_vec())));
-    let known = list(1, true, &[("s-1", one.addr, 2, "active", "source")]);
+    let known = endpoint_list(1, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
     let discovery = Discovery::start(known.clone()).unwrap();
     let served = Served::start(&known, discovery.addr, 256, SETTINGS);
     let mut client = served.client();
-    assert_eq!(client.ask(&text("write", "")).unwrap(), row(b"one"));
+    assert_eq!(client.query(&text("write", "")).unwrap(), row(b"one"));
     // Nonsense: the list is kept, and the watch opened again, with the whole list.
-    discovery.tell("{\"version\": nonsense".into());
-    let again = discovery.told.wait(|t| t.requests.get(1).cloned()).unwrap();
+    discovery.publish("{\"version\": nonsense".into());
+    let again = discovery.state.wait(|t| t.requests.get(1).cloned()).unwrap();
     assert!(again.contains("watch=1") && !again.contains("from="), "{again}");
-    assert_eq!(client.ask(&text("write", "")).unwrap(), row(b"one"));
+    assert_eq!(client.query(&text("write", "")).unwrap(), row(b"one"));
     // The one is replaced by another; the watch ends and begins with a whole list.
-    discovery.break_off(list(9, true, &[("s-2", two.addr, 2, "active", "source")]));
+    discovery.restart_watches(endpoint_list(
+        9,
+        true,
+        &[Endpoint::new("s-2", two.addr, 2, "active", "source")],
+    ));
     // For the grace after the removal the old one may still be sent writes.
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     let mut moved = false;
     while !moved && Instant::now() < until {
-        moved = client.ask(&text("write", "")).unwrap() == row(b"two");
+        moved = client.query(&text("write", "")).unwrap() == row(b"two");
     }
     assert!(moved, "requests go to the new primary");
 }
@@ -384,16 +389,18 @@
 #[test]
 fn without_a_known_list_a_router_is_ready_once_discovery_has_told_one() {
     let host = host(|_| Reply::Row(b"x".to_vec()));
-    let discovery = Discovery::start(list(1, true, &[("s-1", host.addr, 2, "active", "source")])).unwrap();
-    discovery.told.change(|t| t.silent = true);
+    let discovery =
+        Discovery::start(endpoint_list(1, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]))
+            .unwrap();
+    discovery.state.change(|t| t.silent = true);
     let served = Served::start("null", discovery.addr, 256, SETTINGS);
-    let mut client = Client::silent(served.addr).unwrap();
+    let mut client = Client::connect_without_startup(served.addr).unwrap();
     client.stream.write_all(&[startup(), query("")].concat()).unwrap();
-    discovery.told.wait(|t| (!t.requests.is_empty()).then_some(())).unwrap();
-    discovery.told.change(|t| t.silent = false);
-    client.welcome().unwrap();
-    assert_eq!(client.answer().unwrap(), Answer::Empty);
-    assert_eq!(client.ask(&text("write", "")).unwrap(), row(b"x"));
+    discovery.state.wait(|t| (!t.requests.is_empty()).then_some(())).unwrap();
+    discovery.state.change(|t| t.silent = false);
+    client.read_until_ready().unwrap();
+    assert_eq!(client.read_answer().unwrap(), Answer::Empty);
+    assert_eq!(client.query(&text("write", "")).unwrap(), row(b"x"));
 }
 
 /// An open watch tells each change: whole lists beside it would take from a discovery that all routers share
@@ -401,16 +408,16 @@
 #[test]
 fn where_lists_are_asked_for_the_watch_is_the_one_call() {
     let host = host(|_| Reply::Row(b"x".to_vec()));
-    let known = list(1, true, &[("s-1", host.addr, 2, "active", "source")]);
+    let known = endpoint_list(1, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]);
     let discovery = Discovery::start(known.clone()).unwrap();
     let settings = SETTINGS.replace("\"automatic\"", "\"subscribe\"");
     let settings = settings.replace("\"rules\": {", "\"rules\": {\"askEvery\": 20000000, ");
     let served = Served::start(&known, discovery.addr, 256, &settings);
     // The stand-in says nothing for longer than a watch may be silent: by its end a router that asked each 10
     // ms would have done so two hundred times.
-    let again = discovery.told.wait(|t| t.requests.get(1).cloned()).unwrap();
+    let again = discovery.state.wait(|t| t.requests.get(1).cloned()).unwrap();
     assert!(again.contains("watch=1") && again.contains("from=1"), "{again}");
-    assert_eq!(served.client().ask(&text("write", "")).unwrap(), row(b"x"));
+    assert_eq!(served.client().query(&text("write", "")).unwrap(), row(b"x"));
 }
 
 #[test]
@@ -423,29 +430,29 @@
     let part = query(&large("id=1"));
     first.stream.write_all(&part[..100_000]).unwrap();
     for _ in 0..20 {
-        assert_eq!(third.ask(&text("write", "")).unwrap(), row(b"x"));
+        assert_eq!(third.query(&text("write", "")).unwrap(), row(b"x"));
     }
     second.send(&large("id=2")).unwrap();
     for _ in 0..20 {
-        assert_eq!(third.ask(&text("write", "")).unwrap(), row(b"x"), "small ones go on");
+        assert_eq!(third.query(&text("write", "")).unwrap(), row(b"x"), "small ones go on");
     }
-    assert_eq!(host.count("id=2"), 0);
+    assert_eq!(host.statement_count("id=2"), 0);
     first.stream.write_all(&part[100_000..]).unwrap();
-    assert_eq!(first.answer().unwrap(), row(b"x"));
-    assert_eq!(second.answer().unwrap(), row(b"x"));
-    assert_eq!(host.count("id=1") + host.count("id=2"), 2);
+    assert_eq!(first.read_answer().unwrap(), row(b"x"));
+    assert_eq!(second.read_answer().unwrap(), row(b"x"));
+    assert_eq!(host.statement_count("id=1") + host.statement_count("id=2"), 2);
 }
 
 #[test]
 fn a_watch_that_has_fallen_silent_is_opened_again_from_the_last_version() {
     let host = host(|_| Reply::Row(b"x".to_vec()));
-    let known = list(7, true, &[("s-1", host.addr, 2, "active", "source")]);
+    let known = endpoint_list(7, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]);
     let discovery = Discovery::start(known.clone()).unwrap();
     let served = Served::start(&known, discovery.addr, 256, SETTINGS);
     // The stand-in writes its list, and then nothing for longer than two empty lines would take.
-    let again = discovery.told.wait(|t| t.requests.get(1).cloned()).unwrap();
+    let again = discovery.state.wait(|t| t.requests.get(1).cloned()).unwrap();
     assert!(again.contains("watch=1") && again.contains("from=7"), "{again}");
-    assert_eq!(served.client().ask(&text("write", "")).unwrap(), row(b"x"), "the list is kept");
+    assert_eq!(served.client().query(&text("write", "")).unwrap(), row(b"x"), "the list is kept");
 }
 
 #[test]
@@ -467,40 +474,45 @@
     for n in 0..count {
         let began = Instant::now();
         let bad = text("write", "").replace("id=9", &format!("id=bad{n}")).replace("d=480", "d=9000");
-        assert_eq!(code(&client.ask(&bad).unwrap()), "58000", "answer {n}");
+        assert_eq!(code(&client.query(&bad).unwrap()), "58000", "answer {n}");
         assert!(began.elapsed() < Duration::from_secs(3), "answer {n}: {:?}", began.elapsed());
         // The member is as good as before, and what was spoilt meets nobody.
-        assert_eq!(client.ask(&text("write", "")).unwrap(), row(b"x"), "after answer {n}");
+        assert_eq!(client.query(&text("write", "")).unwrap(), row(b"x"), "after answer {n}");
     }
 }
 
 #[test]
 fn a_new_discovery_is_followed_at_once_while_the_old_one_hangs() {
     let (one, two) = (host(|_| Reply::Row(b"one".to_vec())), host(|_| Reply::Row(b"two".to_vec())));
-    let known = list(70, true, &[("s-1", one.addr, 2, "active", "source")]);
+    let known = endpoint_list(70, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
     let old = Discovery::start(known.clone()).unwrap();
-    old.told.change(|t| t.silent = true);
+    old.state.change(|t| t.silent = true);
     // Its version is lower: versions of two discoveries can't be compared.
-    let new = Discovery::start(list(3, true, &[("s-2", two.addr, 2, "active", "source")])).unwrap();
+    let new =
+        Discovery::start(endpoint_list(3, true, &[Endpoint::new("s-2", two.addr, 2, "active", "source")]))
+            .unwrap();
     let served = Served::start(&known, old.addr, 256, SETTINGS);
-    old.told.wait(|t| (!t.requests.is_empty()).then_some(())).unwrap();
+    old.state.wait(|t| (!t.requests.is_empty()).then_some(())).unwrap();
     let mut client = served.client();
-    assert_eq!(client.ask(&text("write", "")).unwrap(), row(b"one"));
+    assert_eq!(client.query(&text("write", "")).unwrap(), row(b"one"));
     let moved = Instant::now();
     served.moved(old.addr, new.addr);
-    let asked = new.told.wait(|t| t.requests.first().cloned()).unwrap();
+    let asked = new.state.wait(|t| t.requests.first().cloned()).unwrap();
     assert!(asked.contains("watch=1") && !asked.contains("from="), "the whole list is asked for: {asked}");
     // Told within moments, though the old one hangs. For the grace after the removal the old member may still
     // be sent writes.
-    let served_by_two = (0..).find(|_| client.ask(&text("write", "")).unwrap() == row(b"two"));
+    let served_by_two = (0..).find(|_| client.query(&text("write", "")).unwrap() == row(b"two"));
     assert!(served_by_two.is_some() && moved.elapsed() < Duration::from_secs(4), "{:?}", moved.elapsed());
-    new.tell(list(
+    new.publish(endpoint_list(
         4,
         false,
-        &[("s-1", one.addr, 2, "active", "source"), ("s-2", two.addr, 2, "left", "copy")],
+        &[
+            Endpoint::new("s-1", one.addr, 2, "active", "source"),
+            Endpoint::new("s-2", two.addr, 2, "left", "copy"),
+        ],
     ));
     assert!(
-        (0..100_000).any(|_| client.ask(&text("write", "")).unwrap() == row(b"one")),
+        (0..100_000).any(|_| client.query(&text("write", "")).unwrap() == row(b"one")),
         "its changes count"
     );
 }
@@ -508,21 +520,24 @@
 #[test]
 fn a_new_discovery_that_can_not_be_reached_ends_neither_service_nor_the_old_watch() {
     let (one, two) = (host(|_| Reply::Row(b"one".to_vec())), host(|_| Reply::Row(b"two".to_vec())));
-    let known = list(1, true, &[("s-1", one.addr, 2, "active", "source")]);
+    let known = endpoint_list(1, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
     let old = Discovery::start(known.clone()).unwrap();
     let served = Served::start(&known, old.addr, 256, SETTINGS);
     let mut client = served.client();
-    old.told.wait(|t| (!t.requests.is_empty()).then_some(())).unwrap();
+    old.state.wait(|t| (!t.requests.is_empty()).then_some(())).unwrap();
     for _ in 0..3 {
         served.moved(old.addr, nobody());
-        assert_eq!(client.ask(&text("write", "")).unwrap(), row(b"one"));
+        assert_eq!(client.query(&text("write", "")).unwrap(), row(b"one"));
     }
-    old.tell(list(
+    old.publish(endpoint_list(
         2,
         false,
-        &[("s-1", one.addr, 2, "left", "copy"), ("s-2", two.addr, 2, "active", "source")],
+        &[
+            Endpoint::new("s-1", one.addr, 2, "left", "copy"),
+            Endpoint::new("s-2", two.addr, 2, "active", "source"),
+        ],
     ));
-    assert!((0..100_000).any(|_| client.ask(&text("write", "")).unwrap() == row(b"two")));
+    assert!((0..100_000).any(|_| client.query(&text("write", "")).unwrap() == row(b"two")));
     let mut served = served;
     served.stop();
     assert!(served.over.wait(|o| o.then_some(())).is_some());
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -1,6 +1,6 @@
 //! A client: version 3 of PostgreSQL's protocol, simple queries.
 
-use crate::PATIENCE;
+use crate::TIMEOUT;
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
@@ -15,6 +15,15 @@
     Empty,
 }
 
+/// A message of a router.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Message {
+    /// Its type byte.
+    pub kind: u8,
+    /// What follows its length.
+    pub body: Vec<u8>,
+}
+
 /// A client's connection.
 pub struct Client {
     /// Its socket.
@@ -40,28 +49,28 @@
 impl Client {
     /// Connects and introduces itself; the welcome is awaited.
     pub fn connect(addr: SocketAddr) -> io::Result<Client> {
-        let mut client = Client::silent(addr)?;
+        let mut client = Client::connect_without_startup(addr)?;
         client.stream.write_all(&startup())?;
-        client.welcome()?;
+        client.read_until_ready()?;
         Ok(client)
     }
 
     /// Connects and says nothing.
-    pub fn silent(addr: SocketAddr) -> io::Result<Client> {
+    pub fn connect_without_startup(addr: SocketAddr) -> io::Result<Client> {
         let stream = TcpStream::connect(addr)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
+        stream.set_read_timeout(Some(TIMEOUT))?;
         Ok(Client { stream, bytes: 0, token: None })
     }
 
     /// Reads up to the first ReadyForQuery.
-    pub fn welcome(&mut self) -> io::Result<()> {
-        while self.message()?.0 != b'Z' {}
+    pub fn read_until_ready(&mut self) -> io::Result<()> {
+        while self.read_message()?.kind != b'Z' {}
         Ok(())
     }
 
     /// One message: its type and its body.
-    pub fn message(&mut self) -> io::Result<(u8, Vec<u8>)> {
+    pub fn read_message(&mut self) -> io::Result<Message> {
         let mut head = [0; 5];
         self.stream.read_exact(&mut head)?;
         let len = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
@@ -72,13 +81,13 @@
             let token = token.strip_suffix(b"\0").unwrap_or(token);
             self.token = Some(String::from_utf8_lossy(token).into_owned());
         }
-        Ok((head[0], body))
+        Ok(Message { kind: head[0], body })
     }
 
     /// Sends a query and awaits its answer.
-    pub fn ask(&mut self, text: &str) -> io::Result<Answer> {
+    pub fn query(&mut self, text: &str) -> io::Result<Answer> {
         self.send(text)?;
-        self.answer()
+        self.read_answer()
     }
 
     /// Sends a query.
@@ -89,10 +98,10 @@
     }
 
     /// Awaits an answer, to its ReadyForQuery.
-    pub fn answer(&mut self) -> io::Result<Answer> {
+    pub fn read_answer(&mut self) -> io::Result<Answer> {
         let mut answer = None;
         loop {
-            let (kind, body) = self.message()?;
+            let Message { kind, body } = self.read_message()?;
             match kind {
                 b'Z' => return answer.ok_or_else(|| ErrorKind::InvalidData.into()),
                 b'D' => answer = Some(Answer::Row(body.get(6..).unwrap_or_default().to_vec())),
@@ -114,7 +123,7 @@
     }
 
     /// Whether the other side has ended the connection.
-    pub fn ended(&mut self) -> bool {
+    pub fn is_closed(&mut self) -> bool {
         let end = self.stream.read(&mut [0]);
         matches!(end, Ok(0)) || matches!(end, Err(e) if e.kind() == ErrorKind::ConnectionReset)
     }
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -9,24 +9,24 @@
 
 /// How a call is taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
+pub enum ResponseMode {
     /// Its connection is closed at once.
     Closed,
     /// It is never answered.
     Silent,
     /// It is turned away, for want of capacity.
-    TurnedAway,
+    Unavailable,
     /// Its answer ends with the head, and the connection stays.
-    Head,
+    HeadOnly,
     /// A watch tells its first line; then half a line drips in, byte by byte, and never ends.
-    Drips,
+    Drip,
     /// The list comes indented, over many lines.
     Indented,
 }
 
 /// What discovery holds and has seen.
 #[derive(Debug, Default)]
-pub struct Told {
+pub struct DiscoveryState {
     /// Lines told so far, the whole list first.
     lines: Vec<String>,
     /// Request lines that came.
@@ -34,7 +34,7 @@
     /// Watches are answered with nothing at all.
     pub silent: bool,
     /// How the next calls are taken, in order; those after them as usual.
-    pub manners: VecDeque<Manner>,
+    pub next_responses: VecDeque<ResponseMode>,
     /// Watches begun so far, and watches to be broken up to this number.
     watches: usize,
     broken: usize,
@@ -46,7 +46,7 @@
     /// Where it listens.
     pub addr: SocketAddr,
     /// What it holds and has seen.
-    pub told: Arc<Watched<Told>>,
+    pub state: Arc<Watched<DiscoveryState>>,
 }
 
 impl Discovery {
@@ -59,9 +59,9 @@
     pub fn start_at(addr: SocketAddr, list: String) -> io::Result<Discovery> {
         let listener = TcpListener::bind(addr)?;
         let told = Watched::default();
-        told.change(|t: &mut Told| t.lines.push(list));
-        let discovery = Discovery { addr: listener.local_addr()?, told: Arc::new(told) };
-        let told = Arc::clone(&discovery.told);
+        told.change(|t: &mut DiscoveryState| t.lines.push(list));
+        let discovery = Discovery { addr: listener.local_addr()?, state: Arc::new(told) };
+        let told = Arc::clone(&discovery.state);
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let told = Arc::clone(&told);
@@ -72,17 +72,17 @@
     }
 
     /// Tells a change, a JSON object on one line, or any other text.
-    pub fn tell(&self, line: String) {
-        self.told.change(|t| t.lines.push(line));
+    pub fn publish(&self, line: String) {
+        self.state.change(|t| t.lines.push(line));
     }
 
     /// Ends the watches that are open; the next begins with the whole list given.
-    pub fn break_off(&self, list: String) {
-        self.told.change(|t| (t.lines, t.broken) = (vec![list], t.watches));
+    pub fn restart_watches(&self, list: String) {
+        self.state.change(|t| (t.lines, t.broken) = (vec![list], t.watches));
     }
 }
 
-fn answer(stream: TcpStream, told: &Watched<Told>) -> io::Result<()> {
+fn answer(stream: TcpStream, told: &Watched<DiscoveryState>) -> io::Result<()> {
     let mut lines = BufReader::new(stream.try_clone()?).lines();
     let first = lines.next().unwrap_or_else(|| Ok(String::new()))?;
     while !lines.next().unwrap_or_else(|| Ok(String::new()))?.is_empty() {}
@@ -90,7 +90,7 @@
     let (list, number, silent, manner) = told.change(|t| {
         t.requests.push(first);
         t.watches += usize::from(watch);
-        (t.lines[0].clone(), t.watches, t.silent, t.manners.pop_front())
+        (t.lines[0].clone(), t.watches, t.silent, t.next_responses.pop_front())
     });
     let mut stream = stream;
     if silent {
@@ -99,21 +99,23 @@
     }
     let head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n";
     match manner {
-        Some(Manner::Closed) => return Ok(()),
-        Some(Manner::Silent) => return stays(stream),
-        Some(Manner::TurnedAway) => return write!(stream, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
-        Some(Manner::Head) => {
+        Some(ResponseMode::Closed) => return Ok(()),
+        Some(ResponseMode::Silent) => return stays(stream),
+        Some(ResponseMode::Unavailable) => {
+            return write!(stream, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+        }
+        Some(ResponseMode::HeadOnly) => {
             write!(stream, "{head}Transfer-Encoding: chunked\r\n\r\n")?;
             return stays(stream);
         }
-        Some(Manner::Drips) => {
+        Some(ResponseMode::Drip) => {
             write!(stream, "{head}\r\n{list}\n{{")?;
             loop {
                 stream.write_all(b" ")?;
                 std::thread::sleep(Duration::from_millis(50));
             }
         }
-        Some(Manner::Indented) => {
+        Some(ResponseMode::Indented) => {
             let list = list.replace('{', "{\n  ").replace(',', ",\n  ").replace('}', "\n}");
             write!(stream, "{head}\r\n{list}\n")?;
             return stays(stream);
@@ -148,10 +150,39 @@
     stream.read(&mut [0]).map(drop)
 }
 
-/// A line of a list, for members given as (id, address, group, state, rank).
-pub fn list(version: u64, full: bool, members: &[(&str, SocketAddr, u32, &str, &str)]) -> String {
-    let entry = |(id, addr, cell, state, rank): &(&str, SocketAddr, u32, &str, &str)| {
-        let name = format!(r#""id":"{id}","addr":"{addr}","zone":"a","kind":"m","cell":{cell}"#);
+/// A member as discovery lists it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Endpoint {
+    /// Its name.
+    pub id: String,
+    /// Where it listens.
+    pub addr: SocketAddr,
+    /// Its group; `cell` on the wire.
+    pub group: u32,
+    /// `active`, `leaving` or `left`.
+    pub state: &'static str,
+    /// `source` for the primary, `copy` for a replica.
+    pub rank: &'static str,
+}
+
+impl Endpoint {
+    /// A member with these properties.
+    pub fn new(
+        id: impl Into<String>,
+        addr: SocketAddr,
+        group: u32,
+        state: &'static str,
+        rank: &'static str,
+    ) -> Endpoint {
+        Endpoint { id: id.into(), addr, group, state, rank }
+    }
+}
+
+/// A line of an endpoint list.
+pub fn endpoint_list(version: u64, full: bool, members: &[Endpoint]) -> String {
+    let entry = |member: &Endpoint| {
+        let Endpoint { id, addr, group, state, rank } = member;
+        let name = format!(r#""id":"{id}","addr":"{addr}","zone":"a","kind":"m","cell":{group}"#);
         let state = format!(r#""state":"{state}","weight":1.0,"started_ms":0,"rank":"{rank}""#);
         format!("{{{name},{state}}}")
     };
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -2,8 +2,8 @@
 //! answer held against the group's oracle.
 
 use crate::client::{Answer, Client};
-use crate::discovery::{list, Discovery};
-use crate::group::{Behind, Group, Manner};
+use crate::discovery::{endpoint_list, Discovery};
+use crate::group::{Group, GroupBehavior, StaleRead};
 use std::io::{self, BufRead, BufReader, Read};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -14,7 +14,7 @@
 
 /// What a router is started with.
 #[derive(Clone, Debug)]
-pub struct Start {
+pub struct RouterOptions {
     /// The program.
     pub program: PathBuf,
     /// Its configuration file.
@@ -26,8 +26,8 @@
 }
 
 /// A router's process. It is killed when dropped.
-pub struct Router {
-    start: Start,
+pub struct RouterProcess {
+    start: RouterOptions,
     name: String,
     /// Where it listens, the same after a restart.
     pub addr: SocketAddr,
@@ -51,17 +51,18 @@
     log.wait(|l| l[from..].iter().find_map(|line| line.split_once(words)?.1.trim().parse().ok()))
 }
 
-impl Router {
+impl RouterProcess {
     /// Starts a router on a port of its own and waits until it listens.
-    pub fn start(name: &str, start: Start) -> io::Result<Router> {
+    pub fn start(name: &str, start: RouterOptions) -> io::Result<RouterProcess> {
         let log = Arc::default();
-        let (child, addr) = Router::spawn(name, &start, (std::net::Ipv4Addr::LOCALHOST, 0).into(), &log)?;
-        Ok(Router { start, name: name.into(), addr, lives: 0, child, log })
+        let (child, addr) =
+            RouterProcess::spawn(name, &start, (std::net::Ipv4Addr::LOCALHOST, 0).into(), &log)?;
+        Ok(RouterProcess { start, name: name.into(), addr, lives: 0, child, log })
     }
 
     fn spawn(
         name: &str,
-        start: &Start,
+        start: &RouterOptions,
         listen: SocketAddr,
         log: &Arc<crate::Watched<Vec<String>>>,
     ) -> io::Result<(Child, SocketAddr)> {
@@ -85,14 +86,14 @@
     /// Kills it outright and starts it again at the same address.
     pub fn kill_and_restart(&mut self) -> io::Result<()> {
         self.kill()?;
-        self.again()
+        self.restart()
     }
 
     /// Stops it in good order and starts it again at the same address.
     pub fn stop_and_restart(&mut self) -> io::Result<()> {
         self.signal("TERM")?;
         self.child.wait()?;
-        self.again()
+        self.restart()
     }
 
     /// Kills it outright.
@@ -102,14 +103,14 @@
     }
 
     /// Starts it again at the same address.
-    pub fn again(&mut self) -> io::Result<()> {
+    pub fn restart(&mut self) -> io::Result<()> {
         self.lives += 1;
-        (self.child, self.addr) = Router::spawn(&self.name, &self.start, self.addr, &self.log)?;
+        (self.child, self.addr) = RouterProcess::spawn(&self.name, &self.start, self.addr, &self.log)?;
         Ok(())
     }
 
     /// Its process's id.
-    pub fn id(&self) -> u32 {
+    pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
@@ -119,7 +120,7 @@
     }
 
     /// Waits for its process to end by itself.
-    pub fn exits(&mut self) -> io::Result<ExitStatus> {
+    pub fn wait_for_exit(&mut self) -> io::Result<ExitStatus> {
         self.child.wait()
     }
 
@@ -138,7 +139,7 @@
     }
 
     /// Waits for a line of its log.
-    pub fn said(&self, part: &str) -> Option<String> {
+    pub fn wait_for_log(&self, part: &str) -> Option<String> {
         self.log.wait(|l| l.iter().find(|line| line.contains(part)).cloned())
     }
 
@@ -157,7 +158,7 @@
     }
 }
 
-impl Drop for Router {
+impl Drop for RouterProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -165,7 +166,7 @@
 }
 
 /// A file of its own in a folder, with some text.
-pub fn file(folder: &Path, name: &str, text: &str) -> io::Result<PathBuf> {
+pub fn write_unique_file(folder: &Path, name: &str, text: &str) -> io::Result<PathBuf> {
     static COUNT: AtomicU32 = AtomicU32::new(0);
     let n = COUNT.fetch_add(1, Ordering::Relaxed);
     let path = folder.join(format!("{}-{n}-{name}", std::process::id()));
@@ -174,33 +175,33 @@
 }
 
 /// A group of three members, discovery, and routers.
-pub struct World {
+pub struct Deployment {
     /// The group.
     pub group: Group,
     /// Discovery, which lists it.
     pub discovery: Discovery,
     /// The routers.
-    pub routers: Vec<Router>,
+    pub routers: Vec<RouterProcess>,
     /// The file of our own settings, if they were given any.
     pub settings: Option<PathBuf>,
 }
 
-impl World {
+impl Deployment {
     /// Starts so many routers, with our own settings if there are any; files are laid into a folder.
     pub fn start(
         program: &Path,
         folder: &Path,
         routers: usize,
-        manner: Manner,
+        manner: GroupBehavior,
         own: Option<&str>,
-    ) -> io::Result<World> {
-        let behind = match manner.behind {
-            Behind::Answers => "none",
-            Behind::Refuses => "bounce",
-            Behind::Waits(_) => "await",
+    ) -> io::Result<Deployment> {
+        let behind = match manner.stale_reads {
+            StaleRead::Serve => "none",
+            StaleRead::Reject => "bounce",
+            StaleRead::Wait(_) => "await",
         };
-        let come_back = format!("\"maxRetryAfter\": {}000000", manner.come_back_ms);
-        let aim = format!("\"aim\": {}000000", manner.aim_ms);
+        let come_back = format!("\"maxRetryAfter\": {}000000", manner.retry_after_ms);
+        let aim = format!("\"aim\": {}000000", manner.latency_objective_ms);
         let group = Group::start(2, 3, manner)?;
         let known = listed(&group, 1);
         let discovery = Discovery::start(known.clone())?;
@@ -210,34 +211,34 @@
         let settings = settings.replace("\"aim\": 400000000", &aim);
         let limits = r#"{"sockets":16384,"memory_mb":192}"#;
         let text = format!(r#"{{"seed":"1","limits":{limits},"known":{known},"settings":{settings}}}"#);
-        let start = Start {
+        let start = RouterOptions {
             program: program.into(),
-            config: file(folder, "router.json", &text)?,
-            settings: own.map(|text| file(folder, "own.kdl", text)).transpose()?,
+            config: write_unique_file(folder, "router.json", &text)?,
+            settings: own.map(|text| write_unique_file(folder, "own.kdl", text)).transpose()?,
             discovery: discovery.addr,
         };
-        let router = |n| Router::start(&format!("n{n}"), start.clone());
+        let router = |n| RouterProcess::start(&format!("n{n}"), start.clone());
         let routers = (0..routers).map(router).collect::<io::Result<_>>()?;
-        Ok(World { group, discovery, routers, settings: start.settings })
+        Ok(Deployment { group, discovery, routers, settings: start.settings })
     }
 
     /// Tells discovery who is who by now.
-    pub fn tell(&self, version: u64) {
-        self.discovery.tell(listed(&self.group, version));
+    pub fn publish_members(&self, version: u64) {
+        self.discovery.publish(listed(&self.group, version));
     }
 
     /// Plays a load while routers are killed in turn, and the group's lag goes up and down where told.
-    pub fn play(&mut self, load: &Load, kills: usize, lags: &[u64]) -> Tally {
+    pub fn run_load(&mut self, load: &SessionLoad, kills: usize, lags: &[u64]) -> SessionLoadReport {
         let addrs: Vec<_> = self.routers.iter().map(|r| r.addr).collect();
         let (mut killed, group, routers) = (0, self.group.clone(), &mut self.routers);
-        play(&self.group, &addrs, load, |done| {
+        run_load(&self.group, &addrs, load, |done| {
             if killed < kills && done > killed as f64 / kills as f64 {
                 let n = killed % routers.len();
                 killed += 1;
                 routers[n].kill_and_restart().expect("a router that starts again");
             }
             if let Some(lag) = lags.get((done * lags.len() as f64) as usize) {
-                group.change(|m| m.lag_ms = *lag);
+                group.reconfigure(|m| m.lag_ms = *lag);
             }
         })
     }
@@ -245,14 +246,13 @@
 
 /// A group as discovery lists it, whole.
 fn listed(group: &Group, version: u64) -> String {
-    let members = group.list();
-    let members: Vec<_> = members.iter().map(|m| (m.0.as_str(), m.1, m.2, m.3, m.4)).collect();
-    list(version, true, &members)
+    let members = group.members();
+    endpoint_list(version, true, &members)
 }
 
 /// How sessions come in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum ConnectionMode {
     /// One connection at a time; a session that moves leaves it first.
     OneAtATime,
     /// Connections that many sessions share, to all routers.
@@ -265,9 +265,9 @@
 
 /// What sessions do.
 #[derive(Clone, Debug)]
-pub struct Load {
+pub struct SessionLoad {
     /// How they come in.
-    pub way: Way,
+    pub mode: ConnectionMode,
     /// So many at a time.
     pub sessions: usize,
     /// They stop after so many reads together.
@@ -275,14 +275,14 @@
     /// One in so many reads goes to the class `status`, which sees all writes.
     pub status_every: u64,
     /// Rests of up to this long come before reads, in microseconds.
-    pub rest_us: u64,
+    pub max_think_time_us: u64,
     /// For random numbers.
     pub seed: u64,
 }
 
 /// What came of it.
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
+pub struct SessionLoadReport {
     /// Session reads and fresh reads served.
     pub reads: usize,
     /// Of them, answers older than what had been written before the read was sent.
@@ -312,9 +312,9 @@
 const STALL: Duration = Duration::from_millis(200);
 const STALLED_FOR: Duration = Duration::from_millis(1500);
 
-impl Tally {
+impl SessionLoadReport {
     /// Adds another's figures.
-    pub fn add(&mut self, other: Tally) {
+    pub fn add(&mut self, other: SessionLoadReport) {
         self.reads += other.reads;
         self.stale += other.stale;
         self.session_reads += other.session_reads;
@@ -341,7 +341,7 @@
     /// Of the session reads that were sent while the machine kept pace, how many, and the share that replicas
     /// served. On a machine that stalls, members answer too late and are out of service for a while, as they
     /// should.
-    pub fn replica_share_at_pace(&self) -> (usize, f64) {
+    pub fn replica_fraction_without_stalls(&self) -> (usize, f64) {
         let near = |at: Instant| self.stalls.iter().any(|(from, to)| *from <= at && at <= *to + STALLED_FOR);
         let kept: Vec<bool> = self.sent.iter().filter(|(at, _)| !near(*at)).map(|s| s.1).collect();
         let by_replicas = kept.iter().filter(|by_replica| **by_replica).count();
@@ -349,15 +349,15 @@
     }
 
     /// The share of session reads that replicas served.
-    pub fn replica_share(&self) -> f64 {
+    pub fn replica_fraction(&self) -> f64 {
         self.by_replicas as f64 / self.session_reads.max(1) as f64
     }
 }
 
-impl std::fmt::Display for Tally {
+impl std::fmt::Display for SessionLoadReport {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let Tally { reads, stale, writes, unknown, not_served, .. } = self;
-        write!(f, "reads={reads} stale={stale} replica_share={:.4}", self.replica_share())?;
+        let SessionLoadReport { reads, stale, writes, unknown, not_served, .. } = self;
+        write!(f, "reads={reads} stale={stale} replica_share={:.4}", self.replica_fraction())?;
         write!(f, " p50_us={} p99_us={}", self.quantile_us(0.5), self.quantile_us(0.99))?;
         write!(f, " writes={writes} unknown={unknown} not_served={not_served}")
     }
@@ -380,19 +380,19 @@
     name: String,
     routers: &'a [SocketAddr],
     pools: &'a Pools,
-    load: &'a Load,
+    load: &'a SessionLoad,
     at: usize,
     own: Option<Client>,
     token: Option<String>,
     sequence: u64,
     dice: Dice,
-    tally: Tally,
+    tally: SessionLoadReport,
 }
 
 impl Session<'_> {
     /// Sends one statement; none if the connection broke or did not come up.
     fn ask(&mut self, text: &str) -> Option<Answer> {
-        let pooled = self.load.way != Way::OneAtATime;
+        let pooled = self.load.mode != ConnectionMode::OneAtATime;
         let pool = || self.pools[self.at].lock().unwrap_or_else(|e| e.into_inner());
         let idle = if pooled { pool().pop() } else { self.own.take() };
         let client = idle.map_or_else(|| Client::connect(self.routers[self.at]), Ok);
@@ -402,7 +402,7 @@
         };
         client.token = None;
         let sent = Instant::now();
-        let answer = client.ask(text).ok();
+        let answer = client.query(text).ok();
         if sent.elapsed() > STALL {
             self.tally.stalls.push((sent, Instant::now()));
         }
@@ -418,7 +418,7 @@
 
     fn comment(&mut self, class: &str) -> String {
         let id = (self.dice.below(1 << 30) << 30) | self.dice.below(1 << 30);
-        let token = self.token.as_ref().filter(|_| self.load.way == Way::PooledTokens);
+        let token = self.token.as_ref().filter(|_| self.load.mode == ConnectionMode::PooledTokens);
         let token = token.map(|t| format!(",token={t}")).unwrap_or_default();
         format!("/* id={id:016x},c={class},t=acme,d=900,cluster=2{token} */")
     }
@@ -470,18 +470,18 @@
 
     /// One round: perhaps a move, a write, then reads.
     fn round(&mut self, group: &Group) -> usize {
-        if self.load.way != Way::OneRouter && self.dice.below(2) == 0 {
+        if self.load.mode != ConnectionMode::OneRouter && self.dice.below(2) == 0 {
             self.own = None;
             self.at = self.dice.below(self.routers.len() as u64) as usize;
         }
         self.write();
-        if self.load.way != Way::OneRouter && self.dice.below(2) == 0 {
+        if self.load.mode != ConnectionMode::OneRouter && self.dice.below(2) == 0 {
             self.own = None;
             self.at = self.dice.below(self.routers.len() as u64) as usize;
         }
         let mut served = 0;
         for _ in 0..1 + self.dice.below(4) {
-            let rest = self.dice.below(self.load.rest_us.max(1));
+            let rest = self.dice.below(self.load.max_think_time_us.max(1));
             // Half of the reads come at once.
             if self.dice.below(2) == 0 && rest > 0 {
                 std::thread::sleep(Duration::from_micros(rest));
@@ -502,10 +502,15 @@
 
 /// Plays a load against routers until it has had its reads; `meanwhile` runs beside it, is told the share of
 /// them that is done, and is called again until all are.
-pub fn play(group: &Group, routers: &[SocketAddr], load: &Load, mut meanwhile: impl FnMut(f64)) -> Tally {
+pub fn run_load(
+    group: &Group,
+    routers: &[SocketAddr],
+    load: &SessionLoad,
+    mut meanwhile: impl FnMut(f64),
+) -> SessionLoadReport {
     let (done, over) = (AtomicUsize::new(0), AtomicBool::new(false));
     let pools: Pools = routers.iter().map(|_| Mutex::default()).collect();
-    let mut tally = Tally::default();
+    let mut tally = SessionLoadReport::default();
     std::thread::scope(|scope| {
         let sessions: Vec<_> = (0..load.sessions)
             .map(|n| {
@@ -521,7 +526,7 @@
                         token: None,
                         sequence: 0,
                         dice: Dice(load.seed.wrapping_mul(1_000_003).wrapping_add(n as u64)),
-                        tally: Tally::default(),
+                        tally: SessionLoadReport::default(),
                     };
                     while !over.load(Ordering::Relaxed) {
                         let served = session.round(group);
