--- a/crates/standin/src/group.rs
+++ b/crates/standin/src/group.rs
@@ -1,7 +1,8 @@
 //! A replicated group: a primary, replicas that follow it with a lag, and an oracle that knows what each read
 //! should have seen.
 
-use crate::host::{Host, Reply, Telling};
+use crate::discovery::Endpoint;
+use crate::host::{Host, ParameterStatuses, Reply};
 use crate::{unix_ms, Watched};
 use std::collections::BTreeMap;
 use std::io;
@@ -10,54 +11,54 @@
 
 /// What a replica does with a read that it is too far behind for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Behind {
+pub enum StaleRead {
     /// It answers from what it has.
-    Answers,
+    Serve,
     /// It misses at once.
-    Refuses,
+    Reject,
     /// It waits this long for its log, then misses.
-    Waits(Duration),
+    Wait(Duration),
 }
 
 /// How a group behaves; may be changed while it runs.
 #[derive(Clone, Debug)]
-pub struct Manner {
+pub struct GroupBehavior {
     /// How long a replica takes to apply what was written, in milliseconds; 1 at least.
     pub lag_ms: u64,
     /// How far the members' clock is ahead of this machine's, in milliseconds.
-    pub ahead_ms: i64,
+    pub clock_ahead_ms: i64,
     /// What a replica does when it is behind.
-    pub behind: Behind,
+    pub stale_reads: StaleRead,
     /// How long a write takes before it commits, and from there to its answer.
-    pub write_takes: [Duration; 2],
+    pub write_delays: [Duration; 2],
     /// How long a read takes.
-    pub read_takes: Duration,
+    pub read_delay: Duration,
     /// The longest time to come back that routers tell, in milliseconds.
-    pub come_back_ms: u64,
+    pub retry_after_ms: u64,
     /// What routers are told of how soon reads are wanted, in milliseconds: with little of it a slow
     /// machine makes members look crowded.
-    pub aim_ms: u64,
+    pub latency_objective_ms: u64,
     /// So many statements are worked on at a time by each member; any number if 0. What has no place within
     /// half a second is turned away.
-    pub slots: usize,
+    pub max_concurrent: usize,
     /// Answers are `VALUE@SERIAL@source` (or `copy`), for those who hold them against the oracle.
-    pub marked: bool,
+    pub annotated: bool,
 }
 
-impl Default for Manner {
-    fn default() -> Manner {
-        let (behind, read_takes) = (Behind::Waits(Duration::from_millis(100)), Duration::from_micros(500));
-        let write_takes = [Duration::from_millis(1); 2];
-        Manner {
+impl Default for GroupBehavior {
+    fn default() -> GroupBehavior {
+        let (behind, read_delay) = (StaleRead::Wait(Duration::from_millis(100)), Duration::from_micros(500));
+        let write_delays = [Duration::from_millis(1); 2];
+        GroupBehavior {
             lag_ms: 12,
-            ahead_ms: 0,
-            behind,
-            write_takes,
-            read_takes,
-            come_back_ms: 1000,
-            aim_ms: 400,
-            slots: 0,
-            marked: true,
+            clock_ahead_ms: 0,
+            stale_reads: behind,
+            write_delays,
+            read_delay,
+            retry_after_ms: 1000,
+            latency_objective_ms: 400,
+            max_concurrent: 0,
+            annotated: true,
         }
     }
 }
@@ -74,7 +75,7 @@
 
 #[derive(Debug)]
 struct State {
-    manner: Manner,
+    manner: GroupBehavior,
     primary: usize,
     log: BTreeMap<String, Vec<Commit>>,
     last: u64,
@@ -85,7 +86,7 @@
 
 impl State {
     fn clock(&self) -> u64 {
-        unix_ms().saturating_add_signed(self.manner.ahead_ms)
+        unix_ms().saturating_add_signed(self.manner.clock_ahead_ms)
     }
 
     /// Up to where a member has applied the log.
@@ -106,12 +107,9 @@
     state: Arc<Watched<State>>,
 }
 
-/// A member's name and where it listens, its group, its state and its rank, as discovery lists them.
-pub type Listed = (String, std::net::SocketAddr, u32, &'static str, &'static str);
-
 impl Group {
     /// Starts a group of so many members, the first of them its primary.
-    pub fn start(number: u32, members: usize, manner: Manner) -> io::Result<Group> {
+    pub fn start(number: u32, members: usize, manner: GroupBehavior) -> io::Result<Group> {
         let state =
             State { manner, primary: 0, log: BTreeMap::new(), last: 0, serial: 0, busy: vec![0; members] };
         let state = Arc::new(Watched { value: state.into(), changed: Default::default() });
@@ -124,13 +122,13 @@
     }
 
     /// Changes how it behaves.
-    pub fn change(&self, f: impl FnOnce(&mut Manner)) {
+    pub fn reconfigure(&self, f: impl FnOnce(&mut GroupBehavior)) {
         self.state.change(|s| f(&mut s.manner));
     }
 
     /// Another member is the primary from now on. It has all that was answered; what the old one had
     /// committed and not answered yet is gone.
-    pub fn hand_over(&self, to: usize) {
+    pub fn fail_over(&self, to: usize) {
         self.state.change(|s| {
             s.primary = to;
             s.log.values_mut().for_each(|commits| commits.retain(|c| c.answered));
@@ -138,23 +136,25 @@
     }
 
     /// The members as discovery lists them.
-    pub fn list(&self) -> Vec<Listed> {
+    pub fn members(&self) -> Vec<Endpoint> {
         let primary = self.state.lock().primary;
         let rank = |n| if n == primary { "source" } else { "copy" };
         let hosts = self.hosts.iter().enumerate();
         hosts
-            .map(|(n, h)| (format!("g{}-{n}", self.number), h.addr, self.number, "active", rank(n)))
+            .map(|(n, h)| {
+                Endpoint::new(format!("g{}-{n}", self.number), h.addr, self.number, "active", rank(n))
+            })
             .collect()
     }
 
     /// All values committed under a key, in order.
-    pub fn commits(&self, key: &str) -> Vec<String> {
+    pub fn committed_values(&self, key: &str) -> Vec<String> {
         let state = self.state.lock();
         state.log.get(key).into_iter().flatten().map(|c| c.value.clone()).collect()
     }
 
     /// Waits until something has been committed under a key.
-    pub fn committed(&self, key: &str) -> Option<()> {
+    pub fn wait_for_commit(&self, key: &str) -> Option<()> {
         self.state.wait(|s| s.log.contains_key(key).then_some(()))
     }
 
@@ -187,13 +187,13 @@
     comment.split(',').find_map(|pair| pair.trim().strip_prefix(name)?.strip_prefix('=')?.trim().parse().ok())
 }
 
-fn answer(state: &Watched<State>, member: usize, text: &str) -> (Reply, Telling) {
+fn answer(state: &Watched<State>, member: usize, text: &str) -> (Reply, ParameterStatuses) {
     let manner = state.lock().manner.clone();
-    if manner.slots == 0 || !text.contains("records") {
+    if manner.max_concurrent == 0 || !text.contains("records") {
         return work(state, member, text, manner);
     }
     let until = Instant::now() + Duration::from_millis(500);
-    let place = state.wait(|s| match s.busy[member] < manner.slots {
+    let place = state.wait(|s| match s.busy[member] < manner.max_concurrent {
         true => {
             s.busy[member] += 1;
             Some(true)
@@ -208,7 +208,12 @@
     done
 }
 
-fn work(state: &Watched<State>, member: usize, text: &str, manner: Manner) -> (Reply, Telling) {
+fn work(
+    state: &Watched<State>,
+    member: usize,
+    text: &str,
+    manner: GroupBehavior,
+) -> (Reply, ParameterStatuses) {
     let reply = match &literals(text)[..] {
         [] if text == "SHOW vitals" => {
             let state = state.lock();
@@ -219,7 +224,7 @@
         [key] => read(state, member, key, figure(text, "after").unwrap_or(0), &manner),
         [key, value] => {
             let value = &decoded(value);
-            std::thread::sleep(manner.write_takes[0]);
+            std::thread::sleep(manner.write_delays[0]);
             let commit = state.change(|s| {
                 if member != s.primary {
                     return None;
@@ -236,7 +241,7 @@
                 s.log.entry(key.to_string()).or_default().push(commit);
                 Some((position, s.serial))
             });
-            std::thread::sleep(manner.write_takes[1]);
+            std::thread::sleep(manner.write_delays[1]);
             match commit {
                 Some((position, serial)) => {
                     let kept = state.change(|s| {
@@ -244,7 +249,7 @@
                         commits.rev().find(|c| c.serial == serial).map(|c| c.answered = true)
                     });
                     if kept.is_none() {
-                        return (Reply::Break, Vec::new());
+                        return (Reply::Close, Vec::new());
                     }
                     let telling = vec![("rank", "source".into()), ("as_of", position.to_string())];
                     return (row(&manner, value, serial, "source"), telling);
@@ -259,22 +264,22 @@
     (reply, vec![("rank", rank.into()), ("as_of", state.position(member).to_string())])
 }
 
-fn row(manner: &Manner, value: &str, serial: u64, rank: &str) -> Reply {
+fn row(manner: &GroupBehavior, value: &str, serial: u64, rank: &str) -> Reply {
     let marked = || format!("{value}@{serial}@{rank}");
-    Reply::Row(if manner.marked { marked() } else { value.to_string() }.into_bytes())
+    Reply::Row(if manner.annotated { marked() } else { value.to_string() }.into_bytes())
 }
 
 /// A read; an empty value of serial 0 if nothing is there.
-fn read(state: &Watched<State>, member: usize, key: &str, after: u64, manner: &Manner) -> Reply {
-    let until = match manner.behind {
-        Behind::Waits(patience) => Instant::now() + patience,
+fn read(state: &Watched<State>, member: usize, key: &str, after: u64, manner: &GroupBehavior) -> Reply {
+    let until = match manner.stale_reads {
+        StaleRead::Wait(patience) => Instant::now() + patience,
         _ => Instant::now(),
     };
-    std::thread::sleep(manner.read_takes);
+    std::thread::sleep(manner.read_delay);
     loop {
         let state = state.lock();
         let (position, leads) = (state.position(member), member == state.primary);
-        if leads || position >= after || manner.behind == Behind::Answers {
+        if leads || position >= after || manner.stale_reads == StaleRead::Serve {
             let commits = state.log.get(key).into_iter().flatten();
             let seen = commits.rev().find(|c| leads || c.position <= position);
             let rank = if leads { "source" } else { "copy" };
--- a/crates/standin/src/host.rs
+++ b/crates/standin/src/host.rs
@@ -11,31 +11,40 @@
     /// Serves it: one row of one binary value.
     Row(Vec<u8>),
     /// Serves it, and closes the connection after that.
-    Last(Vec<u8>),
+    RowThenClose(Vec<u8>),
     /// Answers with an error of this SQLSTATE and stays.
     Error(&'static str),
     /// Answers with an error and closes without ReadyForQuery.
     Fatal(&'static str),
     /// Never answers, and keeps the connection.
-    Silence,
+    NoAnswer,
     /// Closes the connection without an answer.
-    Break,
+    Close,
     /// Sends these bytes as they are.
     Raw(Vec<u8>),
     /// Answers with a row once [`Host::release`] is called.
-    Held(Vec<u8>),
+    RowOnRelease(Vec<u8>),
 }
 
 /// What a host tells of itself with each answer, as ParameterStatus messages.
-pub type Telling = Vec<(&'static str, String)>;
+pub type ParameterStatuses = Vec<(&'static str, String)>;
+
+/// A statement that a host has received.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ReceivedStatement {
+    /// The number of the connection that it arrived on, the first of them 1.
+    pub connection: usize,
+    /// Its text.
+    pub text: String,
+    /// When its last byte had arrived.
+    pub received_at: std::time::Instant,
+}
 
 /// What a host has seen.
 #[derive(Debug, Default)]
 pub struct Seen {
-    /// Statements in the order in which their last bytes came, each with its connection's number.
-    pub statements: Vec<(usize, String)>,
-    /// When each of them came.
-    pub times: Vec<std::time::Instant>,
+    /// Statements in the order in which their last bytes arrived.
+    pub statements: Vec<ReceivedStatement>,
     /// When connections were accepted.
     pub accepted_at: Vec<std::time::Instant>,
     /// Connections accepted so far.
@@ -43,11 +52,11 @@
     /// Connections that are open.
     pub open: usize,
     /// Connections that come are accepted, and not welcomed while this holds.
-    pub aloof: bool,
+    pub withhold_welcome: bool,
     released: bool,
 }
 
-type Answers = dyn Fn(&str) -> (Reply, Telling) + Send + Sync;
+type Answers = dyn Fn(&str) -> (Reply, ParameterStatuses) + Send + Sync;
 
 /// A stand-in for a database host on a port of its own; it goes on until the process ends.
 #[derive(Clone)]
@@ -60,7 +69,9 @@
 
 impl Host {
     /// Starts a host that answers each statement as `answers` says.
-    pub fn start(answers: impl Fn(&str) -> (Reply, Telling) + Send + Sync + 'static) -> io::Result<Host> {
+    pub fn start(
+        answers: impl Fn(&str) -> (Reply, ParameterStatuses) + Send + Sync + 'static,
+    ) -> io::Result<Host> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let host = Host { addr: listener.local_addr()?, seen: Arc::default() };
         let (seen, answers): (_, Arc<Answers>) = (Arc::clone(&host.seen), Arc::new(answers));
@@ -88,13 +99,13 @@
     }
 
     /// Waits for a statement that holds `part` and takes note of no other; its text and connection.
-    pub fn saw(&self, part: &str) -> Option<(usize, String)> {
-        self.seen.wait(|s| s.statements.iter().find(|(_, text)| text.contains(part)).cloned())
+    pub fn wait_for_statement(&self, part: &str) -> Option<ReceivedStatement> {
+        self.seen.wait(|s| s.statements.iter().find(|s| s.text.contains(part)).cloned())
     }
 
     /// How many statements so far hold `part`.
-    pub fn count(&self, part: &str) -> usize {
-        self.seen.lock().statements.iter().filter(|(_, text)| text.contains(part)).count()
+    pub fn statement_count(&self, part: &str) -> usize {
+        self.seen.lock().statements.iter().filter(|s| s.text.contains(part)).count()
     }
 }
 
@@ -135,7 +146,7 @@
     stream.read_exact(&mut head)?;
     let mut startup = vec![0; (u32::from_be_bytes(head) as usize).saturating_sub(4).min(10_000)];
     stream.read_exact(&mut startup)?;
-    seen.wait(|s| (!s.aloof).then_some(()));
+    seen.wait(|s| (!s.withhold_welcome).then_some(()));
     let ready = message(b'Z', b"I");
     let welcome =
         [message(b'R', &[0; 4]), parameter("server_version", "15.0"), message(b'K', &[0; 8])].concat();
@@ -151,14 +162,17 @@
         }
         let text = String::from_utf8_lossy(body.strip_suffix(&[0]).unwrap_or(&body)).into_owned();
         seen.change(|s| {
-            s.statements.push((number, text.clone()));
-            s.times.push(std::time::Instant::now());
+            s.statements.push(ReceivedStatement {
+                connection: number,
+                text: text.clone(),
+                received_at: std::time::Instant::now(),
+            });
         });
         let (reply, telling) = answers(&text);
         let telling: Vec<u8> = telling.iter().flat_map(|(name, value)| parameter(name, value)).collect();
         let out = match reply {
             Reply::Row(value) => [row(&value), telling, ready.clone()].concat(),
-            Reply::Last(value) => {
+            Reply::RowThenClose(value) => {
                 return stream.write_all(&[row(&value), telling, ready].concat());
             }
             Reply::Error(code) => [error(code), telling, ready.clone()].concat(),
@@ -166,14 +180,14 @@
                 stream.write_all(&error(code))?;
                 return Ok(());
             }
-            Reply::Silence => {
+            Reply::NoAnswer => {
                 // Until the other side gives up.
                 let _ = stream.read(&mut [0]);
                 return Ok(());
             }
-            Reply::Break => return Ok(()),
+            Reply::Close => return Ok(()),
             Reply::Raw(bytes) => bytes,
-            Reply::Held(value) => {
+            Reply::RowOnRelease(value) => {
                 seen.wait(|s| s.released.then_some(()));
                 [row(&value), telling, ready.clone()].concat()
             }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -2,12 +2,27 @@
 //! the published protocols alone and share no code with the router; the tests and the toy server use them.
 pub mod client;
 pub mod discovery;
+/// A group of members, discovery and router processes together.
+pub mod deployment {
+    pub use crate::fleet::Deployment;
+}
 pub mod fleet;
 pub mod group;
 pub mod host;
-pub mod model;
-pub mod relay;
-pub mod rig;
+/// Router processes.
+pub mod router_process {
+    pub use crate::fleet::{write_unique_file, RouterOptions, RouterProcess};
+}
+/// Sessions that write and read through routers.
+pub mod session_load {
+    pub use crate::fleet::{run_load, ConnectionMode, SessionLoad, SessionLoadReport};
+}
+#[path = "rig.rs"]
+pub mod harness;
+#[path = "model.rs"]
+pub mod simulated_fleet;
+#[path = "relay.rs"]
+pub mod udp_proxy;
 
 use std::sync::{Condvar, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
@@ -33,7 +48,7 @@
  "reporting": {"columns": ["x0", "x1"], "via": "answers"}, "prices": {"waste": 0.03}}"#;
 
 /// How long a stand-in waits for something that should come at once.
-pub const PATIENCE: Duration = Duration::from_secs(10);
+pub const TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A value that others wait for.
 #[derive(Debug, Default)]
@@ -57,7 +72,7 @@
 
     /// Waits until `f` finds what it looks for; none if that does not come.
     pub fn wait<R>(&self, mut f: impl FnMut(&mut T) -> Option<R>) -> Option<R> {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TIMEOUT;
         let mut value = self.lock();
         loop {
             if let Some(found) = f(&mut value) {
--- a/crates/standin/src/model.rs
+++ b/crates/standin/src/model.rs
@@ -13,24 +13,24 @@
 #[derive(Clone, Debug)]
 pub struct Links {
     /// Datagrams lost, in a thousand.
-    pub loss: u64,
+    pub loss_per_mille: u64,
     /// Datagrams that come twice, in a thousand.
-    pub twice: u64,
+    pub duplicates_per_mille: u64,
     /// Shortest and longest time on the way, in microseconds.
-    pub delay_us: (u64, u64),
+    pub delay_us: std::ops::Range<u64>,
     /// Pairs whose datagrams from the first to the second are lost.
     pub cut: BTreeSet<(usize, usize)>,
 }
 
 impl Default for Links {
     fn default() -> Links {
-        Links { loss: 0, twice: 0, delay_us: (100, 1000), cut: BTreeSet::new() }
+        Links { loss_per_mille: 0, duplicates_per_mille: 0, delay_us: 100..1000, cut: BTreeSet::new() }
     }
 }
 
 impl Links {
     /// Cuts all links between groups of routers; others are whole again.
-    pub fn split(&mut self, groups: &[Vec<usize>]) {
+    pub fn partition(&mut self, groups: &[Vec<usize>]) {
         self.cut.clear();
         for (n, one) in groups.iter().enumerate() {
             for (_, other) in groups.iter().enumerate().filter(|(m, _)| *m != n) {
@@ -65,35 +65,66 @@
     Ends(usize, u64),
 }
 
+/// A request that a router admitted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Admission {
+    /// True time.
+    pub at: Time,
+    /// The router's number.
+    pub router: usize,
+}
+
+/// A permit of a limit on concurrent requests that a router took.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Permit {
+    /// True time at which it was taken.
+    pub from: Time,
+    /// True time at which it is returned.
+    pub until: Time,
+    /// The router's number.
+    pub router: usize,
+}
+
+/// A line that a router logged.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct LogLine {
+    /// True time.
+    pub at: Time,
+    /// The router's number.
+    pub router: usize,
+    /// Its text.
+    pub text: String,
+}
+
 /// What was seen from outside.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Seen {
+pub struct Observations {
     /// Requests admitted, by true time and router.
-    pub admitted: Vec<(Time, usize)>,
+    pub admitted: Vec<Admission>,
     /// Requests that came in.
-    pub demanded: u64,
+    pub requests: u64,
     /// Places taken: from, until, by whom.
-    pub places: Vec<(Time, Time, usize)>,
+    pub permits: Vec<Permit>,
     /// Places that were refused.
-    pub places_refused: u64,
+    pub permits_rejected: u64,
     /// Datagrams sent and their bytes.
     pub datagrams: u64,
     /// Their bytes.
     pub bytes: u64,
     /// Largest sum of units held at a time, over all routers.
-    pub held_most: u64,
+    pub peak_allocated_units: u64,
     /// Lines that routers said.
-    pub said: Vec<(Time, usize, String)>,
+    pub log_lines: Vec<LogLine>,
 }
 
 /// A fleet of cores.
-pub struct Model {
+pub struct SimulatedFleet {
     /// True time.
     pub now: Time,
     /// How the links are.
     pub links: Links,
     /// What was seen.
-    pub seen: Seen,
+    pub observations: Observations,
     plan: FleetConfig,
     seal: DatagramCodec,
     nodes: Vec<Node>,
@@ -116,7 +147,7 @@
 }
 
 /// Names `n0`, `n1` and so on, at ports of the same numbers.
-pub fn names(count: usize) -> Roster {
+pub fn numbered_names(count: usize) -> Roster {
     let peer = |n: usize| Peer {
         name: format!("n{n}"),
         addr: SocketAddr::from(([127, 0, 0, 1], n as u16 + 1)),
@@ -125,7 +156,7 @@
     Roster::new((0..count).map(peer).collect()).unwrap_or_default()
 }
 
-impl Model {
+impl SimulatedFleet {
     /// Routers of a plan, none of them started. `rate` and `at_once` are the keys that requests count under.
     pub fn new(
         plan: FleetConfig,
@@ -133,7 +164,7 @@
         at_once: Option<LimitKey>,
         longest: Time,
         seed: u64,
-    ) -> Model {
+    ) -> SimulatedFleet {
         let mut dice = Dice(seed);
         let nodes = (0..plan.roster.len()).map(|_| {
             // Rates lie all over what the plan allows, the ends among them.
@@ -157,10 +188,10 @@
             }
         });
         let nodes = nodes.collect();
-        Model {
+        SimulatedFleet {
             now: Time(0),
             links: Links::default(),
-            seen: Seen::default(),
+            observations: Observations::default(),
             plan,
             seal: seal(),
             nodes,
@@ -217,12 +248,12 @@
     }
 
     /// Stops a router's process as SIGSTOP does.
-    pub fn freeze(&mut self, n: usize) {
+    pub fn pause(&mut self, n: usize) {
         self.nodes[n].frozen = true;
     }
 
     /// Lets it go on, with all that came meanwhile.
-    pub fn thaw(&mut self, n: usize) {
+    pub fn resume(&mut self, n: usize) {
         if std::mem::take(&mut self.nodes[n].frozen) {
             for bytes in std::mem::take(&mut self.nodes[n].inbox) {
                 self.arrives(n, &bytes);
@@ -232,12 +263,12 @@
     }
 
     /// Sets a router's wall clock off by so many milliseconds; it shows in its next life.
-    pub fn wall(&mut self, n: usize, off_ms: i64) {
+    pub fn set_system_clock_offset_ms(&mut self, n: usize, off_ms: i64) {
         self.nodes[n].wall = off_ms;
     }
 
     /// Whether a router runs.
-    pub fn runs(&self, n: usize) -> bool {
+    pub fn is_running(&self, n: usize) -> bool {
         self.nodes[n].fleet.is_some()
     }
 
@@ -273,7 +304,7 @@
     }
 
     /// One router's status.
-    pub fn lines(&self, n: usize) -> Vec<String> {
+    pub fn status_lines(&self, n: usize) -> Vec<String> {
         let now = self.local(n);
         self.nodes[n].fleet.as_ref().map(|f| f.status_lines(now)).unwrap_or_default()
     }
@@ -285,17 +316,17 @@
     }
 
     /// The settings that routers start with from now on.
-    pub fn plan(&mut self, plan: FleetConfig) {
+    pub fn set_plan(&mut self, plan: FleetConfig) {
         self.plan = plan;
     }
 
     /// Keeps a copy of all that is sent, with whom it was sent to.
-    pub fn record(&mut self, on: bool) {
+    pub fn record_datagrams(&mut self, on: bool) {
         self.recorded = on.then(Vec::new);
     }
 
     /// What was kept.
-    pub fn recorded(&mut self) -> Vec<(usize, Vec<u8>)> {
+    pub fn take_recorded_datagrams(&mut self) -> Vec<(usize, Vec<u8>)> {
         self.recorded.take().unwrap_or_default()
     }
 
@@ -314,21 +345,23 @@
         for effect in out {
             match effect {
                 Effect::Send { to, datagram: bytes } => self.send(n, usize::from(to.port()) - 1, bytes),
-                Effect::Log(line) => self.seen.said.push((self.now, n, line)),
+                Effect::Log(line) => {
+                    self.observations.log_lines.push(LogLine { at: self.now, router: n, text: line })
+                }
             }
         }
     }
 
     fn send(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
-        self.seen.datagrams += 1;
-        self.seen.bytes += bytes.len() as u64;
+        self.observations.datagrams += 1;
+        self.observations.bytes += bytes.len() as u64;
         self.recorded.iter_mut().for_each(|r| r.push((to, bytes.clone())));
-        if self.links.cut.contains(&(from, to)) || self.dice.below(1000) < self.links.loss {
+        if self.links.cut.contains(&(from, to)) || self.dice.below(1000) < self.links.loss_per_mille {
             return;
         }
-        let copies = 1 + u64::from(self.dice.below(1000) < self.links.twice);
+        let copies = 1 + u64::from(self.dice.below(1000) < self.links.duplicates_per_mille);
         for _ in 0..copies {
-            let (least, most) = self.links.delay_us;
+            let (least, most) = (self.links.delay_us.start, self.links.delay_us.end);
             let delay = Time((least + self.dice.below(most.saturating_sub(least).max(1))) * 1000);
             self.at(self.now.plus(delay), Happens::Arrives(to, bytes.clone()));
         }
@@ -360,7 +393,7 @@
     }
 
     /// Lets time go on to a moment.
-    pub fn run(&mut self, until: Time) {
+    pub fn run_until(&mut self, until: Time) {
         while let Some(entry) = self.queue.first_entry() {
             if entry.key().0 > until {
                 break;
@@ -400,7 +433,7 @@
 
     fn request(&mut self, n: usize) {
         let (now, Some(key)) = (self.local(n), self.rate) else { return };
-        self.seen.demanded += 1;
+        self.observations.requests += 1;
         let mut admitted = false;
         self.with(n, |fleet, _| {
             admitted = fleet.availability(now, &[key]).fraction > 0.0;
@@ -411,7 +444,7 @@
         });
         if admitted {
             self.nodes[n].admitted += 1;
-            self.seen.admitted.push((self.now, n));
+            self.observations.admitted.push(Admission { at: self.now, router: n });
         }
     }
 
@@ -433,10 +466,10 @@
             let most = (longest.0 as f64 / (1.0 + self.plan.timing.drift)) as u64;
             let ends = self.now.plus(Time(most / 20 + self.dice.below(most - most / 20)));
             self.places.insert(number);
-            self.seen.places.push((self.now, ends, n));
+            self.observations.permits.push(Permit { from: self.now, until: ends, router: n });
             self.at(ends, Happens::Ends(n, number));
         } else {
-            self.seen.places_refused += 1;
+            self.observations.permits_rejected += 1;
         }
     }
 
@@ -447,14 +480,14 @@
                 let now = self.local(n);
                 self.nodes[n].fleet.as_ref().and_then(|f| f.account_stats(now, key)).map_or(0, |f| f.usable)
             });
-            self.seen.held_most = self.seen.held_most.max(held.sum());
+            self.observations.peak_allocated_units = self.observations.peak_allocated_units.max(held.sum());
         }
     }
 }
 
 /// By how much what was admitted is over a rate with a burst, at worst over all windows of time; below
 /// zero if never.
-pub fn over(mut admitted: Vec<Time>, per_s: f64, burst: f64) -> f64 {
+pub fn rate_excess(mut admitted: Vec<Time>, per_s: f64, burst: f64) -> f64 {
     admitted.sort_unstable();
     let (mut level, mut at, mut worst) = (burst, Time(0), -burst);
     for time in admitted {
@@ -466,8 +499,8 @@
 }
 
 /// Most places that were taken at a time.
-pub fn most_at_once(places: &[(Time, Time)]) -> i64 {
-    let mut steps: Vec<(Time, i64)> = places.iter().flat_map(|p| [(p.0, 1), (p.1, -1)]).collect();
+pub fn max_concurrent(permits: &[Permit]) -> i64 {
+    let mut steps: Vec<(Time, i64)> = permits.iter().flat_map(|p| [(p.from, 1), (p.until, -1)]).collect();
     steps.sort_unstable_by_key(|s| (s.0, s.1));
     let (mut taken, mut most) = (0, 0);
     for (_, step) in steps {
--- a/crates/standin/src/relay.rs
+++ b/crates/standin/src/relay.rs
@@ -30,14 +30,14 @@
 
 /// A relay; it goes on until the process ends.
 #[derive(Clone)]
-pub struct Relay {
+pub struct UdpProxy {
     links: Arc<Mutex<Links>>,
     ports: Vec<Vec<SocketAddr>>,
 }
 
-impl Relay {
+impl UdpProxy {
     /// A relay between so many routers; their links are whole.
-    pub fn start(routers: usize, seed: u64) -> io::Result<Relay> {
+    pub fn start(routers: usize, seed: u64) -> io::Result<UdpProxy> {
         let links = Links {
             targets: vec![None; routers],
             cut: BTreeSet::new(),
@@ -65,7 +65,7 @@
             }
             async_io::block_on(executor.run(std::future::pending::<()>()));
         });
-        Ok(Relay { links, ports })
+        Ok(UdpProxy { links, ports })
     }
 
     /// Where one router reaches another.
--- a/crates/standin/src/rig.rs
+++ b/crates/standin/src/rig.rs
@@ -2,10 +2,10 @@
 //! the network between the routers. What happens is judged by the hosts' own record.
 
 use crate::client::{Answer, Client};
-use crate::discovery::{list, Discovery};
-use crate::fleet::{file, Dice, Router, Start};
+use crate::discovery::{endpoint_list, Discovery, Endpoint};
+use crate::fleet::{write_unique_file, Dice, RouterOptions, RouterProcess};
 use crate::host::{Host, Reply};
-use crate::relay::Relay;
+use crate::udp_proxy::UdpProxy;
 use crate::unix_ms;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
@@ -17,19 +17,19 @@
 
 /// What to set up.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct HarnessConfig {
     /// Routers.
     pub routers: usize,
     /// Hosts, all of one group.
     pub hosts: usize,
     /// How long a host works on a statement.
-    pub work: Duration,
+    pub service_time: Duration,
     /// What hosts do with statements.
-    pub hosts_do: HostsDo,
+    pub host_behavior: HostBehavior,
     /// Nodes of KDL inside `fleet`, besides names and keys; without any the routers have no fleet.
     pub limits: Option<String>,
     /// Each router knows of itself alone.
-    pub alone: bool,
+    pub isolated: bool,
     /// Routers reach each other without the relay.
     pub direct: bool,
     /// For random numbers.
@@ -38,7 +38,7 @@
 
 /// What hosts do with statements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum HostsDo {
+pub enum HostBehavior {
     /// They serve them.
     #[default]
     Serve,
@@ -54,17 +54,17 @@
     /// The host.
     pub host: Host,
     /// Most statements that it had at a time.
-    pub most: Arc<AtomicUsize>,
+    pub max_concurrent: Arc<AtomicUsize>,
 }
 
 /// The processes, and what is round them.
-pub struct Rig {
+pub struct FleetHarness {
     /// The hosts.
     pub hosts: Vec<Counted>,
     /// The routers.
-    pub routers: Vec<Router>,
+    pub routers: Vec<RouterProcess>,
     /// The network between them, unless they reach each other without it.
-    pub relay: Option<Relay>,
+    pub relay: Option<UdpProxy>,
     /// The settings file of each, for `basalthill fleet` as well.
     pub settings: Vec<Option<PathBuf>>,
     /// What was done, and when after the start.
@@ -78,9 +78,9 @@
 const KEY: &str = "51e0a8c97b3d2f6604de8f13c5a97b20";
 
 /// The `fleet` node of one router's settings, which reaches the others at these addresses.
-fn fleet(setup: &Setup, n: usize, at: &[SocketAddr], limits: &str) -> String {
+fn fleet(setup: &HarnessConfig, n: usize, at: &[SocketAddr], limits: &str) -> String {
     let listen = if setup.direct { at[n].to_string() } else { "127.0.0.1:0".into() };
-    let known = (0..setup.routers).filter(|m| *m == n || !setup.alone);
+    let known = (0..setup.routers).filter(|m| *m == n || !setup.isolated);
     let peers: String = known.map(|m| format!("router \"n{m}\" \"{}\"\n", at[m])).collect();
     format!("fleet {{\nlisten \"{listen}\"\nkey 1 \"{KEY}\" signs=#true\n{peers}{limits}\n}}\n")
 }
@@ -92,28 +92,31 @@
     sockets.iter().map(UdpSocket::local_addr).collect()
 }
 
-impl Rig {
+impl FleetHarness {
     /// Starts it all; files are laid into a folder.
-    pub fn start(program: &Path, folder: &Path, setup: &Setup) -> io::Result<Rig> {
+    pub fn start(program: &Path, folder: &Path, setup: &HarnessConfig) -> io::Result<FleetHarness> {
         let hosts: Vec<Counted> = (0..setup.hosts).map(|_| counted(setup)).collect::<io::Result<_>>()?;
-        let names: Vec<String> = (0..setup.hosts).map(|n| format!("s-{n}")).collect();
         let rank = |n| if n == 0 { "source" } else { "copy" };
         let members = hosts.iter().enumerate();
-        let members: Vec<_> =
-            members.map(|(n, h)| (names[n].as_str(), h.host.addr, 2, "active", rank(n))).collect();
-        let known = list(1, true, &members);
+        let members: Vec<_> = members
+            .map(|(n, h)| Endpoint::new(format!("s-{n}"), h.host.addr, 2, "active", rank(n)))
+            .collect();
+        let known = endpoint_list(1, true, &members);
         let discovery = Discovery::start(known.clone())?;
         let settings = crate::SETTINGS
             .replace("\"balancers\": 2", &format!("\"balancers\": {}", setup.routers))
             .replace("6000000000", "1500000000")
-            .replace("\"probes\": true", &format!("\"probes\": {}", setup.hosts_do != HostsDo::Close))
+            .replace(
+                "\"probes\": true",
+                &format!("\"probes\": {}", setup.host_behavior != HostBehavior::Close),
+            )
             .replace("\"deadline\": 3000000000", "\"deadline\": 1500000000");
         let limits = r#"{"sockets":4096,"memory_mb":192}"#;
         let text = format!(r#"{{"seed":"1","limits":{limits},"known":{known},"settings":{settings}}}"#);
-        let config = file(folder, "rig.json", &text)?;
-        let relay = (!setup.direct).then(|| Relay::start(setup.routers, setup.seed)).transpose()?;
+        let config = write_unique_file(folder, "rig.json", &text)?;
+        let relay = (!setup.direct).then(|| UdpProxy::start(setup.routers, setup.seed)).transpose()?;
         let direct = free(if setup.direct { setup.routers } else { 0 })?;
-        let mut rig = Rig {
+        let mut rig = FleetHarness {
             hosts,
             routers: Vec::new(),
             relay,
@@ -124,13 +127,13 @@
             _discovery: discovery,
         };
         for n in 0..setup.routers {
-            let ports = |relay: &Relay| (0..setup.routers).map(|m| relay.port(n, m)).collect();
+            let ports = |relay: &UdpProxy| (0..setup.routers).map(|m| relay.port(n, m)).collect();
             let at: Vec<SocketAddr> = rig.relay.as_ref().map_or(direct.clone(), ports);
             let own = setup.limits.as_ref().map(|l| fleet(setup, n, &at, l));
-            let own = own.map(|text| file(folder, "rig.kdl", &text)).transpose()?;
+            let own = own.map(|text| write_unique_file(folder, "rig.kdl", &text)).transpose()?;
             let (config, program, discovery) = (config.clone(), program.into(), rig._discovery.addr);
-            let start = Start { program, config, settings: own.clone(), discovery };
-            rig.routers.push(Router::start(&format!("n{n}"), start)?);
+            let start = RouterOptions { program, config, settings: own.clone(), discovery };
+            rig.routers.push(RouterProcess::start(&format!("n{n}"), start)?);
             rig.settings.push(own);
             rig.target(n);
         }
@@ -163,14 +166,14 @@
     }
 
     /// Splits the fleet.
-    pub fn split(&mut self, groups: &[Vec<usize>]) {
+    pub fn partition(&mut self, groups: &[Vec<usize>]) {
         self.relay.iter().for_each(|r| r.split(groups));
         self.note(format!("split {groups:?}"));
     }
 
     /// Makes all links whole.
     pub fn heal(&mut self) {
-        self.relay.iter().for_each(Relay::heal);
+        self.relay.iter().for_each(UdpProxy::heal);
         self.note("healed".into());
     }
 
@@ -190,26 +193,26 @@
     }
 
     /// Starts it again under its name and address.
-    pub fn again(&mut self, n: usize) -> io::Result<()> {
-        self.routers[n].again()?;
+    pub fn restart(&mut self, n: usize) -> io::Result<()> {
+        self.routers[n].restart()?;
         self.target(n);
         self.note(format!("start n{n}"));
         Ok(())
     }
 
     /// Stops a router's process, or lets it go on.
-    pub fn freeze(&mut self, n: usize, on: bool) -> io::Result<()> {
+    pub fn set_paused(&mut self, n: usize, on: bool) -> io::Result<()> {
         self.note(format!("{} n{n}", if on { "freeze" } else { "thaw" }));
         self.routers[n].signal(if on { "STOP" } else { "CONT" })
     }
 
     /// When statements that hold `part` came to hosts, in order.
-    pub fn came(&self, part: &str) -> Vec<Instant> {
+    pub fn arrivals(&self, part: &str) -> Vec<Instant> {
         let mut all = Vec::new();
         for host in &self.hosts {
             let seen = host.host.seen.lock();
-            let came = seen.statements.iter().zip(&seen.times).filter(|(s, _)| s.1.contains(part));
-            all.extend(came.map(|(_, at)| *at));
+            let arrived = seen.statements.iter().filter(|s| s.text.contains(part));
+            all.extend(arrived.map(|s| s.received_at));
         }
         all.sort_unstable();
         all
@@ -229,8 +232,8 @@
     }
 }
 
-fn counted(setup: &Setup) -> io::Result<Counted> {
-    let (work, hosts_do) = (setup.work, setup.hosts_do);
+fn counted(setup: &HarnessConfig) -> io::Result<Counted> {
+    let (work, host_behavior) = (setup.service_time, setup.host_behavior);
     let had = AtomicUsize::new(0);
     let (busy, most) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
     let (working, highest) = (busy, Arc::clone(&most));
@@ -243,16 +246,27 @@
             working.fetch_sub(1, Ordering::SeqCst);
         }
         let telling = vec![("as_of", unix_ms().to_string()), ("rank", "copy".to_string())];
-        let reply = match hosts_do {
-            HostsDo::FailSome if asks && had.fetch_add(1, Ordering::Relaxed) % 3 == 0 => {
+        let reply = match host_behavior {
+            HostBehavior::FailSome if asks && had.fetch_add(1, Ordering::Relaxed) % 3 == 0 => {
                 Reply::Error("XX000")
             }
-            HostsDo::Close => Reply::Last(b"v".to_vec()),
+            HostBehavior::Close => Reply::RowThenClose(b"v".to_vec()),
             _ => Reply::Row(b"v".to_vec()),
         };
         (reply, telling)
     })?;
-    Ok(Counted { host, most })
+    Ok(Counted { host, max_concurrent: most })
+}
+
+/// Answers that clients have received, over all routers.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ClientTotals {
+    /// Values.
+    pub served: u64,
+    /// Rejections.
+    pub rejected: u64,
+    /// Anything else, and connections that broke.
+    pub failed: u64,
 }
 
 /// What clients have had.
@@ -261,25 +275,25 @@
     /// Values.
     pub served: AtomicU64,
     /// Refusals.
-    pub refused: AtomicU64,
+    pub rejected: AtomicU64,
     /// Anything else, and connections that broke.
     pub failed: AtomicU64,
     /// How long values took, in microseconds.
-    pub took_us: Mutex<Vec<u32>>,
+    pub latencies_us: Mutex<Vec<u32>>,
 }
 
 /// Clients that ask one router each at a pace; they end when dropped.
-pub struct Clients {
+pub struct PacedClients {
     /// What they have had, by router.
-    pub had: Vec<Arc<Had>>,
+    pub counts: Vec<Arc<Had>>,
     paces: Vec<Arc<AtomicU64>>,
     ended: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
-impl Clients {
+impl PacedClients {
     /// So many connections to each router, asking nothing yet. `comment` goes into each statement.
-    pub fn start(addrs: &[SocketAddr], connections: usize, comment: &str, seed: u64) -> Clients {
+    pub fn start(addrs: &[SocketAddr], connections: usize, comment: &str, seed: u64) -> PacedClients {
         let ended = Arc::new(AtomicBool::new(false));
         let (mut had, mut paces, mut threads) = (Vec::new(), Vec::new(), Vec::new());
         for (n, addr) in addrs.iter().enumerate() {
@@ -299,22 +313,26 @@
             had.push(mine);
             paces.push(pace);
         }
-        Clients { had, paces, ended, threads }
+        PacedClients { counts: had, paces, ended, threads }
     }
 
     /// Requests a second that a router is asked from now on.
-    pub fn pace(&self, n: usize, per_s: f64) {
+    pub fn set_rate(&self, n: usize, per_s: f64) {
         self.paces[n].store((per_s * 1000.0) as u64, Ordering::Relaxed);
     }
 
     /// Values, refusals and the rest, over all routers.
-    pub fn sums(&self) -> (u64, u64, u64) {
-        let sum = |f: fn(&Had) -> &AtomicU64| self.had.iter().map(|h| f(h).load(Ordering::Relaxed)).sum();
-        (sum(|h| &h.served), sum(|h| &h.refused), sum(|h| &h.failed))
+    pub fn totals(&self) -> ClientTotals {
+        let sum = |f: fn(&Had) -> &AtomicU64| self.counts.iter().map(|h| f(h).load(Ordering::Relaxed)).sum();
+        ClientTotals {
+            served: sum(|h| &h.served),
+            rejected: sum(|h| &h.rejected),
+            failed: sum(|h| &h.failed),
+        }
     }
 }
 
-impl Drop for Clients {
+impl Drop for PacedClients {
     fn drop(&mut self) {
         self.ended.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
@@ -362,15 +380,15 @@
             let comment = &self.comment;
             let text = format!("SELECT v FROM records WHERE k = 'x' /* id={id:016x},{comment} */");
             let began = Instant::now();
-            let answer = client.as_mut().map(|c| c.ask(&text));
+            let answer = client.as_mut().map(|c| c.query(&text));
             match answer {
                 Some(Ok(Answer::Row(_))) => {
                     self.had.served.fetch_add(1, Ordering::Relaxed);
                     let took = began.elapsed().as_micros() as u32;
-                    self.had.took_us.lock().unwrap_or_else(PoisonError::into_inner).push(took);
+                    self.had.latencies_us.lock().unwrap_or_else(PoisonError::into_inner).push(took);
                 }
                 Some(Ok(Answer::Error(code, _))) if code == "53300" || code == "57P03" => {
-                    self.had.refused.fetch_add(1, Ordering::Relaxed);
+                    self.had.rejected.fetch_add(1, Ordering::Relaxed);
                 }
                 other => {
                     self.had.failed.fetch_add(1, Ordering::Relaxed);
@@ -385,8 +403,8 @@
 }
 
 /// By how much what came is over a rate with a burst, at worst over all windows of time; below zero if never.
-pub fn over(came: &[Instant], per_s: f64, burst: f64) -> f64 {
+pub fn rate_excess(came: &[Instant], per_s: f64, burst: f64) -> f64 {
     let Some(first) = came.first() else { return -burst };
     let times = came.iter().map(|at| basalthill_policy::api::Time((*at - *first).as_nanos() as u64));
-    crate::model::over(times.collect(), per_s, burst)
+    crate::simulated_fleet::rate_excess(times.collect(), per_s, burst)
 }
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -5,8 +5,8 @@
 //! It goes on until interrupted. Discovery's address is that of `examples/router.json` unless given; replicas
 //! follow LAG milliseconds behind.
 
-use basalthill_standin::discovery::{list, Discovery};
-use basalthill_standin::group::{Behind, Group, Manner};
+use basalthill_standin::discovery::{endpoint_list, Discovery};
+use basalthill_standin::group::{Group, GroupBehavior, StaleRead};
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
@@ -16,14 +16,19 @@
 const LAG_MS: u64 = 5;
 
 fn deployment(discovery: SocketAddr, lag_ms: u64) -> std::io::Result<()> {
-    let manner = Manner { lag_ms, behind: Behind::Refuses, marked: false, ..Manner::default() };
+    let manner = GroupBehavior {
+        lag_ms,
+        stale_reads: StaleRead::Reject,
+        annotated: false,
+        ..GroupBehavior::default()
+    };
     let group = Group::start(GROUP, 3, manner)?;
-    let members = group.list();
-    for (name, addr, _, _, rank) in &members {
-        println!("{name} at {addr}, {}", if *rank == "source" { "primary" } else { "replica" });
+    let members = group.members();
+    for member in &members {
+        let role = if member.rank == "source" { "primary" } else { "replica" };
+        println!("{} at {}, {role}", member.id, member.addr);
     }
-    let members: Vec<_> = members.iter().map(|m| (m.0.as_str(), m.1, m.2, m.3, m.4)).collect();
-    let discovery = Discovery::start_at(discovery, list(1, true, &members))?;
+    let discovery = Discovery::start_at(discovery, endpoint_list(1, true, &members))?;
     println!("discovery at {}", discovery.addr);
     loop {
         std::thread::park();
