--- a/crates/router/src/program/mod.rs
+++ b/crates/router/src/program/mod.rs
@@ -5,7 +5,7 @@
 mod logger;
 
 use crate::protocol::host::{self, HostCodec, HostMessage, QueryOutcome};
-use crate::transport::{self, Command as Ask};
+use crate::transport::{self, ControlCommand as Ask};
 use async_io::Timer;
 use async_signal::{Signal, Signals};
 use basalthill_config::router::{load, LoadPhase, RouterConfig};
--- a/crates/router/src/transport/mod.rs
+++ b/crates/router/src/transport/mod.rs
@@ -54,7 +54,7 @@
 
 /// What the program asks of a router that runs.
 #[derive(Debug)]
-pub enum Command {
+pub enum ControlCommand {
     /// The configuration has been read again.
     Reload(Box<RouterConfig>),
     /// Stop in good order.
@@ -230,7 +230,7 @@
 pub fn serve(
     listener: TcpListener,
     config: RouterConfig,
-    commands: impl Stream<Item = Command>,
+    commands: impl Stream<Item = ControlCommand>,
 ) -> std::io::Result<()> {
     let listener = Async::new(listener)?;
     let limit = shutdown_timeout(&config.deployment);
@@ -250,7 +250,7 @@
     let mut own = config.local_settings.clone();
     async_io::block_on(executor.run(async {
         let mut commands = std::pin::pin!(commands);
-        while let Some(Command::Reload(again)) = commands.next().await {
+        while let Some(ControlCommand::Reload(again)) = commands.next().await {
             reload(&hub, &config, &again);
             own = again.local_settings;
         }
--- a/crates/router/tests/client_moments.rs
+++ b/crates/router/tests/client_moments.rs
@@ -7,8 +7,8 @@
 use basalthill_standin::discovery::{endpoint_list, Discovery, Endpoint};
 use basalthill_standin::host::{Host, Reply};
 use basalthill_standin::{unix_ms, Watched, TIMEOUT};
-use common::served::{code, host, primary, row, Served};
-use common::{text, SETTINGS};
+use common::served::{error_code, primary_host, primary_report, row, RouterThread};
+use common::{statement_text, SETTINGS};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 
 fn write(id: &str) -> String {
-    text("write", "").replace("id=9", &format!("id={id}")).replace("d=480", "d=2900")
+    statement_text("write", "").replace("id=9", &format!("id={id}")).replace("d=480", "d=2900")
 }
 
 /// A client that has been welcomed, and the key of its connection.
@@ -42,25 +42,25 @@
 
 /// A router whose host closes each connection after one answer, and now welcomes nobody: what is asked next
 /// waits for a connection.
-fn aloof() -> (Host, Served) {
+fn aloof() -> (Host, RouterThread) {
     let host = Host::start(|text| match text {
         "SHOW vitals" => {
             (Reply::RowThenClose(format!("x0={}.0,x1=1", unix_ms() / 1000).into_bytes()), Vec::new())
         }
-        _ => (Reply::RowThenClose(b"x".to_vec()), primary()),
+        _ => (Reply::RowThenClose(b"x".to_vec()), primary_report()),
     })
     .unwrap();
     let settings = SETTINGS.replace("\"connectTimeout\": 250000000", "\"connectTimeout\": 2000000000");
     let known = endpoint_list(1, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]);
     let discovery = Discovery::start(known.clone()).unwrap();
-    let served = Served::start(&known, discovery.addr, 256, &settings);
+    let served = RouterThread::start(&known, discovery.addr, 256, &settings);
     assert_eq!(served.client().query(&write("first")).unwrap(), row(b"x"));
     host.seen.change(|s| s.withhold_welcome = true);
     (host, served)
 }
 
 /// A client whose write waits for a connection that its host has accepted. It has read nothing yet.
-fn waits(host: &Host, served: &Served, id: &str) -> Client {
+fn waits(host: &Host, served: &RouterThread, id: &str) -> Client {
     let before = host.seen.lock().accepted;
     let mut client = Client::connect_without_startup(served.addr).unwrap();
     client.stream.write_all(&[startup(), query(&write(id))].concat()).unwrap();
@@ -116,7 +116,7 @@
     cancel(served.addr, &[0; 8]);
     let asked = Instant::now();
     cancel(served.addr, &key);
-    assert_eq!(code(&client.read_answer().unwrap()), "57014");
+    assert_eq!(error_code(&client.read_answer().unwrap()), "57014");
     assert!(asked.elapsed() < Duration::from_millis(1500), "{:?}", asked.elapsed());
     std::thread::sleep(Duration::from_millis(100));
     host.seen.change(|s| s.withhold_welcome = false);
@@ -183,8 +183,8 @@
 
 #[test]
 fn requests_that_cross_a_stop_are_answered_or_provably_unread() {
-    let host = host(|_| Reply::Row(b"x".to_vec()));
-    let mut served = Served::of(&host);
+    let host = primary_host(|_| Reply::Row(b"x".to_vec()));
+    let mut served = RouterThread::with_primary(&host);
     let mut resting: Vec<Client> = (0..40).map(|_| served.client()).collect();
     let (mut half, mut sentinel) = (served.client(), served.client());
     let whole = query(&write("half"));
@@ -204,15 +204,15 @@
         let sent = host.statement_count(&format!("id=cross{n:02}"));
         assert_eq!(sent, usize::from(!bytes.is_empty()), "client {n} has its answer if it was sent on");
     }
-    assert!(served.over.wait(|o| o.then_some(())).is_some());
+    assert!(served.stopped.wait(|o| o.then_some(())).is_some());
 }
 
 #[test]
 fn a_close_over_bytes_that_come_with_it_loses_no_tail_of_an_answer() {
     let value = vec![7; 60_000];
     let large = value.clone();
-    let host = host(move |_| Reply::Row(large.clone()));
-    let mut served = Served::of(&host);
+    let host = primary_host(move |_| Reply::Row(large.clone()));
+    let mut served = RouterThread::with_primary(&host);
     let mut slow = served.client();
     let mut sentinel = served.client();
     // Answers that its machine has no room for wait at the router's.
@@ -232,15 +232,15 @@
 
 #[test]
 fn clients_that_send_without_a_pause_do_not_hold_up_a_stop() {
-    let host = host(|_| Reply::Row(b"x".to_vec()));
-    let mut served = Served::of(&host);
+    let host = primary_host(|_| Reply::Row(b"x".to_vec()));
+    let mut served = RouterThread::with_primary(&host);
     let busy = Arc::new(AtomicBool::new(true));
     flood(served.addr, 3, &busy);
     let mut sentinel = served.client();
     assert_eq!(sentinel.query(&write("before")).unwrap(), row(b"x"));
     let began = Instant::now();
     served.stop();
-    assert!(served.over.wait(|o| o.then_some(())).is_some());
+    assert!(served.stopped.wait(|o| o.then_some(())).is_some());
     // Half a second of service, and another for those that are on their way out.
     assert!(began.elapsed() < Duration::from_millis(2500), "{:?}", began.elapsed());
     busy.store(false, Ordering::Relaxed);
@@ -248,42 +248,46 @@
 
 #[test]
 fn at_the_end_of_a_stop_requests_behind_others_are_answered_too() {
-    let host = host(|_| Reply::NoAnswer);
-    let mut served = Served::of(&host);
+    let host = primary_host(|_| Reply::NoAnswer);
+    let mut served = RouterThread::with_primary(&host);
     let mut client = served.client();
-    let patient = |id: &str| text("report", "").replace("id=9", id).replace("d=480", "d=60000");
+    let patient = |id: &str| statement_text("report", "").replace("id=9", id).replace("d=480", "d=60000");
     // A write behind a read waits for its turn.
     let behind = write("2").replace("d=2900", "d=60000");
     client.stream.write_all(&[query(&patient("id=1")), query(&behind)].concat()).unwrap();
     host.wait_for_statement("id=1").unwrap();
     served.stop();
-    assert_eq!(code(&client.read_answer().unwrap()), "58000");
+    assert_eq!(error_code(&client.read_answer().unwrap()), "58000");
     // Read with the one before, and taken: it is given up at once, and never sent on.
-    assert_eq!(code(&client.read_answer().unwrap()), "53300");
+    assert_eq!(error_code(&client.read_answer().unwrap()), "53300");
     assert!(client.is_closed());
     assert_eq!(host.statement_count("id=2"), 0);
-    assert!(served.over.wait(|o| o.then_some(())).is_some());
+    assert!(served.stopped.wait(|o| o.then_some(())).is_some());
 }
 
 /// A client that writes many commands at once waits for each from its last byte on: one whose time has passed
 /// behind the others is turned away as its turn comes, and sent nowhere.
 #[test]
 fn a_command_whose_time_passed_behind_another_is_turned_away_in_its_turn() {
-    let host = host(|text| {
+    let host = primary_host(|text| {
         if text.contains("id=1") {
             std::thread::sleep(Duration::from_millis(700)); // its work
         }
         Reply::Row(b"x".to_vec())
     });
-    let served = Served::of(&host);
+    let served = RouterThread::with_primary(&host);
     let mut client = served.client();
     let timed = |id: &str, ms: u32| {
-        query(&text("write", "").replace("id=9", id).replace("d=480", &format!("d={ms}")))
+        query(&statement_text("write", "").replace("id=9", id).replace("d=480", &format!("d={ms}")))
     };
     let commands = [timed("id=1", 2900), timed("id=2", 600), timed("id=3", 5000)];
     client.stream.write_all(&commands.concat()).unwrap();
     assert_eq!(client.read_answer().unwrap(), row(b"x"));
-    assert_eq!(code(&client.read_answer().unwrap()), "53300", "its client does not wait for it any more");
+    assert_eq!(
+        error_code(&client.read_answer().unwrap()),
+        "53300",
+        "its client does not wait for it any more"
+    );
     assert_eq!(
         client.read_answer().unwrap(),
         row(b"x"),
@@ -296,8 +300,8 @@
 /// read on.
 #[test]
 fn requests_that_cross_a_close_for_want_of_room_are_answered_or_unread() {
-    let host = host(|_| Reply::Row(b"x".to_vec()));
-    let served = Served::with(&host, 64);
+    let host = primary_host(|_| Reply::Row(b"x".to_vec()));
+    let served = RouterThread::with_descriptors(&host, 64);
     let mut unserved = 0;
     for round in 0..40 {
         let mut quiet = served.client();
@@ -322,11 +326,11 @@
 #[test]
 fn slow_clients_take_nothing_from_others() {
     let value = vec![7; 60_000];
-    let host = host(move |text| match text.contains("id=slow") {
+    let host = primary_host(move |text| match text.contains("id=slow") {
         true => Reply::Row(value.clone()),
         false => Reply::Row(b"x".to_vec()),
     });
-    let served = Served::with(&host, 64);
+    let served = RouterThread::with_descriptors(&host, 64);
     let mut slow = served.client();
     for n in 0..100 {
         // It never reads: once its machine is full, the router's writes wait.
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -23,7 +23,7 @@
 }
 
 /// A statement of a class for group 2; writes for the class `write`.
-pub fn text(class: &str, more: &str) -> String {
+pub fn statement_text(class: &str, more: &str) -> String {
     let comment = format!("/* id=9b1f03aa5c7e2d41,c={class},t=acme,d=480,cluster=2{more} */");
     match class {
         "write" => format!("INSERT INTO records (k, v) VALUES ('k1', '\\x9f03') RETURNING v {comment}"),
@@ -35,12 +35,12 @@
 pub fn statement(class: &str, more: &str) -> Box<Statement> {
     static COUNT: AtomicU64 = AtomicU64::new(0);
     let id = format!("id={:016x}", COUNT.fetch_add(1, Ordering::Relaxed));
-    let text = text(class, more).replace("id=9b1f03aa5c7e2d41", &id);
+    let text = statement_text(class, more).replace("id=9b1f03aa5c7e2d41", &id);
     Box::new(Statement::parse(text.into_bytes()).expect("a sound statement"))
 }
 
 /// A list of members as (id, address, state, rank), all in group 2.
-pub fn hosts(
+pub fn host_list(
     version: u64,
     full: bool,
     members: &[(&'static str, &str, &'static str, &'static str)],
--- a/crates/router/tests/common/served.rs
+++ b/crates/router/tests/common/served.rs
@@ -3,7 +3,7 @@
 use super::SETTINGS;
 use async_io::Async;
 use basalthill_config::router::{parse, LoadPhase, RouterConfig};
-use basalthill_router::transport::{self, Command};
+use basalthill_router::transport::{self, ControlCommand};
 use basalthill_standin::client::{Answer, Client};
 use basalthill_standin::discovery::{endpoint_list, Discovery, Endpoint};
 use basalthill_standin::host::{Host, ParameterStatuses, Reply};
@@ -19,17 +19,17 @@
 const MEMORY_MB: u64 = 1;
 
 /// A router in a thread of its own; it is stopped and awaited at the end.
-pub struct Served {
+pub struct RouterThread {
     pub addr: SocketAddr,
     stop: Option<TcpStream>,
     again: Sender<RouterConfig>,
     config: String,
     thread: Option<JoinHandle<()>>,
-    pub over: Arc<Watched<bool>>,
+    pub stopped: Arc<Watched<bool>>,
 }
 
-impl Served {
-    pub fn start(known: &str, discovery: SocketAddr, sockets: usize, settings: &str) -> Served {
+impl RouterThread {
+    pub fn start(known: &str, discovery: SocketAddr, sockets: usize, settings: &str) -> RouterThread {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
         let addr = listener.local_addr().unwrap();
         let text = format!(
@@ -42,24 +42,34 @@
         let stop = TcpStream::connect(door.local_addr().unwrap()).unwrap();
         let stopped = door.accept().unwrap().0;
         let (again, configs) = channel::<RouterConfig>();
-        let over = Arc::new(Watched::default());
-        let tell = Arc::clone(&over);
+        let stopped_signal = Arc::new(Watched::default());
+        let tell = Arc::clone(&stopped_signal);
         let thread = std::thread::spawn(move || {
             // Each byte announces a configuration read again; the end of the stream is the signal to stop.
             let commands = stream::unfold(Async::new(stopped).unwrap(), |mut s| async {
                 let n = s.read(&mut [0]).await.unwrap();
-                let command =
-                    if n == 0 { Command::Stop } else { Command::Reload(configs.recv().unwrap().into()) };
+                let command = if n == 0 {
+                    ControlCommand::Stop
+                } else {
+                    ControlCommand::Reload(configs.recv().unwrap().into())
+                };
                 Some((command, s))
             });
             transport::serve(listener, config, commands).unwrap();
             tell.change(|o| *o = true);
         });
-        Served { addr, stop: Some(stop), again, config: text, thread: Some(thread), over }
+        RouterThread {
+            addr,
+            stop: Some(stop),
+            again,
+            config: text,
+            thread: Some(thread),
+            stopped: stopped_signal,
+        }
     }
 
     /// Has the router read a configuration again that names another discovery.
-    pub fn moved(&self, from: SocketAddr, to: SocketAddr) {
+    pub fn reload_with_discovery(&self, from: SocketAddr, to: SocketAddr) {
         let text =
             self.config.replace(&format!("\"discovery\":\"{from}\""), &format!("\"discovery\":\"{to}\""));
         self.again.send(parse(text.as_bytes(), |_| None, LoadPhase::Reload).unwrap()).unwrap();
@@ -67,15 +77,15 @@
     }
 
     /// One primary, with discovery telling the same.
-    pub fn of(host: &Host) -> Served {
-        Served::with(host, 256)
+    pub fn with_primary(host: &Host) -> RouterThread {
+        RouterThread::with_descriptors(host, 256)
     }
 
     /// The same with so many descriptors.
-    pub fn with(host: &Host, sockets: usize) -> Served {
+    pub fn with_descriptors(host: &Host, sockets: usize) -> RouterThread {
         let known = endpoint_list(1, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]);
         let discovery = Discovery::start(known.clone()).unwrap();
-        Served::start(&known, discovery.addr, sockets, SETTINGS)
+        RouterThread::start(&known, discovery.addr, sockets, SETTINGS)
     }
 
     pub fn client(&self) -> Client {
@@ -87,7 +97,7 @@
     }
 }
 
-impl Drop for Served {
+impl Drop for RouterThread {
     fn drop(&mut self) {
         self.stop();
         if let Some(thread) = self.thread.take() {
@@ -96,21 +106,21 @@
     }
 }
 
-pub fn primary() -> ParameterStatuses {
+pub fn primary_report() -> ParameterStatuses {
     vec![("rank", "source".into()), ("as_of", unix_ms().to_string())]
 }
 
 /// A primary that answers probes and gives statements to `answers`.
-pub fn host(answers: impl Fn(&str) -> Reply + Send + Sync + 'static) -> Host {
+pub fn primary_host(answers: impl Fn(&str) -> Reply + Send + Sync + 'static) -> Host {
     Host::start(move |text| match text {
         "SHOW vitals" => (Reply::Row(format!("x0={}.0,x1=1", unix_ms() / 1000).into_bytes()), Vec::new()),
-        text => (answers(text), primary()),
+        text => (answers(text), primary_report()),
     })
     .unwrap()
 }
 
 /// An address at which nobody listens: a port that only the machine's owner could open.
-pub fn nobody() -> SocketAddr {
+pub fn unreachable_address() -> SocketAddr {
     (Ipv4Addr::LOCALHOST, 1).into()
 }
 
@@ -118,7 +128,7 @@
     Answer::Row(value.to_vec())
 }
 
-pub fn code(answer: &Answer) -> &str {
+pub fn error_code(answer: &Answer) -> &str {
     match answer {
         Answer::Error(code, _) => code,
         other => panic!("an error expected, not {other:?}"),
--- a/crates/router/tests/effect_moments.rs
+++ b/crates/router/tests/effect_moments.rs
@@ -7,22 +7,22 @@
 use basalthill_standin::discovery::{endpoint_list, Discovery, Endpoint};
 use basalthill_standin::host::{Host, Reply};
 use basalthill_standin::{unix_ms, Watched};
-use common::served::{code, host, primary, row, Served};
-use common::{text, SETTINGS};
+use common::served::{error_code, primary_host, primary_report, row, RouterThread};
+use common::{statement_text, SETTINGS};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 fn write(id: &str) -> String {
-    text("write", "").replace("id=9", &format!("id={id}")).replace("d=480", "d=2900")
+    statement_text("write", "").replace("id=9", &format!("id={id}")).replace("d=480", "d=2900")
 }
 
 /// A router of one host, with settings.
-fn served(addr: SocketAddr, settings: &str) -> Served {
+fn served(addr: SocketAddr, settings: &str) -> RouterThread {
     let known = endpoint_list(1, true, &[Endpoint::new("s-1", addr, 2, "active", "source")]);
     let discovery = Discovery::start(known.clone()).unwrap();
-    Served::start(&known, discovery.addr, 256, settings)
+    RouterThread::start(&known, discovery.addr, 256, settings)
 }
 
 /// A host that welcomes all, answers probes, and reads so many bytes of a statement, or all of it, before it
@@ -78,7 +78,7 @@
             let came = whole.lock().iter().filter(|t| t.contains(&format!("id=cut{n}"))).count();
             assert!(came <= 1, "cut after {after:?} of {size}: {came} times");
             // Only what can't have run is called harmless to ask again.
-            assert!(came == 0 || code(&answer) == "58000", "cut after {after:?} of {size}: {answer:?}");
+            assert!(came == 0 || error_code(&answer) == "58000", "cut after {after:?} of {size}: {answer:?}");
         }
     }
 }
@@ -90,7 +90,7 @@
             (Reply::RowThenClose(format!("x0={}.0,x1=1", unix_ms() / 1000).into_bytes()), Vec::new())
         }
         text if text.contains("id=short") => (Reply::Close, Vec::new()),
-        _ => (Reply::RowThenClose(b"x".to_vec()), primary()),
+        _ => (Reply::RowThenClose(b"x".to_vec()), primary_report()),
     })
     .unwrap();
     let window = Duration::from_millis(300);
@@ -118,7 +118,8 @@
 
 #[test]
 fn a_host_whose_connections_come_up_slowly_takes_no_time_from_others() {
-    let (slow, quick) = (host(|_| Reply::Row(b"x".to_vec())), host(|_| Reply::Row(b"x".to_vec())));
+    let (slow, quick) =
+        (primary_host(|_| Reply::Row(b"x".to_vec())), primary_host(|_| Reply::Row(b"x".to_vec())));
     slow.seen.change(|s| s.withhold_welcome = true);
     let members = [
         Endpoint::new("s-1", quick.addr, 2, "active", "source"),
@@ -126,7 +127,7 @@
     ];
     let known = endpoint_list(1, true, &members);
     let discovery = Discovery::start(known.clone()).unwrap();
-    let served = Served::start(&known, discovery.addr, 256, SETTINGS);
+    let served = RouterThread::start(&known, discovery.addr, 256, SETTINGS);
     let mut waiting: Vec<Client> = (0..40)
         .map(|n| {
             let mut client = served.client();
@@ -148,7 +149,7 @@
 /// The time that a host is told is what is left as the statement is written, not as its connection was begun.
 #[test]
 fn over_a_connection_that_comes_up_late_a_host_is_told_no_more_time_than_is_left() {
-    let host = host(|_| Reply::RowThenClose(b"x".to_vec()));
+    let host = primary_host(|_| Reply::RowThenClose(b"x".to_vec()));
     let late = SETTINGS.replace("\"connectTimeout\": 250000000", "\"connectTimeout\": 2000000000");
     let served = served(host.addr, &late);
     let mut client = served.client();
--- a/crates/router/tests/list_moments.rs
+++ b/crates/router/tests/list_moments.rs
@@ -6,8 +6,8 @@
 use basalthill_standin::client::{Answer, Client};
 use basalthill_standin::discovery::{endpoint_list, Discovery, Endpoint, ResponseMode};
 use basalthill_standin::host::{Host, Reply};
-use common::served::{host, row, Served};
-use common::{text, SETTINGS};
+use common::served::{primary_host, row, RouterThread};
+use common::{statement_text, SETTINGS};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
@@ -18,7 +18,7 @@
 
 /// A primary, and the one that takes its place.
 fn pair() -> (Host, Host) {
-    (host(|_| Reply::Row(b"one".to_vec())), host(|_| Reply::Row(b"two".to_vec())))
+    (primary_host(|_| Reply::Row(b"one".to_vec())), primary_host(|_| Reply::Row(b"two".to_vec())))
 }
 
 fn drained(version: u64, full: bool, one: &Host, two: &Host) -> String {
@@ -38,7 +38,7 @@
     while moved.is_none_or(|m: Duration| began.elapsed() < m + after) {
         assert!(began.elapsed() < 2 * TOLD, "the drain is never acted on");
         count += 1;
-        let text = text("write", "").replace("id=9", &format!("id={count:x}a"));
+        let text = statement_text("write", "").replace("id=9", &format!("id={count:x}a"));
         let mut at = client.take().or_else(|| Client::connect(addr).ok());
         match at.as_mut().map(|c| c.query(&text)) {
             Some(Ok(answer)) => {
@@ -68,8 +68,8 @@
     let known = endpoint_list(1, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
     let discovery = Discovery::start(known.clone()).unwrap();
     discovery.state.change(|t| t.next_responses.push_back(ResponseMode::Drip));
-    let served = Served::start(&known, discovery.addr, 64, SETTINGS);
-    assert_eq!(served.client().query(&text("write", "")).unwrap(), row(b"one"));
+    let served = RouterThread::start(&known, discovery.addr, 64, SETTINGS);
+    assert_eq!(served.client().query(&statement_text("write", "")).unwrap(), row(b"one"));
     let held: Vec<_> = (0..80).map(|_| Client::connect_without_startup(served.addr).unwrap()).collect();
     // From now on discovery has it, and could tell.
     discovery.state.change(|t| t.next_responses.extend(calls));
@@ -110,8 +110,8 @@
     let nobody = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = nobody.local_addr().unwrap();
     drop(nobody);
-    let served = Served::start(&known, addr, 64, SETTINGS);
-    assert_eq!(served.client().query(&text("write", "")).unwrap(), row(b"one"));
+    let served = RouterThread::start(&known, addr, 64, SETTINGS);
+    assert_eq!(served.client().query(&statement_text("write", "")).unwrap(), row(b"one"));
     std::thread::sleep(Duration::from_millis(2500));
     let _discovery = Discovery::start_at(addr, drained(2, true, &one, &two)).unwrap();
     let had = Instant::now();
@@ -129,10 +129,10 @@
     old.state.change(|t| t.next_responses.extend([ResponseMode::Silent; 8]));
     let new = Discovery::start(drained(3, true, &one, &two)).unwrap();
     new.state.change(|t| t.next_responses.push_back(ResponseMode::Silent));
-    let served = Served::start(&known, old.addr, 64, SETTINGS);
-    assert_eq!(served.client().query(&text("write", "")).unwrap(), row(b"one"));
+    let served = RouterThread::start(&known, old.addr, 64, SETTINGS);
+    assert_eq!(served.client().query(&statement_text("write", "")).unwrap(), row(b"one"));
     let held: Vec<_> = (0..80).map(|_| Client::connect_without_startup(served.addr).unwrap()).collect();
-    served.moved(old.addr, new.addr);
+    served.reload_with_discovery(old.addr, new.addr);
     let moved = writes(served.addr, Duration::from_millis(1));
     assert!(moved < Duration::from_secs(4), "{moved:?} after the signal");
     drop(held);
@@ -142,18 +142,18 @@
 /// first call was lost: nothing of its grace is left when the list comes.
 #[test]
 fn a_drain_that_was_there_before_the_start_has_no_grace_left_when_it_comes_late() {
-    let one = host(|_| Reply::Row(b"one".to_vec()));
+    let one = primary_host(|_| Reply::Row(b"one".to_vec()));
     let known = endpoint_list(1, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
     let discovery =
         Discovery::start(endpoint_list(2, true, &[Endpoint::new("s-1", one.addr, 2, "leaving", "source")]))
             .unwrap();
     discovery.state.change(|t| t.next_responses.push_back(ResponseMode::Silent));
-    let served = Served::start(&known, discovery.addr, 64, SETTINGS);
-    assert_eq!(served.client().query(&text("write", "")).unwrap(), row(b"one"));
+    let served = RouterThread::start(&known, discovery.addr, 64, SETTINGS);
+    assert_eq!(served.client().query(&statement_text("write", "")).unwrap(), row(b"one"));
     discovery.state.wait(|t| (t.requests.len() >= 2).then_some(())).unwrap();
     let told = Instant::now();
     while told.elapsed() < GRACE {
-        let _ = served.client().query(&text("write", ""));
+        let _ = served.client().query(&statement_text("write", ""));
     }
     // A moment for the list to come, and for what was on its way.
     let last = last_write(&one).unwrap();
@@ -169,7 +169,7 @@
     let discovery = Discovery::start(drained(8, false, &one, &two)).unwrap();
     discovery.state.change(|t| t.next_responses.extend([ResponseMode::Unavailable; 3]));
     let settings = SETTINGS.replace("\"automatic\"", "\"subscribe\"");
-    let served = Served::start(&known, discovery.addr, 64, &settings);
+    let served = RouterThread::start(&known, discovery.addr, 64, &settings);
     let requests = discovery.state.wait(|t| (t.requests.len() >= 4).then(|| t.requests.clone())).unwrap();
     assert!(requests.iter().all(|r| r.contains("watch=1") && r.contains("from=7")), "{requests:?}");
     writes(served.addr, 2 * GRACE);
@@ -182,8 +182,8 @@
     let known = endpoint_list(1, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
     let discovery = Discovery::start(drained(2, true, &one, &two)).unwrap();
     discovery.state.change(|t| t.next_responses.extend([ResponseMode::Indented; 8]));
-    let served = Served::start(&known, discovery.addr, 64, SETTINGS);
+    let served = RouterThread::start(&known, discovery.addr, 64, SETTINGS);
     assert!(writes(served.addr, Duration::from_millis(1)) < Duration::from_secs(2));
     let mut client = served.client();
-    assert!(matches!(client.query(&text("write", "")), Ok(Answer::Row(_))));
+    assert!(matches!(client.query(&statement_text("write", "")), Ok(Answer::Row(_))));
 }
--- a/crates/router/tests/pipelines.rs
+++ b/crates/router/tests/pipelines.rs
@@ -8,8 +8,8 @@
 use basalthill_standin::host::{Host, Reply};
 use basalthill_standin::router_process::{write_unique_file, RouterOptions, RouterProcess};
 use basalthill_standin::TIMEOUT;
-use common::served::{code, nobody};
-use common::{text, SETTINGS};
+use common::served::{error_code, unreachable_address};
+use common::{statement_text, SETTINGS};
 use std::io::{Read, Write};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -42,7 +42,7 @@
 /// A statement of its own id, whose client waits for a minute.
 fn statement(class: &str, who: u32, n: usize) -> String {
     let id = format!("{who:08x}{n:08x}");
-    text(class, "").replace("9b1f03aa5c7e2d41", &id).replace("d=480", "d=60000")
+    statement_text(class, "").replace("9b1f03aa5c7e2d41", &id).replace("d=480", "d=60000")
 }
 
 fn config(known: &str, discovery: SocketAddr, sockets: usize, settings: &str) -> PathBuf {
@@ -77,7 +77,7 @@
                 assert!(row == value(&id, row.len()), "{class}: {n} is not whole");
                 rows += 1;
             }
-            refused => assert_eq!(code(&refused), "53300", "{class}, {n}"),
+            refused => assert_eq!(error_code(&refused), "53300", "{class}, {n}"),
         }
     }
     rows
@@ -288,12 +288,13 @@
         true,
         &[
             Endpoint::new("s-1", host.addr, 2, "active", "source"),
-            Endpoint::new("s-2", nobody(), 2, "active", "copy"),
+            Endpoint::new("s-2", unreachable_address(), 2, "active", "copy"),
         ],
     );
     let known = [good.as_str(), old.as_str(), "null"];
-    let mut routers: Vec<RouterProcess> =
-        (0..10).map(|n| router(&format!("n{n}"), known[n % 3], nobody(), 256, SETTINGS)).collect();
+    let mut routers: Vec<RouterProcess> = (0..10)
+        .map(|n| router(&format!("n{n}"), known[n % 3], unreachable_address(), 256, SETTINGS))
+        .collect();
     let busy = Arc::new(AtomicBool::new(true));
     let clients: Vec<_> = (0..)
         .zip(&routers)
@@ -383,7 +384,7 @@
             1023 => Endpoint::new(name.as_str(), host.addr, 2, "active", "source"),
             n => Endpoint::new(
                 name.as_str(),
-                nobody(),
+                unreachable_address(),
                 3 + n / 3,
                 "active",
                 if n % 3 == 0 { "source" } else { "copy" },
--- a/crates/router/tests/program.rs
+++ b/crates/router/tests/program.rs
@@ -5,7 +5,7 @@
 use basalthill_standin::client::{Answer, Client};
 use basalthill_standin::discovery::{endpoint_list, Discovery, Endpoint};
 use basalthill_standin::host::{Host, Reply};
-use common::{text, SETTINGS};
+use common::{statement_text, SETTINGS};
 use std::io::{BufRead, BufReader, Read};
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -111,7 +111,7 @@
     let ready = program().args(["ready", "--listen", &addr.to_string()]).output().unwrap();
     assert!(ready.status.success(), "{}", said(&ready));
     let mut client = Client::connect(addr).unwrap();
-    client.send(&text("write", "").replace("d=480", "d=2900")).unwrap();
+    client.send(&statement_text("write", "").replace("d=480", "d=2900")).unwrap();
     host.wait_for_statement("INSERT").unwrap();
     signal(&child, "TERM");
     host.release();
@@ -177,7 +177,7 @@
     let mut clients: Vec<Client> = (0..30).map(|_| Client::connect(addr).unwrap()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         let patience = ["d=300", "d=1500", "d=2900"][n % 3];
-        let write = text("write", "").replace("id=9", &format!("id={n:02}"));
+        let write = statement_text("write", "").replace("id=9", &format!("id={n:02}"));
         client.send(&write.replace("d=480", patience)).unwrap();
     }
     host.wait_for_statement("INSERT").unwrap();
@@ -230,7 +230,7 @@
         let mut client = Client::connect(*addr).unwrap();
         assert_eq!(client.query("").unwrap(), Answer::Empty, "{case}");
         assert!(began.elapsed() < Duration::from_secs(8), "{case}: {:?}", began.elapsed());
-        let answer = client.query(&text("write", "")).unwrap();
+        let answer = client.query(&statement_text("write", "")).unwrap();
         match served {
             true => assert_eq!(answer, Answer::Row(b"x1=1".to_vec()), "{case}, {gone}"),
             false => assert!(matches!(&answer, Answer::Error(code, Some(_)) if code == "53300"), "{case}"),
--- a/crates/router/tests/routing.rs
+++ b/crates/router/tests/routing.rs
@@ -15,7 +15,7 @@
     Answer, ClientId, ClientRequest, CommandId, Effect, ExchangeId, ExchangeResult, Input, ProxyMessage,
     Query, Router,
 };
-use common::{hosts, sessions, site, statement};
+use common::{host_list, sessions, site, statement};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -42,7 +42,8 @@
 impl Driven {
     /// Started, its probes answered and the primary known.
     fn new() -> Driven {
-        let known = hosts(1, true, &[("s-1", PRIMARY, "active", "source"), ("s-2", COPY, "active", "copy")]);
+        let known =
+            host_list(1, true, &[("s-1", PRIMARY, "active", "source"), ("s-2", COPY, "active", "copy")]);
         let mut out = Vec::new();
         let router = Router::new(START, site(), sessions(), 7, Some(known), &mut out);
         let mut d = Driven { router, now: START };
@@ -337,7 +338,7 @@
 
 #[test]
 fn a_probe_is_told_once_and_ends_at_its_limit() {
-    let known = hosts(1, true, &[("s-1", PRIMARY, "active", "source")]);
+    let known = host_list(1, true, &[("s-1", PRIMARY, "active", "source")]);
     let mut out = Vec::new();
     let router = Router::new(START, site(), sessions(), 7, Some(known), &mut out);
     let mut d = Driven { router, now: START };
@@ -376,12 +377,12 @@
 fn a_host_is_reached_at_its_newest_address_and_a_removed_one_gets_nothing() {
     let mut d = Driven::new();
     let moved = "127.0.0.1:7009";
-    d.list(hosts(2, false, &[("s-1", moved, "active", "source")]));
+    d.list(host_list(2, false, &[("s-1", moved, "active", "source")]));
     let (id, addr, _) = d.attempt(1, "write");
     assert_eq!(addr, moved.parse().unwrap());
     d.end(id, ExchangeResult::Answered(QueryOutcome::Row(row(b"x")), ReportedState::default()));
     // A full list without the replica: after the grace it gets nothing more.
-    d.list(hosts(3, true, &[("s-1", moved, "active", "source")]));
+    d.list(host_list(3, true, &[("s-1", moved, "active", "source")]));
     d.pass(1100);
     for client in 2..20 {
         let effects = d.ask(client, "report", "");
@@ -396,19 +397,19 @@
 fn a_connection_that_comes_up_after_a_drains_grace_may_not_be_written_to() {
     let mut d = Driven::new();
     let both = |state| [("s-1", PRIMARY, state, "source"), ("s-2", COPY, "active", "copy")];
-    d.list(hosts(2, false, &both("leaving")));
+    d.list(host_list(2, false, &both("leaving")));
     d.pass(999);
     assert!(d.router.may_write(d.now, ExchangeId::Probe(0), MemberId(0)));
-    d.list(hosts(3, false, &both("left")));
+    d.list(host_list(3, false, &both("left")));
     d.pass(1);
     assert!(
         !d.router.may_write(d.now, ExchangeId::Probe(0), MemberId(0)),
         "the grace runs from the first notice"
     );
     assert!(d.router.may_write(d.now, ExchangeId::Probe(0), MemberId(1)));
-    d.list(hosts(4, false, &both("active")));
+    d.list(host_list(4, false, &both("active")));
     assert!(d.router.may_write(d.now, ExchangeId::Probe(0), MemberId(0)), "it is back in service");
-    d.list(hosts(5, true, &both("active")[1..]));
+    d.list(host_list(5, true, &both("active")[1..]));
     d.pass(1000);
     assert!(
         !d.router.may_write(d.now, ExchangeId::Probe(0), MemberId(0)),
@@ -529,7 +530,7 @@
                 Step::Pass(ms) => d.pass(ms),
                 Step::List(n) => {
                     let state = ["active", "leaving", "left"][n as usize];
-                    d.list(hosts(2, false, &[("s-2", COPY, state, "copy")]))
+                    d.list(host_list(2, false, &[("s-2", COPY, state, "copy")]))
                 }
             };
             while !effects.is_empty() {
@@ -706,7 +707,7 @@
 fn a_decision_holds_no_longer_than_its_members_grace() {
     let mut d = Driven::new();
     d.router.serve_proxies(d.now, PROXY_LIMITS);
-    d.list(hosts(2, false, &[("s-1", PRIMARY, "leaving", "source")]));
+    d.list(host_list(2, false, &[("s-1", PRIMARY, "leaving", "source")]));
     let told = d.now;
     d.pass(900);
     if let Some((_, addr, by)) = named(&d.proxy_asks(1)) {
@@ -750,13 +751,13 @@
         };
         effects.iter().filter_map(one).collect::<Vec<_>>()
     };
-    let mut again = hosts(2, false, &[("s-2", COPY, "active", "copy")]);
+    let mut again = host_list(2, false, &[("s-2", COPY, "active", "copy")]);
     again.servers[0].started_ms = START.0 / 1_000_000;
     // The list comes late: what has been used since the start is kept.
     d.pass(3000);
     assert_eq!(closed(&d.list(again.clone())), [(COPY.to_string(), START)]);
     assert_eq!(closed(&d.list(again)), [], "once for each start");
-    let moved = hosts(3, false, &[("s-1", "127.0.0.1:7009", "active", "source")]);
+    let moved = host_list(3, false, &[("s-1", "127.0.0.1:7009", "active", "source")]);
     assert_eq!(closed(&d.list(moved)), [(PRIMARY.to_string(), Time(u64::MAX))]);
 }
 
@@ -781,7 +782,7 @@
         )),
         "{effects:?}"
     );
-    d.list(hosts(1, true, &[("s-1", PRIMARY, "active", "source")]));
+    d.list(host_list(1, true, &[("s-1", PRIMARY, "active", "source")]));
     let effects = d.ask(1, "write", ",cluster=9");
     assert!(
         effects.iter().any(|e| matches!(e, Effect::Answer { answer: Answer::Invalid(_), .. })),
--- a/crates/router/tests/transport.rs
+++ b/crates/router/tests/transport.rs
@@ -6,51 +6,52 @@
 use basalthill_standin::discovery::{endpoint_list, Discovery, Endpoint};
 use basalthill_standin::host::{self, Reply};
 use basalthill_standin::TIMEOUT;
-use common::served::{code, host, nobody, row, Served};
-use common::{text, SETTINGS};
+use common::served::{error_code, primary_host, row, unreachable_address, RouterThread};
+use common::{statement_text, SETTINGS};
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
 
 #[test]
 fn a_statement_is_passed_on_unchanged_but_for_what_is_left_of_its_time() {
-    let host = host(|_| Reply::Row(b"\x9f\x03".to_vec()));
-    let served = Served::of(&host);
+    let host = primary_host(|_| Reply::Row(b"\x9f\x03".to_vec()));
+    let served = RouterThread::with_primary(&host);
     let mut client = Client::connect_without_startup(served.addr).unwrap();
     // Startup and the first query in one segment.
-    client.stream.write_all(&[startup(), query(&text("write", ""))].concat()).unwrap();
+    client.stream.write_all(&[startup(), query(&statement_text("write", ""))].concat()).unwrap();
     client.read_until_ready().unwrap();
     assert_eq!(client.read_answer().unwrap(), row(b"\x9f\x03"));
     let seen = host.wait_for_statement("INSERT").unwrap().text;
     let (before, after) = seen.split_once(",d=").unwrap();
     let (figure, after) = after.split_once(',').unwrap();
-    assert_eq!(format!("{before},d=480,{after}"), text("write", ""));
+    assert_eq!(format!("{before},d=480,{after}"), statement_text("write", ""));
     assert!((1..480).contains(&figure.parse().unwrap()), "{figure}");
 }
 
 #[test]
 fn queries_split_at_any_byte_and_several_at_once_are_answered_in_order() {
-    let host = host(|text| Reply::Row(text.split("id=").nth(1).unwrap().as_bytes()[..1].to_vec()));
-    let served = Served::of(&host);
+    let host = primary_host(|text| Reply::Row(text.split("id=").nth(1).unwrap().as_bytes()[..1].to_vec()));
+    let served = RouterThread::with_primary(&host);
     let mut client = served.client();
-    let text = |n: u8| text("status", "").replace("id=9", &format!("id={n}"));
+    let numbered = |n: u8| statement_text("status", "").replace("id=9", &format!("id={n}"));
     let all: Vec<u8> =
-        [query(&text(1)), query(""), query(&text(2)), query("SELECT 1"), query(&text(3))].concat();
+        [query(&numbered(1)), query(""), query(&numbered(2)), query("SELECT 1"), query(&numbered(3))]
+            .concat();
     for part in all.chunks(7) {
         client.stream.write_all(part).unwrap();
     }
     assert_eq!(client.read_answer().unwrap(), row(b"1"));
     assert_eq!(client.read_answer().unwrap(), Answer::Empty);
     assert_eq!(client.read_answer().unwrap(), row(b"2"));
-    assert_eq!(code(&client.read_answer().unwrap()), "42601");
+    assert_eq!(error_code(&client.read_answer().unwrap()), "42601");
     assert_eq!(client.read_answer().unwrap(), row(b"3"));
     assert_eq!(host.statement_count("SELECT 1"), 0, "what is no statement of ours never reaches a host");
 }
 
 #[test]
 fn encryption_is_declined_and_what_is_no_protocol_ends_the_connection() {
-    let host = host(|_| Reply::Row(b"x".to_vec()));
-    let served = Served::of(&host);
+    let host = primary_host(|_| Reply::Row(b"x".to_vec()));
+    let served = RouterThread::with_primary(&host);
     let mut client = Client::connect_without_startup(served.addr).unwrap();
     client.stream.write_all(&[0, 0, 0, 8, 4, 210, 22, 47]).unwrap();
     let mut no = [0];
@@ -63,23 +64,23 @@
     assert!(client.is_closed());
     let mut client = Client::connect_without_startup(served.addr).unwrap();
     client.stream.write_all(b"GET / HTTP/1.1\r\n\r\n").unwrap();
-    assert_eq!(code(&client.read_answer().unwrap()), "08P01");
+    assert_eq!(error_code(&client.read_answer().unwrap()), "08P01");
     assert!(client.is_closed());
 }
 
 #[test]
 fn a_connection_that_breaks_after_the_last_byte_fails_a_write_which_is_sent_once() {
-    let host = host(|_| Reply::Close);
-    let served = Served::of(&host);
-    assert_eq!(code(&served.client().query(&text("write", "")).unwrap()), "58000");
+    let host = primary_host(|_| Reply::Close);
+    let served = RouterThread::with_primary(&host);
+    assert_eq!(error_code(&served.client().query(&statement_text("write", "")).unwrap()), "58000");
     assert_eq!(host.statement_count("INSERT"), 1);
 }
 
 #[test]
 fn a_host_that_turns_away_with_a_fatal_error_is_known_not_to_have_run_it() {
-    let host = host(|_| Reply::Fatal("53300"));
-    let served = Served::of(&host);
-    let answer = served.client().query(&text("write", "")).unwrap();
+    let host = primary_host(|_| Reply::Fatal("53300"));
+    let served = RouterThread::with_primary(&host);
+    let answer = served.client().query(&statement_text("write", "")).unwrap();
     let Answer::Error(code, Some(after)) = answer else { panic!("{answer:?}") };
     assert_eq!(code, "53300");
     assert!(after.parse::<u64>().unwrap() > 0);
@@ -87,33 +88,33 @@
 
 #[test]
 fn a_refused_connection_is_no_attempt_that_ran() {
-    let known = endpoint_list(1, true, &[Endpoint::new("s-1", nobody(), 2, "active", "source")]);
+    let known = endpoint_list(1, true, &[Endpoint::new("s-1", unreachable_address(), 2, "active", "source")]);
     let discovery = Discovery::start(known.clone()).unwrap();
-    let served = Served::start(&known, discovery.addr, 256, SETTINGS);
-    assert_eq!(code(&served.client().query(&text("write", "")).unwrap()), "53300");
+    let served = RouterThread::start(&known, discovery.addr, 256, SETTINGS);
+    assert_eq!(error_code(&served.client().query(&statement_text("write", "")).unwrap()), "53300");
 }
 
 #[test]
 fn nonsense_from_a_host_is_never_passed_on() {
-    let host = host(|_| Reply::Raw(b"D\0\0\0\x08\0\x01\0\0Z\0\0\0\x05I".to_vec()));
-    let served = Served::of(&host);
-    assert_eq!(code(&served.client().query(&text("write", "")).unwrap()), "58000");
+    let host = primary_host(|_| Reply::Raw(b"D\0\0\0\x08\0\x01\0\0Z\0\0\0\x05I".to_vec()));
+    let served = RouterThread::with_primary(&host);
+    assert_eq!(error_code(&served.client().query(&statement_text("write", "")).unwrap()), "58000");
     assert_eq!(host.statement_count("INSERT"), 1);
 }
 
 #[test]
 fn a_late_answer_never_meets_the_next_request() {
-    let host = host(|text| match text.contains("id=1") {
+    let host = primary_host(|text| match text.contains("id=1") {
         true => Reply::RowOnRelease(b"late".to_vec()),
         false => Reply::Row(b"good".to_vec()),
     });
-    let served = Served::of(&host);
+    let served = RouterThread::with_primary(&host);
     let mut client = served.client();
-    let short = text("write", "").replace("id=9", "id=1").replace("d=480", "d=120");
-    assert_eq!(code(&client.query(&short).unwrap()), "58000");
+    let short = statement_text("write", "").replace("id=9", "id=1").replace("d=480", "d=120");
+    assert_eq!(error_code(&client.query(&short).unwrap()), "58000");
     host.release();
     for _ in 0..5 {
-        assert_eq!(client.query(&text("write", "")).unwrap(), row(b"good"));
+        assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"good"));
     }
     let given_up = host.wait_for_statement("id=1").unwrap().connection;
     let last = host.seen.lock().statements.iter().rfind(|s| s.connection == given_up).cloned();
@@ -123,24 +124,24 @@
 
 #[test]
 fn a_pooled_connection_is_used_again_and_one_that_its_host_closed_is_replaced() {
-    let host = host(|text| match text.contains("id=1") {
+    let host = primary_host(|text| match text.contains("id=1") {
         true => Reply::RowThenClose(b"last".to_vec()),
         false => Reply::Row(b"x".to_vec()),
     });
-    let served = Served::of(&host);
+    let served = RouterThread::with_primary(&host);
     let mut client = served.client();
     for _ in 0..5 {
-        assert_eq!(client.query(&text("write", "")).unwrap(), row(b"x"));
+        assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"x"));
     }
     // A second may have been opened for the probe at the start.
     let accepted = host.seen.lock().accepted;
     assert!(accepted <= 2, "{accepted} connections for five requests, one after another");
     for _ in 0..10 {
         let open = host.seen.lock().open;
-        assert_eq!(client.query(&text("write", "").replace("id=9", "id=1")).unwrap(), row(b"last"));
+        assert_eq!(client.query(&statement_text("write", "").replace("id=9", "id=1")).unwrap(), row(b"last"));
         host.seen.wait(|s| (s.open < open.max(1)).then_some(())).unwrap();
         assert_eq!(
-            client.query(&text("write", "")).unwrap(),
+            client.query(&statement_text("write", "")).unwrap(),
             row(b"x"),
             "no write is lost to a closed connection"
         );
@@ -149,24 +150,24 @@
 
 #[test]
 fn idle_connections_are_closed_before_the_settings_time() {
-    let host = host(|_| Reply::Row(b"x".to_vec()));
+    let host = primary_host(|_| Reply::Row(b"x".to_vec()));
     let known = endpoint_list(1, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]);
     let discovery = Discovery::start(known.clone()).unwrap();
     // Probes would keep a connection busy.
     let settings = SETTINGS.replace("\"connIdle\": 15000000000", "\"connIdle\": 1000000000");
     let settings = settings.replace("\"probes\": true", "\"probes\": false");
-    let served = Served::start(&known, discovery.addr, 256, &settings);
-    assert_eq!(served.client().query(&text("write", "")).unwrap(), row(b"x"));
+    let served = RouterThread::start(&known, discovery.addr, 256, &settings);
+    assert_eq!(served.client().query(&statement_text("write", "")).unwrap(), row(b"x"));
     assert_eq!(host.seen.lock().open, 1);
     assert!(host.seen.wait(|s| (s.open == 0).then_some(())).is_some());
 }
 
 #[test]
 fn a_client_that_leaves_has_its_read_called_off_at_the_host() {
-    let host = host(|_| Reply::NoAnswer);
-    let served = Served::of(&host);
+    let host = primary_host(|_| Reply::NoAnswer);
+    let served = RouterThread::with_primary(&host);
     let mut client = served.client();
-    client.send(&text("status", "").replace("d=480", "d=9000")).unwrap();
+    client.send(&statement_text("status", "").replace("d=480", "d=9000")).unwrap();
     host.wait_for_statement("SELECT v").unwrap();
     let open = host.seen.lock().open;
     client.stream.shutdown(Shutdown::Both).unwrap();
@@ -177,11 +178,11 @@
 fn a_value_of_64_kib_reaches_a_slow_reader_whole() {
     let value: Vec<u8> = (0..65536u32).map(|n| n as u8).collect();
     let big = value.clone();
-    let host = host(move |_| Reply::Row(big.clone()));
-    let served = Served::of(&host);
+    let host = primary_host(move |_| Reply::Row(big.clone()));
+    let served = RouterThread::with_primary(&host);
     let mut clients: Vec<Client> = (0..4).map(|_| served.client()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
-        client.send(&text("write", "").replace("id=9", &format!("id={n}"))).unwrap();
+        client.send(&statement_text("write", "").replace("id=9", &format!("id={n}"))).unwrap();
     }
     host.seen
         .wait(|s| (s.statements.iter().filter(|s| s.text.contains("INSERT")).count() == 4).then_some(()));
@@ -192,19 +193,21 @@
 
 #[test]
 fn descriptors_are_a_budget_and_newcomers_beyond_it_are_turned_away_cleanly() {
-    let host = host(|_| Reply::RowOnRelease(b"x".to_vec()));
-    let served = Served::with(&host, 48);
+    let host = primary_host(|_| Reply::RowOnRelease(b"x".to_vec()));
+    let served = RouterThread::with_descriptors(&host, 48);
     // 24 are kept back; of the other 24 half are for clients, and the members have the rest.
     let mut clients: Vec<Client> = (0..12).map(|_| served.client()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         client
-            .send(&text("report", "").replace("id=9", &format!("id={n}")).replace("d=480", "d=60000"))
+            .send(
+                &statement_text("report", "").replace("id=9", &format!("id={n}")).replace("d=480", "d=60000"),
+            )
             .unwrap();
         host.wait_for_statement(&format!("id={n}")).unwrap();
     }
     let mut newcomer = Client::connect_without_startup(served.addr).unwrap();
     newcomer.stream.write_all(&startup()).unwrap();
-    assert_eq!(code(&newcomer.read_answer().unwrap()), "53300");
+    assert_eq!(error_code(&newcomer.read_answer().unwrap()), "53300");
     assert!(newcomer.is_closed());
     host.release();
     for client in &mut clients {
@@ -213,25 +216,25 @@
     let until = Instant::now() + TIMEOUT;
     let newcomer = std::iter::from_fn(|| (Instant::now() < until).then(|| Client::connect(served.addr)));
     let mut newcomer = newcomer.flatten().next().expect("one that is quiet makes room");
-    assert_eq!(newcomer.query(&text("write", "")).unwrap(), row(b"x"));
+    assert_eq!(newcomer.query(&statement_text("write", "")).unwrap(), row(b"x"));
 }
 
 #[test]
 fn clients_that_ask_once_and_hold_on_take_no_room_from_newcomers() {
-    let host = host(|_| Reply::Row(b"x".to_vec()));
-    let served = Served::with(&host, 64);
+    let host = primary_host(|_| Reply::Row(b"x".to_vec()));
+    let served = RouterThread::with_descriptors(&host, 64);
     // Of 64 descriptors clients use 21 together; a router that lets them all hold on would be full by then.
     let mut held: Vec<Client> = (0..60)
         .map(|_| {
             let mut client = served.client();
-            assert_eq!(client.query(&text("write", "")).unwrap(), row(b"x"));
+            assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"x"));
             client
         })
         .collect();
     let last = held.split_off(40);
     assert!(held.iter_mut().all(Client::is_closed), "the quiet ones that came first have made room");
     for mut client in last.into_iter().skip(12) {
-        assert_eq!(client.query(&text("write", "")).unwrap(), row(b"x"), "the latest are kept");
+        assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"x"), "the latest are kept");
     }
 }
 
@@ -239,13 +242,14 @@
 fn a_client_in_the_middle_of_its_request_makes_no_room_while_others_are_quiet() {
     // Found on a long day: of requests written in pieces, those beside a crowd lost their connections,
     // and the request was lost where its last piece had been written by then.
-    let host = host(|_| Reply::Row(b"x".to_vec()));
-    let served = Served::with(&host, 64);
-    let asks = |client: &mut Client| assert_eq!(client.query(&text("write", "")).unwrap(), row(b"x"));
+    let host = primary_host(|_| Reply::Row(b"x".to_vec()));
+    let served = RouterThread::with_descriptors(&host, 64);
+    let asks =
+        |client: &mut Client| assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"x"));
     let mut slow = [served.client(), served.client()];
     asks(&mut slow[0]);
     // One has asked before, the other has not; each has written half of its request.
-    let whole = query(&text("write", ""));
+    let whole = query(&statement_text("write", ""));
     slow.iter_mut().for_each(|c| c.stream.write_all(&whole[..40]).unwrap());
     let held: Vec<Client> = (0..60)
         .map(|_| {
@@ -263,14 +267,17 @@
 
 #[test]
 fn connections_that_say_nothing_make_room_and_are_ended_in_time() {
-    let host = host(|_| Reply::Row(b"x".to_vec()));
-    let served = Served::with(&host, 48);
+    let host = primary_host(|_| Reply::Row(b"x".to_vec()));
+    let served = RouterThread::with_descriptors(&host, 48);
     let began = Instant::now();
     let mut silent: Vec<Client> =
         (0..100).map(|_| Client::connect_without_startup(served.addr).unwrap()).collect();
     // One sends half a startup message, one half a query, one a byte now and then.
     silent[97].stream.write_all(&startup()[..20]).unwrap();
-    silent[98].stream.write_all(&[startup(), query(&text("write", ""))[..50].to_vec()].concat()).unwrap();
+    silent[98]
+        .stream
+        .write_all(&[startup(), query(&statement_text("write", ""))[..50].to_vec()].concat())
+        .unwrap();
     let mut trickle = silent[99].stream.try_clone().unwrap();
     std::thread::spawn(move || {
         startup().iter().try_for_each(|byte| {
@@ -280,7 +287,11 @@
     });
     for _ in 0..20 {
         let mut client = served.client();
-        assert_eq!(client.query(&text("write", "")).unwrap(), row(b"x"), "those that ask are served");
+        assert_eq!(
+            client.query(&statement_text("write", "")).unwrap(),
+            row(b"x"),
+            "those that ask are served"
+        );
     }
     for client in &mut silent {
         assert!(client.stream.read_to_end(&mut Vec::new()).is_ok());
@@ -290,26 +301,30 @@
 
 #[test]
 fn commands_that_are_none_of_ours_are_answered_in_order_and_then_end_the_connection() {
-    let host = host(|_| Reply::Row(b"x".to_vec()));
-    let served = Served::of(&host);
+    let host = primary_host(|_| Reply::Row(b"x".to_vec()));
+    let served = RouterThread::with_primary(&host);
     let mut client = served.client();
-    let wrong = ["SELECT 1".to_string(), text("write", "").replace("d=480", "d=soon"), text("odd", "")];
+    let wrong = [
+        "SELECT 1".to_string(),
+        statement_text("write", "").replace("d=480", "d=soon"),
+        statement_text("odd", ""),
+    ];
     let many: Vec<u8> = (0..300).flat_map(|n| query(&wrong[n % 3])).collect();
     let mut stream = client.stream.try_clone().unwrap();
     std::thread::spawn(move || stream.write_all(&many));
     for n in 0..16 {
-        assert_eq!(code(&client.read_answer().unwrap()), ["42601", "22023", "22023"][n % 3]);
+        assert_eq!(error_code(&client.read_answer().unwrap()), ["42601", "22023", "22023"][n % 3]);
     }
-    assert_eq!(code(&client.read_answer().unwrap()), "08P01");
+    assert_eq!(error_code(&client.read_answer().unwrap()), "08P01");
     assert!(client.is_closed());
-    assert_eq!(served.client().query(&text("write", "")).unwrap(), row(b"x"));
+    assert_eq!(served.client().query(&statement_text("write", "")).unwrap(), row(b"x"));
     assert_eq!(host.statement_count("INSERT"), 1, "none of them has reached a member");
 }
 
 #[test]
 fn a_value_of_60_mb_is_judged_by_its_head_and_gets_its_error() {
-    let host = host(|_| Reply::Row(b"x".to_vec()));
-    let served = Served::of(&host);
+    let host = primary_host(|_| Reply::Row(b"x".to_vec()));
+    let served = RouterThread::with_primary(&host);
     let mut client = served.client();
     let mut stream = client.stream.try_clone().unwrap();
     let sender = std::thread::spawn(move || {
@@ -317,60 +332,61 @@
         let _ = stream.write_all(&[b"Q", &(size as u32 + 4).to_be_bytes()[..]].concat());
         (0..size / 65536).try_for_each(|_| stream.write_all(&[b'7'; 65536]))
     });
-    assert_eq!(code(&client.read_answer().unwrap()), "08P01");
+    assert_eq!(error_code(&client.read_answer().unwrap()), "08P01");
     let _ = sender.join().unwrap();
-    assert_eq!(served.client().query(&text("write", "")).unwrap(), row(b"x"));
+    assert_eq!(served.client().query(&statement_text("write", "")).unwrap(), row(b"x"));
 }
 
 #[test]
 fn a_router_that_stops_answers_what_it_has_takes_newcomers_for_a_while_and_ends() {
-    let host = host(|text| match text.contains("id=1") {
+    let host = primary_host(|text| match text.contains("id=1") {
         true => Reply::RowOnRelease(b"held".to_vec()),
         false => Reply::Row(b"x".to_vec()),
     });
-    let mut served = Served::of(&host);
+    let mut served = RouterThread::with_primary(&host);
     let (mut idle, mut busy) = (served.client(), served.client());
-    busy.send(&text("write", "").replace("id=9", "id=1").replace("d=480", "d=2900")).unwrap();
+    busy.send(&statement_text("write", "").replace("id=9", "id=1").replace("d=480", "d=2900")).unwrap();
     host.wait_for_statement("id=1").unwrap();
     served.stop();
     // Connections still come for a while, and those that are there go on being served.
-    assert_eq!(served.client().query(&text("write", "")).unwrap(), row(b"x"));
-    assert_eq!(idle.query(&text("write", "")).unwrap(), row(b"x"));
+    assert_eq!(served.client().query(&statement_text("write", "")).unwrap(), row(b"x"));
+    assert_eq!(idle.query(&statement_text("write", "")).unwrap(), row(b"x"));
     assert!(idle.is_closed(), "then idle ones are closed");
-    assert!(!*served.over.lock(), "what is unanswered is waited for");
+    assert!(!*served.stopped.lock(), "what is unanswered is waited for");
     host.release();
     assert_eq!(busy.read_answer().unwrap(), row(b"held"));
     assert!(busy.is_closed());
-    assert!(served.over.wait(|o| o.then_some(())).is_some());
+    assert!(served.stopped.wait(|o| o.then_some(())).is_some());
     assert!(TcpStream::connect(served.addr).is_err());
 }
 
 #[test]
 fn a_router_that_stops_fails_what_is_never_answered_and_ends_in_time() {
-    let host = host(|_| Reply::NoAnswer);
-    let mut served = Served::of(&host);
+    let host = primary_host(|_| Reply::NoAnswer);
+    let mut served = RouterThread::with_primary(&host);
     let mut client = served.client();
-    client.send(&text("report", "").replace("d=480", "d=60000")).unwrap();
+    client.send(&statement_text("report", "").replace("d=480", "d=60000")).unwrap();
     host.wait_for_statement("SELECT v").unwrap();
     served.stop();
-    assert_eq!(code(&client.read_answer().unwrap()), "58000");
+    assert_eq!(error_code(&client.read_answer().unwrap()), "58000");
     assert!(client.is_closed());
-    assert!(served.over.wait(|o| o.then_some(())).is_some());
+    assert!(served.stopped.wait(|o| o.then_some(())).is_some());
 }
 
 #[test]
 fn changes_of_the_list_are_followed_through_nonsense_and_broken_watches() {
-    let (one, two) = (host(|_| Reply::Row(b"one".to_vec())), host(|_| Reply::Row(b"two".to_vec())));
+    let (one, two) =
+        (primary_host(|_| Reply::Row(b"one".to_vec())), primary_host(|_| Reply::Row(b"two".to_vec())));
     let known = endpoint_list(1, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
     let discovery = Discovery::start(known.clone()).unwrap();
-    let served = Served::start(&known, discovery.addr, 256, SETTINGS);
+    let served = RouterThread::start(&known, discovery.addr, 256, SETTINGS);
     let mut client = served.client();
-    assert_eq!(client.query(&text("write", "")).unwrap(), row(b"one"));
+    assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"one"));
     // Nonsense: the list is kept, and the watch opened again, with the whole list.
     discovery.publish("{\"version\": nonsense".into());
     let again = discovery.state.wait(|t| t.requests.get(1).cloned()).unwrap();
     assert!(again.contains("watch=1") && !again.contains("from="), "{again}");
-    assert_eq!(client.query(&text("write", "")).unwrap(), row(b"one"));
+    assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"one"));
     // The one is replaced by another; the watch ends and begins with a whole list.
     discovery.restart_watches(endpoint_list(
         9,
@@ -381,60 +397,61 @@
     let until = Instant::now() + TIMEOUT;
     let mut moved = false;
     while !moved && Instant::now() < until {
-        moved = client.query(&text("write", "")).unwrap() == row(b"two");
+        moved = client.query(&statement_text("write", "")).unwrap() == row(b"two");
     }
     assert!(moved, "requests go to the new primary");
 }
 
 #[test]
 fn without_a_known_list_a_router_is_ready_once_discovery_has_told_one() {
-    let host = host(|_| Reply::Row(b"x".to_vec()));
+    let host = primary_host(|_| Reply::Row(b"x".to_vec()));
     let discovery =
         Discovery::start(endpoint_list(1, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]))
             .unwrap();
     discovery.state.change(|t| t.silent = true);
-    let served = Served::start("null", discovery.addr, 256, SETTINGS);
+    let served = RouterThread::start("null", discovery.addr, 256, SETTINGS);
     let mut client = Client::connect_without_startup(served.addr).unwrap();
     client.stream.write_all(&[startup(), query("")].concat()).unwrap();
     discovery.state.wait(|t| (!t.requests.is_empty()).then_some(())).unwrap();
     discovery.state.change(|t| t.silent = false);
     client.read_until_ready().unwrap();
     assert_eq!(client.read_answer().unwrap(), Answer::Empty);
-    assert_eq!(client.query(&text("write", "")).unwrap(), row(b"x"));
+    assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"x"));
 }
 
 /// An open watch tells each change: whole lists beside it would take from a discovery that all routers share
 /// what others wait for.
 #[test]
 fn where_lists_are_asked_for_the_watch_is_the_one_call() {
-    let host = host(|_| Reply::Row(b"x".to_vec()));
+    let host = primary_host(|_| Reply::Row(b"x".to_vec()));
     let known = endpoint_list(1, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]);
     let discovery = Discovery::start(known.clone()).unwrap();
     let settings = SETTINGS.replace("\"automatic\"", "\"subscribe\"");
     let settings = settings.replace("\"rules\": {", "\"rules\": {\"askEvery\": 20000000, ");
-    let served = Served::start(&known, discovery.addr, 256, &settings);
+    let served = RouterThread::start(&known, discovery.addr, 256, &settings);
     // The stand-in says nothing for longer than a watch may be silent: by its end a router that asked each 10
     // ms would have done so two hundred times.
     let again = discovery.state.wait(|t| t.requests.get(1).cloned()).unwrap();
     assert!(again.contains("watch=1") && again.contains("from=1"), "{again}");
-    assert_eq!(served.client().query(&text("write", "")).unwrap(), row(b"x"));
+    assert_eq!(served.client().query(&statement_text("write", "")).unwrap(), row(b"x"));
 }
 
 #[test]
 fn large_statements_are_read_a_few_at_a_time() {
-    let host = host(|_| Reply::Row(b"x".to_vec()));
-    let served = Served::of(&host);
-    let large = |id: &str| text("write", "").replace("9f03", &"9f".repeat(65_536)).replace("id=9", id);
+    let host = primary_host(|_| Reply::Row(b"x".to_vec()));
+    let served = RouterThread::with_primary(&host);
+    let large =
+        |id: &str| statement_text("write", "").replace("9f03", &"9f".repeat(65_536)).replace("id=9", id);
     // The first sends most of its statement, and no more: it holds the one place.
     let (mut first, mut second, mut third) = (served.client(), served.client(), served.client());
     let part = query(&large("id=1"));
     first.stream.write_all(&part[..100_000]).unwrap();
     for _ in 0..20 {
-        assert_eq!(third.query(&text("write", "")).unwrap(), row(b"x"));
+        assert_eq!(third.query(&statement_text("write", "")).unwrap(), row(b"x"));
     }
     second.send(&large("id=2")).unwrap();
     for _ in 0..20 {
-        assert_eq!(third.query(&text("write", "")).unwrap(), row(b"x"), "small ones go on");
+        assert_eq!(third.query(&statement_text("write", "")).unwrap(), row(b"x"), "small ones go on");
     }
     assert_eq!(host.statement_count("id=2"), 0);
     first.stream.write_all(&part[100_000..]).unwrap();
@@ -445,14 +462,14 @@
 
 #[test]
 fn a_watch_that_has_fallen_silent_is_opened_again_from_the_last_version() {
-    let host = host(|_| Reply::Row(b"x".to_vec()));
+    let host = primary_host(|_| Reply::Row(b"x".to_vec()));
     let known = endpoint_list(7, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]);
     let discovery = Discovery::start(known.clone()).unwrap();
-    let served = Served::start(&known, discovery.addr, 256, SETTINGS);
+    let served = RouterThread::start(&known, discovery.addr, 256, SETTINGS);
     // The stand-in writes its list, and then nothing for longer than two empty lines would take.
     let again = discovery.state.wait(|t| t.requests.get(1).cloned()).unwrap();
     assert!(again.contains("watch=1") && again.contains("from=7"), "{again}");
-    assert_eq!(served.client().query(&text("write", "")).unwrap(), row(b"x"), "the list is kept");
+    assert_eq!(served.client().query(&statement_text("write", "")).unwrap(), row(b"x"), "the list is kept");
 }
 
 #[test]
@@ -465,25 +482,27 @@
         [&whole[..27], b"D\xb2\xd0\x5e\x06\0\x01\xb2\xd0\x5e\0", &[7; 100_000]].concat(),
     ];
     let count = spoilt.len();
-    let host = host(move |text| {
+    let host = primary_host(move |text| {
         let spoilt = spoilt.iter().enumerate().find(|(n, _)| text.contains(&format!("id=bad{n}")));
         spoilt.map_or(Reply::Row(b"x".to_vec()), |(_, bytes)| Reply::Raw(bytes.clone()))
     });
-    let served = Served::of(&host);
+    let served = RouterThread::with_primary(&host);
     let mut client = served.client();
     for n in 0..count {
         let began = Instant::now();
-        let bad = text("write", "").replace("id=9", &format!("id=bad{n}")).replace("d=480", "d=9000");
-        assert_eq!(code(&client.query(&bad).unwrap()), "58000", "answer {n}");
+        let bad =
+            statement_text("write", "").replace("id=9", &format!("id=bad{n}")).replace("d=480", "d=9000");
+        assert_eq!(error_code(&client.query(&bad).unwrap()), "58000", "answer {n}");
         assert!(began.elapsed() < Duration::from_secs(3), "answer {n}: {:?}", began.elapsed());
         // The member is as good as before, and what was spoilt meets nobody.
-        assert_eq!(client.query(&text("write", "")).unwrap(), row(b"x"), "after answer {n}");
+        assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"x"), "after answer {n}");
     }
 }
 
 #[test]
 fn a_new_discovery_is_followed_at_once_while_the_old_one_hangs() {
-    let (one, two) = (host(|_| Reply::Row(b"one".to_vec())), host(|_| Reply::Row(b"two".to_vec())));
+    let (one, two) =
+        (primary_host(|_| Reply::Row(b"one".to_vec())), primary_host(|_| Reply::Row(b"two".to_vec())));
     let known = endpoint_list(70, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
     let old = Discovery::start(known.clone()).unwrap();
     old.state.change(|t| t.silent = true);
@@ -491,17 +510,17 @@
     let new =
         Discovery::start(endpoint_list(3, true, &[Endpoint::new("s-2", two.addr, 2, "active", "source")]))
             .unwrap();
-    let served = Served::start(&known, old.addr, 256, SETTINGS);
+    let served = RouterThread::start(&known, old.addr, 256, SETTINGS);
     old.state.wait(|t| (!t.requests.is_empty()).then_some(())).unwrap();
     let mut client = served.client();
-    assert_eq!(client.query(&text("write", "")).unwrap(), row(b"one"));
+    assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"one"));
     let moved = Instant::now();
-    served.moved(old.addr, new.addr);
+    served.reload_with_discovery(old.addr, new.addr);
     let asked = new.state.wait(|t| t.requests.first().cloned()).unwrap();
     assert!(asked.contains("watch=1") && !asked.contains("from="), "the whole list is asked for: {asked}");
     // Told within moments, though the old one hangs. For the grace after the removal the old member may still
     // be sent writes.
-    let served_by_two = (0..).find(|_| client.query(&text("write", "")).unwrap() == row(b"two"));
+    let served_by_two = (0..).find(|_| client.query(&statement_text("write", "")).unwrap() == row(b"two"));
     assert!(served_by_two.is_some() && moved.elapsed() < Duration::from_secs(4), "{:?}", moved.elapsed());
     new.publish(endpoint_list(
         4,
@@ -512,22 +531,23 @@
         ],
     ));
     assert!(
-        (0..100_000).any(|_| client.query(&text("write", "")).unwrap() == row(b"one")),
+        (0..100_000).any(|_| client.query(&statement_text("write", "")).unwrap() == row(b"one")),
         "its changes count"
     );
 }
 
 #[test]
 fn a_new_discovery_that_can_not_be_reached_ends_neither_service_nor_the_old_watch() {
-    let (one, two) = (host(|_| Reply::Row(b"one".to_vec())), host(|_| Reply::Row(b"two".to_vec())));
+    let (one, two) =
+        (primary_host(|_| Reply::Row(b"one".to_vec())), primary_host(|_| Reply::Row(b"two".to_vec())));
     let known = endpoint_list(1, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
     let old = Discovery::start(known.clone()).unwrap();
-    let served = Served::start(&known, old.addr, 256, SETTINGS);
+    let served = RouterThread::start(&known, old.addr, 256, SETTINGS);
     let mut client = served.client();
     old.state.wait(|t| (!t.requests.is_empty()).then_some(())).unwrap();
     for _ in 0..3 {
-        served.moved(old.addr, nobody());
-        assert_eq!(client.query(&text("write", "")).unwrap(), row(b"one"));
+        served.reload_with_discovery(old.addr, unreachable_address());
+        assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"one"));
     }
     old.publish(endpoint_list(
         2,
@@ -537,8 +557,8 @@
             Endpoint::new("s-2", two.addr, 2, "active", "source"),
         ],
     ));
-    assert!((0..100_000).any(|_| client.query(&text("write", "")).unwrap() == row(b"two")));
+    assert!((0..100_000).any(|_| client.query(&statement_text("write", "")).unwrap() == row(b"two")));
     let mut served = served;
     served.stop();
-    assert!(served.over.wait(|o| o.then_some(())).is_some());
+    assert!(served.stopped.wait(|o| o.then_some(())).is_some());
 }
