--- a/crates/client/src/driver.rs
+++ b/crates/client/src/driver.rs
@@ -120,7 +120,8 @@
         async move {
             let report = asked.await;
             let _in = span.enter();
-            tracing::debug!(end = ?report.outcome, tries = report.attempts.len(), took = ?report.elapsed, "ended");
+            let attempts = report.attempts.len();
+            tracing::debug!(end = ?report.outcome, tries = attempts, took = ?report.elapsed, "ended");
             report
         }
     }
--- a/crates/config/src/router.rs
+++ b/crates/config/src/router.rs
@@ -92,7 +92,8 @@
         (self.memory_mb << 20) as usize / 16
     }
 
-    /// How many statements past [`LARGE_STATEMENT_LEN`] may be on the way at a time: a quarter of the memory is theirs, and
+    /// How many statements past [`LARGE_STATEMENT_LEN`] may be on the way at a time: a quarter of the
+    /// memory is theirs, and
     /// one may stand in memory twice while it is taken over.
     pub fn max_large_statements(&self) -> usize {
         ((self.memory_mb << 20) as usize / 4 / (2 * LONGEST_STATEMENT)).max(1)
--- a/crates/extproc/src/desk.rs
+++ b/crates/extproc/src/desk.rs
@@ -2,7 +2,8 @@
 //! are told, and what comes of it. The decisions stay where they are: events for them come out of here, and
 //! their actions go in.
 //!
-//! Requests of proxies have numbers of their own, told by [`LeaseCoordinator::owns`], so that one module serves both
+//! Requests of proxies have numbers of their own, told by [`LeaseCoordinator::owns`], so that one module
+//! serves both
 //! fronts.
 
 use crate::decided::{Decided, Verdict};
--- a/crates/extproc/tests/desk.rs
+++ b/crates/extproc/tests/desk.rs
@@ -1,4 +1,5 @@
-//! The coordinator with the decision module itself behind it, before proxies that do whatever they like: ask twice,
+//! The coordinator with the decision module itself behind it, before proxies that do whatever they like:
+//! ask twice,
 //! on several streams, leave, tell late, tell lies about others' leases, come back after a restart.
 
 use basalthill_extproc::{
--- a/crates/router/src/routing/proxies.rs
+++ b/crates/router/src/routing/proxies.rs
@@ -1,4 +1,5 @@
-//! Other proxies, which ask for a decision and do the sending themselves. The coordinator owns what is known of
+//! Other proxies, which ask for a decision and do the sending themselves. The coordinator owns what is
+//! known of
 //! them; here its words and the decisions' are carried over.
 
 use super::{Effect, ProxyMessage, Router};
--- a/crates/router/src/transport/fleet.rs
+++ b/crates/router/src/transport/fleet.rs
@@ -97,7 +97,7 @@
                     // Where the other side does not keep up, what comes is lost, as on a full link.
                     Ok(Payload::Packet(packet)) => drop(sender.try_send(FleetInput::Packet(packet))),
                     Ok(Payload::Status(asked)) => {
-                        drop(sender.try_send(FleetInput::OperatorQuery { query: asked, from: from }))
+                        drop(sender.try_send(FleetInput::OperatorQuery { query: asked, from }))
                     }
                     Err(why) => *dropped.entry(why).or_default() += 1,
                 }
--- a/crates/router/src/transport/watch.rs
+++ b/crates/router/src/transport/watch.rs
@@ -154,7 +154,7 @@
                 let now = hub.clock.now();
                 let since = if first { *heard } else { now };
                 (*version, *told, *heard, first) = (Some(list.version), true, now, false);
-                hub.input(Input::EndpointList { list: list, valid_since: since });
+                hub.input(Input::EndpointList { list, valid_since: since });
                 hub.following.told(number);
                 continue;
             }
--- a/crates/router/tests/codec.rs
+++ b/crates/router/tests/codec.rs
@@ -122,8 +122,8 @@
     let stream = host_stream();
     let (want, failed) = host_messages([&stream[..]].into_iter(), 2);
     assert!(!failed);
-    let [HostMessage::Ready, HostMessage::QueryEnded(QueryOutcome::Row(row), told), HostMessage::QueryEnded(error, _)] =
-        &want[..]
+    use HostMessage::QueryEnded;
+    let [HostMessage::Ready, QueryEnded(QueryOutcome::Row(row), told), QueryEnded(error, _)] = &want[..]
     else {
         panic!("{want:?}");
     };
--- a/crates/router/tests/routing.rs
+++ b/crates/router/tests/routing.rs
@@ -557,10 +557,11 @@
                             }
                             match &end {
                                 Some(ended) => {
+                                    use ExchangeResult::Answered;
                                     let ran = match ended {
                                         ExchangeResult::ConnectionLost => true,
-                                        ExchangeResult::Answered(QueryOutcome::Error(code), _) => code == "XX000",
-                                        ExchangeResult::Answered(..) => true,
+                                        Answered(QueryOutcome::Error(code), _) => code == "XX000",
+                                        Answered(..) => true,
                                         _ => false,
                                     };
                                     if let (ExchangeId::Attempt(id, _), true) = (order.id, ran) {
--- a/crates/router/tests/stop_soak.rs
+++ b/crates/router/tests/stop_soak.rs
@@ -120,7 +120,7 @@
     let named: Vec<_> =
         [("s-1", "source"), ("s-2", "copy"), ("s-3", "copy")].into_iter().zip(&hosts).collect();
     let members: Vec<_> =
-        named.iter().map(|((id, rank), h)| Endpoint::new(*id, h.addr, 2, "active", *rank)).collect();
+        named.iter().map(|((id, rank), h)| Endpoint::new(*id, h.addr, 2, "active", rank)).collect();
     let known = endpoint_list(1, true, &members);
     let discovery = Discovery::start(known.clone()).unwrap();
     let limits = r#"{"sockets":192,"memory_mb":64}"#;
