--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -3,6 +3,7 @@
 //! is the design's and what is a departure from it.
 
 use crate::api::*;
+use fastrand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
 mod cold;
@@ -172,10 +173,9 @@
     !m.suspect && up && m.draining.is_none()
 }
 
-/// A number from 0 to 1 of the seed's sequence.
-fn dice(random: &mut u64) -> f64 {
-    *random = random.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
-    (*random >> 40) as f64 / (1u64 << 24) as f64
+/// A number from 0 to 1 that depends on the request alone: each check of it draws the same one.
+fn dice(id: RequestId) -> f64 {
+    Rng::with_seed(id.0).f64()
 }
 
 /// The decisions of one router.
@@ -183,7 +183,7 @@
 pub struct Policy {
     set: Settings,
     now: Time,
-    random: u64,
+    random: Rng,
     begun: Option<Time>,
     members: BTreeMap<MemberId, Member>,
     jobs: BTreeMap<RequestId, Job>,
@@ -215,7 +215,7 @@
         let base: Vec<f64> = set.classes.iter().map(|c| c.latency_objective.secs() * 0.2).collect();
         let usual = vec![[(Time(0), 0); 3]; base.len()];
         let (next, weight) = (Time(u64::MAX), 1.0);
-        Policy { set, random: seed, margin, base, usual, next, weight, ..Policy::default() }
+        Policy { set, random: Rng::with_seed(seed), margin, base, usual, next, weight, ..Policy::default() }
     }
 
     /// Takes one event; appends what is to be done.
@@ -279,7 +279,7 @@
         // A few routers probe a newcomer at once; many would do so all together.
         let asked = if self.few() < 1.0 { self.now } else { Time(0) };
         for e in entries {
-            let subset_bias = dice(&mut self.random);
+            let subset_bias = self.random.f64();
             let (m, dither) = (self.members.entry(e.member), subset_bias * shortest);
             let m = m.or_insert_with(|| Member {
                 cap: CAP_START,
@@ -319,7 +319,7 @@
         if form == EndpointUpdate::Cached {
             self.earn(self.members.len() as f64 * self.few());
             let mut ids: Vec<MemberId> = self.members.keys().copied().collect();
-            let first = (dice(&mut self.random) * ids.len() as f64) as usize;
+            let first = (self.random.f64() * ids.len() as f64) as usize;
             ids.rotate_left(first);
             ids.into_iter().for_each(|id| self.probe(id, out));
         }
@@ -417,7 +417,7 @@
         let late =
             class.late_weight == 0.0 && took * HOLD_TIMES > self.useful_until(job).since(self.now).secs();
         // With nothing in flight one tries it all the same; of many routers few do, once it seems too late.
-        let tries = m.in_flight == 0 && dice(&mut { job.req.id.0 }) < self.few();
+        let tries = m.in_flight == 0 && dice(job.req.id) < self.few();
         let share = if m.in_flight > 0 { CROWDED } else { CROWDED_ALONE };
         !tries && (late || took > share * class.latency_objective.secs() * job.worth / class.priority_weight)
     }
@@ -445,8 +445,7 @@
         // A part is of requests, not of sends: one that is drawn has one there, however often it is sent.
         let reached =
             |t: &Try| t.member == id && !matches!(t.status, Some(Status::ConnectFailed | Status::NotSent));
-        let drawn =
-            || dice(&mut { job.req.id.0 }) < self.cold_part(job, id, m) && !job.tries.iter().any(reached);
+        let drawn = || dice(job.req.id) < self.cold_part(job, id, m) && !job.tries.iter().any(reached);
         !stale && (self.warmth(m) >= 1.0 || self.credit(m) >= 0.0 || drawn())
     }
 
@@ -548,7 +547,7 @@
             if !(room && passes) || self.crowded(job, m) || !self.legal(job, *id) {
                 continue;
             }
-            let noise = dice(&mut self.random);
+            let noise = self.random.f64();
             // One that fails fast looks least loaded: its share of failures weighs against it.
             let sound = (1.0 - self.faded(m.errors, ERROR_FADE_S)).max(0.1);
             let slow = (1.0 + self.wait(m) / own).max(0.5) / (sound * sound);
