--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,32 +1,40 @@
-//! What the tests share: settings, a small world and a rule checker that knows nothing of the module's guard.
+//! Settings, endpoints and a test bench for one router.
 #![allow(dead_code)]
 
 use basalthill_policy::api::*;
 use basalthill_policy::Policy;
 use std::collections::BTreeMap;
 
-pub const ANY: ClassId = ClassId(0);
+/// Eventual reads.
+pub const EVENTUAL: ClassId = ClassId(0);
+/// Reads with a staleness bound of two seconds.
 pub const BOUNDED: ClassId = ClassId(1);
+/// Session reads.
 pub const SESSION: ClassId = ClassId(2);
-pub const FRESH: ClassId = ClassId(3);
-pub const UNSAFE: ClassId = ClassId(4);
-pub const KEYED: ClassId = ClassId(5);
+/// Strong reads.
+pub const STRONG: ClassId = ClassId(3);
+/// Writes that must not be executed twice.
+pub const NON_IDEMPOTENT: ClassId = ClassId(4);
+/// Writes with an idempotency key.
+pub const IDEMPOTENT_BY_KEY: ClassId = ClassId(5);
+/// Long eventual reads.
 pub const REPORT: ClassId = ClassId(6);
 
-fn class(consistency: Consistency, effect: Effect, aim: u64, deadline: u64) -> Class {
+fn class(consistency: Consistency, effect: Effect, objective_ms: u64, timeout_ms: u64) -> Class {
     let late_weight = if consistency == Consistency::Write { 0.3 } else { 0.0 };
     Class {
         consistency,
         effect,
         scope: KeyScope::Group,
         window: Time::ms(2000),
-        latency_objective: Time::ms(aim),
-        client_timeout: Time::ms(deadline),
+        latency_objective: Time::ms(objective_ms),
+        client_timeout: Time::ms(timeout_ms),
         priority_weight: 1.0,
         late_weight,
     }
 }
 
+/// A small deployment with one class for each kind of consistency and effect.
 pub fn settings() -> Settings {
     Settings {
         router: RouterId(0),
@@ -70,7 +78,8 @@
     }
 }
 
-pub fn entry(member: u32, group: u32, primary: bool) -> Endpoint {
+/// A member in service of unknown start.
+pub fn endpoint(member: u32, group: u32, primary: bool) -> Endpoint {
     Endpoint {
         member: MemberId(member),
         zone: ZoneId(0),
@@ -83,81 +92,86 @@
     }
 }
 
-/// One router, its clock, and the actions of the last event.
+/// One router with its clock and a record of its actions.
 pub struct Bench {
     pub policy: Policy,
     pub now: Time,
-    /// How long a session read's floor may lie ahead.
+    /// The lead of each request.
     pub lead: Time,
+    /// The id of the latest request.
     pub next: u64,
+    /// The actions of the last event.
     pub actions: Vec<Action>,
-    /// Attempts made, by request.
-    pub tries: BTreeMap<RequestId, Vec<MemberId>>,
+    /// The members of all attempts, by request.
+    pub attempts: BTreeMap<RequestId, Vec<MemberId>>,
     /// Attempts that have ended, by request.
     pub ended: BTreeMap<RequestId, usize>,
-    /// All that was ever done, with its time.
+    /// All actions so far, with their times.
     pub log: Vec<(Time, Action)>,
 }
 
 impl Bench {
-    /// A router that knows primary 1 and replicas 2 and 3 of group 0, whose probes have been answered.
+    /// A router that knows primary 1 and replicas 2 and 3 of group 0, whose first health checks have
+    /// succeeded.
     pub fn new(set: Settings) -> Bench {
-        Bench::seeded(set, 7)
+        Bench::with_seed(set, 7)
     }
 
-    /// The same with a seed of its own.
-    pub fn seeded(set: Settings, seed: u64) -> Bench {
-        let mut b = Bench::begun(set, seed, vec![entry(1, 0, true), entry(2, 0, false), entry(3, 0, false)]);
+    /// Like [`Bench::new`], with a seed for the router's random choices.
+    pub fn with_seed(set: Settings, seed: u64) -> Bench {
+        let mut b =
+            Bench::start(set, seed, vec![endpoint(1, 0, true), endpoint(2, 0, false), endpoint(3, 0, false)]);
         for m in 1..=3 {
             let behind = if m == 1 { Time(0) } else { Time::ms(9000) };
-            b.report(m, Time(b.now.0 - behind.0), if m == 1 { Role::Primary } else { Role::Replica });
+            b.probe_succeeds(m, Time(b.now.0 - behind.0), if m == 1 { Role::Primary } else { Role::Replica });
         }
-        b.run(700);
+        b.advance(700);
         b
     }
 
-    pub fn raw(set: Settings, list: Vec<Endpoint>) -> Bench {
-        Bench::begun(set, 7, list)
+    /// A router that has just started with a cached endpoint list.
+    pub fn with_list(set: Settings, list: Vec<Endpoint>) -> Bench {
+        Bench::start(set, 7, list)
     }
 
-    fn begun(set: Settings, seed: u64, list: Vec<Endpoint>) -> Bench {
+    fn start(set: Settings, seed: u64, list: Vec<Endpoint>) -> Bench {
         let policy = Policy::new(set, seed);
-        let (tries, log) = (BTreeMap::new(), Vec::new());
         let mut b = Bench {
             policy,
             now: Time::ms(100_000),
             lead: Time(0),
             next: 0,
             actions: Vec::new(),
-            tries,
+            attempts: BTreeMap::new(),
             ended: BTreeMap::new(),
-            log,
+            log: Vec::new(),
         };
         b.event(Event::Endpoints(EndpointUpdate::Cached, list));
         b
     }
 
+    /// Hands one event to the router and records its actions.
     pub fn event(&mut self, event: Event) {
         self.actions.clear();
         self.policy.handle(self.now, event, &mut self.actions);
         for a in &self.actions {
             if let Action::Send(id, m, _) = a {
-                self.tries.entry(*id).or_default().push(*m);
+                self.attempts.entry(*id).or_default().push(*m);
             }
             self.log.push((self.now, a.clone()));
         }
     }
 
-    /// Lets time pass, with the timers the router asked for.
-    pub fn run(&mut self, ms: u64) {
+    /// Lets time pass in steps of ten milliseconds, with a timer event at each.
+    pub fn advance(&mut self, ms: u64) {
         for _ in 0..ms / 10 {
             self.now = self.now.plus(Time::ms(10));
             self.event(Event::Timer(0));
         }
     }
 
-    /// A probe's answer: the member stands at `position` in a role.
-    pub fn report(&mut self, m: u32, position: Time, role: Role) {
+    /// A successful health check that reports a position and a role.
+    pub fn probe_succeeds(&mut self, m: u32, position: Time, role: Role) {
         let s = ReplicationState { position: Some(position), role: Some(role) };
         self.event(Event::ProbeFinished {
             member: MemberId(m),
@@ -167,30 +181,32 @@
         });
     }
 
-    pub fn ask(&mut self, class: ClassId, token_ms: u64) -> RequestId {
-        let floor = if token_ms > 0 { self.now.minus(Time::ms(token_ms)) } else { Time(0) };
-        self.request(class, floor, false)
+    /// A request whose session floor lies this many milliseconds back; without a floor if zero.
+    pub fn request(&mut self, class: ClassId, floor_age_ms: u64) -> RequestId {
+        let floor = if floor_age_ms > 0 { self.now.minus(Time::ms(floor_age_ms)) } else { Time(0) };
+        self.submit_default(class, floor, false)
     }
 
-    /// A request whose floor is given.
-    pub fn ask_at(&mut self, class: ClassId, floor: Time) -> RequestId {
-        self.request(class, floor, false)
+    /// A request whose session floor is given.
+    pub fn request_with_floor(&mut self, class: ClassId, floor: Time) -> RequestId {
+        self.submit_default(class, floor, false)
     }
 
-    pub fn ask_again(&mut self, class: ClassId, client_retry: bool) -> RequestId {
-        self.request(class, Time(0), client_retry)
+    /// A request that its client may mark as a retry.
+    pub fn request_marked_as_retry(&mut self, class: ClassId, client_retry: bool) -> RequestId {
+        self.submit_default(class, Time(0), client_retry)
     }
 
-    /// A request whose client gives up after so long.
-    pub fn ask_within(&mut self, class: ClassId, ms: u64) -> RequestId {
-        self.request_within(class, Time(0), false, ms)
+    /// A request whose client waits this many milliseconds.
+    pub fn request_with_timeout(&mut self, class: ClassId, ms: u64) -> RequestId {
+        self.submit(class, Time(0), false, ms)
     }
 
-    fn request(&mut self, class: ClassId, floor: Time, client_retry: bool) -> RequestId {
-        self.request_within(class, floor, client_retry, if class == REPORT { 8000 } else { 1500 })
+    fn submit_default(&mut self, class: ClassId, floor: Time, client_retry: bool) -> RequestId {
+        self.submit(class, floor, client_retry, if class == REPORT { 8000 } else { 1500 })
     }
 
-    fn request_within(&mut self, class: ClassId, floor: Time, client_retry: bool, ms: u64) -> RequestId {
+    fn submit(&mut self, class: ClassId, floor: Time, client_retry: bool, ms: u64) -> RequestId {
         self.next += 1;
         let id = RequestId(self.next);
         self.event(Event::Request(Request {
@@ -206,29 +222,32 @@
         id
     }
 
-    /// Where the request's latest attempt went, if it is out at all.
-    pub fn went(&self, id: RequestId) -> Option<u32> {
-        self.tries.get(&id).and_then(|t| t.last()).map(|m| m.0)
+    /// The member that the request's latest attempt went to.
+    pub fn last_target(&self, id: RequestId) -> Option<u32> {
+        self.attempts.get(&id).and_then(|t| t.last()).map(|m| m.0)
     }
 
-    /// Whether an attempt is out.
-    pub fn out(&self, id: RequestId) -> bool {
-        self.tries.get(&id).map_or(0, Vec::len) > self.ended.get(&id).copied().unwrap_or(0)
+    /// Whether an attempt of the request is out.
+    pub fn is_in_flight(&self, id: RequestId) -> bool {
+        self.attempts.get(&id).map_or(0, Vec::len) > self.ended.get(&id).copied().unwrap_or(0)
     }
 
-    pub fn refused(&self, id: RequestId) -> bool {
+    /// Whether the request has been rejected.
+    pub fn is_rejected(&self, id: RequestId) -> bool {
         self.log.iter().any(|(_, a)| matches!(a, Action::Reject(r, _) if *r == id))
     }
 
-    pub fn failed(&self, id: RequestId) -> bool {
+    /// Whether the request has been failed.
+    pub fn is_failed(&self, id: RequestId) -> bool {
         self.log.iter().any(|(_, a)| matches!(a, Action::Fail(r) if *r == id))
     }
 
-    /// Ends the latest attempt of a request; the member says how far behind it is and its role.
-    pub fn end(&mut self, id: RequestId, status: Status, took: u64, behind: u64, role: Role) {
-        let n = self.tries[&id].len() - 1;
+    /// Ends the latest attempt of a request. A response reports how many milliseconds the member is behind,
+    /// and its role.
+    pub fn finish(&mut self, id: RequestId, status: Status, took: u64, behind: u64, role: Role) {
+        let n = self.attempts[&id].len() - 1;
         *self.ended.entry(id).or_default() += 1;
-        let member = self.tries[&id][n];
+        let member = self.attempts[&id][n];
         let answer = matches!(status, Status::Ok | Status::Misdirected | Status::Error | Status::Overloaded);
         let position = Some(Time(self.now.0 - Time::ms(behind).0));
         let replication = if answer {
@@ -248,14 +267,14 @@
         }));
     }
 
-    /// An answer of each of the replicas, which stand this many milliseconds behind.
-    pub fn teach(&mut self, behind: [u64; 2]) {
-        self.teach_one(2, behind[0]);
-        self.teach_one(3, behind[1]);
+    /// A response of each replica, which are this many milliseconds behind.
+    pub fn replicas_respond_with_lag(&mut self, behind: [u64; 2]) {
+        self.respond_with_lag(2, behind[0]);
+        self.respond_with_lag(3, behind[1]);
     }
 
-    /// An answer of a replica to a request that has ended.
-    pub fn teach_one(&mut self, m: u32, behind: u64) {
+    /// A response of a replica, this many milliseconds behind, to a request that has ended before.
+    pub fn respond_with_lag(&mut self, m: u32, behind: u64) {
         let p = Time(self.now.0 - Time::ms(behind).0);
         self.event(Event::Outcome(Outcome {
             request: RequestId(u64::MAX),
@@ -269,3 +288,18 @@
         }));
     }
 }
+
+/// Attempts at a member since a time.
+pub fn attempts_since(b: &Bench, from: Time, member: u32) -> usize {
+    let there = |a: &Action| matches!(a, Action::Send(_, m, _) if m.0 == member);
+    b.log.iter().filter(|(at, a)| *at >= from && there(a)).count()
+}
+
+/// The member that an action probes.
+pub fn probed_member(a: &Action) -> Option<u32> {
+    if let Action::Probe(m) = a {
+        Some(m.0)
+    } else {
+        None
+    }
+}
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -13,9 +13,9 @@
 #[derive(Clone, Debug)]
 enum Step {
     Wait(u16),
-    /// The router stands still, then finds all that came meanwhile.
+    /// The router stalls, then finds all that arrived meanwhile.
     Stall(u16),
-    Ask {
+    Request {
         class: u16,
         token: u16,
         patience: u16,
@@ -27,14 +27,14 @@
         behind: u16,
         primary: bool,
     },
-    Lapse(u16),
+    ClientGone(u16),
     List {
         member: u8,
         listed: u8,
         primary: bool,
         restart: bool,
     },
-    Forgets(u8),
+    Unlist(u8),
     Probe {
         member: u8,
         ok: bool,
@@ -50,13 +50,13 @@
         1 => (700u16..1300).prop_map(Step::Wait),
         1 => (100u16..1300).prop_map(Step::Stall),
         6 => (0u16..7, 0u16..1500, 20u16..3000, 0u8..2)
-            .prop_map(|(class, token, patience, group)| Step::Ask { class, token, patience, group }),
+            .prop_map(|(class, token, patience, group)| Step::Request { class, token, patience, group }),
         8 => (any::<u16>(), 0u8..12, 0u16..4000, any::<bool>())
             .prop_map(|(pick, status, behind, primary)| Step::End { pick, status, behind, primary }),
-        1 => any::<u16>().prop_map(Step::Lapse),
+        1 => any::<u16>().prop_map(Step::ClientGone),
         2 => (0u8..7, 0u8..4, any::<bool>(), any::<bool>())
             .prop_map(|(member, listed, primary, restart)| Step::List { member, listed, primary, restart }),
-        1 => (0u8..7).prop_map(Step::Forgets),
+        1 => (0u8..7).prop_map(Step::Unlist),
         2 => (0u8..7, any::<bool>(), 0u16..4000, any::<bool>())
             .prop_map(|(member, ok, behind, primary)| Step::Probe { member, ok, behind, primary }),
         1 => (0u8..4).prop_map(Step::Stray),
@@ -70,13 +70,13 @@
     status: Option<Status>,
 }
 
-struct Asked {
+struct Submitted {
     class: Class,
     group: GroupId,
-    came: Time,
+    arrived_at: Time,
     floor: Time,
     deadline: Time,
-    tries: Vec<Out>,
+    attempts: Vec<Out>,
     over: bool,
 }
 
@@ -85,8 +85,8 @@
     set: Settings,
     policy: Policy,
     now: Time,
-    asked: BTreeMap<RequestId, Asked>,
-    told: BTreeMap<MemberId, Time>,
+    requests: BTreeMap<RequestId, Submitted>,
+    drain_notified: BTreeMap<MemberId, Time>,
     started: BTreeMap<MemberId, Time>,
     position: BTreeMap<MemberId, Time>,
     /// When an answer last named a member a replica, until a later report or answer names it primary.
@@ -110,8 +110,8 @@
             policy: Policy::new(set.clone(), 3),
             set,
             now: Time::ms(500_000),
-            asked: BTreeMap::new(),
-            told: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            drain_notified: BTreeMap::new(),
             started: BTreeMap::new(),
             position: BTreeMap::new(),
             replica: BTreeMap::new(),
@@ -120,7 +120,7 @@
             served_warm: 0,
             broken: Vec::new(),
         };
-        let list = (0..MEMBERS).map(|m| entry(m, group_of(m).0, m < 2)).collect();
+        let list = (0..MEMBERS).map(|m| endpoint(m, group_of(m).0, m < 2)).collect();
         c.led.extend([(MemberId(0), true), (MemberId(1), true)]);
         c.event(Event::Endpoints(EndpointUpdate::Cached, list));
         c
@@ -142,22 +142,28 @@
         match action {
             Action::Send(id, member, limit) => self.check_send(id, member, limit),
             Action::Reject(id, after) => {
-                let Some(a) = self.asked.get_mut(&id) else { return self.breaks(format!("{id:?} unknown")) };
+                let Some(a) = self.requests.get_mut(&id) else {
+                    return self.breaks(format!("{id:?} unknown"));
+                };
                 let (over, ran) =
-                    (a.over, a.tries.iter().any(|t| t.status.is_none_or(|s| !s.proves_not_executed())));
+                    (a.over, a.attempts.iter().any(|t| t.status.is_none_or(|s| !s.proves_not_executed())));
                 a.over = true;
                 let late = self.now > a.deadline.plus(Time::ms(20));
                 let safe = a.class.effect == Effect::Idempotent;
                 let all = a.class.effect == Effect::IdempotentByKey && a.class.scope == KeyScope::All;
                 if over || late || (ran && !safe && !all) {
-                    self.breaks(format!("refused {id:?}: over {over}, late {late}, may have run {ran}"));
+                    self.breaks(format!(
+                        "rejected {id:?}: over {over}, late {late}, may have been executed {ran}"
+                    ));
                 }
                 if after.is_some_and(|t| t > self.set.max_retry_after) {
-                    self.breaks(format!("{id:?} told to stay away too long"));
+                    self.breaks(format!("{id:?} was given too long a Retry-After"));
                 }
             }
             Action::Fail(id) => {
-                let Some(a) = self.asked.get_mut(&id) else { return self.breaks(format!("{id:?} unknown")) };
+                let Some(a) = self.requests.get_mut(&id) else {
+                    return self.breaks(format!("{id:?} unknown"));
+                };
                 let (over, late) = (a.over, self.now > a.deadline.plus(Time::ms(20)));
                 a.over = true;
                 if over || late {
@@ -165,7 +171,7 @@
                 }
             }
             Action::Cancel(id, n)
-                if self.asked.get(&id).is_none_or(|a| a.tries.len() <= usize::from(n.0)) =>
+                if self.requests.get(&id).is_none_or(|a| a.attempts.len() <= usize::from(n.0)) =>
             {
                 self.breaks(format!("cancelled {id:?} {n:?}, never sent"));
             }
@@ -176,7 +182,7 @@
 
     fn check_send(&mut self, id: RequestId, member: MemberId, limit: Option<Time>) {
         let now = self.now;
-        let Some(a) = self.asked.get_mut(&id) else { return self.breaks(format!("{id:?} unknown")) };
+        let Some(a) = self.requests.get_mut(&id) else { return self.breaks(format!("{id:?} unknown")) };
         let mut wrong = Vec::new();
         if a.over {
             wrong.push("after its end".to_string());
@@ -184,25 +190,25 @@
         if group_of(member.0) != a.group {
             wrong.push("outside its group".into());
         }
-        if a.tries.len() >= self.set.max_attempts as usize {
+        if a.attempts.len() >= self.set.max_attempts as usize {
             wrong.push("past the attempts allowed".into());
         }
-        let out = a.tries.iter().any(|t| t.status.is_none());
+        let out = a.attempts.iter().any(|t| t.status.is_none());
         if out && !self.set.hedging {
-            wrong.push("a second copy where none may be out".into());
+            wrong.push("a hedge where none is allowed".into());
         }
-        let first = a.tries.iter().find(|t| t.status.is_none_or(|s| !s.proves_not_executed()));
+        let first = a.attempts.iter().find(|t| t.status.is_none_or(|s| !s.proves_not_executed()));
         if let Some(first) = first {
             match a.class.effect {
                 Effect::Idempotent => {}
-                Effect::NonIdempotent => wrong.push("unsafe, may have run".into()),
+                Effect::NonIdempotent => wrong.push("not idempotent, may have been executed".into()),
                 Effect::IdempotentByKey if now.since(first.sent) > a.class.window => {
                     wrong.push("past its window".into())
                 }
                 Effect::IdempotentByKey => {}
             }
         }
-        if self.told.get(&member).is_some_and(|at| now.since(*at) > self.set.drain_grace) {
+        if self.drain_notified.get(&member).is_some_and(|at| now.since(*at) > self.set.drain_grace) {
             wrong.push("drained".into());
         }
         let known = self.position.get(&member).copied();
@@ -210,7 +216,7 @@
         if self.set.when_behind == WhenBehind::ServeStale && !excused {
             let fresh = match a.class.consistency {
                 Consistency::Eventual | Consistency::Write => true,
-                Consistency::Strong => known.is_some_and(|p| p >= a.came),
+                Consistency::Strong => known.is_some_and(|p| p >= a.arrived_at),
                 Consistency::Session => a.floor == Time(0) || known.is_some_and(|p| p >= a.floor),
                 Consistency::BoundedStaleness(b) => known.is_some_and(|p| now.since(p) <= b),
             };
@@ -219,7 +225,7 @@
             }
         }
         let expires = now.plus(limit.unwrap_or(Time::ms(3_600_000))).0.min(a.deadline.0);
-        a.tries.push(Out { member, sent: now, expires: Time(expires), status: None });
+        a.attempts.push(Out { member, sent: now, expires: Time(expires), status: None });
         let sends = self.sends.entry(member).or_default();
         sends.push(now);
         if let Some(start) = self.started.get(&member).filter(|s| now.since(**s) < self.set.slow_start_window)
@@ -229,7 +235,7 @@
             // Saved up and earned within the window, a router that has served nothing has 0.6 s of work for
             // it: of requests taken for 80 ms each it may begin eight.
             if recent > 8 + 3 * self.served_warm {
-                wrong.push(format!("cold, {recent} sends in the window"));
+                wrong.push(format!("warming, {recent} attempts in the window"));
             }
         }
         for w in wrong {
@@ -238,14 +244,14 @@
     }
 
     fn end(&mut self, id: RequestId, n: usize, status: Status, behind: u16, primary: bool) {
-        let Some(a) = self.asked.get_mut(&id) else { return };
-        let member = a.tries[n].member;
-        a.tries[n].status = Some(status);
-        let took = self.now.since(a.tries[n].sent);
+        let Some(a) = self.requests.get_mut(&id) else { return };
+        let member = a.attempts[n].member;
+        a.attempts[n].status = Some(status);
+        let took = self.now.since(a.attempts[n].sent);
         let ended = a.over || status == Status::Ok;
         a.over = ended;
         let answer = matches!(status, Status::Ok | Status::Misdirected | Status::Error | Status::Overloaded);
-        // A position never goes back, and a miss says that the member is no primary.
+        // A position never goes back, and a misdirected attempt shows that the member is not the primary.
         let lag = if primary { 0 } else { u64::from(behind) };
         let position = Time(self.now.0 - Time::ms(lag).0);
         let position = position.max(self.position.get(&member).copied().unwrap_or(Time(0)));
@@ -261,8 +267,9 @@
             let led = self.led.entry(member).or_default();
             *led |= role == Role::Primary;
         }
-        let cold = self.started.get(&member).is_some_and(|s| self.now.since(*s) < self.set.slow_start_window);
-        self.served_warm += usize::from(status == Status::Ok && !cold);
+        let warming =
+            self.started.get(&member).is_some_and(|s| self.now.since(*s) < self.set.slow_start_window);
+        self.served_warm += usize::from(status == Status::Ok && !warming);
         let attempt = Attempt(n as u16);
         let report = ReplicationState::default();
         self.event(Event::Outcome(Outcome {
@@ -278,28 +285,28 @@
     }
 
     fn outstanding(&self) -> Vec<(RequestId, usize)> {
-        let tries = |(id, a): (&RequestId, &Asked)| {
-            let open = a.tries.iter().enumerate().filter(|(_, t)| t.status.is_none());
+        let open_attempts = |(id, a): (&RequestId, &Submitted)| {
+            let open = a.attempts.iter().enumerate().filter(|(_, t)| t.status.is_none());
             open.map(|(n, _)| (*id, n)).collect::<Vec<_>>()
         };
-        self.asked.iter().flat_map(tries).collect()
+        self.requests.iter().flat_map(open_attempts).collect()
     }
 
     /// Ten milliseconds, with the time-outs that fall due and the router's own timer.
     fn tick(&mut self) {
         self.now = self.now.plus(Time::ms(10));
         for (id, n) in self.outstanding() {
-            if self.asked[&id].tries[n].expires <= self.now {
+            if self.requests[&id].attempts[n].expires <= self.now {
                 self.end(id, n, Status::Timeout, 0, false);
             }
         }
         self.event(Event::Timer(0));
         let now = self.now;
-        let lost = self.asked.iter().filter(|(_, a)| !a.over && now > a.deadline.plus(Time::ms(20)));
+        let lost = self.requests.iter().filter(|(_, a)| !a.over && now > a.deadline.plus(Time::ms(20)));
         let lost: Vec<RequestId> = lost.map(|(id, _)| *id).collect();
         for id in lost {
             self.breaks(format!("{id:?} got no final answer in time"));
-            if let Some(a) = self.asked.get_mut(&id) {
+            if let Some(a) = self.requests.get_mut(&id) {
                 a.over = true;
             }
         }
@@ -311,15 +318,16 @@
             Step::Stall(ms) => {
                 self.now = self.now.plus(Time::ms(u64::from(ms)));
                 let now = self.now;
-                let left = self.asked.iter().filter(|(_, a)| !a.over && now > a.deadline.plus(Time::ms(10)));
+                let left =
+                    self.requests.iter().filter(|(_, a)| !a.over && now > a.deadline.plus(Time::ms(10)));
                 let left: Vec<RequestId> = left.map(|(id, _)| *id).collect();
                 for id in left {
-                    self.asked.entry(id).and_modify(|a| a.over = true);
+                    self.requests.entry(id).and_modify(|a| a.over = true);
                     self.event(Event::ClientGone(id));
                 }
                 self.tick();
             }
-            Step::Ask { class, token, patience, group } => {
+            Step::Request { class, token, patience, group } => {
                 let id = RequestId(n as u64 + 1);
                 let deadline = self.now.plus(Time::ms(u64::from(patience)));
                 let class_id = ClassId(class);
@@ -330,9 +338,12 @@
                     _ => Time(0),
                 };
                 let group = GroupId(u32::from(group));
-                let tries = Vec::new();
-                let came = self.now;
-                self.asked.insert(id, Asked { class, group, came, floor, deadline, tries, over: false });
+                let attempts = Vec::new();
+                let arrived_at = self.now;
+                self.requests.insert(
+                    id,
+                    Submitted { class, group, arrived_at, floor, deadline, attempts, over: false },
+                );
                 let (tenant, lead) = (TenantId(0), Time::ms([0, 0, 20, 80][n % 4]));
                 let client_retry = n % 3 == 0;
                 let req = Request { id, class: class_id, tenant, deadline, group, floor, lead, client_retry };
@@ -355,12 +366,12 @@
                 };
                 self.end(id, n, status, behind, primary);
             }
-            Step::Lapse(pick) => {
+            Step::ClientGone(pick) => {
                 let open: Vec<RequestId> =
-                    self.asked.iter().filter(|(_, a)| !a.over).map(|(id, _)| *id).collect();
+                    self.requests.iter().filter(|(_, a)| !a.over).map(|(id, _)| *id).collect();
                 if !open.is_empty() {
                     let id = open[usize::from(pick) % open.len()];
-                    if let Some(a) = self.asked.get_mut(&id) {
+                    if let Some(a) = self.requests.get_mut(&id) {
                         a.over = true;
                     }
                     self.event(Event::ClientGone(id));
@@ -368,7 +379,7 @@
             }
             Step::List { member, listed, primary, restart } => {
                 let id = MemberId(u32::from(member));
-                let mut e = entry(id.0, group_of(id.0).0, primary);
+                let mut e = endpoint(id.0, group_of(id.0).0, primary);
                 e.state = match listed {
                     0 => EndpointState::Draining,
                     1 => EndpointState::Removed,
@@ -381,25 +392,25 @@
                     e.started = self.started.get(&id).copied();
                 }
                 match e.state {
-                    EndpointState::Ready => self.told.remove(&id),
-                    _ => Some(*self.told.entry(id).or_insert(self.now)),
+                    EndpointState::Ready => self.drain_notified.remove(&id),
+                    _ => Some(*self.drain_notified.entry(id).or_insert(self.now)),
                 };
                 *self.led.entry(id).or_default() |= primary;
                 self.event(Event::Endpoints(EndpointUpdate::Delta, vec![e]));
             }
-            Step::Forgets(member) => {
+            Step::Unlist(member) => {
                 let gone = MemberId(u32::from(member));
                 let rest = (0..MEMBERS).filter(|m| *m != gone.0);
                 let list = rest.map(|m| {
-                    let mut e = entry(m, group_of(m).0, false);
+                    let mut e = endpoint(m, group_of(m).0, false);
                     e.started = self.started.get(&MemberId(m)).copied();
                     e
                 });
                 let list: Vec<Endpoint> = list.collect();
                 for e in &list {
-                    self.told.remove(&e.member);
+                    self.drain_notified.remove(&e.member);
                 }
-                self.told.entry(gone).or_insert(self.now);
+                self.drain_notified.entry(gone).or_insert(self.now);
                 self.event(Event::Endpoints(EndpointUpdate::Full, list));
             }
             Step::Probe { member, ok, behind, primary } => {
@@ -413,7 +424,7 @@
                     s = ReplicationState { position: Some(p), role: Some(role) };
                     self.position.insert(id, p);
                     *self.led.entry(id).or_default() |= primary;
-                    // A report is a while old: one that comes close behind an answer tells nothing newer.
+                    // A report is a while old: one that arrives close behind a response brings nothing newer.
                     if primary && self.replica.get(&id).is_some_and(|at| self.now.since(*at) >= Time::ms(300))
                     {
                         self.replica.remove(&id);
@@ -459,9 +470,9 @@
     set.probe_positions = n & 8 == 0;
     set.probe_roles = n & 8 == 0;
     if n & 16 != 0 {
-        set.classes[usize::from(KEYED.0)].scope = KeyScope::All;
+        set.classes[usize::from(IDEMPOTENT_BY_KEY.0)].scope = KeyScope::All;
     }
-    set.classes[usize::from(KEYED.0)].window = Time::ms(300);
+    set.classes[usize::from(IDEMPOTENT_BY_KEY.0)].window = Time::ms(300);
     if n & 32 != 0 {
         set.max_attempts = 3;
     }
@@ -500,7 +511,10 @@
         let play = || {
             let mut c = Checker::new(variant(n));
             steps.iter().cloned().enumerate().for_each(|(i, s)| c.play(i, s));
-            c.asked.values().map(|a| a.tries.iter().map(|t| t.member).collect()).collect::<Vec<Vec<_>>>()
+            c.requests
+                .values()
+                .map(|a| a.attempts.iter().map(|t| t.member).collect())
+                .collect::<Vec<Vec<_>>>()
         };
         prop_assert_eq!(play(), play());
         Ok(())
@@ -509,170 +523,3 @@
         panic!("{e}");
     }
 }
-
-/// Work for a cold member is a budget of all routers together: their sum is checked, each with its own seed.
-#[test]
-fn hundreds_of_routers_together_spare_one_cold_member() {
-    let sent = cold_sends_of_hundreds(1);
-    assert!(sent > 200, "the cold member gets its part: {sent}");
-}
-
-/// Each meets the group once in ten seconds: few can save up for a request while the member is cold, and
-/// together they still send what the rule allows with room to spare.
-#[test]
-fn hundreds_of_routers_that_seldom_meet_a_group_still_use_its_cold_member() {
-    let sent = cold_sends_of_hundreds(5);
-    assert!(sent >= 40, "of some 160: {sent}");
-}
-
-/// How many sends a cold member gets in its first eight seconds, from hundreds that know so many groups; they
-/// are held against the rule.
-fn cold_sends_of_hundreds(groups: u32) -> usize {
-    const ROUTERS: u64 = 200;
-    let (every, took) = (2000, Time::ms(80));
-    let mut set = settings();
-    (set.routers, set.router) = (ROUTERS as u32, RouterId(0));
-    let first = || {
-        let group =
-            |g| [entry(1 + 10 * g, g, true), entry(2 + 10 * g, g, false), entry(3 + 10 * g, g, false)];
-        (0..groups).flat_map(group).collect::<Vec<_>>()
-    };
-    let mut fleet: Vec<Policy> = (0..ROUTERS).map(|n| Policy::new(set.clone(), n * 7919 + 1)).collect();
-    let (start, change, end) = (100_000u64, 120_000u64, 128_000u64);
-    let mut due: Vec<(Time, usize, RequestId, MemberId)> = Vec::new();
-    let (mut to_cold, mut before): (Vec<Time>, usize) = (Vec::new(), 0);
-    for ms in (start..end).step_by(10) {
-        let now = Time::ms(ms);
-        let (ready, rest): (Vec<_>, Vec<_>) = due.into_iter().partition(|d| d.0 <= now);
-        due = rest;
-        for (n, router) in fleet.iter_mut().enumerate() {
-            let mut events = Vec::new();
-            if ms == start {
-                events.push(Event::Endpoints(EndpointUpdate::Cached, first()));
-            }
-            if ms == change {
-                let mut list = first();
-                list[1..3].iter_mut().for_each(|e| e.state = EndpointState::Draining);
-                list.push(Endpoint { started: Some(now), ..entry(4, 0, false) });
-                events.push(Event::Endpoints(EndpointUpdate::Delta, list));
-            }
-            for d in ready.iter().filter(|d| d.1 == n) {
-                let role = if d.3 .0 % 10 == 1 { Role::Primary } else { Role::Replica };
-                events.push(Event::Outcome(Outcome {
-                    request: d.2,
-                    attempt: Attempt(0),
-                    member: d.3,
-                    status: Status::Ok,
-                    took,
-                    ended: true,
-                    replication: ReplicationState { position: Some(now), role: Some(role) },
-                    report: ReplicationState::default(),
-                }));
-            }
-            if (ms + n as u64 * 10) % every == 0 {
-                events.push(Event::Request(Request {
-                    id: RequestId(ms),
-                    class: BOUNDED,
-                    tenant: TenantId(0),
-                    deadline: now.plus(Time::ms(1500)),
-                    group: GroupId(((ms / every + n as u64) % u64::from(groups)) as u32),
-                    floor: Time(0),
-                    lead: Time(0),
-                    client_retry: false,
-                }));
-            }
-            events.push(Event::Timer(0));
-            for event in events {
-                let mut out = Vec::new();
-                router.handle(now, event, &mut out);
-                for a in out {
-                    if let Action::Send(id, m, _) = a {
-                        due.push((now.plus(took), n, id, m));
-                        before += usize::from(ms < change && m.0 < 10);
-                        to_cold.extend((m == MemberId(4)).then_some(now));
-                    }
-                }
-            }
-        }
-    }
-    // Two replicas shared the load before: what one took each second is what a warm member is known to take.
-    let shown = before as f64 / 2.0 / ((change - start) as f64 / 1000.0);
-    for at in &to_cold {
-        let within =
-            to_cold.iter().filter(|s| **s <= *at && at.since(**s) < set.overload_window).count() as f64;
-        let warmth = set.slow_start_capacity
-            + (1.0 - set.slow_start_capacity) * at.since(Time::ms(change)).secs() / 15.0;
-        let most = set.overload_multiple * warmth * shown * set.overload_window.secs();
-        assert!(within <= most, "{within} sends in a window that allows {most:.1}");
-    }
-    to_cold.len()
-}
-
-fn scarce(b: &mut Bench, class: ClassId, open: f64) -> RequestId {
-    b.next += 1;
-    let request = Request {
-        id: RequestId(b.next),
-        class,
-        tenant: TenantId(0),
-        deadline: b.now.plus(Time::ms(1500)),
-        group: GroupId(0),
-        floor: Time(0),
-        lead: Time(0),
-        client_retry: false,
-    };
-    let id = request.id;
-    b.event(Event::LimitedRequest { request, open_fraction: open, retry_after: Time::ms(120) });
-    id
-}
-
-#[test]
-fn what_is_left_under_a_limit_goes_to_what_is_worth_most_for_its_work() {
-    let mut set = settings();
-    set.classes[usize::from(BOUNDED.0)].priority_weight = 8.0;
-    let mut b = Bench::new(set);
-    // Nothing is open: all are turned away at once, with their time to come back.
-    for class in [ANY, BOUNDED, SESSION, FRESH, UNSAFE] {
-        let id = scarce(&mut b, class, 0.0);
-        assert!(b.log.contains(&(b.now, Action::Reject(id, Some(Time::ms(120))))), "{:?}", b.log.last());
-        assert!(!b.tries.contains_key(&id));
-    }
-    // A little: what is worth an eighth for the same work waits for more.
-    let (low, high) = (scarce(&mut b, ANY, 0.2), scarce(&mut b, BOUNDED, 0.2));
-    assert!(b.refused(low) && !b.tries.contains_key(&low) && b.tries.contains_key(&high));
-    // Half and more: all go.
-    let low = scarce(&mut b, ANY, 0.5);
-    assert!(b.tries.contains_key(&low));
-    // No client is sent further off than the settings allow.
-    let mut short = settings();
-    short.max_retry_after = Time::ms(50);
-    let mut b = Bench::new(short);
-    let id = scarce(&mut b, ANY, 0.0);
-    assert!(b.log.contains(&(b.now, Action::Reject(id, Some(Time::ms(50))))));
-}
-
-#[test]
-fn no_more_are_out_at_a_member_than_there_is_room_for() {
-    let mut b = Bench::new(settings());
-    for m in 1..=3 {
-        b.event(Event::MemberCapacity { member: MemberId(m), attempts: 2 });
-    }
-    let ids: Vec<RequestId> = (0..12).map(|_| b.ask(ANY, 0)).collect();
-    let at = |b: &Bench, m: u32| b.tries.values().flatten().filter(|t| t.0 == m).count();
-    assert!((1..=3).all(|m| at(&b, m) <= 2), "{:?}", b.tries);
-    assert_eq!(at(&b, 2) + at(&b, 3), 4);
-    // One ends: its place counts once the room says so.
-    let first = *ids.iter().find(|id| b.out(**id)).expect("one that is out");
-    let member = b.tries[&first][0];
-    b.end(first, Status::Ok, 5, 0, if member.0 == 1 { Role::Primary } else { Role::Replica });
-    let before = at(&b, member.0);
-    b.run(50);
-    assert_eq!(at(&b, member.0), before);
-    b.event(Event::MemberCapacity { member, attempts: 1 });
-    b.run(20);
-    assert_eq!(at(&b, member.0), before + 1);
-    // Writes and searches for a primary pass the same guard.
-    b.event(Event::MemberCapacity { member: MemberId(1), attempts: 0 });
-    let write = b.ask(UNSAFE, 0);
-    b.run(100);
-    assert!(b.tries.get(&write).is_none_or(|t| t.iter().all(|m| m.0 != 1)));
-}
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/slow_start_fleets.rs
@@ -1,5 +1,6 @@
-//! A cold member falls under the sum of what all routers send. Thirty of them, without talk, in simulated
-//! time, held against the budget that the settings allow and what may be put down to chance.
+//! A warming member is overloaded by the sum of what all routers send. Thirty routers that do not
+//! communicate, in simulated time, checked against the budget that the settings allow and what may be put
+//! down to chance.
 
 mod common;
 
@@ -10,22 +11,22 @@
 
 const ROUTERS: usize = 30;
 const GROUPS: u32 = 4;
-const COLD: MemberId = MemberId(7);
+const WARMING: MemberId = MemberId(7);
 const TOOK: Time = Time::ms(80);
 const STEP: u64 = 10;
 /// The member starts at this time, and is watched up to the end.
 const CHANGE: u64 = 120_000;
 const END: u64 = 130_000;
-/// Before that, it is asked for so long.
+/// Before that, requests arrive for this long.
 const BEFORE: u64 = 60_000;
 /// Requests a second of all routers together.
 const RATE: f64 = 240.0;
 
 /// A seeded generator of the test's own.
-struct Dice(u64);
+struct Generator(u64);
 
-impl Dice {
-    fn roll(&mut self) -> f64 {
+impl Generator {
+    fn f64(&mut self) -> f64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
         self.0 ^= self.0 << 17;
@@ -40,14 +41,14 @@
     /// Part of all requests that come to it.
     part: f64,
     /// Requests so far: their numbers start anew with each process.
-    asked: u64,
+    requests: u64,
     /// Attempts so far, by request.
-    tries: BTreeMap<RequestId, u16>,
+    attempts: BTreeMap<RequestId, u16>,
     writes: BTreeSet<RequestId>,
     due: Vec<Answer>,
 }
 
-/// What a member will say to an attempt.
+/// How a member will answer an attempt.
 struct Answer {
     at: Time,
     request: RequestId,
@@ -63,18 +64,18 @@
             policy,
             from,
             part,
-            asked: 0,
-            tries: BTreeMap::new(),
+            requests: 0,
+            attempts: BTreeMap::new(),
             writes: BTreeSet::new(),
             due: Vec::new(),
         }
     }
 
-    /// A send: members serve what is theirs, and turn a write away at once if they are no primary.
+    /// A send: members serve what is theirs, and reject a write at once if they are not the primary.
     fn sent(&mut self, now: Time, request: RequestId, member: MemberId, write: bool) {
-        let tries = self.tries.entry(request).or_default();
-        let attempt = Attempt(*tries);
-        *tries += 1;
+        let attempts = self.attempts.entry(request).or_default();
+        let attempt = Attempt(*attempts);
+        *attempts += 1;
         let (status, took) =
             if write && !leads(member) { (Status::Misdirected, Time::ms(1)) } else { (Status::Ok, TOOK) };
         self.due.push(Answer { at: now.plus(took), request, attempt, member, status });
@@ -91,7 +92,7 @@
 }
 
 fn members() -> Vec<Endpoint> {
-    (0..GROUPS).flat_map(|g| (0..3).map(move |n| entry(1 + 10 * g + n, g, n == 0))).collect()
+    (0..GROUPS).flat_map(|g| (0..3).map(move |n| endpoint(1 + 10 * g + n, g, n == 0))).collect()
 }
 
 /// How a fleet stands when the member starts.
@@ -101,22 +102,23 @@
     Settled,
     /// Two in three have started with the member, and know nothing.
     Restarted,
-    /// All have been there for a while; half of what they are asked are writes, and its group has lost its
-    /// primary with the replicas: writes look for a new one.
+    /// All have been there for a while; half of their requests are writes, and its group has lost its
+    /// primary with the replicas: writes search for a new one.
     Headless,
-    /// All have been there for a while and were asked nothing for half a minute; then all goes on at once.
+    /// All have been there for a while and had no requests for half a minute; then all goes on at once.
     Quiet,
-    /// All have been there for a while; three times as much is asked from then on.
+    /// All have been there for a while; three times as many requests arrive from then on.
     Rush,
-    /// All have been there for a while; members start colder, and fall sooner, than by the usual settings.
-    Colder,
+    /// All have been there for a while; members start with less capacity, and are overloaded sooner, than by
+    /// the usual settings.
+    SlowerStart,
 }
 
 impl Fleet {
     fn settings(self) -> Settings {
         let mut set = settings();
         set.routers = ROUTERS as u32;
-        if self == Fleet::Colder {
+        if self == Fleet::SlowerStart {
             (set.slow_start_capacity, set.overload_multiple, set.overload_window) =
                 (0.05, 2.0, Time::ms(1000));
         }
@@ -138,23 +140,23 @@
     }
 }
 
-/// Plays a fleet; when the cold member was sent something, and what one warm member took each second
+/// Plays a fleet; when the warming member was sent something, and what one warm member took each second
 /// meanwhile.
 fn play(seed: u64, fleet: Fleet) -> (Vec<Time>, f64) {
-    let mut dice = Dice(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
+    let mut random = Generator(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
     let set = fleet.settings();
     // Some get several times the mean, most less than it.
-    let parts: Vec<f64> = (0..ROUTERS).map(|_| -dice.roll().max(1e-9).ln()).collect();
+    let parts: Vec<f64> = (0..ROUTERS).map(|_| -random.f64().max(1e-9).ln()).collect();
     let all: f64 = parts.iter().sum();
     let start = CHANGE - if fleet == Fleet::Restarted { 0 } else { BEFORE };
     let headless = fleet == Fleet::Headless;
     let mut routers: Vec<Router> = (0..ROUTERS)
         .map(|n| {
             let from = if fleet == Fleet::Restarted && n % 3 == 0 { CHANGE - BEFORE } else { start };
-            Router::new(set.clone(), (dice.roll() * 1e15) as u64, from, parts[n] / all)
+            Router::new(set.clone(), (random.f64() * 1e15) as u64, from, parts[n] / all)
         })
         .collect();
-    let (mut to_cold, mut warm) = (Vec::new(), 0u32);
+    let (mut to_warming, mut warm) = (Vec::new(), 0u32);
     for ms in (CHANGE - BEFORE..END).step_by(STEP as usize) {
         let now = Time::ms(ms);
         for router in routers.iter_mut().filter(|r| r.from <= ms) {
@@ -164,7 +166,7 @@
                 // It takes the place of its group's replicas: all of their reads want to go there.
                 let first = usize::from(!headless);
                 list[first..3].iter_mut().for_each(|e| e.state = EndpointState::Draining);
-                list.push(Endpoint { started: Some(Time::ms(CHANGE)), ..entry(COLD.0, 0, false) });
+                list.push(Endpoint { started: Some(Time::ms(CHANGE)), ..endpoint(WARMING.0, 0, false) });
             }
             if ms == router.from {
                 events.push(Event::Endpoints(EndpointUpdate::Cached, list));
@@ -189,15 +191,15 @@
                     report: ReplicationState::default(),
                 }));
             }
-            if dice.roll() < fleet.pace(ms) * RATE * router.part * STEP as f64 / 1000.0 {
-                router.asked += 1;
-                let write = headless && dice.roll() < 0.5;
+            if random.f64() < fleet.pace(ms) * RATE * router.part * STEP as f64 / 1000.0 {
+                router.requests += 1;
+                let write = headless && random.f64() < 0.5;
                 events.push(Event::Request(Request {
-                    id: RequestId(router.asked - 1),
-                    class: if write { UNSAFE } else { BOUNDED },
+                    id: RequestId(router.requests - 1),
+                    class: if write { NON_IDEMPOTENT } else { BOUNDED },
                     tenant: TenantId(0),
                     deadline: now.plus(Time::ms(1500)),
-                    group: GroupId((dice.roll() * f64::from(GROUPS)) as u32),
+                    group: GroupId((random.f64() * f64::from(GROUPS)) as u32),
                     floor: Time(0),
                     lead: Time(0),
                     client_retry: false,
@@ -207,7 +209,7 @@
             for event in events {
                 let mut out = Vec::new();
                 if let Event::Request(request) = &event {
-                    router.writes.extend((request.class == UNSAFE).then_some(request.id));
+                    router.writes.extend((request.class == NON_IDEMPOTENT).then_some(request.id));
                 }
                 router.policy.handle(now, event, &mut out);
                 for action in out {
@@ -217,7 +219,7 @@
                             router.sent(now, id, member, write);
                             let counts = headless || !leads(member);
                             warm += u32::from(ms >= CHANGE && member.0 > 10 && counts);
-                            to_cold.extend((member == COLD).then_some(now));
+                            to_warming.extend((member == WARMING).then_some(now));
                         }
                         Action::Probe(member) => {
                             // Answered in the next round at the latest; at once is soon enough here.
@@ -238,14 +240,14 @@
     }
     let counted = (GROUPS - 1) * if headless { 3 } else { 2 };
     let seen = f64::from(warm) / f64::from(counted) / ((END - CHANGE) as f64 / 1000.0);
-    (to_cold, fleet.usual().unwrap_or(seen))
+    (to_warming, fleet.usual().unwrap_or(seen))
 }
 
 /// The most by which a window was over its budget, in units of what is put down to chance.
-fn worst(to_cold: &[Time], warm: f64, set: &Settings) -> f64 {
-    let over = to_cold.iter().map(|at| {
+fn worst(to_warming: &[Time], warm: f64, set: &Settings) -> f64 {
+    let over = to_warming.iter().map(|at| {
         let sent =
-            to_cold.iter().filter(|s| **s <= *at && at.since(**s) < set.overload_window).count() as f64;
+            to_warming.iter().filter(|s| **s <= *at && at.since(**s) < set.overload_window).count() as f64;
         let part = at.since(Time::ms(CHANGE)).secs() / set.slow_start_window.secs();
         let warmth = (set.slow_start_capacity + (1.0 - set.slow_start_capacity) * part).min(1.0);
         let budget = set.overload_multiple * warmth * warm * set.overload_window.secs();
@@ -254,14 +256,14 @@
     over.fold(f64::MIN, f64::max)
 }
 
-fn hold(fleet: Fleet) {
+fn check(fleet: Fleet) {
     let set = fleet.settings();
     let mut sent = 0;
     let mut over = Vec::new();
     for seed in 1..=100 {
-        let (to_cold, warm) = play(seed, fleet);
-        over.push((worst(&to_cold, warm, &set), seed));
-        sent += to_cold.len();
+        let (to_warming, warm) = play(seed, fleet);
+        over.push((worst(&to_warming, warm, &set), seed));
+        sent += to_warming.len();
     }
     over.sort_by(|a, b| b.0.total_cmp(&a.0));
     assert!(
@@ -269,38 +271,38 @@
         "{fleet:?}: over by so many times what chance may add, seed: {:.2?}",
         &over[..5]
     );
-    assert!(sent > 100 * 30, "the cold member gets its part: {sent} in a hundred plays");
+    assert!(sent > 100 * 30, "the warming member gets its part: {sent} in a hundred plays");
 }
 
 #[test]
-fn thirty_routers_of_uneven_traffic_spare_a_cold_member_together() {
-    hold(Fleet::Settled);
+fn routers_with_uneven_traffic_do_not_overload_a_warming_member() {
+    check(Fleet::Settled);
 }
 
-/// Each counts its requests from nought and has yet to learn what a member takes.
+/// Each counts its requests from zero and does not know yet what a member can take.
 #[test]
-fn routers_that_have_started_with_it_and_know_nothing_spare_it_too() {
-    hold(Fleet::Restarted);
+fn freshly_started_routers_do_not_overload_a_warming_member() {
+    check(Fleet::Restarted);
 }
 
-/// A write that looks for a primary is one request and may be many sends: the cold member's part of what is
-/// asked for is a part of requests.
+/// A write in search of a primary is one request and may have many attempts: the warming member gets a
+/// fraction of the requests.
 #[test]
-fn writes_that_look_for_a_primary_spare_a_cold_member_together() {
-    hold(Fleet::Headless);
+fn writes_in_search_of_a_primary_do_not_overload_a_warming_member() {
+    check(Fleet::Headless);
 }
 
 #[test]
-fn after_a_long_quiet_time_a_cold_member_is_spared() {
-    hold(Fleet::Quiet);
+fn traffic_after_a_quiet_time_does_not_overload_a_warming_member() {
+    check(Fleet::Quiet);
 }
 
 #[test]
-fn a_rush_spares_a_cold_member() {
-    hold(Fleet::Rush);
+fn a_traffic_surge_does_not_overload_a_warming_member() {
+    check(Fleet::Rush);
 }
 
 #[test]
-fn a_member_that_starts_colder_is_spared() {
-    hold(Fleet::Colder);
+fn a_member_with_a_slower_start_is_not_overloaded() {
+    check(Fleet::SlowerStart);
 }
