--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -1,30 +1,36 @@
-//! The interface of the decision module: settings, events, actions and ids. No decision lives here.
+//! The interface of the decisions: settings, events, actions and ids. It speaks of members, groups, classes,
+//! positions and attempts, never of a wire protocol, and holds no decision.
 
 /// A point in time, or a span, in nanoseconds. The clock starts anywhere and only moves forward.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Time(pub u64);
 
 impl Time {
-    /// A span of whole milliseconds.
+    /// A span of `ms` milliseconds.
     pub const fn ms(ms: u64) -> Time {
         Time(ms * 1_000_000)
     }
-    /// The later time by a span.
+
+    /// The time that is later by a span, at most the end of all time.
     pub const fn plus(self, span: Time) -> Time {
         Time(self.0.saturating_add(span.0))
     }
-    /// The earlier time by a span, zero at least.
+
+    /// The time that is earlier by a span, at least zero.
     pub const fn minus(self, span: Time) -> Time {
         Time(self.0.saturating_sub(span.0))
     }
-    /// The span since `earlier`, zero if that is not earlier.
+
+    /// The span since `earlier`; zero if that is not earlier.
     pub const fn since(self, earlier: Time) -> Time {
         Time(self.0.saturating_sub(earlier.0))
     }
+
     /// The span scaled by a factor.
     pub fn times(self, factor: f64) -> Time {
         Time((self.0 as f64 * factor) as u64)
     }
+
     /// The span in seconds.
     pub fn secs(self) -> f64 {
         self.0 as f64 * 1e-9
@@ -32,12 +38,13 @@
 }
 
 macro_rules! id {
-    ($(#[$doc:meta] $name:ident($inner:ty);)*) => {$(
-        #[$doc]
+    ($($(#[$doc:meta])* $name:ident($inner:ty);)*) => {$(
+        $(#[$doc])*
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub struct $name(pub $inner);
     )*};
 }
+
 id! {
     /// A member: one database host.
     MemberId(u32);
@@ -53,24 +60,24 @@
     SessionKey(u64);
     /// A zone.
     ZoneId(u16);
-    /// An attempt's number within its request, in order of sending.
+    /// The number of an attempt within its request, from 0 in the order of sending.
     Attempt(u16);
-    /// A router of the tier.
+    /// A router of the fleet.
     RouterId(u16);
 }
 
-/// What may be done with a request that may already have run.
+/// What may be done with a request that may have been executed already.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Repeating does no harm.
+    /// It may be repeated anywhere at any time.
     Idempotent,
-    /// Repeats are dropped by key, within a window and a scope.
+    /// Repeats are dropped by an idempotency key, within a deduplication window and a scope.
     IdempotentByKey,
-    /// Must never run twice.
+    /// It must never be executed twice.
     NonIdempotent,
 }
 
-/// Where repeats of a keyed request are dropped.
+/// Where repeats of a request with an idempotency key are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
     /// At every member.
@@ -84,13 +91,13 @@
 /// How fresh the data must be that answers a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
-    /// Any member will do.
+    /// Data of any age, from any member.
     Eventual,
     /// Data no older than this when it is sent.
     BoundedStaleness(Time),
-    /// All that the session has written.
+    /// All that the session has written before.
     Session,
-    /// All that was written before the request came in.
+    /// All that was written before the request arrived.
     Strong,
     /// A write: only the primary takes it.
     Write,
@@ -99,47 +106,47 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Freshness needed.
+    /// The freshness that it needs.
     pub consistency: Consistency,
-    /// Effect of a repeat.
+    /// What a repeat does.
     pub effect: Effect,
-    /// Scope of the key, for keyed classes.
+    /// Where repeats are dropped; for [`Effect::IdempotentByKey`] only.
     pub scope: KeyScope,
-    /// How long repeats are dropped, from the first attempt that may have run.
+    /// How long repeats are dropped, from the first attempt that may have been executed.
     pub window: Time,
-    /// An answer inside this earns the full worth.
+    /// An answer within this time has the full value.
     pub latency_objective: Time,
-    /// The client's whole wait, over all its tries.
+    /// How long a client waits in all, over all its retries.
     pub client_timeout: Time,
-    /// The worth of one request.
+    /// The value of one request, relative to other classes.
     pub priority_weight: f64,
-    /// The share of the worth earned between aim and deadline.
+    /// The fraction of the value that is left between the latency objective and the client's timeout.
     pub late_weight: f64,
 }
 
 /// A tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second within its share, over all routers.
+    /// Requests per second within its quota, over all routers.
     pub quota_per_s: f64,
 }
 
 /// What a member does with a read that it is too far behind for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WhenBehind {
-    /// It answers from what it holds.
+    /// It answers from what it has.
     #[default]
     ServeStale,
-    /// It misses at once.
+    /// It rejects the read at once.
     Reject,
-    /// It waits up to this long for the log, then misses.
+    /// It waits up to this long to catch up, then rejects the read.
     Wait(Time),
 }
 
-/// How the list of members tells the primary.
+/// How the endpoint list names the primary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ListRole {
-    /// Kept up, some seconds late.
+    /// Kept up to date, some seconds late.
     Late,
     /// As it was at the start only.
     Start,
@@ -148,83 +155,84 @@
     None,
 }
 
-/// What a router is told when it starts.
+/// The deployment as a router knows it when it starts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// This router.
     pub router: RouterId,
-    /// Routers in the tier.
+    /// Routers in the fleet.
     pub routers: u32,
     /// This router's zone.
     pub zone: ZoneId,
-    /// The shortest gap between two rounds of events.
+    /// The shortest time between two rounds of events.
     pub tick: Time,
     /// Classes of requests.
     pub classes: Vec<Class>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// The part of its worth that a request past its tenant's share keeps.
+    /// The fraction of its value that a request past its tenant's quota keeps.
     pub over_quota_weight: f64,
-    /// The list must be asked for.
+    /// The endpoint list has to be polled; it is not pushed.
     pub poll_endpoint_list: bool,
-    /// How the list tells roles.
+    /// How the endpoint list names roles.
     pub list_role: ListRole,
-    /// Whether weights say anything.
+    /// Whether the weights in the endpoint list mean anything.
     pub weights: bool,
     /// Whether every answer carries a position.
     pub positions: bool,
-    /// Whether probes return a position.
+    /// Whether health checks report a position.
     pub probe_positions: bool,
-    /// Whether probes return the role.
+    /// Whether health checks report the role.
     pub probe_roles: bool,
-    /// What lagging members do with reads.
+    /// What members do with reads that they are too far behind for.
     pub when_behind: WhenBehind,
-    /// Attempts a request may have.
+    /// Attempts that a request may have.
     pub max_attempts: u32,
-    /// Two attempts of a request may be out together.
+    /// Two attempts of a request may be out at once.
     pub hedging: bool,
     /// Attempts may be cancelled.
     pub cancel: bool,
-    /// A connection that has idled for longer is closed by its host.
+    /// A host closes a connection that has been idle for longer.
     pub conn_idle: Time,
-    /// Probes are allowed.
+    /// Health checks are allowed.
     pub probes: bool,
-    /// Clients are told when to come back.
+    /// A rejected client may be given a Retry-After.
     pub retry_after: bool,
-    /// The longest such time a client follows.
+    /// The longest Retry-After that clients follow.
     pub max_retry_after: Time,
-    /// After a notice to drain or of removal, sends may go on this long.
+    /// Attempts may go to a member for this long after it was notified to drain, or removed.
     pub drain_grace: Time,
-    /// Only a notice to drain binds, removal alone does not.
+    /// Only a notice to drain ends attempts to a member; its removal from the list alone does not.
     pub only_draining_binds: bool,
-    /// Capacity share of a member that has just started, at least.
+    /// The fraction of its capacity, at least, that a member has when it has just started.
     pub slow_start_capacity: f64,
-    /// It is warm within this.
+    /// A member has warmed up this long after its start.
     pub slow_start_window: Time,
-    /// Sent more than this multiple of its capacity...
+    /// A warming member that is sent more than this multiple of its capacity...
     pub overload_multiple: f64,
-    /// ...for this long, a cold member falls over.
+    /// ...for this long is overloaded and fails.
     pub overload_window: Time,
-    /// Where the list is asked for: an answer older than this counts as told.
+    /// Where the endpoint list is polled: a change counts as notified once it could have been polled for this
+    /// long.
     pub poll_interval: Time,
-    /// Points for attempts crossing zones.
+    /// The price of an attempt across zones, in points.
     pub price_cross_zone: f64,
-    /// Points for work wasted.
+    /// The price of wasted work, in points.
     pub price_waste: f64,
 }
 
-/// A member's state as the list has it.
+/// A member's state in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
     /// In service.
     Ready,
-    /// Finishing its work.
+    /// Finishing its work before it leaves.
     Draining,
-    /// Removed.
+    /// No longer in service.
     Removed,
 }
 
-/// A line of the list of members.
+/// One member in the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
     /// The member.
@@ -235,78 +243,79 @@
     pub group: GroupId,
     /// Its state.
     pub state: EndpointState,
-    /// Its weight.
+    /// Its weight among the members of its group.
     pub weight: f64,
     /// Whether the list takes it for the primary.
     pub primary: bool,
-    /// When it last started, if lately.
+    /// When it last started, if that is known.
     pub started: Option<Time>,
-    /// Since when this line may count as told: earlier than it came, where it may have waited for a watch.
+    /// Since when the router counts as notified of this. It lies before the arrival where the notice may have
+    /// waited for a watch to be opened; a time in the future means the arrival.
     pub notified_at: Time,
 }
 
-/// What kind of list came.
+/// What kind of endpoint list this is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
-    /// Only what changed.
+    /// Only the members that have changed.
     Delta,
-    /// All of it.
+    /// All members.
     Full,
-    /// All of it, as held last, possibly old.
+    /// All members as last known, possibly out of date: the list with which a router starts.
     Cached,
-    /// A call for the list failed.
+    /// Polling the list has failed; it is empty.
     Failed,
 }
 
-/// A member's role.
+/// A member's role in replication.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// It takes writes.
     Primary,
-    /// It follows.
+    /// It applies the primary's log.
     Replica,
 }
 
-/// What an answer or a report says of its member.
+/// What an answer or a load report says of its member's replication.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReplicationState {
-    /// All commits up to this time are applied.
+    /// All commits up to this time have been applied.
     pub position: Option<Time>,
     /// Its role.
     pub role: Option<Role>,
 }
 
-/// How an attempt or a probe ended.
+/// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// Served.
+    /// It was served.
     Ok,
-    /// Turned away untouched: not primary, or too far behind.
+    /// The member rejected it without executing it: it is not the primary, or too far behind.
     Misdirected,
     /// The member failed at it.
     Error,
-    /// Turned away unseen.
+    /// The member rejected it unread for want of capacity.
     Overloaded,
-    /// No answer in time.
+    /// No answer came in time.
     Timeout,
-    /// No connection.
+    /// No connection could be made.
     ConnectFailed,
     /// The connection broke.
     Reset,
-    /// Called off.
+    /// The router cancelled it.
     Cancelled,
-    /// Never sent.
+    /// It was never sent.
     NotSent,
 }
 
 impl Status {
-    /// Whether it proves that nothing ran.
+    /// Whether this proves that the request was not executed.
     pub fn proves_not_executed(self) -> bool {
         matches!(self, Status::Misdirected | Status::Overloaded | Status::ConnectFailed | Status::NotSent)
     }
 }
 
-/// A request as it comes in.
+/// A request as it arrives.
 #[derive(Clone, Debug)]
 pub struct Request {
     /// Its id.
@@ -315,48 +324,47 @@
     pub class: ClassId,
     /// Its tenant.
     pub tenant: TenantId,
-    /// The time at which its client gives up.
+    /// When its client stops waiting.
     pub deadline: Time,
-    /// Its group.
+    /// The group that it is for.
     pub group: GroupId,
     /// The position that a session read must see at least; zero if any will do.
     pub floor: Time,
-    /// How far ahead of a replica's position the floor may lie for that replica to be waited for.
+    /// A replica may be waited for whose estimated position lies behind the floor by no more than this.
     pub lead: Time,
-    /// The client says that it is repeating.
+    /// The client marks it as a retry.
     pub client_retry: bool,
 }
 
 /// How one attempt ended.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// Its request.
+    /// The request.
     pub request: RequestId,
-    /// Its number.
+    /// The attempt's number.
     pub attempt: Attempt,
-    /// Where it went.
+    /// The member that it went to.
     pub member: MemberId,
     /// How it ended.
     pub status: Status,
     /// How long it took.
     pub took: Time,
-    /// The request has ended.
+    /// Whether the request has ended with it.
     pub ended: bool,
-    /// What the answer says of the member.
+    /// What the answer says of the member's replication.
     pub replication: ReplicationState,
-    /// What a report inside the answer says, possibly out of date.
+    /// What a load report inside the answer says, possibly out of date.
     pub report: ReplicationState,
 }
 
 /// What happens to a router.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The list of members, or a change to it.
+    /// An endpoint list, or a change to it.
     Endpoints(EndpointUpdate, Vec<Endpoint>),
     /// A request.
     Request(Request),
-    /// A request that limits count which hold over all routers: how much of them is open, as a share, and
-    /// when it may come back if it is turned away for them.
+    /// A request that limits over all routers count.
     LimitedRequest {
         /// The request.
         request: Request,
@@ -365,30 +373,29 @@
         /// When the client may retry if the request is rejected for these limits.
         retry_after: Time,
     },
-    /// So many further attempts of requests, and probes, are left by budgets over all routers; none where
-    /// there is no such budget. They count until the next such event.
+    /// What budgets over all routers leave to this one, until the next such event.
     Budgets {
-        /// Retries left; none without such a budget.
+        /// Attempts after a request's first; none without such a budget.
         retries: Option<u32>,
-        /// Health checks left; none without such a budget.
+        /// Health checks; none without such a budget.
         probes: Option<u32>,
     },
-    /// So many more attempts may be out at a member, as a limit over all routers has it.
+    /// How many more attempts a limit over all routers leaves at a member.
     MemberCapacity {
         /// The member.
         member: MemberId,
-        /// Further attempts that may be in flight there.
+        /// Further attempts that may be out there.
         attempts: u32,
     },
-    /// An attempt's answer has begun to flow: it belongs to the client now.
+    /// An attempt's response has begun to reach the client: no other attempt can answer it any more.
     ResponseStarted(RequestId, Attempt),
     /// An attempt ended.
     Outcome(Outcome),
-    /// The client has left.
+    /// The client of a request has gone.
     ClientGone(RequestId),
-    /// A timer came due.
+    /// The timer with this token is due.
     Timer(u64),
-    /// A probe ended: member, status, how long it took, what the report says.
+    /// A health check ended.
     ProbeFinished {
         /// The member.
         member: MemberId,
@@ -399,7 +406,7 @@
         /// What the member's load report says.
         report: ReplicationState,
     },
-    /// The system's clock has been set: a position told so far may be anywhere.
+    /// The system clock has been set: a position reported before may be wrong by any amount.
     ClockSet,
     /// A message from another router.
     Message(RouterId, Vec<u8>),
@@ -408,24 +415,25 @@
 /// What a router does.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Begin an attempt; its time-out, or none but the client's own.
+    /// Begin an attempt of a request at a member, with a timeout if it is to end before the client's
+    /// deadline.
     Send(RequestId, MemberId, Option<Time>),
-    /// Turn the request away: trying again does no harm, after the time given if any.
+    /// Reject a request: a retry does no harm, after the Retry-After if there is one.
     Reject(RequestId, Option<Time>),
-    /// End the request without a promise.
+    /// End a request without saying whether it was executed.
     Fail(RequestId),
     /// Stop waiting for an attempt.
     Cancel(RequestId, Attempt),
-    /// Ask for [`Event::Timer`] with this token after a span.
+    /// Bring [`Event::Timer`] with this token after a span.
     Timer(Time, u64),
-    /// Probe a member.
+    /// Send a health check to a member.
     Probe(MemberId),
     /// Close the idle connections to a member.
     CloseIdle(MemberId),
-    /// Ask discovery to follow the list.
+    /// Watch the endpoint list.
     WatchEndpoints,
-    /// Ask discovery for the whole list once.
+    /// Poll the endpoint list once.
     PollEndpoints,
-    /// A line for the operators.
+    /// A line for the operators' log.
     Log(String),
 }
--- /dev/null
+++ b/crates/policy/src/policy/eligibility.rs
@@ -0,0 +1,154 @@
+//! Which attempts are allowed: [`Policy::may_send`] is the one check that every attempt passes.
+//!
+//! It keeps to the rules of the settings: groups, attempts and budgets, hedging, drain grace, effects and
+//! their deduplication windows, freshness, and what a warming member can bear.
+
+use super::breaker::{Breaker, EjectReason};
+use super::member::Member;
+use super::pending_request::PendingRequest;
+use super::{request_draw, Policy};
+use crate::api::*;
+
+impl Policy {
+    /// Whether the rules allow an attempt of this request at this member now.
+    pub(super) fn may_send(&self, request: &PendingRequest, id: MemberId) -> bool {
+        let Some(member) = self.members.get(id) else { return false };
+        member.group == request.request.group
+            && member.attempts_allowed != Some(0)
+            && !self.is_exhausted(request)
+            && self.may_add_attempt(request)
+            && !self.has_drained(member)
+            && self.may_repeat_at(request, member)
+            && self.has_required_position(request, id, member)
+            && self.warm_up_allows(request, id, member)
+    }
+
+    /// Whether the request may have no further attempt.
+    pub(super) fn is_exhausted(&self, request: &PendingRequest) -> bool {
+        let attempts = request.attempts.len();
+        let out_of_retries = attempts > 0 && self.budgets.retries == Some(0);
+        attempts >= self.settings.max_attempts as usize || out_of_retries
+    }
+
+    /// Whether one more attempt may be out: one alone, or a second one as a hedge.
+    fn may_add_attempt(&self, request: &PendingRequest) -> bool {
+        let class = &self.settings.classes[request.class];
+        match request.attempts_out() {
+            0 => true,
+            1 => self.settings.hedging && class.effect != Effect::NonIdempotent,
+            _ => false,
+        }
+    }
+
+    /// Whether the member's drain grace is over, or will be within a tick.
+    fn has_drained(&self, member: &Member) -> bool {
+        let soon = self.now.plus(self.settings.tick);
+        member.draining_since.is_some_and(|since| since.plus(self.settings.drain_grace) <= soon)
+    }
+
+    /// Whether the member may have a request that may have been executed already.
+    fn may_repeat_at(&self, request: &PendingRequest, member: &Member) -> bool {
+        let class = &self.settings.classes[request.class];
+        let Some(first) = request.first_possible_execution() else { return true };
+        if class.effect == Effect::Idempotent {
+            return true;
+        }
+        // All attempts are in one group, so that the key's scope can only end at the border of a zone.
+        let first_zone = self.members.get(first.member).map(|member| member.zone);
+        let in_scope = class.scope != KeyScope::Zone || first_zone == Some(member.zone);
+        in_scope && self.window_allows_repeat(request)
+    }
+
+    /// Whether what is left of the deduplication window of a request with an idempotency key is about the
+    /// time that a repeat takes.
+    pub(super) fn window_allows_repeat(&self, request: &PendingRequest) -> bool {
+        let class = &self.settings.classes[request.class];
+        let left = request.window_left(self.now.plus(self.settings.tick), class.window);
+        class.effect == Effect::IdempotentByKey && left.secs() > self.service_times.get(request.class)
+    }
+
+    /// Whether the member is known to be fresh enough. Where members check reads themselves, it always
+    /// passes.
+    fn has_required_position(&self, request: &PendingRequest, id: MemberId, member: &Member) -> bool {
+        self.settings.when_behind != WhenBehind::ServeStale
+            || self.is_fresh_enough(request, id, member, PositionBasis::Known)
+    }
+
+    /// Whether a member that is warming up may have the attempt: by its credit, or as this request's draw has
+    /// it.
+    fn warm_up_allows(&self, request: &PendingRequest, id: MemberId, member: &Member) -> bool {
+        if self.warm_up_fraction(member) >= 1.0 || self.slow_start_credit(member) >= 0.0 {
+            return true;
+        }
+        // The fraction is one of requests, not of attempts: a request that is drawn has one attempt there.
+        let has_been_there =
+            request.attempts.iter().any(|attempt| attempt.member == id && attempt.may_have_reached_member());
+        let fraction = self.slow_start_request_fraction(request, id, member);
+        request_draw(request.request.id) < fraction && !has_been_there
+    }
+
+    /// Whether the member is fresh enough for the request's class. The last known primary always is.
+    pub(super) fn is_fresh_enough(
+        &self,
+        request: &PendingRequest,
+        id: MemberId,
+        member: &Member,
+        basis: PositionBasis,
+    ) -> bool {
+        let consistency = self.settings.classes[request.class].consistency;
+        if matches!(consistency, Consistency::Eventual | Consistency::Write) {
+            return true;
+        }
+        if self.known_primary(request.request.group) == Some(id) {
+            return true;
+        }
+        let estimated = basis == PositionBasis::Estimated;
+        if estimated && member.position.is_none() && consistency != Consistency::Strong {
+            return true;
+        }
+        let position = match basis {
+            PositionBasis::Estimated => self.estimated_position(member),
+            PositionBasis::Known => member.position.map(|known| known.position),
+        };
+        match consistency {
+            Consistency::Eventual | Consistency::Write => true,
+            Consistency::Strong => false,
+            Consistency::Session => {
+                let waits = estimated && matches!(self.settings.when_behind, WhenBehind::Wait(_));
+                let lead = if waits { request.request.lead } else { Time(0) };
+                let needed = request.min_position.minus(lead);
+                request.min_position == Time(0) || position.is_some_and(|position| position >= needed)
+            }
+            Consistency::BoundedStaleness(bound) => {
+                position.is_some_and(|position| self.now.since(position) <= bound)
+            }
+        }
+    }
+
+    /// Whether the member's breaker admits a read. Lag ejects only from reads that need freshness.
+    pub(super) fn breaker_admits(&self, request: &PendingRequest, member: &Member) -> bool {
+        let needs_freshness = match self.settings.classes[request.class].consistency {
+            Consistency::Eventual => false,
+            Consistency::Session => request.min_position > Time(0),
+            Consistency::BoundedStaleness(_) | Consistency::Strong | Consistency::Write => true,
+        };
+        let idle = member.in_flight == 0;
+        match member.breaker {
+            Breaker::Closed => true,
+            Breaker::Open { reason, .. } => reason == EjectReason::Lag && !needs_freshness,
+            Breaker::HalfOpen(EjectReason::Transport) => false,
+            Breaker::HalfOpen(EjectReason::Lag) => idle || !needs_freshness,
+            Breaker::HalfOpen(EjectReason::Silence) => idle,
+        }
+    }
+}
+
+/// Which position of a member counts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum PositionBasis {
+    /// The last known one.
+    Known,
+    /// The last known one carried forward with the clock, as for a member that kept up; an unknown one
+    /// passes. Only for members that check reads themselves.
+    Estimated,
+}
--- /dev/null
+++ b/crates/policy/src/policy/queue.rs
@@ -0,0 +1,96 @@
+//! Requests that wait for a member, and the order in which they are placed.
+
+use super::pending_request::PendingRequest;
+use super::Policy;
+use crate::api::*;
+use std::cmp::Reverse;
+use std::collections::BTreeSet;
+
+/// A class is passed over in one round once this many of its requests found no member.
+const MAX_UNPLACED_PER_CLASS: u32 = 4;
+
+/// The ids of all queued requests, by group.
+#[derive(Default)]
+pub(super) struct RequestQueue {
+    entries: BTreeSet<(GroupId, RequestId)>,
+}
+
+impl RequestQueue {
+    pub(super) fn insert(&mut self, group: GroupId, id: RequestId) {
+        self.entries.insert((group, id));
+    }
+
+    pub(super) fn remove(&mut self, group: GroupId, id: RequestId) {
+        self.entries.remove(&(group, id));
+    }
+
+    pub(super) fn is_empty(&self) -> bool {
+        self.entries.is_empty()
+    }
+
+    /// All queued requests, by group and id.
+    fn iter(&self) -> impl Iterator<Item = RequestId> + '_ {
+        self.entries.iter().map(|(_, id)| *id)
+    }
+
+    /// The queued requests of a group, by id.
+    pub(super) fn in_group(&self, group: GroupId) -> impl Iterator<Item = RequestId> + '_ {
+        let all_ids = (group, RequestId(0))..=(group, RequestId(u64::MAX));
+        self.entries.range(all_ids).map(|(_, id)| *id)
+    }
+
+    /// The groups that have queued requests.
+    pub(super) fn groups(&self) -> BTreeSet<GroupId> {
+        self.entries.iter().map(|(group, _)| *group).collect()
+    }
+}
+
+/// A queued request with what its turn depends on.
+struct QueuedRequest {
+    id: RequestId,
+    class: usize,
+    value: u64,
+    arrived_at: Time,
+}
+
+impl Policy {
+    /// Tries to place the queued requests of a group: those of the most value for their work first, then the
+    /// newest, which can still be in time.
+    pub(super) fn place_queued(&mut self, group: GroupId, out: &mut Vec<Action>) {
+        let queued = self.queue.in_group(group).filter_map(|id| self.queued_request(id));
+        let mut waiting: Vec<QueuedRequest> = queued.collect();
+        if waiting.is_empty() {
+            return;
+        }
+        waiting.sort_by_key(|queued| (Reverse(queued.value), Reverse(queued.arrived_at), queued.id));
+        let mut unplaced = vec![0; self.settings.classes.len()];
+        for queued in waiting {
+            if unplaced[queued.class] < MAX_UNPLACED_PER_CLASS && !self.place(queued.id, out) {
+                unplaced[queued.class] += 1;
+            }
+        }
+    }
+
+    fn queued_request(&self, id: RequestId) -> Option<QueuedRequest> {
+        let request = self.requests.get(&id)?;
+        let class = request.class;
+        Some(QueuedRequest { id, class, value: self.queue_value(request), arrived_at: request.arrived_at })
+    }
+
+    /// Weight for the work, in millionths for one second.
+    fn queue_value(&self, request: &PendingRequest) -> u64 {
+        (request.weight / self.service_times.get(request.class) * 1e6) as u64
+    }
+
+    /// Gives up the queued requests that wait in vain by now.
+    pub(super) fn reject_expired(&mut self, out: &mut Vec<Action>) {
+        let expired = self
+            .queue
+            .iter()
+            .filter(|id| self.requests.get(id).is_some_and(|request| !self.is_worth_waiting(request)));
+        let expired: Vec<RequestId> = expired.collect();
+        for id in expired {
+            self.give_up(id, out);
+        }
+    }
+}
