--- a/crates/router/src/routing/tally.rs
+++ b/crates/router/src/routing/counters.rs
@@ -9,13 +9,13 @@
     /// Requests served.
     pub served: u32,
     /// Requests refused.
-    pub refused: u32,
+    pub rejected: u32,
     /// Requests failed.
     pub failed: u32,
     /// Statements that were none of ours.
     pub invalid: u32,
     /// Clients that left before their answer.
-    pub left: u32,
+    pub abandoned: u32,
     /// Ends of attempts, by status.
     attempts: [u32; STATUSES.len()],
     /// Probes that ended.
@@ -38,7 +38,7 @@
 
 impl RequestCounters {
     /// An attempt has ended.
-    pub fn attempt(&mut self, status: Status) {
+    pub fn record_attempt(&mut self, status: Status) {
         if let Some(n) = STATUSES.iter().position(|(s, _)| *s == status) {
             self.attempts[n] += 1;
         }
@@ -52,13 +52,13 @@
 
 impl fmt::Display for RequestCounters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let RequestCounters { served, refused, failed, invalid, left, attempts, probes, probes_failed } =
-            self;
-        write!(f, "{served} served, {refused} refused, {failed} failed, {invalid} invalid, {left} left;")?;
-        write!(f, " attempts:")?;
-        for ((_, name), n) in STATUSES.iter().zip(attempts).filter(|(_, n)| **n > 0) {
+        let RequestCounters { served, rejected, failed, invalid, abandoned, .. } = self;
+        write!(f, "{served} served, {rejected} rejected, {failed} failed, {invalid} invalid, ")?;
+        write!(f, "{abandoned} abandoned; attempts:")?;
+        for ((_, name), n) in STATUSES.iter().zip(self.attempts).filter(|(_, n)| *n > 0) {
             write!(f, " {n} {name},")?;
         }
-        write!(f, " {} in all; probes: {probes}, {probes_failed} failed", attempts.iter().sum::<u32>())
+        let total: u32 = self.attempts.iter().sum();
+        write!(f, " {total} in all; probes: {}, {} failed", self.probes, self.probes_failed)
     }
 }
--- a/crates/router/src/routing/members.rs
+++ b/crates/router/src/routing/endpoints.rs
@@ -1,7 +1,7 @@
 //! Members by the names that discovery gives them.
 
-use super::terms::unix_ms;
-use super::wall::Wall;
+use super::outcomes::time_from_unix_ms;
+use super::system_clock::SystemClockOffset;
 use crate::protocol::discovery::{HostEntry, HostList, HostState};
 use basalthill_policy::api::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,43 +9,43 @@
 
 /// What the list has told of a member's leaving.
 #[derive(Clone, Copy, Debug, Default)]
-struct Parting {
-    told: Option<Time>,
+struct Drain {
+    notified_at: Option<Time>,
     started_ms: u64,
 }
 
 /// Ids, addresses and groups of all members that discovery has named.
-pub struct Members {
+pub struct EndpointTable {
     ids: BTreeMap<String, MemberId>,
     addrs: Vec<Option<SocketAddr>>,
     /// The last line of each.
-    lines: Vec<Endpoint>,
-    parting: Vec<Parting>,
+    entries: Vec<Endpoint>,
+    drains: Vec<Drain>,
     only_draining_binds: bool,
     groups: BTreeSet<GroupId>,
     zones: Vec<String>,
 }
 
-impl Members {
+impl EndpointTable {
     /// None yet; `zones` are named in the order of their ids.
-    pub fn new(zones: &[String], only_draining_binds: bool) -> Members {
-        Members {
+    pub fn new(zones: &[String], only_draining_binds: bool) -> EndpointTable {
+        EndpointTable {
             ids: BTreeMap::new(),
             addrs: Vec::new(),
-            lines: Vec::new(),
-            parting: Vec::new(),
+            entries: Vec::new(),
+            drains: Vec::new(),
             only_draining_binds,
             groups: BTreeSet::new(),
             zones: zones.to_vec(),
         }
     }
 
-    /// Takes a list in, in the decisions' terms. What it says may count as told since `told`. Addresses at
-    /// which a process has ended that was listening there are added to `ended`, and when at the latest.
-    pub fn take(
+    /// Takes a list in, in the decisions' terms. What it says may count as told since `valid_since`. Added to
+    /// `ended`: the addresses at which a process has ended that was listening there, and when at the latest.
+    pub fn apply(
         &mut self,
-        told: Time,
-        wall: Wall,
+        valid_since: Time,
+        system_clock: SystemClockOffset,
         list: HostList,
         ended: &mut Vec<(SocketAddr, Time)>,
     ) -> (EndpointUpdate, Vec<Endpoint>) {
@@ -56,13 +56,13 @@
             if !self.only_draining_binds {
                 let named: BTreeSet<&str> = list.servers.iter().map(|h| h.id.as_str()).collect();
                 for (_, m) in self.ids.iter().filter(|(id, _)| !named.contains(id.as_str())) {
-                    let (parting, line) = (&mut self.parting[m.0 as usize], &self.lines[m.0 as usize]);
-                    if parting.told.is_none() {
-                        parting.told = Some(told);
+                    let (drain, line) = (&mut self.drains[m.0 as usize], &self.entries[m.0 as usize]);
+                    if drain.notified_at.is_none() {
+                        drain.notified_at = Some(valid_since);
                         entries.push(Endpoint {
                             state: EndpointState::Removed,
                             primary: false,
-                            notified_at: told,
+                            notified_at: valid_since,
                             ..line.clone()
                         });
                     }
@@ -78,27 +78,28 @@
             let member = *self.ids.entry(host.id).or_insert(next);
             if member == next {
                 self.addrs.push(None);
-                self.parting.push(Parting::default());
+                self.drains.push(Drain::default());
             }
-            let parting = &mut self.parting[member.0 as usize];
-            let restarted = host.started_ms > parting.started_ms;
+            let drain = &mut self.drains[member.0 as usize];
+            let restarted = host.started_ms > drain.started_ms;
             if restarted {
-                *parting = Parting { told: None, started_ms: host.started_ms };
+                *drain = Drain { notified_at: None, started_ms: host.started_ms };
             }
             match host.state {
-                HostState::Active => parting.told = None,
+                HostState::Active => drain.notified_at = None,
                 HostState::Left if self.only_draining_binds => {}
-                HostState::Leaving | HostState::Left => drop(parting.told.get_or_insert(told)),
+                HostState::Leaving | HostState::Left => drop(drain.notified_at.get_or_insert(valid_since)),
             }
             let addr = host.addr.parse().ok();
             let before = self.addrs[member.0 as usize];
             // A list may come long after a start: what has been used since then is sound.
             let moved = addr.is_some_and(|a| before != Some(a));
             // By the clock that the start was first told on: told again, it is the same start.
-            let before_it = self.lines.get(member.0 as usize).and_then(|line| line.started);
+            let before_it = self.entries.get(member.0 as usize).and_then(|line| line.started);
             let started = match before_it.filter(|_| !restarted) {
                 Some(started) => Some(started),
-                None => Some(wall.own(unix_ms(host.started_ms))).filter(|at| *at > Time(0)),
+                None => Some(system_clock.to_router_time(time_from_unix_ms(host.started_ms)))
+                    .filter(|at| *at > Time(0)),
             };
             let at = if moved { Time(u64::MAX) } else { started.unwrap_or_default() };
             ended.extend(before.filter(|_| moved || restarted).map(|b| (b, at)));
@@ -125,11 +126,11 @@
                 weight: host.weight,
                 primary: host.rank.as_deref() == Some("source"),
                 started,
-                notified_at: told,
+                notified_at: valid_since,
             };
-            match self.lines.get_mut(member.0 as usize) {
+            match self.entries.get_mut(member.0 as usize) {
                 Some(last) => *last = line.clone(),
-                None => self.lines.push(line.clone()),
+                None => self.entries.push(line.clone()),
             }
             entries.push(line);
         }
@@ -137,11 +138,11 @@
     }
 
     /// Lines of members whose starts lie later by a clock that has been set than by the one before.
-    pub fn starts_later(&mut self, wall: Wall) -> Vec<Endpoint> {
+    pub fn move_starts_later(&mut self, system_clock: SystemClockOffset) -> Vec<Endpoint> {
         let mut later = Vec::new();
-        for (line, parting) in self.lines.iter_mut().zip(&self.parting) {
-            let started = Some(wall.own(unix_ms(parting.started_ms)));
-            if parting.started_ms > 0 && started > line.started {
+        for (line, drain) in self.entries.iter_mut().zip(&self.drains) {
+            let started = Some(system_clock.to_router_time(time_from_unix_ms(drain.started_ms)));
+            if drain.started_ms > 0 && started > line.started {
                 line.started = started;
                 later.push(line.clone());
             }
@@ -149,9 +150,9 @@
         later
     }
 
-    /// When a member's parting was told, if it binds.
-    pub fn parting(&self, member: MemberId) -> Option<Time> {
-        self.parting.get(member.0 as usize)?.told
+    /// When a member's drain was told, if it binds.
+    pub fn draining_since(&self, member: MemberId) -> Option<Time> {
+        self.drains.get(member.0 as usize)?.notified_at
     }
 
     /// Where a member listens.
@@ -160,13 +161,13 @@
     }
 
     /// Names, ids and groups of all members that have not left.
-    pub fn all(&self) -> impl Iterator<Item = (&str, MemberId, GroupId)> {
-        let there = self.ids.iter().filter(|(_, m)| self.parting(**m).is_none());
-        there.map(|(name, m)| (name.as_str(), *m, self.lines[m.0 as usize].group))
+    pub fn present(&self) -> impl Iterator<Item = (&str, MemberId, GroupId)> {
+        let there = self.ids.iter().filter(|(_, m)| self.draining_since(**m).is_none());
+        there.map(|(name, m)| (name.as_str(), *m, self.entries[m.0 as usize].group))
     }
 
     /// Whether a group is known to be none: members have been named, and none of this group.
-    pub fn lacks(&self, group: GroupId) -> bool {
+    pub fn lacks_group(&self, group: GroupId) -> bool {
         !self.groups.is_empty() && !self.groups.contains(&group)
     }
 }
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -2,19 +2,19 @@
 //! timers. Free of I/O: an input with its time goes in, effects come out. It decides nothing.
 
 mod clock;
-mod limits;
-mod members;
-mod proxies;
-mod requests;
+mod counters;
+mod endpoints;
+mod fleet_limits;
+mod outcomes;
+mod proxy_leases;
+mod request_table;
 mod sessions;
-mod tally;
-mod terms;
+mod system_clock;
 mod timers;
-mod wall;
 
 pub use clock::Clock;
-pub use limits::FleetInput;
-pub use tally::RequestCounters;
+pub use counters::RequestCounters;
+pub use fleet_limits::FleetInput;
 
 use crate::protocol::discovery::HostList;
 use crate::protocol::host::{QueryOutcome, ReportedState, Row};
@@ -25,15 +25,17 @@
 use basalthill_policy::api::*;
 use basalthill_policy::Policy;
 use basalthill_session::{SessionCounts, Sessions};
-use limits::Limits;
-use members::Members;
-use requests::{Exchange, Open, Probes, Requests};
+use endpoints::EndpointTable;
+use fleet_limits::FleetLimits;
+use outcomes::{
+    is_statement_error, replication_state, session_identity, status_for_sqlstate, time_from_unix_ms,
+};
+use request_table::{InFlightExchange, OpenRequest, ProbeTable, RequestTable};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::rc::Rc;
-use terms::{by_code, of_the_statement, owner, reported, unix_ms};
+use system_clock::SystemClockOffset;
 use timers::{Timer, TimerKey, Timers};
-use wall::Wall;
 
 /// A client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -227,23 +229,23 @@
 /// A router without its sockets.
 pub struct Router {
     policy: Policy,
-    site: Deployment,
+    deployment: Deployment,
     sessions: Sessions,
     /// Calls of other proxies, where they are served.
     coordinator: Option<LeaseCoordinator>,
     /// Limits over all routers, where there are any.
-    limits: Option<Limits>,
-    members: Members,
+    fleet_limits: Option<FleetLimits>,
+    endpoints: EndpointTable,
     /// Where Unix times lie on the clock by which inputs come.
-    wall: Wall,
+    system_clock: SystemClockOffset,
     /// When each client's connection was accepted.
-    accepted: BTreeMap<ClientId, Time>,
-    requests: Requests,
-    probes: Probes,
+    accepted_at: BTreeMap<ClientId, Time>,
+    requests: RequestTable,
+    probes: ProbeTable,
     timers: Timers,
-    tally: RequestCounters,
+    counters: RequestCounters,
     /// The program is about to end: nothing more is sent on.
-    over: bool,
+    shutting_down: bool,
     events: VecDeque<Event>,
     actions: Vec<Action>,
 }
@@ -252,32 +254,33 @@
     /// A router that has just started with the list as it last had it.
     pub fn new(
         now: Time,
-        site: Deployment,
+        deployment: Deployment,
         sessions: Sessions,
         seed: u64,
         known: Option<HostList>,
         out: &mut Vec<Effect>,
     ) -> Router {
-        let policy = Policy::new(site.settings.clone(), seed);
-        let members = Members::new(&site.zones, site.settings.only_draining_binds);
+        let policy = Policy::new(deployment.settings.clone(), seed);
+        let endpoints = EndpointTable::new(&deployment.zones, deployment.settings.only_draining_binds);
         let mut router = Router {
             policy,
-            site,
+            deployment,
             sessions,
             coordinator: None,
-            limits: None,
-            members,
-            wall: Wall::default(),
-            accepted: BTreeMap::new(),
-            requests: Requests::default(),
-            probes: Probes::default(),
+            fleet_limits: None,
+            endpoints,
+            system_clock: SystemClockOffset::default(),
+            accepted_at: BTreeMap::new(),
+            requests: RequestTable::default(),
+            probes: ProbeTable::default(),
             timers: Timers::default(),
-            tally: RequestCounters::default(),
-            over: false,
+            counters: RequestCounters::default(),
+            shutting_down: false,
             events: VecDeque::new(),
             actions: Vec::new(),
         };
-        let entries = known.map(|list| router.members.take(now, router.wall, list, &mut Vec::new()).1);
+        let entries =
+            known.map(|list| router.endpoints.apply(now, router.system_clock, list, &mut Vec::new()).1);
         let entries = entries.unwrap_or_default();
         router.events.push_back(Event::Endpoints(EndpointUpdate::Cached, entries));
         router.run(now, out);
@@ -287,11 +290,14 @@
     /// Takes note of how far the system's clock is ahead of the one by which inputs come. Once it has been
     /// set, positions told before can't be compared with those told from then on, and starts count by
     /// whichever clock makes them later.
-    pub fn observe_system_clock(&mut self, now: Time, ahead_ns: i64, out: &mut Vec<Effect>) {
-        if self.wall.follow(ahead_ns) {
-            log::warn!("the system's clock has been set: {} ms from where it was", self.wall.ahead_ms());
+    pub fn observe_system_clock(&mut self, now: Time, offset_ns: i64, out: &mut Vec<Effect>) {
+        if self.system_clock.update(offset_ns) {
+            log::warn!(
+                "the system's clock has been set: {} ms from where it was",
+                self.system_clock.offset_ms()
+            );
             self.events.push_back(Event::ClockSet);
-            let restarted = self.members.starts_later(self.wall);
+            let restarted = self.endpoints.move_starts_later(self.system_clock);
             self.events.push_back(Event::Endpoints(EndpointUpdate::Delta, restarted));
             self.run(now, out);
         }
@@ -299,63 +305,64 @@
 
     /// A time as a Unix time.
     pub fn unix_time(&self, now: Time) -> Time {
-        self.wall.unix(now)
+        self.system_clock.to_unix_time(now)
     }
 
     /// Takes an input; appends what is to be done.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Effect>) {
         match input {
-            Input::ClientConnected(client) => drop(self.accepted.insert(client, now)),
-            Input::Request(asked) if self.over => {
-                self.tally.refused += 1;
+            Input::ClientConnected(client) => drop(self.accepted_at.insert(client, now)),
+            Input::Request(request) if self.shutting_down => {
+                self.counters.rejected += 1;
                 out.push(Effect::Answer {
-                    client: asked.client,
-                    command: asked.command,
+                    client: request.client,
+                    command: request.command,
                     answer: Answer::Rejected { retry_after_ms: None },
                 });
             }
-            Input::Request(asked) => {
-                if let Some((id, keys)) = self.request(now, asked, out) {
+            Input::Request(request) => {
+                if let Some((id, keys)) = self.accept_request(now, request, out) {
                     self.run(now, out);
-                    self.admitted(id, &keys);
+                    self.record_admission(id, &keys);
                 }
             }
             Input::ClientDisconnected(client) => {
-                self.accepted.remove(&client);
+                self.accepted_at.remove(&client);
                 for id in self.requests.release_client(client) {
-                    self.tally.left += 1;
+                    self.counters.abandoned += 1;
                     self.close(now, id);
                     self.events.push_back(Event::ClientGone(id));
                 }
             }
             Input::CancelRequested(client) => {
                 if let Some((command, id)) = self.requests.release_first(client) {
-                    self.tally.left += 1;
-                    self.doubtful(now, id, out);
+                    self.counters.abandoned += 1;
+                    self.note_unknown_outcome(now, id, out);
                     self.close(now, id);
                     out.push(Effect::Answer { client, command, answer: Answer::Cancelled });
                     self.events.push_back(Event::ClientGone(id));
                 }
             }
-            Input::ExchangeFinished(exchange, ended) => self.ended(now, exchange, ended, out),
-            Input::EndpointList { list, valid_since: told } => {
+            Input::ExchangeFinished(exchange, ended) => self.exchange_finished(now, exchange, ended, out),
+            Input::EndpointList { list, valid_since } => {
                 let mut ended = Vec::new();
-                let (form, entries) = self.members.take(told.min(now), self.wall, list, &mut ended);
+                let (form, entries) =
+                    self.endpoints.apply(valid_since.min(now), self.system_clock, list, &mut ended);
                 out.extend(
                     ended
                         .into_iter()
                         .map(|(addr, at)| Effect::CloseConnectionsIdleSince { addr, before: at }),
                 );
                 self.events.push_back(Event::Endpoints(form, entries));
-                self.list_limits(now);
+                self.update_limited_members(now);
             }
-            Input::Fleet(input) => self.fleet_says(now, input, out),
-            Input::Proxy(stream, spoken) => self.proxy(now, stream, spoken, out),
-            Input::Tick => self.due(now, out),
+            Input::Fleet(input) => self.handle_fleet_input(now, input, out),
+            Input::Proxy(stream, message) => self.handle_proxy_message(now, stream, message, out),
+            Input::Tick => self.fire_due_timers(now, out),
             Input::Shutdown => {
-                self.over = true;
+                self.shutting_down = true;
                 for ((client, command), id) in self.requests.release_all() {
-                    self.doubtful(now, id, out);
+                    self.note_unknown_outcome(now, id, out);
                     self.close(now, id);
                     out.push(Effect::Answer { client, command, answer: Answer::Failed });
                     self.events.push_back(Event::ClientGone(id));
@@ -368,7 +375,7 @@
     /// When the next timer is due.
     pub fn next_due(&self) -> Option<Time> {
         let lease = self.coordinator.as_ref().and_then(LeaseCoordinator::next_due);
-        let fleet = self.limits.as_ref().map(|l| l.fleet.next_due());
+        let fleet = self.fleet_limits.as_ref().map(|l| l.fleet.next_due());
         self.timers.next().into_iter().chain(lease).chain(fleet).min()
     }
 
@@ -376,12 +383,13 @@
     /// but a connection can come up after it has passed, or after the request has ended: its client may have
     /// gone meanwhile.
     pub fn may_write(&self, now: Time, exchange: ExchangeId, member: MemberId) -> bool {
-        let grace = self.site.settings.drain_grace;
+        let grace = self.deployment.settings.drain_grace;
         let awaited = match exchange {
             ExchangeId::Attempt(id, _) => self.requests.get(id).is_some_and(|open| !open.answered),
             ExchangeId::Probe(_) => true,
         };
-        awaited && self.members.parting(member).is_none_or(|told| now < told.plus(grace))
+        awaited
+            && self.endpoints.draining_since(member).is_none_or(|notified_at| now < notified_at.plus(grace))
     }
 
     /// Requests without an answer.
@@ -389,9 +397,9 @@
         self.requests.unanswered()
     }
 
-    /// What has happened since this was last asked.
+    /// What has happened since this was last read.
     pub fn take_request_counters(&mut self) -> RequestCounters {
-        std::mem::take(&mut self.tally)
+        std::mem::take(&mut self.counters)
     }
 
     /// How this router keeps its sessions.
@@ -399,30 +407,30 @@
         &mut self.sessions
     }
 
-    /// What has been counted of sessions since this was last asked.
+    /// What has been counted of sessions since this was last read.
     pub fn take_session_counts(&mut self) -> SessionCounts {
         self.sessions.take_counts()
     }
 
     /// Requests, probes and timers on the books; the decisions' own timer is among the last.
     pub fn books(&self) -> (usize, usize, usize) {
-        (self.requests.rows(), self.probes.len(), self.timers.len())
+        (self.requests.len(), self.probes.len(), self.timers.len())
     }
 
     /// Hands events to the decisions until none are left, and carries their actions over.
     fn run(&mut self, now: Time, out: &mut Vec<Effect>) {
         while let Some(event) = self.events.pop_front() {
-            let event = self.as_of_now(now, event);
+            let event = self.with_current_capacity(now, event);
             let mut actions = std::mem::take(&mut self.actions);
             self.policy.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.act(now, action, out);
+                self.apply_action(now, action, out);
             }
             self.actions = actions;
         }
     }
 
-    fn act(&mut self, now: Time, action: Action, out: &mut Vec<Effect>) {
+    fn apply_action(&mut self, now: Time, action: Action, out: &mut Vec<Effect>) {
         let of = match &action {
             Action::Send(id, ..) | Action::Reject(id, _) | Action::Fail(id) | Action::Cancel(id, _) => {
                 Some(*id)
@@ -430,32 +438,39 @@
             _ => None,
         };
         if of.is_some_and(LeaseCoordinator::owns) {
-            return self.act_for_proxy(now, &action, out);
+            return self.apply_proxy_action(now, &action, out);
         }
         match action {
-            Action::Send(id, member, limit) => self.send(now, id, member, limit, out),
+            Action::Send(id, member, limit) => self.start_attempt(now, id, member, limit, out),
             Action::Reject(id, after) => {
-                self.gave_up(id);
+                self.note_missed_retry(id);
                 let ms = after.map(|t| t.0.div_ceil(1_000_000));
-                self.doubtful(now, id, out);
-                self.answer(now, id, Answer::Rejected { retry_after_ms: ms }, out);
+                self.note_unknown_outcome(now, id, out);
+                self.answer_client(now, id, Answer::Rejected { retry_after_ms: ms }, out);
             }
             Action::Fail(id) => {
-                self.gave_up(id);
-                self.doubtful(now, id, out);
-                self.answer(now, id, Answer::Failed, out);
+                self.note_missed_retry(id);
+                self.note_unknown_outcome(now, id, out);
+                self.answer_client(now, id, Answer::Failed, out);
             }
             Action::Cancel(id, attempt) => {
-                if let Some(x) = self.take_attempt(id, attempt) {
+                if let Some(exchange) = self.take_attempt(id, attempt) {
                     out.push(Effect::AbortExchange(ExchangeId::Attempt(id, attempt)));
-                    self.outcome(now, id, attempt, x, Status::Cancelled, ReportedState::default());
+                    self.record_attempt_outcome(
+                        now,
+                        id,
+                        attempt,
+                        exchange,
+                        Status::Cancelled,
+                        ReportedState::default(),
+                    );
                 }
             }
             Action::Timer(after, token) => {
                 self.timers.add(now.plus(after), Timer::Policy(token));
             }
             Action::Probe(member) => {
-                let Some(addr) = self.members.addr(member) else {
+                let Some(addr) = self.endpoints.addr(member) else {
                     let none = ReplicationState::default();
                     return self.events.push_back(Event::ProbeFinished {
                         member,
@@ -465,19 +480,22 @@
                     });
                 };
                 self.spend_budget(now, Budget::Probes);
-                let (timers, due) = (&mut self.timers, now.plus(self.site.connect_timeout));
-                let number = self.probes.put(|number| Exchange {
+                let (timers, due) = (&mut self.timers, now.plus(self.deployment.connect_timeout));
+                let number = self.probes.insert(|number| InFlightExchange {
                     member,
-                    sent: now,
+                    sent_at: now,
                     timer: timers.add(due, Timer::Probe(number)),
                 });
-                let text =
-                    if self.site.load_reports == LoadReportSource::None { "SELECT 1" } else { "SHOW vitals" };
+                let text = if self.deployment.load_reports == LoadReportSource::None {
+                    "SELECT 1"
+                } else {
+                    "SHOW vitals"
+                };
                 let (id, query) = (ExchangeId::Probe(number), Query::HealthCheck(text));
                 out.push(Effect::StartExchange(ExchangeStart { id, member, client: None, addr, query }));
             }
             Action::CloseIdle(member) => {
-                out.extend(self.members.addr(member).map(Effect::CloseIdleConnections))
+                out.extend(self.endpoints.addr(member).map(Effect::CloseIdleConnections))
             }
             // A watch is always kept, and tells each change by itself: the whole list costs a discovery that
             // all routers share what others wait for.
@@ -487,53 +505,54 @@
     }
 
     /// A client's request; its number, and the limits that count it.
-    fn request(
+    fn accept_request(
         &mut self,
         now: Time,
-        asked: ClientRequest,
+        request: ClientRequest,
         out: &mut Vec<Effect>,
     ) -> Option<(RequestId, Vec<LimitKey>)> {
-        let ClientRequest { client, command, statement, arrived_at } = asked;
+        let ClientRequest { client, command, statement, arrived_at } = request;
         let named = |names: &[String], word: &[u8]| names.iter().position(|n| n.as_bytes() == word);
         let group = GroupId(statement.group);
         let mut invalid = |what: &str| {
-            self.tally.invalid += 1;
+            self.counters.invalid += 1;
             let error = StatementError { code: "22023", message: what.into() };
             Effect::Answer { client, command, answer: Answer::Invalid(error) }
         };
-        let Some(class) = named(&self.site.classes, statement.class()) else {
+        let Some(class) = named(&self.deployment.classes, statement.class()) else {
             out.push(invalid("the class is unknown"));
             return None;
         };
         // Without any list yet, that says nothing: the decisions turn it away, and it may come again.
-        if self.members.lacks(group) {
+        if self.endpoints.lacks_group(group) {
             out.push(invalid("the cluster is unknown"));
             return None;
         }
         // Two requests of one id could not be told apart at a host, and one would get the other's answer.
-        if self.requests.has(statement.id()) {
+        if self.requests.has_client_id(statement.id()) {
             out.push(invalid("the id is that of an open request"));
             return None;
         }
         // A tenant that the settings don't name is one without a share.
-        let tenant = named(&self.site.tenants, statement.tenant()).unwrap_or(self.site.tenants.len());
-        let id = self.requests.number();
+        let tenant =
+            named(&self.deployment.tenants, statement.tenant()).unwrap_or(self.deployment.tenants.len());
+        let id = self.requests.next_id();
         let deadline = arrived_at.min(now).plus(Time::ms(statement.deadline_ms));
-        let (tracked, floor) = self.session(now, client, &statement, class, group);
+        let (tracked, floor) = self.begin_session_request(now, client, &statement, class, group);
         let request = Request {
             id,
             class: ClassId(class as u16),
             tenant: TenantId(tenant as u16),
             deadline,
             group,
-            floor: self.wall.own(floor.position),
+            floor: self.system_clock.to_router_time(floor.position),
             lead: floor.lead,
             client_retry: statement.is_retry,
         };
         let floor_ms = floor.send_to_hosts.then(|| floor.position.0.div_ceil(1_000_000));
         let statement = Rc::from(statement);
         let (answered, served, attempts) = (false, false, Vec::new());
-        let open = Open {
+        let open = OpenRequest {
             client,
             command,
             statement,
@@ -545,13 +564,13 @@
             served,
             attempts,
         };
-        self.requests.put(id, open);
-        let (event, keys) = self.limited(now, request);
+        self.requests.insert(id, open);
+        let (event, keys) = self.request_event(now, request);
         self.events.push_back(event);
         Some((id, keys))
     }
 
-    fn send(
+    fn start_attempt(
         &mut self,
         now: Time,
         id: RequestId,
@@ -559,71 +578,100 @@
         limit: Option<Time>,
         out: &mut Vec<Effect>,
     ) {
-        let most = self.site.settings.max_attempts as usize;
-        let addr = self.members.addr(member);
+        let most = self.deployment.settings.max_attempts as usize;
+        let addr = self.endpoints.addr(member);
         let Some(open) = self.requests.get_mut(id) else {
-            // ExchangeResult and off the books: it goes nowhere, and that is told.
-            let x = Exchange { member, sent: now, timer: TimerKey::default() };
-            return self.outcome(now, id, Attempt(u16::MAX), x, Status::NotSent, ReportedState::default());
+            // Ended and off the books: it goes nowhere, and that is told.
+            let exchange = InFlightExchange { member, sent_at: now, timer: TimerKey::default() };
+            return self.record_attempt_outcome(
+                now,
+                id,
+                Attempt(u16::MAX),
+                exchange,
+                Status::NotSent,
+                ReportedState::default(),
+            );
         };
         let attempt = Attempt(open.attempts.len() as u16);
         if open.answered || open.attempts.len() >= most || now >= open.deadline {
             open.attempts.push(None);
-            let x = Exchange { member, sent: now, timer: TimerKey::default() };
-            return self.outcome(now, id, attempt, x, Status::NotSent, ReportedState::default());
+            let exchange = InFlightExchange { member, sent_at: now, timer: TimerKey::default() };
+            return self.record_attempt_outcome(
+                now,
+                id,
+                attempt,
+                exchange,
+                Status::NotSent,
+                ReportedState::default(),
+            );
         }
         let Some(addr) = addr else {
             open.attempts.push(None);
-            let x = Exchange { member, sent: now, timer: TimerKey::default() };
-            return self.outcome(now, id, attempt, x, Status::ConnectFailed, ReportedState::default());
+            let exchange = InFlightExchange { member, sent_at: now, timer: TimerKey::default() };
+            return self.record_attempt_outcome(
+                now,
+                id,
+                attempt,
+                exchange,
+                Status::ConnectFailed,
+                ReportedState::default(),
+            );
         };
         let left = open.deadline.since(now);
         let wait = limit.unwrap_or(left).min(left);
         let timer = self.timers.add(now.plus(wait), Timer::Attempt(id, attempt));
-        open.attempts.push(Some(Exchange { member, sent: now, timer }));
+        open.attempts.push(Some(InFlightExchange { member, sent_at: now, timer }));
         let query = Query::Statement {
             statement: Rc::clone(&open.statement),
             deadline: now.plus(wait),
             floor_ms: open.floor_ms,
         };
         if let Some(tracked) = open.tracked.as_ref().filter(|b| b.is_write && attempt == Attempt(0)) {
-            let owner = owner(&self.sessions, &open.statement);
+            let identity = session_identity(&self.sessions, &open.statement);
             let token = self.sessions.early_token(
-                self.wall.unix(now),
-                owner,
+                self.system_clock.to_unix_time(now),
+                identity,
                 open.group,
                 tracked,
-                self.wall.unix(now.plus(wait)),
+                self.system_clock.to_unix_time(now.plus(wait)),
             );
             out.extend(token.map(|t| Effect::SessionToken { client: open.client, token: t }));
         }
         let (exchange, client) = (ExchangeId::Attempt(id, attempt), Some(open.client));
         out.push(Effect::StartExchange(ExchangeStart { id: exchange, member, client, addr, query }));
-        self.begun(now, id, attempt, member, now.plus(wait));
+        self.occupy_member_slot(now, id, attempt, member, now.plus(wait));
         if attempt > Attempt(0) {
             self.spend_budget(now, Budget::Retries);
         }
     }
 
-    fn ended(&mut self, now: Time, exchange: ExchangeId, ended: ExchangeResult, out: &mut Vec<Effect>) {
+    fn exchange_finished(
+        &mut self,
+        now: Time,
+        exchange: ExchangeId,
+        result: ExchangeResult,
+        out: &mut Vec<Effect>,
+    ) {
         match exchange {
             ExchangeId::Attempt(id, attempt) => {
-                let Some(x) = self.take_attempt(id, attempt) else { return };
-                let (status, telling) = match ended {
-                    ExchangeResult::Answered(QueryOutcome::Row(row), telling) => {
-                        self.served(now, id, telling.position_ms.map(unix_ms), out);
-                        self.answer(now, id, Answer::Served(row), out);
-                        (Status::Ok, telling)
+                let Some(exchange) = self.take_attempt(id, attempt) else { return };
+                let (status, reported) = match result {
+                    ExchangeResult::Answered(QueryOutcome::Row(row), reported) => {
+                        self.note_session_served(now, id, reported.position_ms.map(time_from_unix_ms), out);
+                        self.answer_client(now, id, Answer::Served(row), out);
+                        (Status::Ok, reported)
                     }
-                    ExchangeResult::Answered(QueryOutcome::Error(code), telling)
-                        if of_the_statement(&code) =>
+                    ExchangeResult::Answered(QueryOutcome::Error(code), reported)
+                        if is_statement_error(&code) =>
                     {
                         let error = StatementError { code: "22023", message: "a host can't use it".into() };
-                        self.answer(now, id, Answer::Invalid(error), out);
-                        (Status::NotSent, telling)
+                        self.answer_client(now, id, Answer::Invalid(error), out);
+                        (Status::NotSent, reported)
                     }
-                    ExchangeResult::Answered(QueryOutcome::Error(code), telling) => (by_code(&code), telling),
-                    ExchangeResult::Answered(QueryOutcome::Empty, telling) => (Status::Error, telling),
+                    ExchangeResult::Answered(QueryOutcome::Error(code), reported) => {
+                        (status_for_sqlstate(&code), reported)
+                    }
+                    ExchangeResult::Answered(QueryOutcome::Empty, reported) => (Status::Error, reported),
                     ExchangeResult::ConnectionRejected(code) if code == "53300" => {
                         (Status::Overloaded, ReportedState::default())
                     }
@@ -635,17 +683,17 @@
                     // It may have run, like an error; the member is there, and answers.
                     ExchangeResult::MalformedResponse => (Status::Error, ReportedState::default()),
                 };
-                self.outcome(now, id, attempt, x, status, telling);
+                self.record_attempt_outcome(now, id, attempt, exchange, status, reported);
             }
             ExchangeId::Probe(number) => {
-                let Some(x) = self.take_probe(number) else { return };
-                let (status, report) = match ended {
+                let Some(exchange) = self.take_probe(number) else { return };
+                let (status, report) = match result {
                     ExchangeResult::Answered(QueryOutcome::Row(row), _) => {
                         let value = row.value.clone().map(|v| &row.bytes[v]).unwrap_or_default();
                         (
                             Status::Ok,
-                            reported(
-                                &self.site.report_columns,
+                            replication_state(
+                                &self.deployment.report_columns,
                                 std::str::from_utf8(value).unwrap_or_default(),
                             ),
                         )
@@ -661,20 +709,20 @@
                     ExchangeResult::ConnectionLost => (Status::Reset, ReplicationState::default()),
                     ExchangeResult::MalformedResponse => (Status::Error, ReplicationState::default()),
                 };
-                self.probed(now, x, status, report);
+                self.record_probe_outcome(now, exchange, status, report);
             }
         }
     }
 
     /// Fires the timers that are due now; those set meanwhile wait for the next time.
-    fn due(&mut self, now: Time, out: &mut Vec<Effect>) {
+    fn fire_due_timers(&mut self, now: Time, out: &mut Vec<Effect>) {
         if let Some(coordinator) = &mut self.coordinator {
-            let mut said = Vec::new();
-            coordinator.tick(now, &mut said);
-            self.apply_coordinator_outputs(said, out);
+            let mut outputs = Vec::new();
+            coordinator.tick(now, &mut outputs);
+            self.apply_coordinator_outputs(outputs, out);
             self.run(now, out);
         }
-        self.fleet_due(now, out);
+        self.fire_fleet_timer(now, out);
         self.run(now, out);
         for (key, timer) in self.timers.due(now) {
             match timer {
@@ -683,15 +731,27 @@
                     self.events.push_back(Event::Timer(token));
                 }
                 Timer::Attempt(id, attempt) => {
-                    if let Some(x) = self.take_attempt(id, attempt) {
+                    if let Some(exchange) = self.take_attempt(id, attempt) {
                         out.push(Effect::AbortExchange(ExchangeId::Attempt(id, attempt)));
-                        self.outcome(now, id, attempt, x, Status::Timeout, ReportedState::default());
+                        self.record_attempt_outcome(
+                            now,
+                            id,
+                            attempt,
+                            exchange,
+                            Status::Timeout,
+                            ReportedState::default(),
+                        );
                     }
                 }
                 Timer::Probe(number) => {
-                    if let Some(x) = self.take_probe(number) {
+                    if let Some(exchange) = self.take_probe(number) {
                         out.push(Effect::AbortExchange(ExchangeId::Probe(number)));
-                        self.probed(now, x, Status::Timeout, ReplicationState::default());
+                        self.record_probe_outcome(
+                            now,
+                            exchange,
+                            Status::Timeout,
+                            ReplicationState::default(),
+                        );
                     }
                 }
             }
@@ -700,13 +760,13 @@
     }
 
     /// The final answer: the client gets it unless it has had one.
-    fn answer(&mut self, now: Time, id: RequestId, answer: Answer, out: &mut Vec<Effect>) {
+    fn answer_client(&mut self, now: Time, id: RequestId, answer: Answer, out: &mut Vec<Effect>) {
         let Some(open) = self.requests.get(id).filter(|o| !o.answered) else { return };
         match answer {
-            Answer::Served(_) => self.tally.served += 1,
-            Answer::Rejected { .. } => self.tally.refused += 1,
-            Answer::Failed | Answer::Cancelled => self.tally.failed += 1,
-            Answer::Invalid(_) => self.tally.invalid += 1,
+            Answer::Served(_) => self.counters.served += 1,
+            Answer::Rejected { .. } => self.counters.rejected += 1,
+            Answer::Failed | Answer::Cancelled => self.counters.failed += 1,
+            Answer::Invalid(_) => self.counters.invalid += 1,
         }
         let (client, command) = (open.client, open.command);
         self.requests.release(client, command);
@@ -716,38 +776,43 @@
 
     /// A request has ended; its row goes once no attempt is out.
     fn close(&mut self, now: Time, id: RequestId) {
-        if let Some(Open { group, tracked: Some(tracked), .. }) = self.requests.close(id) {
-            self.sessions.end_request(self.wall.unix(now), group, &tracked);
+        if let Some(OpenRequest { group, tracked: Some(tracked), .. }) = self.requests.close(id) {
+            self.sessions.end_request(self.system_clock.to_unix_time(now), group, &tracked);
         }
     }
 
-    /// Takes an attempt off the books, if it is out. Its request's row stays for [`Router::outcome`].
-    fn take_attempt(&mut self, id: RequestId, attempt: Attempt) -> Option<Exchange> {
-        let x = self.requests.take_attempt(id, attempt)?;
-        self.timers.cancel(x.timer);
-        Some(x)
+    /// Takes an attempt off the books, if it is out. Its request's row stays for
+    /// [`Router::record_attempt_outcome`].
+    fn take_attempt(&mut self, id: RequestId, attempt: Attempt) -> Option<InFlightExchange> {
+        let exchange = self.requests.take_attempt(id, attempt)?;
+        self.timers.cancel(exchange.timer);
+        Some(exchange)
     }
 
-    fn take_probe(&mut self, number: u64) -> Option<Exchange> {
-        let x = self.probes.take(number)?;
-        self.timers.cancel(x.timer);
-        Some(x)
+    fn take_probe(&mut self, number: u64) -> Option<InFlightExchange> {
+        let exchange = self.probes.take(number)?;
+        self.timers.cancel(exchange.timer);
+        Some(exchange)
     }
 
     /// Tells the one outcome of an attempt that has been taken off the books.
-    fn outcome(
+    fn record_attempt_outcome(
         &mut self,
         now: Time,
         id: RequestId,
         attempt: Attempt,
-        x: Exchange,
+        exchange: InFlightExchange,
         status: Status,
-        t: ReportedState,
+        reported: ReportedState,
     ) {
-        self.tally.attempt(status);
-        self.place_back(now, id, attempt, x.member, status);
-        if let Some(position) = t.position_ms {
-            self.sessions.observe_position(self.wall.unix(now), self.wall.unix(x.sent), unix_ms(position));
+        self.counters.record_attempt(status);
+        self.release_member_slot(now, id, attempt, exchange.member, status);
+        if let Some(position) = reported.position_ms {
+            self.sessions.observe_position(
+                self.system_clock.to_unix_time(now),
+                self.system_clock.to_unix_time(exchange.sent_at),
+                time_from_unix_ms(position),
+            );
         }
         if let Some(open) = self.requests.get_mut(id).filter(|o| !o.served && !status.proves_not_executed()) {
             open.tracked.iter_mut().for_each(|b| b.outcome_unknown = b.is_write);
@@ -756,33 +821,60 @@
         if ended {
             self.close(now, id);
         }
-        let role = t.primary.map(|p| if p { Role::Primary } else { Role::Replica });
-        let replication = self.on_own_clock(ReplicationState { position: t.position_ms.map(unix_ms), role });
-        let report =
-            t.load_report.as_deref().map(|v| reported(&self.site.report_columns, v)).unwrap_or_default();
-        let report = self.on_own_clock(report);
-        let took = now.since(x.sent);
-        let outcome =
-            Outcome { request: id, attempt, member: x.member, status, took, ended, replication, report };
+        let role = reported.primary.map(|p| if p { Role::Primary } else { Role::Replica });
+        let replication = self.on_router_clock(ReplicationState {
+            position: reported.position_ms.map(time_from_unix_ms),
+            role,
+        });
+        let report = reported
+            .load_report
+            .as_deref()
+            .map(|v| replication_state(&self.deployment.report_columns, v))
+            .unwrap_or_default();
+        let report = self.on_router_clock(report);
+        let took = now.since(exchange.sent_at);
+        let outcome = Outcome {
+            request: id,
+            attempt,
+            member: exchange.member,
+            status,
+            took,
+            ended,
+            replication,
+            report,
+        };
         self.events.push_back(Event::Outcome(outcome));
     }
 
-    fn on_own_clock(&self, replication: ReplicationState) -> ReplicationState {
-        ReplicationState { position: replication.position.map(|p| self.wall.own(p)), ..replication }
+    fn on_router_clock(&self, replication: ReplicationState) -> ReplicationState {
+        ReplicationState {
+            position: replication.position.map(|p| self.system_clock.to_router_time(p)),
+            ..replication
+        }
     }
 
     /// Tells the one outcome of a probe that has been taken off the books.
-    fn probed(&mut self, now: Time, x: Exchange, status: Status, report: ReplicationState) {
-        self.tally.probes += 1;
+    fn record_probe_outcome(
+        &mut self,
+        now: Time,
+        exchange: InFlightExchange,
+        status: Status,
+        report: ReplicationState,
+    ) {
+        self.counters.probes += 1;
         if let Some(position) = report.position {
-            self.sessions.observe_position(self.wall.unix(now), self.wall.unix(x.sent), position);
+            self.sessions.observe_position(
+                self.system_clock.to_unix_time(now),
+                self.system_clock.to_unix_time(exchange.sent_at),
+                position,
+            );
         }
-        let report = self.on_own_clock(report);
-        self.tally.probes_failed += u32::from(status != Status::Ok);
+        let report = self.on_router_clock(report);
+        self.counters.probes_failed += u32::from(status != Status::Ok);
         self.events.push_back(Event::ProbeFinished {
-            member: x.member,
+            member: exchange.member,
             status,
-            took: now.since(x.sent),
+            took: now.since(exchange.sent_at),
             report,
         });
     }
--- a/crates/router/src/routing/proxies.rs
+++ b/crates/router/src/routing/proxy_leases.rs
@@ -9,7 +9,7 @@
 impl Router {
     /// Takes calls of other proxies from now on.
     pub fn serve_proxies(&mut self, now: Time, limits: ProxyLimits) {
-        self.coordinator = Some(LeaseCoordinator::new(now, &self.site.settings, limits));
+        self.coordinator = Some(LeaseCoordinator::new(now, &self.deployment.settings, limits));
     }
 
     /// Calls of proxies, their leases, and the writes remembered for them.
@@ -18,46 +18,53 @@
     }
 
     /// A proxy's word, to the coordinator.
-    pub(super) fn proxy(&mut self, now: Time, stream: StreamId, spoken: ProxyMessage, out: &mut Vec<Effect>) {
-        let mut said = Vec::new();
+    pub(super) fn handle_proxy_message(
+        &mut self,
+        now: Time,
+        stream: StreamId,
+        message: ProxyMessage,
+        out: &mut Vec<Effect>,
+    ) {
+        let mut outputs = Vec::new();
         let Some(coordinator) = &mut self.coordinator else { return };
-        match spoken {
-            ProxyMessage::Request(call) => coordinator.request(now, stream, call, &mut said),
+        match message {
+            ProxyMessage::Request(call) => coordinator.request(now, stream, call, &mut outputs),
             ProxyMessage::Outcome { lease, outcome, replication } => {
-                coordinator.report_outcome(now, stream, lease, outcome, replication, &mut said)
+                coordinator.report_outcome(now, stream, lease, outcome, replication, &mut outputs)
             }
-            ProxyMessage::StreamClosed => coordinator.stream_closed(now, stream, &mut said),
+            ProxyMessage::StreamClosed => coordinator.stream_closed(now, stream, &mut outputs),
         }
-        self.apply_coordinator_outputs(said, out);
+        self.apply_coordinator_outputs(outputs, out);
     }
 
     /// What the decisions do with a proxy's request. The decision holds up to a drain's grace, and a member
     /// that nobody can reach is not named.
-    pub(super) fn act_for_proxy(&mut self, now: Time, action: &Action, out: &mut Vec<Effect>) {
+    pub(super) fn apply_proxy_action(&mut self, now: Time, action: &Action, out: &mut Vec<Effect>) {
         let until = match action {
-            Action::Send(_, member, _) if self.members.addr(*member).is_none() => Some(now),
-            Action::Send(_, member, _) => {
-                self.members.parting(*member).map(|told| told.plus(self.site.settings.drain_grace))
-            }
+            Action::Send(_, member, _) if self.endpoints.addr(*member).is_none() => Some(now),
+            Action::Send(_, member, _) => self
+                .endpoints
+                .draining_since(*member)
+                .map(|notified_at| notified_at.plus(self.deployment.settings.drain_grace)),
             _ => None,
         };
-        let mut said = Vec::new();
+        let mut outputs = Vec::new();
         if let Some(coordinator) = &mut self.coordinator {
-            coordinator.apply(now, action, until, &mut said);
+            coordinator.apply(now, action, until, &mut outputs);
         }
-        self.apply_coordinator_outputs(said, out);
+        self.apply_coordinator_outputs(outputs, out);
     }
 
-    pub(super) fn apply_coordinator_outputs(&mut self, said: Vec<Output>, out: &mut Vec<Effect>) {
-        for one in said {
-            match one {
+    pub(super) fn apply_coordinator_outputs(&mut self, outputs: Vec<Output>, out: &mut Vec<Effect>) {
+        for output in outputs {
+            match output {
                 Output::Event(event) => self.events.push_back(event),
-                Output::Reply(stream, say) => {
-                    let addr = match say {
-                        ProxyReply::Member { member, .. } => self.members.addr(member),
+                Output::Reply(stream, reply) => {
+                    let addr = match reply {
+                        ProxyReply::Member { member, .. } => self.endpoints.addr(member),
                         _ => None,
                     };
-                    out.push(Effect::ProxyReply(stream, say, addr));
+                    out.push(Effect::ProxyReply(stream, reply, addr));
                 }
             }
         }
--- a/crates/router/tests/effect_moments.rs
+++ b/crates/router/tests/at_most_once.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn an_unsafe_write_over_cut_connections_comes_whole_once_at_most() {
+fn non_idempotent_write_over_cut_connections_arrives_complete_at_most_once() {
     for after in [Some(64), Some(1000), Some(60_000), None] {
         let (addr, whole) = cuts(after);
         let served = served(addr, SETTINGS);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_keyed_write_is_not_repeated_past_its_window_over_a_connection_that_comes_up_late() {
+fn keyed_write_is_not_retried_after_its_deduplication_window_over_a_late_connection() {
     let host = Host::start(|text| match text {
         "SHOW vitals" => {
             (Reply::RowThenClose(format!("x0={}.0,x1=1", unix_ms() / 1000).into_bytes()), Vec::new())
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_host_whose_connections_come_up_slowly_takes_no_time_from_others() {
+fn slow_connecting_host_does_not_delay_requests_to_other_hosts() {
     let (slow, quick) =
         (primary_host(|_| Reply::Row(b"x".to_vec())), primary_host(|_| Reply::Row(b"x".to_vec())));
     slow.seen.change(|s| s.withhold_welcome = true);
@@ -148,7 +148,7 @@
 
 /// The time that a host is told is what is left as the statement is written, not as its connection was begun.
 #[test]
-fn over_a_connection_that_comes_up_late_a_host_is_told_no_more_time_than_is_left() {
+fn late_connection_forwards_only_the_remaining_deadline() {
     let host = primary_host(|_| Reply::RowThenClose(b"x".to_vec()));
     let late = SETTINGS.replace("\"connectTimeout\": 250000000", "\"connectTimeout\": 2000000000");
     let served = served(host.addr, &late);
--- a/crates/router/tests/routing.rs
+++ b/crates/router/tests/routing.rs
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_write_goes_to_the_primary_and_its_row_to_the_client() {
+fn write_is_sent_to_primary_and_its_row_returned_to_client() {
     let mut d = Driven::new();
     let (id, addr, query) = d.attempt(1, "write");
     assert_eq!(addr, PRIMARY.parse().unwrap());
@@ -154,7 +154,7 @@
 
 /// Its client's time counts from the command's last byte, however long it has waited behind others since.
 #[test]
-fn a_request_that_waited_behind_others_has_what_is_left_of_its_time() {
+fn deadline_counts_from_arrival_and_not_from_the_start_of_processing() {
     let mut d = Driven::new();
     let came = |d: &Driven, ms| d.now.minus(Time::ms(ms));
     let effects = d.input(asked(1, statement("write", ""), came(&d, 300)));
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn a_write_that_may_have_run_fails_and_is_not_sent_again() {
+fn write_with_uncertain_outcome_fails_without_retry() {
     for ended in [
         ExchangeResult::ConnectionLost,
         ExchangeResult::MalformedResponse,
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_write_that_never_ran_is_refused_in_the_end() {
+fn write_that_never_ran_is_rejected_after_bounded_retries() {
     let never = [
         ExchangeResult::NotSent,
         ExchangeResult::ConnectionRejected("53300".into()),
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn each_end_of_an_attempt_has_its_status() {
+fn every_exchange_result_maps_to_its_attempt_status() {
     let error =
         |code: &str| ExchangeResult::Answered(QueryOutcome::Error(code.into()), ReportedState::default());
     let cases = [
@@ -264,11 +264,11 @@
     d.pass(500);
     let tally = d.router.take_request_counters();
     assert_eq!((tally.attempts(Status::Cancelled), tally.attempts(Status::Timeout)), (1, 1));
-    assert_eq!((tally.left, tally.failed), (1, 1));
+    assert_eq!((tally.abandoned, tally.failed), (1, 1));
 }
 
 #[test]
-fn an_attempt_without_an_answer_ends_at_its_limit_and_the_client_is_told_in_time() {
+fn unanswered_attempt_times_out_and_its_client_is_answered_in_time() {
     let mut d = Driven::new();
     let (id, ..) = d.attempt(1, "write");
     let early = d.pass(460);
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_has_its_read_called_off() {
+fn read_is_cancelled_when_its_client_disconnects() {
     let mut d = Driven::new();
     let (id, ..) = d.attempt(1, "view");
     let effects = d.input(Input::ClientDisconnected(ClientId(1)));
@@ -294,7 +294,7 @@
 }
 
 #[test]
-fn a_write_whose_client_leaves_stays_on_the_books_until_it_ends() {
+fn write_is_tracked_until_it_ends_after_its_client_disconnects() {
     let mut d = Driven::new();
     let (id, ..) = d.attempt(1, "write");
     d.input(Input::ClientDisconnected(ClientId(1)));
@@ -305,7 +305,7 @@
 }
 
 #[test]
-fn a_bad_row_is_an_error_and_an_unknown_class_or_group_never_goes_out() {
+fn empty_response_is_an_error_and_unknown_class_or_group_is_invalid() {
     let mut d = Driven::new();
     let (id, ..) = d.attempt(1, "write");
     let effects = d.end(id, ExchangeResult::Answered(QueryOutcome::Empty, ReportedState::default()));
@@ -319,7 +319,7 @@
 }
 
 #[test]
-fn a_floor_is_the_position_told_and_one_in_the_future_is_the_present() {
+fn session_floor_is_met_by_the_reported_position_and_capped_at_the_present() {
     // The replica has told its position, the millisecond that is now half over.
     for (after, to_copy) in [(None, true), (Some(0), true), (Some(1), false), (Some(3_600_000), false)] {
         let mut d = Driven::new();
@@ -337,7 +337,7 @@
 }
 
 #[test]
-fn a_probe_is_told_once_and_ends_at_its_limit() {
+fn health_check_times_out_and_is_counted_once() {
     let known = host_list(1, true, &[("s-1", PRIMARY, "active", "source")]);
     let mut out = Vec::new();
     let router = Router::new(START, site(), sessions(), 7, Some(known), &mut out);
@@ -354,7 +354,7 @@
 }
 
 #[test]
-fn a_timer_never_fires_early_nor_inside_the_call_that_asked() {
+fn timer_never_fires_early_or_within_the_call_that_set_it() {
     let mut d = Driven::new();
     d.pass(300);
     let due = d.router.next_due().unwrap();
@@ -374,7 +374,7 @@
 }
 
 #[test]
-fn a_host_is_reached_at_its_newest_address_and_a_removed_one_gets_nothing() {
+fn host_is_reached_at_its_newest_address_and_a_removed_host_gets_no_requests() {
     let mut d = Driven::new();
     let moved = "127.0.0.1:7009";
     d.list(host_list(2, false, &[("s-1", moved, "active", "source")]));
@@ -394,7 +394,7 @@
 }
 
 #[test]
-fn a_connection_that_comes_up_after_a_drains_grace_may_not_be_written_to() {
+fn nothing_may_be_written_after_the_drain_grace_period() {
     let mut d = Driven::new();
     let both = |state| [("s-1", PRIMARY, state, "source"), ("s-2", COPY, "active", "copy")];
     d.list(host_list(2, false, &both("leaving")));
@@ -418,7 +418,7 @@
 }
 
 #[test]
-fn a_shutdown_fails_what_is_unanswered_once() {
+fn shutdown_fails_unanswered_requests_exactly_once() {
     let mut d = Driven::new();
     let (id, ..) = d.attempt(1, "write");
     assert_eq!(answers(&d.input(Input::Shutdown)), [(1, Answer::Failed)]);
@@ -428,7 +428,7 @@
 }
 
 #[test]
-fn nothing_grows_with_the_requests_served() {
+fn tables_are_empty_after_thousands_of_requests() {
     let mut d = Driven::new();
     for n in 0..3000 {
         let class = ["view", "own", "status", "report", "write"][n as usize % 5];
@@ -505,7 +505,7 @@
     /// that has left, nothing sent for a request after its answer, no write sent or refused that may have
     /// run, and nothing left on the books.
     #[test]
-    fn each_request_gets_one_answer_and_a_write_runs_once(
+    fn every_request_gets_one_answer_and_writes_are_never_duplicated(
         steps in proptest::collection::vec((a_step(), an_end()), 1..120)
     ) {
         let mut d = Driven::new();
@@ -592,7 +592,7 @@
 }
 
 #[test]
-fn the_id_of_an_open_request_is_an_error_and_reaches_no_host() {
+fn duplicate_id_of_an_open_request_is_invalid_and_not_forwarded() {
     let mut d = Driven::new();
     let first = begun(&d.ask(1, "write", ",id=same"))[0].0;
     let effects = d.input(asked(2, statement("write", ",id=same"), d.now));
@@ -608,7 +608,7 @@
 }
 
 #[test]
-fn what_a_host_finds_wrong_with_a_statement_is_not_held_against_the_host() {
+fn statement_errors_do_not_count_as_host_faults() {
     for code in ["08P01", "22023", "42601"] {
         let mut d = Driven::new();
         for n in 0..5 {
@@ -666,7 +666,7 @@
 }
 
 #[test]
-fn proxies_and_clients_are_served_by_one_module_with_one_set_of_books() {
+fn proxies_and_clients_use_one_policy_and_its_member_state() {
     let mut d = Driven::new();
     assert!(d.proxy_asks(1).is_empty(), "off unless it is switched on");
     d.pass(10);
@@ -684,7 +684,7 @@
 }
 
 #[test]
-fn a_lease_that_nobody_tells_of_ends_with_its_request_and_its_member_is_not_waited_for() {
+fn unreported_lease_ends_with_its_request_and_its_member_is_not_awaited() {
     let mut d = Driven::new();
     d.router.serve_proxies(d.now, PROXY_LIMITS);
     d.pass(10);
@@ -705,7 +705,7 @@
 }
 
 #[test]
-fn a_decision_holds_no_longer_than_its_members_grace() {
+fn proxy_lease_ends_with_the_drain_grace_period_of_its_member() {
     let mut d = Driven::new();
     d.router.serve_proxies(d.now, PROXY_LIMITS);
     d.list(host_list(2, false, &[("s-1", PRIMARY, "leaving", "source")]));
@@ -723,7 +723,7 @@
 }
 
 #[test]
-fn what_its_client_has_left_or_called_off_may_not_be_written_any_more() {
+fn nothing_is_written_for_disconnected_or_cancelled_requests() {
     for off in [Input::ClientDisconnected(ClientId(1)), Input::CancelRequested(ClientId(1))] {
         let mut d = Driven::new();
         // Of an effect that is not safe: the attempt goes on, and may wait for its connection.
@@ -743,7 +743,7 @@
 }
 
 #[test]
-fn what_has_idled_since_before_its_host_restarted_or_moved_is_closed() {
+fn connections_idle_since_before_a_host_restart_or_move_are_closed() {
     let mut d = Driven::new();
     let closed = |effects: &[Effect]| {
         let one = |e: &Effect| match e {
@@ -763,7 +763,7 @@
 }
 
 #[test]
-fn before_any_list_requests_are_turned_away_and_none_is_called_wrong() {
+fn requests_before_the_first_endpoint_list_are_rejected_and_never_invalid() {
     let mut out = Vec::new();
     let router = Router::new(START, site(), sessions(), 7, None, &mut out);
     let mut d = Driven { router, now: START };
