--- a/crates/config/src/own.rs
+++ b/crates/config/src/own.rs
@@ -2,22 +2,22 @@
 //! can switch on is on. `deploy/basalthill.kdl` shows every key with its default.
 
 use crate::ConfigError;
-use basalthill_fleet::{Bounds, Budget, Limit, Names, Peer, Subject};
+use basalthill_fleet::{Bounds, Budget, Limit, Peer, Roster, Subject};
 use basalthill_policy::api::Time;
-use basalthill_session::sessions::{Handing, Plan, StandIn};
-use basalthill_session::token::{Key, KeyId, Keys, SHORTEST_SECRET};
+use basalthill_session::token::{Key, KeyId, KeyRing, MIN_SECRET_LEN};
+use basalthill_session::{DefaultFloor, SessionConfig, TokenDelivery};
 use kdl::{KdlDocument, KdlEntry, KdlNode, KdlValue};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
 /// What the file says; empty without one.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Own {
+pub struct LocalSettings {
     /// How sessions are kept together.
     pub sessions: Option<SessionSettings>,
     /// A client whose connection the router closes between two requests is told so: what it has sent since
     /// then was not read.
-    pub farewell: bool,
+    pub close_notice: bool,
     /// The routers that talk to each other, and what they keep together.
     pub fleet: Option<FleetSettings>,
 }
@@ -28,11 +28,11 @@
     /// Where this router listens for the others, if not at the address of its name.
     pub listen: Option<SocketAddr>,
     /// The keys that datagrams are signed with.
-    pub keys: Keys,
+    pub keys: KeyRing,
     /// Largest error of any clock's rate, as a share.
     pub drift: f64,
     /// The routers, this one among them.
-    pub names: Names,
+    pub names: Roster,
     /// The limits over all of them.
     pub limits: Vec<Limit>,
 }
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SessionSettings {
     /// What the floors follow.
-    pub plan: Plan,
+    pub plan: SessionConfig,
     /// Where the book is kept over a stop in good order.
     pub snapshot: Option<Snapshot>,
 }
@@ -67,14 +67,14 @@
 const MOST_S: i128 = 366 * 24 * 3600;
 
 /// Reads the file at `path`.
-pub fn load(path: &Path) -> Result<Own, ConfigError> {
+pub fn load(path: &Path) -> Result<LocalSettings, ConfigError> {
     let shown = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|e| ConfigError::unread(path, &e))?;
     parse(&text).map_err(|e| ConfigError::new(format!("{shown}:{}", e.key), e.problem))
 }
 
 /// Reads the file's text. A fault's key is `LINE:COLUMN: KEY`.
-pub fn parse(text: &str) -> Result<Own, ConfigError> {
+pub fn parse(text: &str) -> Result<LocalSettings, ConfigError> {
     let document = KdlDocument::parse_v2(text).map_err(|e| {
         let first = e.diagnostics.first();
         let at = first.map_or(0, |d| d.span.offset());
@@ -82,10 +82,10 @@
         place(text, at, "(file)", problem.unwrap_or_else(|| "is not KDL".into()))
     })?;
     let file = File { text };
-    let mut own = Own::default();
+    let mut own = LocalSettings::default();
     for node in document.nodes() {
         match node.name().value() {
-            "clients" => own.farewell = file.clients(node)?,
+            "clients" => own.close_notice = file.clients(node)?,
             "fleet" if own.fleet.is_none() => own.fleet = Some(file.fleet(node)?),
             "fleet" => return Err(file.fault(node, "fleet", "is given twice")),
             "sessions" if own.sessions.is_none() => own.sessions = Some(file.sessions(node)?),
@@ -197,19 +197,27 @@
     fn sessions(&self, node: &KdlNode) -> Result<SessionSettings, ConfigError> {
         self.shape(node, "sessions", 0, &["floor"])?;
         let key = "sessions.floor";
-        let stand_in = match self.word(node, key, "floor")? {
-            "platform" => StandIn::Platform,
-            "nothing" => StandIn::Nothing,
-            "router" => StandIn::Router,
-            "connection" => StandIn::Connection,
-            "arrival" => StandIn::Arrival,
+        let default_floor = match self.word(node, key, "floor")? {
+            "platform" => DefaultFloor::Platform,
+            "nothing" => DefaultFloor::RememberedOnly,
+            "router" => DefaultFloor::RouterStart,
+            "connection" => DefaultFloor::ConnectionAccept,
+            "arrival" => DefaultFloor::ReadArrival,
             other => {
                 let problem = format!("{other:?} is none of platform, nothing, router, connection, arrival");
                 return Err(self.fault(node, key, problem));
             }
         };
-        let (handing, early, keys) = (Handing::Never, false, None);
-        let mut plan = Plan { stand_in, skew: SKEW, settle: SETTLE, lead: LEAD, handing, early, keys };
+        let (token_delivery, early_tokens, keys) = (TokenDelivery::Never, false, None);
+        let mut plan = SessionConfig {
+            default_floor,
+            skew: SKEW,
+            settle_time: SETTLE,
+            lead: LEAD,
+            token_delivery,
+            early_tokens,
+            keys,
+        };
         let (mut snapshot, mut seen) = (None, Vec::new());
         for child in node.iter_children() {
             let name = child.name().value();
@@ -220,7 +228,7 @@
             seen.push(name);
             match name {
                 "skew-ms" => plan.skew = self.ms(child, &key)?,
-                "settle-ms" => plan.settle = self.ms(child, &key)?,
+                "settle-ms" => plan.settle_time = self.ms(child, &key)?,
                 "lead-ms" => plan.lead = self.ms(child, &key)?,
                 "tokens" => self.tokens(child, &mut plan)?,
                 "snapshot" => {
@@ -236,18 +244,18 @@
         Ok(SessionSettings { plan, snapshot })
     }
 
-    fn tokens(&self, node: &KdlNode, plan: &mut Plan) -> Result<(), ConfigError> {
+    fn tokens(&self, node: &KdlNode, plan: &mut SessionConfig) -> Result<(), ConfigError> {
         self.shape(node, "sessions.tokens", 0, &["with", "early", "max-age-s"])?;
-        plan.handing = match self.word(node, "sessions.tokens.with", "with")? {
-            "writes" => Handing::Writes,
-            "reads" => Handing::Reads,
-            "nothing" => Handing::Never,
+        plan.token_delivery = match self.word(node, "sessions.tokens.with", "with")? {
+            "writes" => TokenDelivery::WritesOnly,
+            "reads" => TokenDelivery::WritesAndReads,
+            "nothing" => TokenDelivery::Never,
             other => {
                 let problem = format!("{other:?} is none of writes, reads, nothing");
                 return Err(self.fault(node, "sessions.tokens.with", problem));
             }
         };
-        plan.early = self.flag(node, "sessions.tokens.early", "early")?;
+        plan.early_tokens = self.flag(node, "sessions.tokens.early", "early")?;
         let age = self.number(node, "sessions.tokens.max-age-s", "max-age-s", 1..=MOST_S)?;
         let max_age = Time::ms(age.unwrap_or(TOKEN_AGE_S) * 1000);
         if let Some(child) = node.iter_children().find(|c| c.name().value() != "key") {
@@ -259,14 +267,14 @@
     }
 
     /// The keys among a node's children: one signs, all verify.
-    fn keys(&self, node: &KdlNode, of: &str, max_age: Time) -> Result<Keys, ConfigError> {
+    fn keys(&self, node: &KdlNode, of: &str, max_age: Time) -> Result<KeyRing, ConfigError> {
         let name = format!("{of}.key");
         let (mut signing, mut verifying) = (None, Vec::<Key>::new());
         for child in node.iter_children().filter(|c| c.name().value() == "key") {
             self.shape(child, &name, 2, &["signs"])?;
             let number = self.number(child, &name, 0, 0..=255)?.unwrap_or_default();
             let short = || {
-                let problem = format!("the secret must be {SHORTEST_SECRET} bytes or more, in hexadecimal");
+                let problem = format!("the secret must be {MIN_SECRET_LEN} bytes or more, in hexadecimal");
                 self.fault(child, &name, problem)
             };
             let secret = hex(self.word(child, &name, 1)?).ok_or_else(short)?;
@@ -281,7 +289,7 @@
             }
         }
         let none = || self.fault(node, of, "no key signs");
-        Ok(Keys { signing: signing.ok_or_else(none)?, verifying, max_age })
+        Ok(KeyRing { signing: signing.ok_or_else(none)?, verifying, max_age })
     }
 
     fn fleet(&self, node: &KdlNode) -> Result<FleetSettings, ConfigError> {
@@ -306,7 +314,7 @@
         }
         let routers = peers.len() as f64;
         let same = || self.fault(node, "fleet.router", "two names are the same in short; change one");
-        let names = Names::new(peers).ok_or_else(same)?;
+        let names = Roster::new(peers).map_err(|_| same())?;
         if names.is_empty() {
             return Err(self.fault(node, "fleet.router", "is missing"));
         }
@@ -383,14 +391,14 @@
         let alone = self.figure(node, &format!("{of}.alone-percent"), "alone-percent", 0.0..=100.0)?;
         let bounds = match (per_s, at_once, burst) {
             (Some(per_s), None, burst) => Bounds::Rate { per_s, burst: burst.unwrap_or(0.0) },
-            (None, Some(most), None) => Bounds::AtOnce(most as u32),
+            (None, Some(most), None) => Bounds::Concurrent(most as u32),
             _ => return Err(self.fault(node, of, "takes per-s, with burst or not, or at-once")),
         };
         let each = subject == Subject::EachMember;
-        if each != matches!(bounds, Bounds::AtOnce(_)) {
+        if each != matches!(bounds, Bounds::Concurrent(_)) {
             return Err(self.fault(node, of, "each-member and at-once go together"));
         }
-        Ok(Limit { name, subject, bounds, alone: alone.unwrap_or(ALONE_PERCENT) / 100.0 })
+        Ok(Limit { name, subject, bounds, reserved_fraction: alone.unwrap_or(ALONE_PERCENT) / 100.0 })
     }
 
     fn address(
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -2,13 +2,13 @@
 
 use crate::{typed, ConfigError};
 use basalthill_policy::api::*;
-use basalthill_session::Tokens;
+use basalthill_session::PlatformFloors;
 use serde::Deserialize;
 use serde_json::Value;
 
 /// How members report on themselves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reports {
+pub enum LoadReportSource {
     /// In answers and in answers to probes.
     InAnswers,
     /// In answers to probes alone.
@@ -19,17 +19,17 @@
 
 /// A deployment: what the decisions are told, and what only the parts round them need.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Site {
+pub struct Deployment {
     /// What the decisions are told.
     pub settings: Settings,
     /// How session floors are known.
-    pub tokens: Tokens,
+    pub tokens: PlatformFloors,
     /// Where positions count from on the bench's wire. On sockets they are Unix times.
     pub zero: Time,
     /// Names of a report's values.
-    pub columns: Vec<String>,
+    pub report_columns: Vec<String>,
     /// How members report.
-    pub reports: Reports,
+    pub load_reports: LoadReportSource,
     /// Names of the classes, in the order of their ids.
     pub classes: Vec<String>,
     /// Names of the tenants, in the order of their ids.
@@ -165,20 +165,20 @@
 }
 
 /// Reads the settings from their text.
-pub fn read(text: &[u8]) -> Result<Site, ConfigError> {
+pub fn read(text: &[u8]) -> Result<Deployment, ConfigError> {
     let value = serde_json::from_slice(text).map_err(|e| ConfigError::new("settings", e.to_string()))?;
     from_value(value)
 }
 
 /// Reads the settings from a JSON value.
-pub fn from_value(value: Value) -> Result<Site, ConfigError> {
+pub fn from_value(value: Value) -> Result<Deployment, ConfigError> {
     if !value.is_object() {
         return Err(ConfigError::new("settings", "must be an object"));
     }
     site(typed(value).map_err(|e| e.under("settings"))?).map_err(|e| e.under("settings"))
 }
 
-fn site(t: Text) -> Result<Site, ConfigError> {
+fn site(t: Text) -> Result<Deployment, ConfigError> {
     let f = &t.family_info;
     if f.consistency.len() != t.profiles.len() {
         let (has, wants) = (f.consistency.len(), t.profiles.len());
@@ -192,20 +192,20 @@
     let mut classes = Vec::new();
     for (i, p) in t.profiles.iter().enumerate() {
         let consistency = match f.consistency[i].as_str() {
-            "eventual" => Consistency::Any,
+            "eventual" => Consistency::Eventual,
             "lag_bound" => {
                 let missing = || ConfigError::new(format!("familyInfo.lagAllowed[{i}]"), "is missing");
-                Consistency::Bounded(Time(f.lag_allowed.get(i).copied().ok_or_else(missing)?))
+                Consistency::BoundedStaleness(Time(f.lag_allowed.get(i).copied().ok_or_else(missing)?))
             }
             "causal" => Consistency::Session,
-            "strong" => Consistency::Fresh,
+            "strong" => Consistency::Strong,
             "mutate" => Consistency::Write,
             other => return Err(unknown(format!("familyInfo.consistency[{i}]"), other)),
         };
         let effect = match p.effect.as_str() {
-            "idempotent" => Effect::Safe,
-            "deduplicated" => Effect::Keyed,
-            "at_most_once" => Effect::Unsafe,
+            "idempotent" => Effect::Idempotent,
+            "deduplicated" => Effect::IdempotentByKey,
+            "at_most_once" => Effect::NonIdempotent,
             other => return Err(unknown(format!("profiles[{i}].effect"), other)),
         };
         let scope = match p.key_scope.as_str() {
@@ -219,28 +219,29 @@
             effect,
             scope,
             window: Time(p.window),
-            aim: Time(p.aim),
-            deadline: Time(p.deadline),
-            worth: p.credit,
-            late_worth: p.late_worth,
+            latency_objective: Time(p.aim),
+            client_timeout: Time(p.deadline),
+            priority_weight: p.credit,
+            late_weight: p.late_worth,
         });
     }
     let reports = match t.reporting.via.as_str() {
-        "answers" => Reports::InAnswers,
-        "probe" => Reports::InProbes,
-        "none" => Reports::None,
+        "answers" => LoadReportSource::InAnswers,
+        "probe" => LoadReportSource::InProbes,
+        "none" => LoadReportSource::None,
         other => return Err(unknown("reporting.via".into(), other)),
     };
-    let column = |name: &str| reports != Reports::None && t.reporting.columns.iter().any(|c| c == name);
+    let column =
+        |name: &str| reports != LoadReportSource::None && t.reporting.columns.iter().any(|c| c == name);
     let settings = Settings {
-        me: RouterId(t.me),
+        router: RouterId(t.me),
         routers: t.balancers.max(1),
         zone: ZoneId(t.zone),
         tick: Time(t.quantum),
         classes,
         tenants: t.parties.iter().map(|p| Tenant { quota_per_s: p.quota_per_s }).collect(),
-        over_share_worth: t.over_share_worth,
-        list_on_request: t.discovery == "subscribe",
+        over_quota_weight: t.over_share_worth,
+        poll_endpoint_list: t.discovery == "subscribe",
         list_role: match f.role_listed.as_str() {
             "trailing" => ListRole::Late,
             "static" => ListRole::Start,
@@ -252,13 +253,13 @@
         probe_positions: column("x0"),
         probe_roles: column("x1"),
         when_behind: match f.when_behind.as_str() {
-            "none" => WhenBehind::Answers,
-            "bounce" => WhenBehind::Refuses,
-            "await" => WhenBehind::Waits(Time(f.patience)),
+            "none" => WhenBehind::ServeStale,
+            "bounce" => WhenBehind::Reject,
+            "await" => WhenBehind::Wait(Time(f.patience)),
             other => return Err(unknown("familyInfo.whenBehind".into(), other)),
         },
         max_attempts: t.bounds.max_attempts,
-        second_copies: t.bounds.parallel_tries,
+        hedging: t.bounds.parallel_tries,
         cancel: t.bounds.cancel,
         conn_idle: Time(t.bounds.conn_idle),
         probes: t.bounds.probes,
@@ -266,25 +267,25 @@
         max_retry_after: Time(t.bounds.max_retry_after),
         drain_grace: Time(t.rules.drain_grace),
         only_draining_binds: t.rules.soft_removal,
-        cold_from: t.rules.cold_from,
-        warm_within: Time(t.rules.warm_within),
-        fall_multiple: t.rules.fall_multiple,
-        fall: Time(t.rules.fall),
-        ask_every: Time(t.rules.ask_every),
+        slow_start_capacity: t.rules.cold_from,
+        slow_start_window: Time(t.rules.warm_within),
+        overload_multiple: t.rules.fall_multiple,
+        overload_window: Time(t.rules.fall),
+        poll_interval: Time(t.rules.ask_every),
         price_cross_zone: t.prices.cross_zone,
         price_waste: t.prices.waste,
     };
     let tokens = match f.token_mode.as_str() {
-        "brought" => Tokens::Carried,
-        "kept" => Tokens::Remembered,
+        "brought" => PlatformFloors::FromRequest,
+        "kept" => PlatformFloors::Remembered,
         other => return Err(unknown("familyInfo.tokenMode".into(), other)),
     };
-    Ok(Site {
+    Ok(Deployment {
         settings,
         tokens,
         zero: Time(f.zero),
-        columns: t.reporting.columns,
-        reports,
+        report_columns: t.reporting.columns,
+        load_reports: reports,
         classes: t.profiles.into_iter().map(|p| p.name).collect(),
         tenants: t.parties.into_iter().map(|p| p.name).collect(),
         zones: t.zones,
--- a/crates/config/tests/own.rs
+++ b/crates/config/tests/own.rs
@@ -1,10 +1,10 @@
 //! Our own settings: what they say, and how a fault is named.
 
-use basalthill_config::own::{load, parse, Own};
-use basalthill_fleet::{Bounds, Budget, Subject, Tag};
+use basalthill_config::local_settings::{load, parse, LocalSettings};
+use basalthill_fleet::{Bounds, Budget, NodeId, Subject};
 use basalthill_policy::api::Time;
-use basalthill_session::sessions::{Handing, StandIn};
 use basalthill_session::token::KeyId;
+use basalthill_session::{DefaultFloor, TokenDelivery};
 use std::path::Path;
 
 const KEY: &str = r#"key 2 "9f1c64b0a2d75e3381c6f0aa47b95d1e" signs=#true"#;
@@ -19,13 +19,16 @@
     let sessions = shipped.sessions.unwrap();
     let keys = sessions.plan.keys.clone().unwrap();
     assert_eq!((keys.signing.id, keys.verifying.len()), (KeyId(2), 1));
-    assert_eq!((sessions.plan.handing, sessions.plan.early), (Handing::Writes, false));
+    assert_eq!(
+        (sessions.plan.token_delivery, sessions.plan.early_tokens),
+        (TokenDelivery::WritesOnly, false)
+    );
     assert_eq!(sessions.snapshot, None);
     let bare = parse("sessions floor=\"connection\"").unwrap().sessions.unwrap();
-    assert_eq!((bare.plan.keys, bare.plan.handing), (None, Handing::Never));
+    assert_eq!((bare.plan.keys, bare.plan.token_delivery), (None, TokenDelivery::Never));
     let same = |a: &Time, b: &Time| assert_eq!(a, b, "the file shows the defaults");
     same(&bare.plan.skew, &sessions.plan.skew);
-    same(&bare.plan.settle, &sessions.plan.settle);
+    same(&bare.plan.settle_time, &sessions.plan.settle_time);
     same(&bare.plan.lead, &sessions.plan.lead);
     let defaults = parse(&format!("sessions floor=\"connection\" {{ tokens with=\"writes\" {{ {KEY} }} }}"));
     assert_eq!(defaults.unwrap().sessions.unwrap().plan.keys.unwrap().max_age, keys.max_age);
@@ -41,25 +44,31 @@
     );
     let sessions = parse(&text).unwrap().sessions.unwrap();
     let plan = &sessions.plan;
-    assert_eq!((plan.stand_in, plan.skew, plan.settle), (StandIn::Arrival, Time::ms(7), Time(0)));
-    assert_eq!((plan.lead, plan.handing, plan.early), (Time::ms(20), Handing::Reads, true));
+    assert_eq!(
+        (plan.default_floor, plan.skew, plan.settle_time),
+        (DefaultFloor::ReadArrival, Time::ms(7), Time(0))
+    );
+    assert_eq!(
+        (plan.lead, plan.token_delivery, plan.early_tokens),
+        (Time::ms(20), TokenDelivery::WritesAndReads, true)
+    );
     let keys = plan.keys.as_ref().unwrap();
     assert_eq!((keys.max_age, keys.verifying[0].id), (Time::ms(60_000), KeyId(7)));
     let snapshot = sessions.snapshot.unwrap();
     assert_eq!((snapshot.path.to_str(), snapshot.max_age), (Some("/var/x"), Time::ms(9000)));
     let words = [
-        ("platform", StandIn::Platform),
-        ("nothing", StandIn::Nothing),
-        ("router", StandIn::Router),
-        ("connection", StandIn::Connection),
+        ("platform", DefaultFloor::Platform),
+        ("nothing", DefaultFloor::RememberedOnly),
+        ("router", DefaultFloor::RouterStart),
+        ("connection", DefaultFloor::ConnectionAccept),
     ];
-    for (word, stand_in) in words {
+    for (word, default_floor) in words {
         let sessions = parse(&format!("sessions floor={word:?}")).unwrap().sessions.unwrap();
-        assert_eq!(sessions.plan.stand_in, stand_in);
+        assert_eq!(sessions.plan.default_floor, default_floor);
     }
-    assert_eq!(parse("").unwrap(), Own::default());
-    assert!(parse("clients {\n farewell #true\n}").unwrap().farewell);
-    assert!(!parse("clients {\n farewell #false\n}").unwrap().farewell);
+    assert_eq!(parse("").unwrap(), LocalSettings::default());
+    assert!(parse("clients {\n farewell #true\n}").unwrap().close_notice);
+    assert!(!parse("clients {\n farewell #false\n}").unwrap().close_notice);
 }
 
 #[test]
@@ -128,15 +137,15 @@
     assert_eq!((fleet.names.len(), fleet.drift, fleet.limits.len()), (3, 0.01, 5));
     assert_eq!((fleet.keys.signing.id, fleet.keys.verifying.len()), (KeyId(2), 1));
     assert_eq!(fleet.listen, "0.0.0.0:7946".parse().ok());
-    let peer = fleet.names.get(Tag::of("n2")).unwrap();
+    let peer = fleet.names.get(NodeId::of("n2")).unwrap();
     assert_eq!((peer.addr.to_string().as_str(), peer.zone.as_deref()), ("10.0.0.12:7946", Some("b")));
     let limit = |name: &str| fleet.limits.iter().find(|l| l.name == name).unwrap();
     let acme = limit("acme");
-    assert_eq!((&acme.subject, acme.alone), (&Subject::Tenant("acme".into()), 0.1));
+    assert_eq!((&acme.subject, acme.reserved_fraction), (&Subject::Tenant("acme".into()), 0.1));
     assert_eq!(acme.bounds, Bounds::Rate { per_s: 400.0, burst: 400.0 });
     // Not given: as many at once as a second's, and one for each router at least.
     assert_eq!(limit("reports").bounds, Bounds::Rate { per_s: 50.0, burst: 50.0 });
-    assert_eq!(limit("hosts").bounds, Bounds::AtOnce(60));
+    assert_eq!(limit("hosts").bounds, Bounds::Concurrent(60));
     assert_eq!(limit("retries").subject, Subject::Budget(Budget::Retries));
     let few = parse(&fleet_file().replace("per-s=50", "per-s=0.5")).unwrap().fleet.unwrap();
     let reports = few.limits.iter().find(|l| l.name == "reports").unwrap();
@@ -149,7 +158,7 @@
     let routers: String = (0..1024).map(name).collect();
     let fleet = parse(&format!("fleet {{\n{KEY}\n{routers}\n}}")).unwrap().fleet.unwrap();
     assert_eq!(fleet.names.len(), 1024);
-    assert!((0..1024).all(|n| fleet.names.get(Tag::of(&format!("r{n}"))).is_some()));
+    assert!((0..1024).all(|n| fleet.names.get(NodeId::of(&format!("r{n}"))).is_some()));
 }
 
 #[test]
--- a/crates/lab/src/overhead.rs
+++ b/crates/lab/src/overhead.rs
@@ -3,7 +3,7 @@
 
 use crate::results::{table, Table};
 use crate::{Common, Done, Outcome, ALLOCATOR};
-use basalthill_client::{Client, Config, End, Request};
+use basalthill_client::{Client, Config, Request, RequestOutcome};
 use basalthill_standin::client::Client as Raw;
 use basalthill_standin::host::{Host, Reply};
 use std::time::{Duration, Instant};
@@ -43,7 +43,7 @@
                 let Ok(mut raw) = Raw::connect(host.addr) else { return Vec::new() };
                 let one = |_| {
                     let from = Instant::now();
-                    raw.ask(TEXT).ok().map(|_| from.elapsed())
+                    raw.query(TEXT).ok().map(|_| from.elapsed())
                 };
                 (0..each).filter_map(one).collect::<Vec<_>>()
             })
@@ -56,15 +56,15 @@
 
 /// One client, so many requests at once.
 fn library(host: &Host, at_once: usize, requests: usize) -> std::io::Result<Figures> {
-    let client = Client::start(Config { connections: at_once, ..Config::new([host.addr]) })?;
+    let client = Client::start(Config { max_connections_per_router: at_once, ..Config::new([host.addr]) })?;
     let each = requests / at_once;
     let executor = async_executor::LocalExecutor::new();
     let run = |client: Client| async move {
         let mut took = Vec::with_capacity(each);
         for _ in 0..each {
-            let request = Request::read("view", 2, "k").tenant("acme").within(Duration::from_secs(20));
+            let request = Request::read("view", 2, "k").tenant("acme").timeout(Duration::from_secs(20));
             let from = Instant::now();
-            if matches!(client.ask(request).await.end, End::Served(_)) {
+            if matches!(client.execute(request).await.outcome, RequestOutcome::Served(_)) {
                 took.push(from.elapsed());
             }
         }
@@ -87,9 +87,9 @@
     let host = Host::start(|_| (Reply::Row(b"v".to_vec()), Vec::new()))?;
     let (mut rows, mut lines) = (Vec::new(), Vec::new());
     for at_once in [1, 64, 1024] {
-        host.seen.change(|s| (s.statements.clear(), s.times.clear()));
+        host.seen.change(|s| s.statements.clear());
         let bare = bare(&host, at_once, options.requests);
-        host.seen.change(|s| (s.statements.clear(), s.times.clear()));
+        host.seen.change(|s| s.statements.clear());
         let library = library(&host, at_once, options.requests)?;
         for (name, f) in [("bare loop, a thread each", &bare), ("library", &library)] {
             let allocations = if name == "library" { format!("{:.1}", f.allocations) } else { "-".into() };
--- a/crates/router/src/routing/terms.rs
+++ b/crates/router/src/routing/terms.rs
@@ -1,21 +1,21 @@
 //! The words of hosts and statements in the decisions' terms. Nothing is remembered here.
 
-use crate::protocol::host::report;
+use crate::protocol::host::parse_load_report;
 use crate::protocol::statement::Statement;
 use basalthill_policy::api::*;
-use basalthill_session::token::Owner;
+use basalthill_session::token::SessionIdentity;
 use basalthill_session::Sessions;
 
 /// Whose request it is: by the name in the comment where floors are ours to make, else by the key.
-pub fn owner<'a>(sessions: &Sessions, statement: &'a Statement) -> Owner<'a> {
-    let name = statement.session().filter(|_| sessions.planned()).unwrap_or(statement.key());
-    Owner { name, key: SessionKey(hash(name)) }
+pub fn owner<'a>(sessions: &Sessions, statement: &'a Statement) -> SessionIdentity<'a> {
+    let name = statement.session().filter(|_| sessions.manages_floors()).unwrap_or(statement.key());
+    SessionIdentity { name, key: SessionKey(hash(name)) }
 }
 
 /// What a load report says of its member's standing.
-pub fn reported(columns: &[String], text: &str) -> Standing {
-    let mut standing = Standing::default();
-    for (name, value) in report(text).filter(|(name, _)| columns.iter().any(|c| c == name)) {
+pub fn reported(columns: &[String], text: &str) -> ReplicationState {
+    let mut standing = ReplicationState::default();
+    for (name, value) in parse_load_report(text).filter(|(name, _)| columns.iter().any(|c| c == name)) {
         match name {
             // Rounded down past the error of a float of this size.
             "x0" if value > 0.0 => {
@@ -30,8 +30,8 @@
 
 pub fn by_code(code: &str) -> Status {
     match code {
-        "25006" | "72000" => Status::Miss,
-        "53300" => Status::Full,
+        "25006" | "72000" => Status::Misdirected,
+        "53300" => Status::Overloaded,
         _ => Status::Error,
     }
 }
--- a/crates/router/src/transport/client.rs
+++ b/crates/router/src/transport/client.rs
@@ -4,9 +4,11 @@
 use super::semaphore::{Permit, Semaphore, LOOK_AGAIN};
 use super::{io, Hub};
 use crate::protocol::client::{self, CancelKey};
-use crate::routing::{Answer, Asked, ClientId, Command, Input};
+use crate::routing::{Answer, ClientId, ClientRequest, CommandId, Input};
 use async_io::{Async, Timer};
-use basalthill_config::router::{RouterConfig, CLIENT_QUIET, CLIENT_TAKES, CLIENT_WHOLE, SOCKETS_RESERVED};
+use basalthill_config::router::{
+    RouterConfig, CLIENT_EVICTION_IDLE, CLIENT_MESSAGE_TIMEOUT, CLIENT_WRITE_TIMEOUT, RESERVED_SOCKETS,
+};
 use basalthill_policy::api::Time;
 use futures_lite::future;
 use std::cell::{Cell, RefCell};
@@ -34,7 +36,7 @@
 
 /// Where a client's answers are left for its task, and what the connection is at.
 pub struct Slot {
-    answers: RefCell<Vec<(Command, Answer)>>,
+    answers: RefCell<Vec<(CommandId, Answer)>>,
     token: RefCell<Option<String>>,
     /// Something has been left, or has changed, since its task looked.
     news: Cell<bool>,
@@ -87,11 +89,11 @@
         Clients {
             slots: RefCell::default(),
             admissions: Semaphore::new(config.limits.client_descriptors()),
-            crowd: config.limits.quiet_clients(),
-            rejection_slots: Semaphore::new(SOCKETS_RESERVED / 3),
-            large: Semaphore::new(config.limits.large_statements()),
+            crowd: config.limits.client_eviction_threshold(),
+            rejection_slots: Semaphore::new(RESERVED_SOCKETS / 3),
+            large: Semaphore::new(config.limits.max_large_statements()),
             ready: Cell::new(false),
-            farewell: Cell::new(config.own.farewell),
+            farewell: Cell::new(config.local_settings.close_notice),
             secrets: RandomState::new(),
             rejected: Cell::new(0),
             dismissed: Cell::new(0),
@@ -206,10 +208,10 @@
 
     /// How readily it makes room.
     pub fn eviction(&self) -> Eviction {
-        let (quiet, stage) = (Duration::from_nanos(CLIENT_QUIET.0), self.stage.get());
+        let (quiet, stage) = (Duration::from_nanos(CLIENT_EVICTION_IDLE.0), self.stage.get());
         // One that is at its message gets a good part of its time for it, whoever else may come.
         let begun = self.begun.get().map(|since| match since.elapsed() {
-            age if age < Duration::from_nanos(CLIENT_WHOLE.0 / 2) => Eviction::Soon,
+            age if age < Duration::from_nanos(CLIENT_MESSAGE_TIMEOUT.0 / 2) => Eviction::Soon,
             age => Eviction::Begun(age),
         });
         match stage {
@@ -234,7 +236,7 @@
     }
 
     /// Leaves a command's answer.
-    pub fn answer(&self, command: Command, answer: Answer) {
+    pub fn answer(&self, command: CommandId, answer: Answer) {
         self.answers.borrow_mut().push((command, answer));
         self.wake();
     }
@@ -280,7 +282,7 @@
 impl Drop for Admitted {
     fn drop(&mut self) {
         self.hub.clients.slots.borrow_mut().remove(&self.id);
-        self.hub.input(Input::ClientGone(self.id));
+        self.hub.input(Input::ClientDisconnected(self.id));
         self.hub.settled.notify();
     }
 }
@@ -300,7 +302,7 @@
     let key = hub.clients.key(id);
     let slot = Rc::new(Slot::new(&stream, key));
     hub.clients.slots.borrow_mut().insert(id, Rc::clone(&slot));
-    hub.input(Input::ClientCame(id));
+    hub.input(Input::ClientConnected(id));
     let since = hub.clock.now().minus(Time(came.elapsed().as_nanos() as u64));
     let talk = RefCell::new(Conversation::new(key, since));
     let (large, permits) = (RefCell::default(), RefCell::new(Some(permits)));
@@ -344,8 +346,9 @@
 /// come and go, none waiting for another.
 async fn converse(admitted: &Admitted, stream: &Async<TcpStream>, talk: &RefCell<Conversation>) -> Over {
     let (hub, slot) = (&admitted.hub, &admitted.slot);
-    let (takes, whole) = (Duration::from_nanos(CLIENT_TAKES.0), Duration::from_nanos(CLIENT_WHOLE.0));
-    let quiet = Duration::from_nanos(CLIENT_QUIET.0);
+    let (takes, whole) =
+        (Duration::from_nanos(CLIENT_WRITE_TIMEOUT.0), Duration::from_nanos(CLIENT_MESSAGE_TIMEOUT.0));
+    let quiet = Duration::from_nanos(CLIENT_EVICTION_IDLE.0);
     let mut stuck = None; // since when the answer that is being written has its client's time
     loop {
         let more = admitted.pass_on(&mut talk.borrow_mut());
@@ -452,12 +455,12 @@
                 None => return false,
                 Some(Step::Done) => {}
                 Some(Step::Ask(command, statement, came)) => {
-                    let asked = Asked { client: self.id, command, statement, came };
+                    let asked = ClientRequest { client: self.id, command, statement, arrived_at: came };
                     self.hub.input(Input::Request(asked));
                 }
                 Some(Step::Cancel(key)) => {
                     if let Some(client) = self.hub.clients.of_key(key) {
-                        self.hub.input(Input::Cancelled(client));
+                        self.hub.input(Input::CancelRequested(client));
                     }
                 }
             }
--- a/crates/router/src/transport/conversation/tests.rs
+++ b/crates/router/src/transport/conversation/tests.rs
@@ -47,7 +47,7 @@
 }
 
 /// Steps until nothing can be done now; what is to be asked, with when it came.
-fn asks(talk: &mut Conversation) -> Vec<(Command, String, Time)> {
+fn asks(talk: &mut Conversation) -> Vec<(CommandId, String, Time)> {
     let mut asked = Vec::new();
     while let Some(step) = talk.step(true) {
         if let Step::Ask(command, statement, came) = step {
@@ -83,10 +83,10 @@
 #[test]
 fn reads_are_asked_side_by_side_and_answered_in_order() {
     let mut talk = talk();
-    let commands: Vec<u8> = (0..READS_AT_ONCE + 2).flat_map(|n| query(&text(n, false))).collect();
+    let commands: Vec<u8> = (0..MAX_CONCURRENT_READS + 2).flat_map(|n| query(&text(n, false))).collect();
     talk.read(&[startup(), commands].concat(), true, Time::ms(5));
     let first = asks(&mut talk);
-    assert_eq!(first.len(), READS_AT_ONCE);
+    assert_eq!(first.len(), MAX_CONCURRENT_READS);
     assert!(first.iter().all(|(_, _, came)| *came == Time::ms(5)));
     all(&mut talk);
     talk.answer(first[1].0, served(b"second"));
@@ -109,7 +109,7 @@
     talk.answer(reads[0].0, Answer::Failed);
     let write = asks(&mut talk);
     assert_eq!(write.len(), 1);
-    talk.answer(write[0].0, Answer::Refused(Some(40)));
+    talk.answer(write[0].0, Answer::Rejected { retry_after_ms: Some(40) });
     assert_eq!(asks(&mut talk)[0].1, format!("{:016x}", 3));
 }
 
@@ -141,7 +141,7 @@
         asked += now.len();
         now.into_iter().for_each(|(command, ..)| talk.answer(command, served(&[7; 8000])));
     }
-    assert!(asked <= 2 * READS_AT_ONCE, "{asked}");
+    assert!(asked <= 2 * MAX_CONCURRENT_READS, "{asked}");
     all(&mut talk);
     assert!(!asks(&mut talk).is_empty(), "it goes on once they are taken");
 }
@@ -150,7 +150,7 @@
 fn reading_stops_while_much_waits_and_goes_on_later() {
     let mut talk = talk();
     let write = query(&text(0, true));
-    let many = LARGE / write.len() + 2;
+    let many = LARGE_STATEMENT_LEN / write.len() + 2;
     let bytes: Vec<u8> = (0..many).flat_map(|n| query(&text(n, true))).collect();
     talk.read(&[startup(), bytes].concat(), true, Time(0));
     let mut answered = 0;
@@ -172,7 +172,7 @@
     let bad = query("DROP TABLE records");
     let commands = [
         query(&text(0, false)),
-        bad.repeat(CLIENT_FAULTS as usize),
+        bad.repeat(MAX_CLIENT_FAULTS as usize),
         query(&text(1, false)),
         query(&text(2, true)),
     ];
@@ -181,7 +181,7 @@
     assert_eq!(open.len(), 1, "nothing behind the faults is sent on");
     talk.answer(open[0].0, served(b"x"));
     let told = answers(&all(&mut talk));
-    let faults = CLIENT_FAULTS as usize;
+    let faults = MAX_CLIENT_FAULTS as usize;
     assert_eq!(told.len(), 1 + 1 + faults + 1, "welcome, row, faults, the end");
     assert_eq!(told[1].0, b'D');
     assert!(told[2..2 + faults].iter().all(|t| code(t) == "42601"));
@@ -254,7 +254,7 @@
         open.extend(matches!(step, Step::Ask(..)).then_some(step));
     }
     let Some(Step::Ask(command, ..)) = open.pop() else { panic!("asked") };
-    talk.answer(command, Answer::Refused(None));
+    talk.answer(command, Answer::Rejected { retry_after_ms: None });
     let told = answers(&all(&mut talk));
     assert_eq!((code(&told[1]), code(&told[2])), ("57P03", "53300"));
 }
@@ -340,7 +340,7 @@
         let mut cuts: Vec<usize> = cuts.iter().map(|c| c % (bytes.len() + 1)).collect();
         cuts.extend([0, bytes.len()]);
         cuts.sort_unstable();
-        let (mut talk, mut out, mut open) = (talk(), Vec::new(), Vec::<(Command, usize, bool)>::new());
+        let (mut talk, mut out, mut open) = (talk(), Vec::new(), Vec::<(CommandId, usize, bool)>::new());
         let mut fates: BTreeMap<usize, u8> = BTreeMap::new(); // of each command that was asked
         let (mut fed, mut stopped, mut late) = (0, false, false);
         let mut between = between.into_iter();
@@ -352,7 +352,7 @@
                     let n = usize::from_str_radix(std::str::from_utf8(statement.id()).unwrap(), 16).unwrap();
                     let write = statement.verb == Verb::Insert;
                     prop_assert!(open.iter().all(|o| !o.2 && !write), "nothing passes a write");
-                    prop_assert!(open.len() < READS_AT_ONCE);
+                    prop_assert!(open.len() < MAX_CONCURRENT_READS);
                     prop_assert!(fates.insert(n, u8::MAX).is_none(), "asked once");
                     open.push((command, n, write));
                 }
@@ -365,7 +365,7 @@
                     let e = StatementError { code: "22023", message: "unknown".into() };
                     talk.answer(command, match how {
                         0 | 1 => served(format!("{n:016x}").as_bytes()),
-                        2 => Answer::Refused(None),
+                        2 => Answer::Rejected { retry_after_ms: None },
                         3 => Answer::Failed,
                         _ => Answer::Invalid(e),
                     });
@@ -423,7 +423,7 @@
             };
             let fatal = answer.0 == b'E' && answer.1.starts_with(b"SFATAL");
             if fatal {
-                prop_assert!(late || faults >= CLIENT_FAULTS, "a connection ends for a reason");
+                prop_assert!(late || faults >= MAX_CLIENT_FAULTS, "a connection ends for a reason");
                 prop_assert!(told.next().is_none(), "nothing comes behind the end");
                 return Ok(());
             }
--- a/crates/router/src/transport/mod.rs
+++ b/crates/router/src/transport/mod.rs
@@ -14,15 +14,17 @@
 mod watch;
 
 use crate::protocol::discovery::HostList;
-use crate::routing::{ClientId, Clock, Effect, Ended, ExchangeId, Input, Order, Router, Tally};
+use crate::routing::{
+    ClientId, Clock, Effect, ExchangeId, ExchangeResult, ExchangeStart, Input, RequestCounters, Router,
+};
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer};
-use basalthill_config::own::FleetSettings;
+use basalthill_config::local_settings::FleetSettings;
 use basalthill_config::router::{
-    stop_limit, RouterConfig, ANSWER_REST, IDLE_SHARE, READY_WITHIN, STOP_SERVING,
+    shutdown_timeout, RouterConfig, HOST_REUSE_DELAY, IDLE_TIMEOUT_FRACTION, READY_TIMEOUT, STOP_GRACE,
 };
 use basalthill_policy::api::Time;
-use basalthill_session::Counts;
+use basalthill_session::SessionCounts;
 use client::{Clients, Eviction};
 use fleet::Link;
 use futures_lite::{future, Stream, StreamExt};
@@ -52,7 +54,7 @@
 
 /// What the program asks of a router that runs.
 #[derive(Debug)]
-pub enum Command {
+pub enum ControlCommand {
     /// The configuration has been read again.
     Reload(Box<RouterConfig>),
     /// Stop in good order.
@@ -112,19 +114,19 @@
     /// A router that has just started.
     fn new(config: &RouterConfig, known: Option<HostList>, executor: &Rc<LocalExecutor<'static>>) -> Rc<Hub> {
         let clock = Clock::anchored();
-        let connect_timeout = Duration::from_nanos(config.site.connect_timeout.0);
-        let idle = Duration::from_nanos(config.site.conn_idle.times(IDLE_SHARE).0);
+        let connect_timeout = Duration::from_nanos(config.deployment.connect_timeout.0);
+        let idle = Duration::from_nanos(config.deployment.conn_idle.times(IDLE_TIMEOUT_FRACTION).0);
         let mut effects = Vec::new();
         let now = clock.now();
         let sessions = disk::sessions(now, config);
-        let router = Router::new(now, config.site.clone(), sessions, config.seed, known, &mut effects);
+        let router = Router::new(now, config.deployment.clone(), sessions, config.seed, known, &mut effects);
         let hub = Rc::new(Hub {
             clock,
             router: RefCell::new(router),
             executor: RefCell::new(Some(Rc::clone(executor))),
             clients: Clients::new(config),
             exchanges: RefCell::default(),
-            pool: Pool::new(Duration::from_nanos(ANSWER_REST.0), idle),
+            pool: Pool::new(Duration::from_nanos(HOST_REUSE_DELAY.0), idle),
             descriptors: Semaphore::new(config.limits.descriptors()),
             scratch: RefCell::new(vec![0; READ_AT_ONCE]),
             following: Following::new(config.discovery),
@@ -134,7 +136,7 @@
             last_call: Signal::default(),
             closing: Cell::new(false),
             connect_timeout,
-            turns: config.site.settings.list_on_request,
+            turns: config.deployment.settings.poll_endpoint_list,
             seed: config.seed,
         });
         hub.carry_out(effects);
@@ -145,8 +147,8 @@
     fn input(self: &Rc<Hub>, input: Input) {
         let mut effects = Vec::new();
         let (now, mut router) = (self.clock.now(), self.router.borrow_mut());
-        if let Some(ahead) = self.clock.ahead_ns() {
-            router.follow_clock(now, ahead, &mut effects);
+        if let Some(ahead) = self.clock.system_clock_offset_ns() {
+            router.observe_system_clock(now, ahead, &mut effects);
         }
         router.handle(now, input, &mut effects);
         drop(router);
@@ -156,26 +158,28 @@
     fn carry_out(self: &Rc<Hub>, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Begin(order) => self.begin(order),
-                Effect::Abandon(id) => drop(self.exchanges.borrow_mut().remove(&id)),
-                Effect::Token(client, token) => {
+                Effect::StartExchange(order) => self.begin(order),
+                Effect::AbortExchange(id) => drop(self.exchanges.borrow_mut().remove(&id)),
+                Effect::SessionToken { client, token } => {
                     if let Some(slot) = self.clients.slot(client) {
                         slot.token(token);
                     }
                 }
-                Effect::Datagram(to, bytes) => {
+                Effect::SendDatagram { to, bytes } => {
                     if let Some(link) = self.link.borrow().as_ref() {
                         link.send(to, &bytes);
                     }
                 }
-                Effect::Proxy(..) => {} // the front towards proxies is still to come
-                Effect::Answer(client, command, answer) => {
+                Effect::ProxyReply { .. } => {} // the front towards proxies is still to come
+                Effect::Answer { client, command, answer } => {
                     if let Some(slot) = self.clients.slot(client) {
                         slot.answer(command, answer);
                     }
                 }
-                Effect::CloseIdle(addr) => self.pool.close(addr),
-                Effect::CloseOlder(addr, at) => self.pool.close_older(addr, self.clock.instant(at)),
+                Effect::CloseIdleConnections(addr) => self.pool.close(addr),
+                Effect::CloseConnectionsIdleSince { addr, before: at } => {
+                    self.pool.close_older(addr, self.clock.instant(at))
+                }
             }
         }
         let router = self.router.borrow();
@@ -190,7 +194,7 @@
         Some(self.executor.borrow().as_ref()?.spawn(task))
     }
 
-    fn begin(self: &Rc<Hub>, order: Order) {
+    fn begin(self: &Rc<Hub>, order: ExchangeStart) {
         let (hub, id) = (Rc::clone(self), order.id);
         let task = self.spawn(async move {
             let ended = exchange::run(&hub, order).await;
@@ -200,11 +204,11 @@
     }
 
     /// An exchange's task has come to its end; called from within it.
-    fn finished(self: &Rc<Hub>, id: ExchangeId, ended: Ended) {
+    fn finished(self: &Rc<Hub>, id: ExchangeId, ended: ExchangeResult) {
         if let Some(task) = self.exchanges.borrow_mut().remove(&id) {
             task.detach();
         }
-        self.input(Input::Ended(id, ended));
+        self.input(Input::ExchangeFinished(id, ended));
     }
 
     /// A descriptor from the budget. When it is spent, the connection to a host that has idled longest makes
@@ -226,10 +230,10 @@
 pub fn serve(
     listener: TcpListener,
     config: RouterConfig,
-    commands: impl Stream<Item = Command>,
+    commands: impl Stream<Item = ControlCommand>,
 ) -> std::io::Result<()> {
     let listener = Async::new(listener)?;
-    let limit = stop_limit(&config.site);
+    let limit = shutdown_timeout(&config.deployment);
     let known = known(&config);
     let from = known.as_ref().map(|list| list.version);
     let named = known.as_ref().is_some_and(|list| !list.servers.is_empty());
@@ -243,12 +247,12 @@
     ];
     join(&hub, &config)?;
     Following::at(&hub, config.discovery, from);
-    let mut own = config.own.clone();
+    let mut own = config.local_settings.clone();
     async_io::block_on(executor.run(async {
         let mut commands = std::pin::pin!(commands);
-        while let Some(Command::Reload(again)) = commands.next().await {
+        while let Some(ControlCommand::Reload(again)) = commands.next().await {
             reload(&hub, &config, &again);
-            own = again.own;
+            own = again.local_settings;
         }
         stop_in_order(&hub, listening, limit).await;
     }));
@@ -263,14 +267,14 @@
 
 /// Joins the fleet, if our own settings name one.
 fn join(hub: &Rc<Hub>, config: &RouterConfig) -> std::io::Result<()> {
-    let Some(settings) = &config.own.fleet else { return Ok(()) };
+    let Some(settings) = &config.local_settings.fleet else { return Ok(()) };
     let Some(listen) = fleet::address(&config.name, settings) else { return Ok(()) };
     let link = Link::start(hub, listen, settings)
         .map_err(|e| std::io::Error::new(e.kind(), format!("fleet: {listen}: {e}")))?;
     hub.link.replace(Some(link));
     let mut effects = Vec::new();
     let now = hub.clock.now();
-    hub.router.borrow_mut().join(now, &config.name, settings, config.seed, &mut effects);
+    hub.router.borrow_mut().join_fleet(now, &config.name, settings, config.seed, &mut effects);
     hub.carry_out(effects);
     Ok(())
 }
@@ -290,7 +294,7 @@
                 );
             }
             link.keys(settings);
-            hub.router.borrow_mut().rejoin(hub.clock.now(), settings, &mut effects);
+            hub.router.borrow_mut().reload_fleet(hub.clock.now(), settings, &mut effects);
         }
     }
     hub.carry_out(effects);
@@ -301,13 +305,13 @@
     for key in started.needs_restart(again) {
         log::warn!("configuration: {key} has changed, which needs a restart; the old value stays");
     }
-    hub.clients.farewell.set(again.own.farewell);
-    rejoin(hub, &started.name, again.own.fleet.as_ref());
-    let plan = again.own.sessions.as_ref().map(|s| s.plan.clone());
-    let bytes = started.limits.book_bytes();
+    hub.clients.farewell.set(again.local_settings.close_notice);
+    rejoin(hub, &started.name, again.local_settings.fleet.as_ref());
+    let plan = again.local_settings.sessions.as_ref().map(|s| s.plan.clone());
+    let bytes = started.limits.session_table_bytes();
     let mut router = hub.router.borrow_mut();
-    let now = router.unix(hub.clock.now());
-    router.sessions().change(now, plan, bytes, started.seed);
+    let now = router.unix_time(hub.clock.now());
+    router.sessions().reconfigure(now, plan, bytes, started.seed);
     drop(router);
     match again.discovery == hub.following.addr() {
         true => log::info!("configuration: read again, discovery stays at {}", again.discovery),
@@ -320,10 +324,10 @@
 
 /// The list in the configuration, if there is one that can be read.
 fn known(config: &RouterConfig) -> Option<HostList> {
-    if config.known.is_null() {
+    if config.known_endpoints.is_null() {
         return None;
     }
-    let list = HostList::deserialize(&config.known);
+    let list = HostList::deserialize(&config.known_endpoints);
     list.inspect_err(|e| log::warn!("known: {e}; waiting for discovery")).ok()
 }
 
@@ -331,7 +335,7 @@
 async fn stop_in_order(hub: &Rc<Hub>, listening: Option<Task<()>>, limit: Time) {
     let stopped = hub.clock.now();
     log::info!("stopping: {} requests unanswered", hub.router.borrow().unanswered());
-    Timer::after(Duration::from_nanos(STOP_SERVING.0)).await;
+    Timer::after(Duration::from_nanos(STOP_GRACE.0)).await;
     // What the machine has accepted by now is taken in; no more comes after that.
     hub.last_call.notify();
     if let Some(listening) = listening {
@@ -354,7 +358,7 @@
     future::or(done, late).await;
     tell_sessions(hub);
     let mut effects = Vec::new();
-    hub.router.borrow_mut().leave(hub.clock.now(), &mut effects);
+    hub.router.borrow_mut().leave_fleet(hub.clock.now(), &mut effects);
     hub.carry_out(effects);
     log::info!("stopped");
 }
@@ -368,7 +372,7 @@
             true
         };
         let late = async {
-            Timer::after(Duration::from_nanos(READY_WITHIN.0)).await;
+            Timer::after(Duration::from_nanos(READY_TIMEOUT.0)).await;
             false
         };
         if !future::or(listed, late).await {
@@ -490,8 +494,8 @@
 /// doesn't.
 fn tell_sessions(hub: &Hub) {
     let mut router = hub.router.borrow_mut();
-    let counts = router.session_counts();
-    if router.sessions().planned() && counts != Counts::default() {
+    let counts = router.take_session_counts();
+    if router.sessions().manages_floors() && counts != SessionCounts::default() {
         log::info!("{counts}");
     }
 }
@@ -508,9 +512,9 @@
         }
         if told.elapsed() >= TELL_EVERY {
             told = Instant::now();
-            let tally = hub.router.borrow_mut().tally();
+            let tally = hub.router.borrow_mut().take_request_counters();
             tell_sessions(&hub);
-            if tally != Tally::default() {
+            if tally != RequestCounters::default() {
                 let (clients, idle, left) = (hub.clients.count(), hub.pool.len(), hub.descriptors.left());
                 let open = hub.exchanges.borrow().len();
                 log::info!(
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -4,26 +4,26 @@
 pub mod served;
 pub mod shim;
 
-use basalthill_config::settings::{read, Site};
+use basalthill_config::settings::{read, Deployment};
 use basalthill_policy::api::Time;
 use basalthill_router::protocol::discovery::HostList;
 use basalthill_router::protocol::statement::Statement;
-use basalthill_session::{Sessions, Tokens};
-use basalthill_standin::discovery::list;
+use basalthill_session::{PlatformFloors, Sessions};
+use basalthill_standin::discovery::{endpoint_list, Endpoint};
 pub use basalthill_standin::SETTINGS;
 use std::sync::atomic::{AtomicU64, Ordering};
 
 /// Sessions as the platform means them.
 pub fn sessions() -> Sessions {
-    Sessions::new(Time::ms(1), Tokens::Carried, None, 0, 0)
+    Sessions::new(Time::ms(1), PlatformFloors::FromRequest, None, 0, 0)
 }
 
-pub fn site() -> Site {
+pub fn site() -> Deployment {
     read(SETTINGS.as_bytes()).expect("sound settings")
 }
 
 /// A statement of a class for group 2; writes for the class `write`.
-pub fn text(class: &str, more: &str) -> String {
+pub fn statement_text(class: &str, more: &str) -> String {
     let comment = format!("/* id=9b1f03aa5c7e2d41,c={class},t=acme,d=480,cluster=2{more} */");
     match class {
         "write" => format!("INSERT INTO records (k, v) VALUES ('k1', '\\x9f03') RETURNING v {comment}"),
@@ -35,19 +35,19 @@
 pub fn statement(class: &str, more: &str) -> Box<Statement> {
     static COUNT: AtomicU64 = AtomicU64::new(0);
     let id = format!("id={:016x}", COUNT.fetch_add(1, Ordering::Relaxed));
-    let text = text(class, more).replace("id=9b1f03aa5c7e2d41", &id);
+    let text = statement_text(class, more).replace("id=9b1f03aa5c7e2d41", &id);
     Box::new(Statement::parse(text.into_bytes()).expect("a sound statement"))
 }
 
 /// A list of members as (id, address, state, rank), all in group 2.
-pub fn hosts(
+pub fn host_list(
     version: u64,
     full: bool,
     members: &[(&'static str, &str, &'static str, &'static str)],
 ) -> HostList {
     let member = |m: &(&'static str, &str, &'static str, &'static str)| {
-        (m.0, m.1.parse().expect("an address"), 2, m.2, m.3)
+        Endpoint::new(m.0, m.1.parse().expect("an address"), 2, m.2, m.3)
     };
     let members: Vec<_> = members.iter().map(member).collect();
-    HostList::parse(list(version, full, &members).as_bytes()).expect("a sound list")
+    HostList::parse(endpoint_list(version, full, &members).as_bytes()).expect("a sound list")
 }
--- a/crates/router/tests/reconnect.rs
+++ b/crates/router/tests/reconnect.rs
@@ -1,9 +1,9 @@
 //! Many clients of one router lose it, against the program itself: they arrive at the others spread over
 //! their slack, nothing reaches a host after its deadline, and no write runs twice.
 
-use basalthill_client::{Client, Config, End, Request, Runtime};
-use basalthill_standin::fleet::{Dice, World};
-use basalthill_standin::group::Manner;
+use basalthill_client::{Client, Config, Request, RequestOutcome, Runtime};
+use basalthill_standin::deployment::Deployment;
+use basalthill_standin::group::GroupBehavior;
 use std::path::Path;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -45,7 +45,7 @@
 fn write(client: u64, n: u64, zero: Instant) -> Request {
     let deadline = Instant::now() + 900 * MS;
     let key = format!("{client}-{n}-{}", (deadline - zero).as_micros());
-    Request::write("write", 2, &key, b"1").tenant("acme").by(deadline)
+    Request::write("write", 2, &key, b"1").tenant("acme").deadline(deadline)
 }
 
 #[test]
@@ -53,7 +53,7 @@
     metrics::set_global_recorder(Recorder).unwrap();
     let program = Path::new(env!("CARGO_BIN_EXE_basalthill"));
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
-    let mut world = World::start(program, folder, 2, Manner::default(), None).unwrap();
+    let mut world = Deployment::start(program, folder, 2, GroupBehavior::default(), None).unwrap();
     let addrs: Vec<_> = world.routers.iter().map(|r| r.addr).collect();
     let runtime = Runtime::start().unwrap();
     let client = |n| runtime.client(Config { seed: n, ..Config::new(addrs.clone()) });
@@ -64,17 +64,18 @@
         std::thread::scope(|scope| {
             let asks = (0..CLIENTS).map(|c| {
                 scope.spawn(move || {
-                    std::thread::sleep(gap.mul_f64(Dice(c).below(1000) as f64 / 1000.0));
-                    clients[c as usize].ask_blocking(write(c, n, zero)).end
+                    std::thread::sleep(gap.mul_f64(fastrand::Rng::with_seed(c).u64(..1000) as f64 / 1000.0));
+                    clients[c as usize].execute_blocking(write(c, n, zero)).outcome
                 })
             });
             let asks: Vec<_> = asks.collect();
-            asks.into_iter().map(|a| a.join().unwrap()).collect::<Vec<End>>()
+            asks.into_iter().map(|a| a.join().unwrap()).collect::<Vec<RequestOutcome>>()
         })
     };
     // All have a connection; about half of them lose it, all at the same moment, and all ask right after
     // that.
-    let served = |ends: &[End]| ends.iter().filter(|e| matches!(e, End::Served(_))).count();
+    let served =
+        |ends: &[RequestOutcome]| ends.iter().filter(|e| matches!(e, RequestOutcome::Served(_))).count();
     assert_eq!(served(&round(0, 100 * MS)), CLIENTS as usize);
     world.routers[0].kill().unwrap();
     let died = Instant::now();
@@ -93,24 +94,25 @@
         (0..6).map(|n| within(n * 100, n * 100 + 100)).collect::<Vec<_>>()
     );
     // One that wrote into the very moment of the death does not know; nobody else goes without.
-    let unknown = ends.iter().filter(|e| **e == End::MayHaveRun).count();
+    let unknown = ends.iter().filter(|e| **e == RequestOutcome::MayHaveRun).count();
     assert_eq!(served(&ends) + unknown, CLIENTS as usize, "{} served, {unknown} unknown", served(&ends));
     assert!(unknown < 16, "{unknown}");
     assert!(connects.len() > 40, "so many have lost theirs: {}", connects.len());
     let most = (0..60).map(|n| within(n * 10, n * 10 + 50)).max().unwrap();
     assert!(most * 3 < connects.len(), "{most} of {} within 50 ms", connects.len());
     // It comes back: nobody runs there at once.
-    world.routers[0].again().unwrap();
+    world.routers[0].restart().unwrap();
     let returned = Instant::now();
     assert_eq!(served(&round(2, 300 * MS)), CLIENTS as usize);
     assert!(after(returned).len() < 20, "{:?}", after(returned));
     for host in &world.group.hosts {
         let seen = host.seen.lock();
-        for ((_, text), at) in seen.statements.iter().zip(&seen.times) {
+        for statement in &seen.statements {
+            let (text, at) = (&statement.text, &statement.received_at);
             let Some(key) = text.split('\'').nth(1) else { continue };
             let deadline: u64 = key.rsplit('-').next().unwrap().parse().unwrap();
             assert!(*at <= zero + Duration::from_micros(deadline), "{text}");
-            assert!(world.group.commits(key).len() <= 1, "{text}");
+            assert!(world.group.committed_values(key).len() <= 1, "{text}");
         }
     }
 }
--- a/crates/session/src/lib.rs
+++ b/crates/session/src/lib.rs
@@ -12,6 +12,10 @@
 pub mod snapshot;
 pub mod token;
 
-pub use counts::Counts;
-pub use floors::Floors;
-pub use sessions::{Asked, Floor, Plan, Sessions, StandIn, Tokens};
+pub use book::{FloorEntry, FloorTable, BUCKET_BYTES};
+pub use counts::SessionCounts;
+pub use floors::GroupFloors;
+pub use sessions::{
+    DefaultFloor, PlatformFloors, ReadFloor, SessionConfig, SessionRequest, Sessions, TokenDelivery,
+    TrackedRequest,
+};
