--- a/crates/session/src/counts.rs
+++ b/crates/session/src/counts.rs
@@ -1,57 +1,73 @@
-//! What the operators see of sessions.
+//! Counters of session reads, tokens and writes, for the operators' log.
 
 use std::fmt;
 
-macro_rules! counts {
-    ($($(#[$doc:meta])* $name:ident: $shown:literal,)*) => {
-        /// Counts since they were last taken.
-        #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-        pub struct SessionCounts {
-            $($(#[$doc])* pub $name: u64,)*
-        }
-        impl fmt::Display for SessionCounts {
-            fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-                f.write_str("sessions:")?;
-                let all = [$(($shown, self.$name),)*];
-                let mut told = all.iter().filter(|(_, n)| *n > 0);
-                if let Some((shown, n)) = told.next() {
-                    write!(f, " {n} {shown}")?;
-                }
-                told.try_for_each(|(shown, n)| write!(f, ", {n} {shown}"))
-            }
-        }
-    };
-}
-
-counts! {
-    /// Session reads that brought a token that counts.
-    by_token: "by token",
-    /// Session reads that brought `after` and no token.
-    by_after: "by after",
-    /// Session reads with neither, to which the stand-in applied.
-    by_stand_in: "by stand-in",
+/// What was counted since the counters were last taken.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct SessionCounts {
+    /// Session reads that sent at least one token, all of them valid.
+    pub by_token: u64,
+    /// Session reads that sent an `after` position and no token.
+    pub by_after: u64,
+    /// Session reads that got the default floor.
+    pub by_default_floor: u64,
     /// Session reads without any floor.
-    no_floor: "without a floor",
-    /// Reads clipped to their arrival: the floor lay later, or a write of the session is unsettled.
-    clipped: "clipped to arrival",
-    /// Tokens handed out.
-    issued: "tokens issued",
-    /// Tokens that can't be read, or are of a version that is not known here.
-    malformed: "tokens malformed",
-    /// Tokens whose key is not among those configured.
-    unknown_key: "tokens of an unknown key",
-    /// Tokens that their key did not make.
-    forged: "tokens forged",
+    pub no_floor: u64,
+    /// Reads whose floor was lowered to their arrival: it was later, or a write of the session is unsettled.
+    pub clipped: u64,
+    /// Tokens issued.
+    pub issued: u64,
+    /// Tokens that cannot be decoded, or are of an unknown version.
+    pub malformed: u64,
+    /// Tokens whose key is not in force.
+    pub unknown_key: u64,
+    /// Tokens whose signature does not match.
+    pub forged: u64,
     /// Tokens of another session.
-    other_session: "tokens of another session",
-    /// Tokens older than their time.
-    old: "tokens too old",
-    /// Tokens issued later than the clocks' skew allows.
-    future: "tokens from the future",
-    /// Positions told by hosts further ahead of this clock than the configured skew.
-    clock_ahead: "positions past the skew",
-    /// Writes that ended without it being known whether they ran.
-    unknown_writes: "writes of unknown end",
-    /// Floors that the book has folded into its buckets.
-    folded: "floors folded",
+    pub other_session: u64,
+    /// Tokens older than the keys' `max_age`.
+    pub expired: u64,
+    /// Tokens issued later than the skew between clocks allows.
+    pub issued_in_future: u64,
+    /// Positions that hosts reported further ahead of this clock than the configured skew.
+    pub clock_ahead: u64,
+    /// Writes that ended without it being known whether they executed.
+    pub unknown_writes: u64,
+    /// Floors that the table evicted and that raised their bucket's common floor.
+    pub evicted: u64,
+}
+
+impl SessionCounts {
+    /// Each counter with its label in the log.
+    fn labelled(&self) -> [(u64, &'static str); 15] {
+        [
+            (self.by_token, "by token"),
+            (self.by_after, "by after"),
+            (self.by_default_floor, "by stand-in"),
+            (self.no_floor, "without a floor"),
+            (self.clipped, "clipped to arrival"),
+            (self.issued, "tokens issued"),
+            (self.malformed, "tokens malformed"),
+            (self.unknown_key, "tokens of an unknown key"),
+            (self.forged, "tokens forged"),
+            (self.other_session, "tokens of another session"),
+            (self.expired, "tokens too old"),
+            (self.issued_in_future, "tokens from the future"),
+            (self.clock_ahead, "positions past the skew"),
+            (self.unknown_writes, "writes of unknown end"),
+            (self.evicted, "floors folded"),
+        ]
+    }
+}
+
+impl fmt::Display for SessionCounts {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str("sessions:")?;
+        let mut separator = " ";
+        for (count, label) in self.labelled().into_iter().filter(|(count, _)| *count > 0) {
+            write!(f, "{separator}{count} {label}")?;
+            separator = ", ";
+        }
+        Ok(())
+    }
 }
--- a/crates/session/src/snapshot.rs
+++ b/crates/session/src/snapshot.rs
@@ -1,152 +1,206 @@
-//! The book over a restart. What a stop in good order has written down is all that there is to know; after
-//! any other end there is no snapshot, and the start is the floor of all. So a snapshot counts once: whoever
-//! reads it removes it before the first request.
+//! Snapshots: the floor table, saved over a restart.
 //!
-//! Format 1, all big-endian: magic, format (u16), length of the router's name (u16), name, when written
-//! (u64), floor of what the book can't know (u64), seed (u64), epoch (u64), buckets (u32), lines (u32), each
-//! line with its number (u32) and 16 words; last the SHA-256 of all before.
+//! A graceful shutdown writes one with everything that the router knows. After any other end of the process
+//! there is none, and the start is the floor of all sessions. So a snapshot is valid once: whoever reads it
+//! removes it before the first request.
+//!
+//! Format 1, all numbers big-endian:
+//!
+//! | field | bytes |
+//! | --- | --- |
+//! | magic number | 8 |
+//! | format | 2 |
+//! | length of the router's name | 2 |
+//! | the router's name | as given |
+//! | when it was written, Unix time in nanoseconds | 8 |
+//! | the floor of everything written before the table began, likewise | 8 |
+//! | seed of the table | 8 |
+//! | epoch of the table | 8 |
+//! | count of the table's buckets | 4 |
+//! | count of the buckets that follow | 4 |
+//! | each bucket: its index and its 16 words | 4 + 64 |
+//! | SHA-256 of everything before it | 32 |
 
-use crate::book::{FloorTable, BUCKET_BYTES};
+use crate::floor_table::{FloorTable, NumberedBucket, BUCKET_BYTES, BUCKET_WORDS};
 use crate::sessions::Sessions;
 use basalthill_policy::api::Time;
 use sha2::{Digest, Sha256};
-use std::fmt;
 
+/// The first bytes of every snapshot.
 const MAGIC: &[u8; 8] = b"bhsessn\n";
+/// The format that is written, and the only one that is read.
 const FORMAT: u16 = 1;
-const SUM: usize = 32;
-
-/// Why a snapshot is not taken over.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refused {
-    /// It is not a snapshot of sessions.
-    Foreign,
-    /// It is of a format that is not known here.
-    Format(u16),
-    /// It is cut off, or its checksum does not fit.
-    Torn,
-    /// It is another router's.
-    Router(String),
-    /// It was written longer ago than allowed, or later than now.
-    Old(Time),
-    /// Its book takes more memory than this router gives it.
-    Large(usize),
+/// Bytes of the checksum.
+const CHECKSUM_LEN: usize = 32;
+
+/// Why a snapshot is not restored.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum SnapshotError {
+    /// The bytes are not a snapshot of sessions.
+    #[error("is no snapshot of sessions")]
+    NotASnapshot,
+    /// Its format is unknown.
+    #[error("is of format {0}, and only {FORMAT} is known")]
+    UnknownFormat(u16),
+    /// It is incomplete, or its checksum does not match.
+    #[error("is incomplete or corrupt: its checksum does not match")]
+    Corrupt,
+    /// Another router wrote it.
+    #[error("is router {0:?}'s")]
+    OtherRouter(String),
+    /// It was written longer ago than allowed, or later than now; with its age.
+    #[error("is {:.0} s old", .0.secs())]
+    Expired(Time),
+    /// Its table takes more memory than this router's may; with the bytes it takes.
+    #[error("needs {0} bytes of memory")]
+    TooLarge(usize),
 }
 
-impl fmt::Display for Refused {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Refused::Foreign => write!(f, "is no snapshot of sessions"),
-            Refused::Format(n) => write!(f, "is of format {n}, and {FORMAT} is known here"),
-            Refused::Torn => write!(f, "is torn: its checksum does not fit"),
-            Refused::Router(name) => write!(f, "is of router {name:?}"),
-            Refused::Old(age) => write!(f, "is {:.0} s old", age.secs()),
-            Refused::Large(bytes) => write!(f, "needs {bytes} bytes of memory"),
-        }
-    }
+/// The fields before the buckets.
+struct Header {
+    router: String,
+    written_at: Time,
+    initial_floor: Time,
+    seed: u64,
+    epoch: Time,
+    bucket_count: usize,
+    used_buckets: u32,
 }
 
-/// Writes down what is remembered, as the process ends. Writes that are still out go down as in doubt: they
-/// may commit after it.
+/// Encodes what the router knows of its sessions, as the process ends. The outcome of writes that have not
+/// ended counts as unknown: they may commit after it.
 pub fn write(sessions: &mut Sessions, now: Time, router: &str) -> Vec<u8> {
-    sessions.settle(now);
-    let (book, initial) = sessions.remembered();
-    let (seed, epoch, lines) = book.words();
-    let name = &router.as_bytes()[..router.len().min(usize::from(u16::MAX))];
+    sessions.settle_all(now);
+    let table = sessions.table();
     let mut out = Vec::with_capacity(1024);
     out.extend(MAGIC);
     out.extend(FORMAT.to_be_bytes());
+    let name = &router.as_bytes()[..router.len().min(usize::from(u16::MAX))];
     out.extend((name.len() as u16).to_be_bytes());
     out.extend(name);
-    for n in [now.0, initial.0, seed, epoch.0] {
-        out.extend(n.to_be_bytes());
-    }
-    out.extend((book.buckets() as u32).to_be_bytes());
+    out.extend(now.0.to_be_bytes());
+    out.extend(sessions.initial_floor().0.to_be_bytes());
+    out.extend(table.seed().to_be_bytes());
+    out.extend(table.epoch().0.to_be_bytes());
+    out.extend((table.bucket_count() as u32).to_be_bytes());
+    put_buckets(&mut out, table);
+    let checksum = Sha256::digest(&out);
+    out.extend(checksum);
+    out
+}
+
+/// Appends the count of the used buckets, and each of them.
+fn put_buckets(out: &mut Vec<u8>, table: &FloorTable) {
     let count_at = out.len();
     out.extend([0; 4]);
     let mut count = 0u32;
-    for (number, line) in lines {
+    for bucket in table.used_buckets() {
         count += 1;
-        out.extend(number.to_be_bytes());
-        line.iter().for_each(|word| out.extend(word.to_be_bytes()));
+        out.extend(bucket.index.to_be_bytes());
+        for word in bucket.words {
+            out.extend(word.to_be_bytes());
+        }
     }
     out[count_at..count_at + 4].copy_from_slice(&count.to_be_bytes());
-    let sum = Sha256::digest(&out);
-    out.extend(sum);
-    out
-}
-
-struct Cursor<'a>(&'a [u8]);
-
-impl<'a> Cursor<'a> {
-    fn bytes(&mut self, n: usize) -> Option<&'a [u8]> {
-        let (part, rest) = self.0.split_at_checked(n)?;
-        self.0 = rest;
-        Some(part)
-    }
-    fn array<const N: usize>(&mut self) -> Option<[u8; N]> {
-        self.bytes(N)?.try_into().ok()
-    }
-    fn u64(&mut self) -> Option<u64> {
-        Some(u64::from_be_bytes(self.array()?))
-    }
-    fn u32(&mut self) -> Option<u32> {
-        Some(u32::from_be_bytes(self.array()?))
-    }
-    fn u16(&mut self) -> Option<u16> {
-        Some(u16::from_be_bytes(self.array()?))
-    }
 }
 
-/// Takes over a snapshot that this router has written at a stop in good order, `max_age` ago at most.
+/// Replaces what the router knows of its sessions by a snapshot.
+///
+/// # Errors
+///
+/// The snapshot must be complete, of this router, written at most `max_age` ago, and no larger than the
+/// router's table may be. If it is not, `sessions` stays as it is.
 pub fn restore(
     sessions: &mut Sessions,
     now: Time,
     router: &str,
     max_age: Time,
     bytes: &[u8],
-) -> Result<(), Refused> {
-    let Some(rest) = bytes.strip_prefix(MAGIC) else { return Err(Refused::Foreign) };
-    let mut c = Cursor(rest);
-    match c.u16() {
+) -> Result<(), SnapshotError> {
+    let mut reader = verified_reader(bytes)?;
+    let header = reader.header().ok_or(SnapshotError::Corrupt)?;
+    if header.router != router {
+        return Err(SnapshotError::OtherRouter(header.router));
+    }
+    let age = now.since(header.written_at);
+    if age > max_age || header.written_at > now {
+        return Err(SnapshotError::Expired(age));
+    }
+    let table_bytes = header.bucket_count.saturating_mul(BUCKET_BYTES);
+    if table_bytes > sessions.table_bytes() {
+        return Err(SnapshotError::TooLarge(table_bytes));
+    }
+    let used: Option<Vec<NumberedBucket>> = (0..header.used_buckets).map(|_| reader.bucket()).collect();
+    let used = used.ok_or(SnapshotError::Corrupt)?;
+    let table = FloorTable::from_buckets(header.bucket_count, header.seed, header.epoch, used);
+    sessions.restore(table.ok_or(SnapshotError::Corrupt)?, header.initial_floor);
+    Ok(())
+}
+
+/// Checks the magic number, the format and the checksum. Returns a reader of what follows the format.
+fn verified_reader(bytes: &[u8]) -> Result<Reader<'_>, SnapshotError> {
+    let content = bytes.strip_prefix(MAGIC).ok_or(SnapshotError::NotASnapshot)?;
+    let mut reader = Reader { unread: content };
+    match reader.u16() {
         Some(FORMAT) => {}
-        Some(other) => return Err(Refused::Format(other)),
-        None => return Err(Refused::Torn),
+        Some(other) => return Err(SnapshotError::UnknownFormat(other)),
+        None => return Err(SnapshotError::Corrupt),
     }
-    let sound = bytes.len().checked_sub(SUM).filter(|at| Sha256::digest(&bytes[..*at])[..] == bytes[*at..]);
-    if sound.is_none() {
-        return Err(Refused::Torn);
+    let checksum_at = bytes.len().checked_sub(CHECKSUM_LEN).ok_or(SnapshotError::Corrupt)?;
+    let (summed, checksum) = bytes.split_at(checksum_at);
+    if Sha256::digest(summed)[..] != *checksum {
+        return Err(SnapshotError::Corrupt);
     }
-    let read = |c: &mut Cursor| {
-        let len = usize::from(c.u16()?);
-        let name = String::from_utf8_lossy(c.bytes(len)?).into_owned();
-        let (written, initial) = (Time(c.u64()?), Time(c.u64()?));
-        let (seed, epoch) = (c.u64()?, Time(c.u64()?));
-        Some((name, written, initial, seed, epoch, c.u32()? as usize, c.u32()?))
-    };
-    let (name, written, initial, seed, epoch, buckets, count) = read(&mut c).ok_or(Refused::Torn)?;
-    if name != router {
-        return Err(Refused::Router(name));
+    Ok(reader)
+}
+
+/// Reads fields from the front of a snapshot; none where it ends too early.
+struct Reader<'a> {
+    unread: &'a [u8],
+}
+
+impl<'a> Reader<'a> {
+    fn bytes(&mut self, len: usize) -> Option<&'a [u8]> {
+        let (field, rest) = self.unread.split_at_checked(len)?;
+        self.unread = rest;
+        Some(field)
     }
-    if now.since(written) > max_age || written > now {
-        return Err(Refused::Old(now.since(written)));
+
+    fn array<const N: usize>(&mut self) -> Option<[u8; N]> {
+        self.bytes(N)?.try_into().ok()
     }
-    let bytes = buckets.saturating_mul(BUCKET_BYTES);
-    if bytes > sessions.table_bytes() {
-        return Err(Refused::Large(bytes));
+
+    fn u16(&mut self) -> Option<u16> {
+        Some(u16::from_be_bytes(self.array()?))
     }
-    let mut lines = Vec::new();
-    for _ in 0..count {
-        let line = c.u32().and_then(|number| {
-            let mut line = [0; 16];
-            for word in &mut line {
-                *word = c.u32()?;
-            }
-            Some((number, line))
-        });
-        lines.push(line.ok_or(Refused::Torn)?);
+
+    fn u32(&mut self) -> Option<u32> {
+        Some(u32::from_be_bytes(self.array()?))
+    }
+
+    fn u64(&mut self) -> Option<u64> {
+        Some(u64::from_be_bytes(self.array()?))
+    }
+
+    fn header(&mut self) -> Option<Header> {
+        let name_len = usize::from(self.u16()?);
+        Some(Header {
+            router: String::from_utf8_lossy(self.bytes(name_len)?).into_owned(),
+            written_at: Time(self.u64()?),
+            initial_floor: Time(self.u64()?),
+            seed: self.u64()?,
+            epoch: Time(self.u64()?),
+            bucket_count: self.u32()? as usize,
+            used_buckets: self.u32()?,
+        })
+    }
+
+    fn bucket(&mut self) -> Option<NumberedBucket> {
+        let index = self.u32()?;
+        let mut words = [0; BUCKET_WORDS];
+        for word in &mut words {
+            *word = self.u32()?;
+        }
+        Some(NumberedBucket { index, words })
     }
-    let book = FloorTable::from_words(buckets, seed, epoch, lines.into_iter()).ok_or(Refused::Torn)?;
-    sessions.recall(book, initial);
-    Ok(())
 }
--- a/crates/session/src/token.rs
+++ b/crates/session/src/token.rs
@@ -1,212 +1,200 @@
-//! Tokens: a session's floors in a client's hands.
+//! Session tokens: a session's floors, signed, for its client to carry.
 //!
-//! Version 1, before base64url without padding: version (1 byte), key id (1), session tag (4), issued
-//! (6, Unix milliseconds), count of groups with the high bit set if a floor of the rest follows (1), that
-//! floor, then each group and its floor; last 16 bytes of HMAC-SHA-256 over all before and the session's
-//! name. Groups are varints; floors are zigzag varints of milliseconds from `issued`, rounded up. What it
-//! says is no secret.
+//! Format 1, as bytes before base64url without padding:
+//!
+//! | field | bytes | content |
+//! | --- | --- | --- |
+//! | version | 1 | 1 |
+//! | key id | 1 | the key that signed |
+//! | session tag | 4 | the low half of the session's number, big-endian |
+//! | issued | 6 | Unix time in milliseconds, big-endian |
+//! | groups | 1 | how many; the high bit is set if a floor of all other groups follows |
+//! | other groups | 0 to 10 | that floor |
+//! | each group | 2 to 15 | its number and its floor |
+//! | signature | 16 | of HMAC-SHA-256 over everything before it and the session's name |
+//!
+//! Group numbers are varints. Floors are zigzag varints: milliseconds after `issued`, rounded up. The content
+//! is no secret.
 
-use crate::floors::{GroupFloors, MAX_GROUPS};
+use crate::group_floors::{GroupFloors, MAX_GROUPS};
 use basalthill_policy::api::{GroupId, SessionKey, Time};
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
-use hmac::{Hmac, KeyInit, Mac};
-use sha2::Sha256;
-
-const VERSION: u8 = 1;
-const HEAD: usize = 13;
-const MAC: usize = 16;
-/// The longest token, as text: eight groups, each of 5 bytes and a floor of 10, and the rest.
-pub const MAX_TOKEN_LEN: usize = (HEAD + (MAX_GROUPS + 1) * 15 + MAC) * 4 / 3 + 4;
-const REST: u8 = 0x80;
-const MS: u64 = 1_000_000;
 
-/// A key's number, as tokens name it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct KeyId(pub u8);
+pub use crate::key::{Key, KeyId, KeyRing, MIN_SECRET_LEN};
 
-/// A secret that an installation's routers share.
-#[derive(Clone, PartialEq, Eq)]
-pub struct Key {
-    /// Its number.
-    pub id: KeyId,
-    secret: Vec<u8>,
-}
-
-/// Fewest bytes of a secret.
-pub const MIN_SECRET_LEN: usize = 16;
-
-impl std::fmt::Debug for Key {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "Key({}, ...)", self.id.0) // a secret never gets into a log
-    }
-}
-
-impl Key {
-    /// A key; none if the secret has fewer than [`MIN_SECRET_LEN`] bytes.
-    pub fn new(id: KeyId, secret: Vec<u8>) -> Option<Key> {
-        (secret.len() >= MIN_SECRET_LEN).then_some(Key { id, secret })
-    }
-
-    fn mac(&self, parts: &[&[u8]]) -> Option<Hmac<Sha256>> {
-        let mut mac = Hmac::<Sha256>::new_from_slice(&self.secret).ok()?;
-        parts.iter().for_each(|part| mac.update(part));
-        Some(mac)
-    }
-
-    /// HMAC-SHA-256 of the parts one after the other.
-    pub fn sign(&self, parts: &[&[u8]]) -> [u8; 32] {
-        self.mac(parts).map_or([0; 32], |mac| mac.finalize().into_bytes().into())
-    }
-
-    /// Whether this key made the first bytes of a [`Key::sign`] of the parts; compared in constant time.
-    pub fn verifies(&self, parts: &[&[u8]], mac: &[u8]) -> bool {
-        self.mac(parts).is_some_and(|made| made.verify_truncated_left(mac).is_ok())
-    }
-}
-
-/// The keys in force: one signs, all verify.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct KeyRing {
-    /// The one that signs.
-    pub signing: Key,
-    /// Others whose tokens still count.
-    pub verifying: Vec<Key>,
-    /// A token counts for this long after it was issued.
-    pub max_age: Time,
-}
-
-/// A session as tokens know it.
+/// The version byte of the format.
+const VERSION: u8 = 1;
+/// Bytes before the first floor.
+const HEADER_LEN: usize = 13;
+/// Bytes of the signature.
+const SIGNATURE_LEN: usize = 16;
+/// The most bytes of a group's number and its floor: varints of 32 and of 64 bits.
+const MAX_GROUP_LEN: usize = 5 + 10;
+/// The most characters of a token: [`MAX_GROUPS`] groups and the floor of the others.
+pub const MAX_TOKEN_LEN: usize = (HEADER_LEN + (MAX_GROUPS + 1) * MAX_GROUP_LEN + SIGNATURE_LEN) * 4 / 3 + 4;
+/// The bit of the group count that says that a floor of all other groups follows.
+const HAS_OTHER_GROUPS: u8 = 0x80;
+/// Nanoseconds of a millisecond, the unit of stored times.
+const NANOS_PER_MS: u64 = 1_000_000;
+
+/// A session, as its tokens identify it.
 #[derive(Clone, Copy, Debug)]
 pub struct SessionIdentity<'a> {
-    /// Its name, as the client gives it.
+    /// The session's name, as the client writes it.
     pub name: &'a [u8],
-    /// Its number.
+    /// The session's number.
     pub key: SessionKey,
 }
 
 impl SessionIdentity<'_> {
+    /// The part of the session's number that tokens carry.
     fn tag(&self) -> [u8; 4] {
         (self.key.0 as u32).to_be_bytes()
     }
 }
 
-/// Why a token does not count.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why a token is rejected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TokenError {
-    /// It can't be read, or its version is not known here.
+    /// It cannot be decoded, or its version is unknown.
+    #[error("the token cannot be decoded")]
     Malformed,
-    /// Its key is not among those in force.
+    /// Its key is not in force.
+    #[error("the token's key is unknown")]
     UnknownKey,
-    /// Its key did not make it, or not so.
+    /// Its signature does not match its content and its session's name.
+    #[error("the token's signature does not match")]
     Forged,
-    /// It is another session's.
+    /// It was issued to another session.
+    #[error("the token belongs to another session")]
     OtherSession,
-    /// It was issued too long ago.
+    /// It was issued longer ago than [`KeyRing::max_age`].
+    #[error("the token has expired")]
     Expired,
-    /// It was issued later than the clocks' skew allows.
+    /// It was issued later than the skew between clocks allows.
+    #[error("the token was issued in the future")]
     IssuedInFuture,
 }
 
-fn put_varint(out: &mut Vec<u8>, mut n: u64) {
-    while n >= 0x80 {
-        out.push(n as u8 | 0x80);
-        n >>= 7;
-    }
-    out.push(n as u8);
-}
-
-fn varint(bytes: &mut &[u8]) -> Option<u64> {
-    let mut n = 0u64;
-    for shift in (0..64).step_by(7) {
-        let (&b, rest) = bytes.split_first()?;
-        *bytes = rest;
-        n |= u64::from(b & 0x7f).checked_shl(shift)?;
-        if b < 0x80 {
-            return Some(n);
-        }
-    }
-    None
-}
-
-fn put_floor(out: &mut Vec<u8>, floor: Time, issued_ms: u64) {
-    let off = floor.0.div_ceil(MS) as i64 - issued_ms as i64;
-    put_varint(out, ((off << 1) ^ (off >> 63)) as u64);
-}
-
-fn floor(bytes: &mut &[u8], issued_ms: u64) -> Option<Time> {
-    let n = varint(bytes)?;
-    let off = (n >> 1) as i64 ^ -((n & 1) as i64);
-    let ms = (issued_ms as i64).checked_add(off).and_then(|ms| u64::try_from(ms).ok())?;
-    Some(Time(ms.saturating_mul(MS)))
-}
-
-/// Writes a session's floors down, signed.
-pub fn issue(keys: &KeyRing, now: Time, owner: SessionIdentity, floors: &GroupFloors) -> String {
-    let issued = now.0 / MS;
+/// Encodes a session's floors and signs them. The fields are as in the module's table.
+pub fn issue(keys: &KeyRing, now: Time, session: SessionIdentity, floors: &GroupFloors) -> String {
+    let issued_ms = now.0 / NANOS_PER_MS;
     let mut out = Vec::with_capacity(64);
     out.extend([VERSION, keys.signing.id.0]);
-    out.extend(owner.tag());
-    out.extend_from_slice(&issued.to_be_bytes()[2..]);
-    let rest = if floors.rest() > Time(0) { REST } else { 0 };
-    out.push(floors.groups().len() as u8 | rest);
-    if rest != 0 {
-        put_floor(&mut out, floors.rest(), issued);
-    }
-    for (group, at) in floors.groups() {
-        put_varint(&mut out, u64::from(group.0));
-        put_floor(&mut out, *at, issued);
-    }
-    let mac = keys.signing.sign(&[&out, owner.name]);
-    out.extend_from_slice(&mac[..MAC]);
+    out.extend(session.tag());
+    out.extend_from_slice(&issued_ms.to_be_bytes()[2..]);
+    put_floors(&mut out, floors, issued_ms);
+    let signature = keys.signing.sign(&[&out, session.name]);
+    out.extend_from_slice(&signature[..SIGNATURE_LEN]);
     URL_SAFE_NO_PAD.encode(out)
 }
 
-/// Reads a token that a session has brought. `skew` is what clocks may be apart.
+/// Decodes a token that came with a request of a session, and verifies it. `skew` is how far the clocks of
+/// routers may be apart.
+///
+/// # Errors
+///
+/// See [`TokenError`]; a token that is wrong in several ways gets the first error in the order of the checks
+/// here.
 pub fn verify(
     keys: &KeyRing,
     now: Time,
     skew: Time,
-    owner: SessionIdentity,
+    session: SessionIdentity,
     text: &[u8],
 ) -> Result<GroupFloors, TokenError> {
     if text.len() > MAX_TOKEN_LEN {
         return Err(TokenError::Malformed);
     }
     let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| TokenError::Malformed)?;
-    if bytes.len() < HEAD + MAC || bytes[0] != VERSION {
+    if bytes.len() < HEADER_LEN + SIGNATURE_LEN || bytes[0] != VERSION {
         return Err(TokenError::Malformed);
     }
-    let (body, mac) = bytes.split_at(bytes.len() - MAC);
-    let mut known = std::iter::once(&keys.signing).chain(&keys.verifying);
-    let key = known.find(|k| k.id.0 == body[1]).ok_or(TokenError::UnknownKey)?;
-    if body[2..6] != owner.tag() {
+    let (body, signature) = bytes.split_at(bytes.len() - SIGNATURE_LEN);
+    let key = keys.find(KeyId(body[1])).ok_or(TokenError::UnknownKey)?;
+    if body[2..6] != session.tag() {
         return Err(TokenError::OtherSession);
     }
-    if !key.verifies(&[body, owner.name], mac) {
+    if !key.verifies(&[body, session.name], signature) {
         return Err(TokenError::Forged);
     }
-    let issued = body[6..12].iter().fold(0u64, |n, b| n << 8 | u64::from(*b));
-    let at = Time(issued * MS);
-    if now.since(at) > keys.max_age {
+    let issued_ms = body[6..12].iter().fold(0u64, |ms, byte| ms << 8 | u64::from(*byte));
+    let issued_at = Time(issued_ms * NANOS_PER_MS);
+    if now.since(issued_at) > keys.max_age {
         return Err(TokenError::Expired);
     }
-    if at.since(now) > skew {
+    if issued_at.since(now) > skew {
         return Err(TokenError::IssuedInFuture);
     }
-    read(body, issued).ok_or(TokenError::Malformed)
+    read_floors(body, issued_ms).ok_or(TokenError::Malformed)
 }
 
-/// The floors of a body whose signature is right.
-fn read(body: &[u8], issued: u64) -> Option<GroupFloors> {
-    let (count, mut left) = (body[12], &body[HEAD..]);
+/// Appends the count of groups, the floor of the others, and each group with its floor.
+fn put_floors(out: &mut Vec<u8>, floors: &GroupFloors, issued_ms: u64) {
+    let has_other_groups = floors.other_groups() > Time(0);
+    let count = floors.by_group().len() as u8;
+    out.push(if has_other_groups { count | HAS_OTHER_GROUPS } else { count });
+    if has_other_groups {
+        put_floor(out, floors.other_groups(), issued_ms);
+    }
+    for entry in floors.by_group() {
+        put_varint(out, u64::from(entry.group.0));
+        put_floor(out, entry.floor, issued_ms);
+    }
+}
+
+/// The floors of a body whose signature is valid; none if they end too early or too late.
+fn read_floors(body: &[u8], issued_ms: u64) -> Option<GroupFloors> {
+    let count = body[HEADER_LEN - 1];
+    let mut unread = &body[HEADER_LEN..];
     let mut floors = GroupFloors::default();
-    if count & REST != 0 {
-        floors.fold(floor(&mut left, issued)?);
+    if count & HAS_OTHER_GROUPS != 0 {
+        floors.raise_other_groups(read_floor(&mut unread, issued_ms)?);
     }
-    for _ in 0..count & !REST {
-        let group = GroupId(u32::try_from(varint(&mut left)?).ok()?);
-        floors.raise(group, floor(&mut left, issued)?);
+    for _ in 0..count & !HAS_OTHER_GROUPS {
+        let group = u32::try_from(read_varint(&mut unread)?).ok()?;
+        let floor = read_floor(&mut unread, issued_ms)?;
+        floors.raise(GroupId(group), floor);
     }
-    left.is_empty().then_some(floors)
+    unread.is_empty().then_some(floors)
+}
+
+/// Appends a floor, rounded up to milliseconds.
+fn put_floor(out: &mut Vec<u8>, floor: Time, issued_ms: u64) {
+    let offset = floor.0.div_ceil(NANOS_PER_MS) as i64 - issued_ms as i64;
+    let zigzag = (offset << 1) ^ (offset >> 63);
+    put_varint(out, zigzag as u64);
+}
+
+/// Removes a floor from the front of `bytes`.
+fn read_floor(bytes: &mut &[u8], issued_ms: u64) -> Option<Time> {
+    let zigzag = read_varint(bytes)?;
+    let offset = (zigzag >> 1) as i64 ^ -((zigzag & 1) as i64);
+    let floor_ms = (issued_ms as i64).checked_add(offset)?;
+    let floor_ms = u64::try_from(floor_ms).ok()?;
+    Some(Time(floor_ms.saturating_mul(NANOS_PER_MS)))
+}
+
+/// Appends a number, seven bits a byte, the lowest first; the high bit of a byte says that another follows.
+fn put_varint(out: &mut Vec<u8>, mut number: u64) {
+    while number >= 0x80 {
+        out.push(number as u8 | 0x80);
+        number >>= 7;
+    }
+    out.push(number as u8);
+}
+
+/// Removes a number from the front of `bytes`.
+fn read_varint(bytes: &mut &[u8]) -> Option<u64> {
+    let mut number = 0u64;
+    for shift in (0..64).step_by(7) {
+        let (&byte, rest) = bytes.split_first()?;
+        *bytes = rest;
+        number |= u64::from(byte & 0x7f).checked_shl(shift)?;
+        if byte < 0x80 {
+            return Some(number);
+        }
+    }
+    None
 }
--- /dev/null
+++ b/crates/session/tests/floor_table.rs
@@ -0,0 +1,67 @@
+//! The table of session floors, alone.
+
+mod common;
+
+use basalthill_policy::api::{GroupId, SessionKey, Time};
+use basalthill_session::{FloorTable, BUCKET_BYTES};
+use common::{DAY, GROUP, START};
+use std::collections::BTreeMap;
+
+/// Numbers that look random and are the same in each run.
+fn numbers(mut state: u64) -> impl Iterator<Item = u64> {
+    std::iter::repeat_with(move || {
+        state = state.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        state >> 33
+    })
+}
+
+#[test]
+fn eviction_raises_floors_and_never_lowers_one() {
+    // Ten times more sessions than there are slots.
+    let mut table = FloorTable::new(START, 16 * BUCKET_BYTES, 3);
+    let mut written = BTreeMap::new();
+    let mut evictions = 0;
+    for (n, random) in numbers(1).take(20_000).enumerate() {
+        let group = GroupId((random % 3) as u32);
+        let session = SessionKey(random % 1100);
+        // Mostly later and later, and some as old as any.
+        let commit = START.plus(Time::ms(if n % 11 == 0 { random % 1000 } else { n as u64 }));
+        table.raise(group, session, commit);
+        let last = written.entry((group, session)).or_insert(commit);
+        *last = commit.max(*last);
+        evictions += table.take_evictions();
+        if n % 97 == 0 {
+            for ((group, session), commit) in &written {
+                let entry = table.get(*group, *session);
+                assert!(entry.exact.max(Some(entry.evicted)) >= Some(*commit), "{n}: {session:?}");
+            }
+        }
+    }
+    assert!(evictions > 1000, "the table did overflow: {evictions}");
+    assert_eq!(table.bytes(), 16 * BUCKET_BYTES);
+    // The newest have slots of their own, and what is evicted is older than all that have.
+    let newest = written.values().max().unwrap();
+    let ((group, session), _) = written.iter().find(|(_, commit)| *commit == newest).unwrap();
+    let entry = table.get(*group, *session);
+    assert_eq!(entry.exact, Some(*newest));
+    assert!(entry.evicted < newest.minus(Time::ms(50)), "the oldest are evicted");
+}
+
+#[test]
+fn floors_survive_rebasing_in_a_router_that_runs_for_months() {
+    let mut table = FloorTable::new(START, 1 << 16, 3);
+    let month_before = START.minus(Time(DAY.0 * 30));
+    table.raise(GROUP, SessionKey(1), START.minus(DAY));
+    table.raise(GROUP, SessionKey(2), month_before);
+    let old = table.get(GROUP, SessionKey(2)).exact.unwrap();
+    assert!(old >= month_before, "older than the table can tell apart: raised");
+    assert!(old < table.get(GROUP, SessionKey(1)).exact.unwrap());
+    for day in 1..120u64 {
+        let now = START.plus(Time(DAY.0 * day));
+        table.raise(GROUP, SessionKey(1000 + day), now);
+        assert_eq!(table.get(GROUP, SessionKey(1000 + day)).exact, Some(now), "day {day}");
+        let first = table.get(GROUP, SessionKey(1)).exact.unwrap();
+        assert!(first >= START.minus(DAY) && first <= now, "day {day}: {first:?}");
+        assert_eq!(table.get(GROUP, SessionKey(999)).exact, None);
+    }
+}
--- /dev/null
+++ b/crates/session/tests/sessions.rs
@@ -0,0 +1,45 @@
+//! Floors of writes in flight and of unknown outcome, and of sessions that the table has evicted.
+
+mod common;
+
+use basalthill_policy::api::Time;
+use basalthill_session::{DefaultFloor, SessionConfig};
+use common::{at, config, read_floor, request, router, settled_write, GROUP, START};
+
+#[test]
+fn reads_go_by_their_arrival_while_a_write_is_in_flight_and_until_an_unknown_one_has_settled() {
+    let config = SessionConfig { settle_time: Time::ms(1000), ..config(DefaultFloor::RememberedOnly) };
+    let mut sessions = router(START, config);
+    let request = request(GROUP, 1, at(0));
+    let first = sessions.begin_request(at(100), &request, true);
+    let mut second = sessions.begin_request(at(110), &request, true);
+    assert_eq!(read_floor(&mut sessions, at(120), GROUP, 1), at(125), "it may have committed by now");
+    assert_eq!(read_floor(&mut sessions, at(120), GROUP, 2), Time(0), "another session has written nothing");
+    sessions.end_request(at(130), GROUP, &first);
+    assert_eq!(read_floor(&mut sessions, at(140), GROUP, 1), at(145), "one of two is still in flight");
+    second.outcome_unknown = true;
+    sessions.end_request(at(150), GROUP, &second);
+    assert_eq!(sessions.unsettled_writes(), 0);
+    assert_eq!(read_floor(&mut sessions, at(900), GROUP, 1), at(905), "its outcome is unknown");
+    assert_eq!(read_floor(&mut sessions, at(9000), GROUP, 1), at(1155), "settled");
+    assert_eq!(sessions.take_counts().unknown_writes, 1);
+}
+
+#[test]
+fn a_full_table_raises_the_floors_of_evicted_sessions_and_of_no_others() {
+    let mut sessions = router(START, config(DefaultFloor::RouterStart));
+    let written: Vec<(u64, Time)> = (0..5000).map(|n| (n, at(n))).collect();
+    for (session, commit) in &written {
+        settled_write(&mut sessions, GROUP, *session, *commit);
+    }
+    let now = at(60_000);
+    for (session, commit) in &written {
+        assert!(read_floor(&mut sessions, now, GROUP, *session) >= *commit, "session {session}");
+    }
+    assert_eq!(read_floor(&mut sessions, now, GROUP, 4999), at(4999), "the newest is exact");
+    assert!(
+        read_floor(&mut sessions, now, GROUP, 0) < at(4999),
+        "the oldest does not get the newest's floor"
+    );
+    assert!(sessions.take_counts().evicted > 0);
+}
