--- /dev/null
+++ b/crates/extproc/tests/instance_owners.rs
@@ -0,0 +1,39 @@
+//! Which instance decides a write, as lists of instances change.
+
+mod common;
+
+use basalthill_extproc::{InstanceList, InstanceOwners, WriteId};
+use basalthill_policy::api::Time;
+use common::{write_id, START};
+use std::collections::BTreeMap;
+
+fn id(created_ms: u64, n: u64) -> WriteId {
+    let spread = n.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 2;
+    write_id(START.plus(Time::ms(created_ms)), spread)
+}
+
+fn list(since_ms: u64, names: &[&str]) -> InstanceList {
+    let names = names.iter().map(|name| name.to_string()).collect();
+    InstanceList { since: START.plus(Time::ms(since_ms)), names }
+}
+
+#[test]
+fn an_id_keeps_its_owner_when_the_instance_list_changes() {
+    let before = InstanceOwners::new(vec![list(0, &["a", "b", "c"])]);
+    let after = InstanceOwners::new(vec![list(5000, &["a", "b", "c", "d"]), list(0, &["a", "b", "c"])]);
+    let mut counts: BTreeMap<String, u32> = BTreeMap::new();
+    let mut moved = 0;
+    for n in 0..4000 {
+        assert_eq!(before.owner(id(4999, n)), after.owner(id(4999, n)), "created before the change");
+        let old = before.owner(id(5000, n)).unwrap();
+        let new = after.owner(id(5000, n)).unwrap();
+        assert!(old == new || new == "d", "only to the instance that was added");
+        moved += u32::from(old != new);
+        *counts.entry(new.to_string()).or_default() += 1;
+    }
+    assert!(counts.len() == 4 && counts.values().all(|n| (850..1150).contains(n)), "{counts:?}");
+    assert_eq!(moved, counts["d"]);
+    assert_eq!(InstanceOwners::default().owner(id(1, 1)), None);
+    let owners = InstanceOwners::new(vec![list(1000, &["a"])]);
+    assert_eq!(owners.owner(id(999, 1)), None, "before any list");
+}
--- /dev/null
+++ b/crates/extproc/tests/write_registry.rs
@@ -0,0 +1,224 @@
+//! The registry of decided writes, against a model that knows everything across restarts of the process.
+
+mod common;
+
+use basalthill_extproc::{UnusableId, Verdict, WriteId, WriteRegistry};
+use basalthill_policy::api::Time;
+use common::{write_id, START};
+use proptest::prelude::*;
+use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
+use std::collections::BTreeMap;
+
+const WINDOW: Time = Time::ms(10_000);
+const SKEW: Time = Time::ms(50);
+/// Entries of the registry that is played against the model.
+const MODEL_ENTRIES: usize = 6;
+
+fn at(ms: u64) -> Time {
+    START.plus(Time::ms(ms))
+}
+
+fn registry(max_entries: usize) -> WriteRegistry {
+    WriteRegistry::new(START, WINDOW, SKEW, max_entries)
+}
+
+#[test]
+fn a_write_requested_twice_gets_one_decision_unless_proved_unexecuted() {
+    let mut registry = registry(100);
+    let write = write_id(at(1000), 1);
+    assert_eq!(registry.admit(at(1010), write), Verdict::New);
+    assert_eq!(registry.admit(at(1011), write), Verdict::Pending, "two proxies at once");
+    registry.assigned(write);
+    assert_eq!(registry.admit(at(1020), write), Verdict::Decided, "before the reply is sent, and after");
+    registry.not_executed(write);
+    assert_eq!(registry.admit(at(1030), write), Verdict::Retry);
+    assert_eq!(registry.admit(at(1031), write), Verdict::Pending);
+    registry.not_executed(write);
+    assert_eq!(registry.admit(at(1040), write), Verdict::Retry, "no member was assigned");
+    registry.assigned(write);
+    registry.possibly_executed(write);
+    for ms in [1050, 5000, 10_999, 11_040] {
+        assert_eq!(registry.admit(at(ms), write), Verdict::Decided, "at {ms} ms");
+    }
+    for ms in [11_300, 20_000, 10_000_000] {
+        assert_eq!(registry.admit(at(ms), write), Verdict::Unusable(UnusableId::TooOld), "at {ms} ms");
+    }
+    assert!(registry.is_empty());
+}
+
+#[test]
+fn ids_older_than_the_process_or_from_the_future_are_unusable() {
+    let mut registry = registry(100);
+    let before_start = Verdict::Unusable(UnusableId::BeforeStart);
+    assert_eq!(registry.admit(at(10), write_id(at(0), 1)), before_start);
+    assert_eq!(registry.admit(at(10), write_id(at(50), 2)), before_start, "within the skew of the clocks");
+    assert_eq!(registry.admit(at(10), write_id(at(60), 3)), Verdict::New);
+    let in_future = Verdict::Unusable(UnusableId::InFuture);
+    assert_eq!(registry.admit(at(100), write_id(at(151), 4)), in_future);
+    assert_eq!(registry.admit(at(100), write_id(at(150), 5)), Verdict::New);
+    let too_old = Verdict::Unusable(UnusableId::TooOld);
+    assert_eq!(registry.admit(at(100), write_id(Time::ms(0), 6)), too_old);
+    assert_eq!(registry.len(), 2);
+}
+
+#[test]
+fn a_full_registry_rejects_and_removes_nothing() {
+    let mut registry = registry(10);
+    let writes: Vec<WriteId> = (0..10).map(|n| write_id(at(1000 + n * 100), n)).collect();
+    for write in &writes {
+        assert_eq!(registry.admit(at(2000), *write), Verdict::New);
+        registry.assigned(*write);
+    }
+    let Verdict::Full { retry_after } = registry.admit(at(2000), write_id(at(1990), 99)) else {
+        panic!("the registry is full")
+    };
+    assert!(writes.iter().all(|write| registry.admit(at(2000), *write) == Verdict::Decided));
+    let then = at(2000).plus(retry_after);
+    assert_eq!(registry.admit(then, write_id(then, 100)), Verdict::New, "an entry is free by then");
+    assert!(retry_after < WINDOW.plus(Time::ms(500)), "{retry_after:?}");
+}
+
+#[derive(Clone, Debug)]
+enum Step {
+    /// Time passes, in milliseconds.
+    Pass(u16),
+    /// A call for a write, by its number. A new one was created so many milliseconds ago, or ahead.
+    Request { write: u8, age_ms: i16 },
+    /// A member is assigned.
+    Assign(u8),
+    /// The decisions reject it.
+    Reject(u8),
+    /// The assigned attempt ends.
+    End { write: u8, not_executed: bool },
+    /// The process restarts.
+    Restart,
+}
+
+fn steps() -> impl Strategy<Value = Vec<Step>> {
+    let step = prop_oneof![
+        3 => (0..3000u16).prop_map(Step::Pass),
+        8 => (0..12u8, -60..400i16).prop_map(|(write, age_ms)| Step::Request { write, age_ms }),
+        3 => (0..12u8).prop_map(Step::Assign),
+        1 => (0..12u8).prop_map(Step::Reject),
+        2 => (0..12u8, any::<bool>()).prop_map(|(write, not_executed)| Step::End { write, not_executed }),
+        1 => Just(Step::Restart),
+    ];
+    prop::collection::vec(step, 1..120)
+}
+
+/// What is true of a write, whoever knows it.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Truth {
+    /// It waits for a member, in the process of this number.
+    Pending(u32),
+    /// A member is assigned and the attempt has not ended, in the process of this number.
+    Assigned(u32),
+    /// It may have executed.
+    PossiblyExecuted,
+    /// It was never assigned, or is proved not to have executed.
+    NotExecuted,
+}
+
+/// The registry, and what is true of each write that was ever requested.
+struct Model {
+    now: Time,
+    /// The number of the process: restarts so far.
+    process: u32,
+    registry: WriteRegistry,
+    writes: BTreeMap<u8, (WriteId, Truth)>,
+}
+
+impl Model {
+    fn new() -> Model {
+        let registry = WriteRegistry::new(at(0), WINDOW, SKEW, MODEL_ENTRIES);
+        Model { now: at(0), process: 0, registry, writes: BTreeMap::new() }
+    }
+
+    fn step(&mut self, step: Step) -> Result<(), TestCaseError> {
+        self.now = self.now.plus(Time::ms(1));
+        match step {
+            Step::Pass(ms) => self.now = self.now.plus(Time::ms(u64::from(ms))),
+            Step::Request { write, age_ms } => self.request(write, age_ms)?,
+            Step::Assign(write) => {
+                if let Some(id) =
+                    self.replace(write, Truth::Pending(self.process), Truth::Assigned(self.process))
+                {
+                    self.registry.assigned(id);
+                }
+            }
+            Step::Reject(write) => {
+                if let Some(id) = self.replace(write, Truth::Pending(self.process), Truth::NotExecuted) {
+                    self.registry.not_executed(id);
+                }
+            }
+            Step::End { write, not_executed: true } => {
+                if let Some(id) = self.replace(write, Truth::Assigned(self.process), Truth::NotExecuted) {
+                    self.registry.not_executed(id);
+                }
+            }
+            Step::End { write, not_executed: false } => {
+                if let Some(id) = self.replace(write, Truth::Assigned(self.process), Truth::PossiblyExecuted)
+                {
+                    self.registry.possibly_executed(id);
+                }
+            }
+            Step::Restart => self.restart(),
+        }
+        Ok(())
+    }
+
+    fn request(&mut self, write: u8, age_ms: i16) -> Result<(), TestCaseError> {
+        let created_at = Time((self.now.0 as i64 - i64::from(age_ms) * 1_000_000) as u64);
+        let new = (write_id(created_at, u64::from(write)), Truth::NotExecuted);
+        let (id, truth) = self.writes.entry(write).or_insert(new);
+        let verdict = self.registry.admit(self.now, *id);
+        match verdict {
+            Verdict::New | Verdict::Retry => {
+                prop_assert_eq!(*truth, Truth::NotExecuted, "{:?} of {}", verdict, write);
+                *truth = Truth::Pending(self.process);
+            }
+            Verdict::Pending => prop_assert_eq!(*truth, Truth::Pending(self.process)),
+            _ => {}
+        }
+        prop_assert!(self.registry.len() <= MODEL_ENTRIES);
+        Ok(())
+    }
+
+    /// Changes the truth of a write from one to another; its id, if it was the first.
+    fn replace(&mut self, write: u8, from: Truth, to: Truth) -> Option<WriteId> {
+        let (id, truth) = self.writes.get_mut(&write).filter(|(_, truth)| *truth == from)?;
+        *truth = to;
+        Some(*id)
+    }
+
+    fn restart(&mut self) {
+        self.process += 1;
+        self.registry = WriteRegistry::new(self.now, WINDOW, SKEW, MODEL_ENTRIES);
+        // What waited for a member in the last process never got one; what was assigned may execute.
+        for (_, truth) in self.writes.values_mut() {
+            *truth = match *truth {
+                Truth::Assigned(_) => Truth::PossiblyExecuted,
+                Truth::Pending(_) => Truth::NotExecuted,
+                other => other,
+            };
+        }
+    }
+}
+
+#[test]
+fn no_process_decides_a_write_that_an_earlier_one_may_have_executed() {
+    let config = Config { cases: 1000, failure_persistence: None, ..Config::default() };
+    let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[18; 32]));
+    let decisions = std::cell::Cell::new(0u32);
+    let played = runner.run(&steps(), |steps| {
+        let mut model = Model::new();
+        for step in steps {
+            model.step(step)?;
+        }
+        let decided = model.writes.values().filter(|(_, truth)| *truth != Truth::NotExecuted).count() as u32;
+        decisions.set(decisions.get() + decided);
+        Ok(())
+    });
+    assert_eq!(played.map_err(|error| error.to_string()), Ok(()));
+    assert!(decisions.get() > 500, "{}", decisions.get());
+}
