--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -31,6 +31,16 @@
         ConfigError { key, problem, unread: Some(error.kind()) }
     }
 
+    /// No configuration file is named, by variable or argument.
+    pub fn no_config_file() -> ConfigError {
+        ConfigError::new("BALANCER_CONFIG", "is not set, and no --config is given")
+    }
+
+    /// Whether a file could not be read at all, as while it is being replaced.
+    pub fn is_unreadable(&self) -> bool {
+        self.unread.is_some()
+    }
+
     fn under(self, parent: &str) -> ConfigError {
         let key = if self.key.is_empty() { parent.into() } else { format!("{parent}.{}", self.key) };
         ConfigError { key, ..self }
--- /dev/null
+++ b/crates/router/src/program/logging/tests.rs
@@ -0,0 +1,192 @@
+use super::rate_limit::RateLimiter;
+use super::*;
+use serde_json::Value;
+use std::io::{self, Write};
+use std::sync::mpsc::{channel, Receiver, Sender};
+use std::sync::Mutex;
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+
+/// The lines that a test's events gave.
+#[derive(Clone, Default)]
+struct Lines(Arc<Mutex<Vec<String>>>);
+
+impl Write for Lines {
+    fn write(&mut self, line: &[u8]) -> io::Result<usize> {
+        self.0.lock().unwrap().push(String::from_utf8(line.to_vec()).unwrap());
+        Ok(line.len())
+    }
+
+    fn flush(&mut self) -> io::Result<()> {
+        Ok(())
+    }
+}
+
+impl<'w> MakeWriter<'w> for Lines {
+    type Writer = Lines;
+
+    fn make_writer(&'w self) -> Lines {
+        self.clone()
+    }
+}
+
+/// The lines that `events` gives with an info log of this form, after `dropped` lines were dropped.
+fn lines_of(format: LogFormat, dropped: u32, events: impl FnOnce()) -> Vec<String> {
+    let (lines, limiter) = (Lines::default(), Arc::new(RateLimiter::default()));
+    (0..dropped).for_each(|_| limiter.count_dropped());
+    tracing::subscriber::with_default(subscriber(LogLevel::Info, format, limiter, lines.clone()), events);
+    let lines = lines.0.lock().unwrap();
+    lines.clone()
+}
+
+fn unix_seconds() -> f64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_secs_f64()
+}
+
+#[test]
+fn a_text_line_has_time_level_message_and_fields() {
+    let before = unix_seconds();
+    let lines = lines_of(LogFormat::Text, 0, || tracing::warn!(retries = 3, peer = %"n2", "no answer"));
+    let [line] = &lines[..] else { panic!("{lines:?}") };
+    let (stamp, rest) = line.split_once(' ').unwrap();
+    assert_eq!(rest, "WARN no answer retries=3 peer=n2\n");
+    let (_, millis) = stamp.split_once('.').unwrap();
+    assert_eq!(millis.len(), 3, "{line}");
+    // The stamp is cut to a millisecond.
+    let stamp: f64 = stamp.parse().unwrap();
+    assert!(stamp >= before - 0.002 && stamp <= unix_seconds() + 0.002, "{line}");
+}
+
+#[test]
+fn a_json_line_is_one_object_with_the_same_content() {
+    let before = unix_seconds();
+    let events = || tracing::error!(retries = 3, peer = %"n\"2", ready = false, "no\nanswer");
+    let lines = lines_of(LogFormat::Json, 2, events);
+    let [line] = &lines[..] else { panic!("{lines:?}") };
+    assert_eq!(line.matches('\n').count(), 1, "{line}");
+    let mut object: Value = serde_json::from_str(line).unwrap();
+    let stamp = object.as_object_mut().unwrap().remove("timestamp").unwrap().as_f64().unwrap();
+    assert!(stamp >= before - 0.002 && stamp <= unix_seconds() + 0.002, "{line}");
+    let expected = serde_json::json!({
+        "level": "ERROR",
+        "target": module_path!(),
+        "message": "no\nanswer",
+        "dropped_lines": 2,
+        "fields": {"retries": 3, "peer": "n\"2", "ready": false},
+    });
+    assert_eq!(object, expected);
+}
+
+#[test]
+fn the_number_of_dropped_lines_stands_in_the_next_line_once() {
+    let events = || {
+        tracing::info!("first");
+        tracing::info!("second");
+    };
+    let lines = lines_of(LogFormat::Text, 7, events);
+    assert!(lines[0].ends_with(" (7 lines left out) INFO first\n"), "{lines:?}");
+    assert!(lines[1].ends_with(" INFO second\n") && !lines[1].contains("left out"), "{lines:?}");
+}
+
+#[test]
+fn only_events_of_this_project_from_the_level_up_are_shown() {
+    let events = || {
+        tracing::debug!("below the level");
+        tracing::error!(target: "polling", "of another crate");
+        tracing::info!(target: "basalthill_fleet::gossip", "of this project");
+    };
+    let lines = lines_of(LogFormat::Text, 0, events);
+    assert_eq!(lines.len(), 1, "{lines:?}");
+    assert!(lines[0].ends_with(" INFO of this project\n"), "{lines:?}");
+}
+
+#[test]
+fn a_burst_is_cut_at_the_limit_and_events_of_other_crates_do_not_count() {
+    let began = Instant::now();
+    let events = || {
+        for n in 0..MAX_LINES_PER_SECOND + 10 {
+            tracing::info!(target: "polling", "not ours");
+            tracing::debug!("below the level");
+            tracing::info!("line {n}");
+        }
+    };
+    let lines = lines_of(LogFormat::Text, 0, events);
+    // On a machine that stands still a second may pass meanwhile.
+    if began.elapsed() < Duration::from_secs(1) {
+        assert_eq!(lines.len(), MAX_LINES_PER_SECOND as usize);
+    }
+}
+
+#[test]
+fn the_limit_holds_for_each_second_and_what_is_dropped_is_counted() {
+    let (limiter, start) = (RateLimiter::default(), Instant::now());
+    let admitted = |after_ms: u64, lines: u32| {
+        let now = start + Duration::from_millis(after_ms);
+        (0..lines).filter(|_| limiter.admit(now)).count() as u32
+    };
+    assert_eq!(admitted(0, MAX_LINES_PER_SECOND - 1), MAX_LINES_PER_SECOND - 1);
+    assert_eq!(admitted(999, 4), 1);
+    assert_eq!(limiter.take_dropped(), 3);
+    assert_eq!(limiter.take_dropped(), 0);
+    assert_eq!(admitted(1000, MAX_LINES_PER_SECOND + 5), MAX_LINES_PER_SECOND);
+    assert_eq!(limiter.take_dropped(), 5);
+    assert_eq!(admitted(1999, 1), 0, "the second counts from its first line");
+    assert_eq!(admitted(5000, 1), 1);
+}
+
+/// An output that writes nothing until the test lets it.
+struct BlockedOutput {
+    open: Receiver<()>,
+    written: Sender<Vec<u8>>,
+}
+
+impl Write for BlockedOutput {
+    fn write(&mut self, line: &[u8]) -> io::Result<usize> {
+        // Without a sender it is open for good.
+        let _ = self.open.recv();
+        self.written.send(line.to_vec()).unwrap();
+        Ok(line.len())
+    }
+
+    fn flush(&mut self) -> io::Result<()> {
+        Ok(())
+    }
+}
+
+#[test]
+fn a_pipe_that_nobody_reads_is_not_waited_for() {
+    let (opener, open) = channel();
+    let (written, lines) = channel();
+    let limiter = Arc::new(RateLimiter::default());
+    let (mut queue, writer) = writer::spawn(BlockedOutput { open, written }, Arc::clone(&limiter)).unwrap();
+    let began = Instant::now();
+    for n in 0..1000 {
+        queue.make_writer().write_all(format!("{n}\n").as_bytes()).unwrap();
+    }
+    drop(writer);
+    assert!(began.elapsed() < Duration::from_secs(10), "{:?}", began.elapsed());
+    drop(opener);
+    queue.flush().unwrap();
+    drop(queue);
+    let lines: Vec<Vec<u8>> = lines.iter().collect();
+    let dropped = limiter.take_dropped() as usize;
+    assert!(dropped >= 700, "{dropped}");
+    assert_eq!(lines.len() + dropped, 1000, "what is not written is counted");
+    assert_eq!(lines[..2], [b"0\n".to_vec(), b"1\n".to_vec()]);
+}
+
+#[test]
+fn dropping_the_writer_writes_out_what_is_queued() {
+    let (written, lines) = channel();
+    let (_, open) = channel();
+    let limiter = Arc::new(RateLimiter::default());
+    let (queue, writer) = writer::spawn(BlockedOutput { open, written }, limiter).unwrap();
+    for n in 0..100 {
+        queue.make_writer().write_all(format!("{n}\n").as_bytes()).unwrap();
+    }
+    let began = Instant::now();
+    drop(writer);
+    // The wait for the thread is bounded: on a machine that stands still nothing is promised.
+    if began.elapsed() < Duration::from_millis(100) {
+        assert_eq!(lines.try_iter().count(), 100);
+    }
+}
--- /dev/null
+++ b/crates/router/src/program/ready.rs
@@ -0,0 +1,59 @@
+//! `basalthill ready`: checks whether a router answers an empty query, which it does once it is ready.
+
+use crate::protocol::host::{self, HostCodec, HostMessage, QueryOutcome};
+use basalthill_wire::ProtocolError;
+use std::io::{self, Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::process::ExitCode;
+use std::time::Duration;
+
+/// Limit on connecting, and on each read of the answer.
+const TIMEOUT: Duration = Duration::from_secs(2);
+
+/// Bytes read at a time; the whole answer is shorter.
+const READ_BUFFER_LEN: usize = 1024;
+
+/// Why a router does not count as ready.
+#[derive(Debug, thiserror::Error)]
+enum NotReady {
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error("{0}")]
+    Protocol(ProtocolError),
+    #[error("it answered {0:?}")]
+    UnexpectedAnswer(Box<HostMessage>),
+}
+
+/// Prints whether the router at `listen` is ready.
+pub(super) fn run(listen: SocketAddr) -> ExitCode {
+    match check(listen) {
+        Ok(()) => {
+            println!("{listen} is ready");
+            ExitCode::SUCCESS
+        }
+        Err(error) => {
+            eprintln!("basalthill: {listen} is not ready: {error}");
+            ExitCode::FAILURE
+        }
+    }
+}
+
+/// Sends an empty query and waits for its answer.
+fn check(listen: SocketAddr) -> Result<(), NotReady> {
+    let mut stream = TcpStream::connect_timeout(&listen, TIMEOUT)?;
+    stream.set_read_timeout(Some(TIMEOUT))?;
+    stream.write_all(&[host::startup(), host::query("")].concat())?;
+    let mut codec = HostCodec::default();
+    let mut bytes = [0; READ_BUFFER_LEN];
+    loop {
+        match codec.next_message().map_err(NotReady::Protocol)? {
+            Some(HostMessage::Ready) => codec.begin_query(),
+            Some(HostMessage::QueryEnded(QueryOutcome::Empty, _)) => return Ok(()),
+            Some(other) => return Err(NotReady::UnexpectedAnswer(Box::new(other))),
+            None => match stream.read(&mut bytes)? {
+                0 => return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into()),
+                len => codec.feed(&bytes[..len]),
+            },
+        }
+    }
+}
