--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -31,6 +31,11 @@
         Time((self.0 as f64 * factor) as u64)
     }
 
+    /// A span of `secs` seconds, not negative, rounded down to nanoseconds.
+    pub fn from_secs(secs: f64) -> Time {
+        Time((secs * 1e9) as u64)
+    }
+
     /// The span in seconds.
     pub fn secs(self) -> f64 {
         self.0 as f64 * 1e-9
--- a/crates/policy/src/policy/admission.rs
+++ b/crates/policy/src/policy/admission.rs
@@ -23,6 +23,17 @@
 /// An answer has to be there this many ticks before the client's deadline.
 const DEADLINE_MARGIN_TICKS: f64 = 2.0;
 
+/// What became of a request that was to be placed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Placement {
+    /// An attempt was sent.
+    Sent,
+    /// It waits in the queue.
+    Queued,
+    /// It has ended, or ends with the attempts that are out.
+    GivenUp,
+}
+
 impl Policy {
     /// Admits a request that limits over all routers count, or rejects it at once: of what is open under
     /// them, the last part is reserved for the requests with the most value for their work.
@@ -80,12 +91,11 @@
         self.place(id, out);
     }
 
-    /// Sends a request to a member, queues it, or gives it up. Returns whether that settled it: false if it
-    /// waits.
-    pub(super) fn place(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
-        let Some(request) = self.requests.get(&id) else { return true };
+    /// Sends a request to a member, queues it, or gives it up.
+    pub(super) fn place(&mut self, id: RequestId, out: &mut Vec<Action>) -> Placement {
+        let Some(request) = self.requests.get(&id) else { return Placement::GivenUp };
         let too_late = self.now.plus(self.settings.tick) >= self.useful_until(request);
-        let worth_waiting = self.is_worth_waiting(request);
+        let can_wait = self.can_wait(request);
         let group = request.request.group;
         let target = if too_late || self.awaits_first_probes(request) {
             None
@@ -96,12 +106,16 @@
             self.rng = rng;
             target
         };
-        match target {
-            Some(member) => self.send_attempt(id, member, out),
-            None if worth_waiting => self.queue.insert(group, id),
-            None => self.give_up(id, out),
+        if let Some(member) = target {
+            self.send_attempt(id, member, out);
+            Placement::Sent
+        } else if can_wait {
+            self.queue.insert(group, id);
+            Placement::Queued
+        } else {
+            self.give_up(id, out);
+            Placement::GivenUp
         }
-        target.is_some() || !worth_waiting
     }
 
     /// Whether a read has to wait for the health checks with which the router starts.
@@ -125,10 +139,10 @@
 
     /// Whether a request may wait in the queue: only while a further attempt is allowed and can still be
     /// answered in time.
-    pub(super) fn is_worth_waiting(&self, request: &PendingRequest) -> bool {
+    pub(super) fn can_wait(&self, request: &PendingRequest) -> bool {
         let next_sweep = self.now.plus(BUSY_SWEEP_INTERVAL);
         let expected_s = self.service_times.get(request.class) * LATENCY_SAFETY_FACTOR;
-        let in_time = next_sweep.plus(Time((expected_s * 1e9) as u64)) < self.useful_until(request);
+        let in_time = next_sweep.plus(Time::from_secs(expected_s)) < self.useful_until(request);
         let client_still_waits = request.has_reached_a_member() || next_sweep < request.first_attempt_by;
         self.may_have_further_attempt(request) && in_time && client_still_waits
     }
--- a/crates/policy/src/policy/endpoints.rs
+++ b/crates/policy/src/policy/endpoints.rs
@@ -6,6 +6,10 @@
 use crate::api::*;
 use std::collections::BTreeSet;
 
+/// The endpoint list is polled this often in each poll interval. A change counts as notified one interval
+/// after it; polling twice as often sees it in time.
+const POLLS_PER_INTERVAL: u64 = 2;
+
 /// The roles in an endpoint list are taken to be this old.
 const LISTED_ROLE_AGE: Time = Time::ms(5000);
 
@@ -107,8 +111,7 @@
         if !self.settings.poll_endpoint_list {
             return;
         }
-        // A change counts as notified one interval after it; polling twice as often sees it in time.
-        if self.now.since(self.last_list_poll).0 > self.settings.poll_interval.0 / 2 {
+        if self.now.since(self.last_list_poll).0 > self.settings.poll_interval.0 / POLLS_PER_INTERVAL {
             self.last_list_poll = self.now;
             out.push(Action::PollEndpoints);
         }
--- a/crates/policy/src/policy/load.rs
+++ b/crates/policy/src/policy/load.rs
@@ -39,8 +39,12 @@
 /// Fraction by which excess latency follows a response of a class with a short service time.
 const EXCESS_LATENCY_GAIN: f64 = 0.15;
 
-/// Bounds of the factor that weakens the gain for classes with long service times.
-const EXCESS_LATENCY_GAIN_FACTORS: (f64, f64) = (0.4, 1.0);
+/// A class whose service time is up to this multiple of the shortest has the full gain. Longer ones have
+/// less, as one such response says less of the member.
+const FULL_GAIN_MULTIPLE: f64 = 2.0;
+
+/// The fraction of the gain, at least, for classes with long service times.
+const MIN_GAIN_FRACTION: f64 = 0.4;
 
 /// Time constant, in seconds, with which a member's own excess latency fades into its role's mean.
 const EXCESS_LATENCY_FADE_S: f64 = 2.0;
@@ -54,6 +58,9 @@
 /// The same fraction for a member with nothing in flight.
 const CROWDED_FRACTION_IDLE: f64 = 0.7;
 
+/// The value of a class for its work counts as this at least, so that it can be divided by.
+const MIN_VALUE: f64 = 1e-9;
+
 /// A request is waited for only while this multiple of its expected latency is left.
 pub(super) const LATENCY_SAFETY_FACTOR: f64 = 1.2;
 
@@ -166,9 +173,8 @@
         let took = outcome.took.secs();
         let service_time = self.service_times.get(class);
         let excess = took - service_time;
-        let (least, most) = EXCESS_LATENCY_GAIN_FACTORS;
-        let weakening = (2.0 * self.service_times.shortest() / service_time).clamp(least, most);
-        let gain = EXCESS_LATENCY_GAIN * weakening;
+        let gain_fraction = FULL_GAIN_MULTIPLE * self.service_times.shortest() / service_time;
+        let gain = EXCESS_LATENCY_GAIN * gain_fraction.clamp(MIN_GAIN_FRACTION, 1.0);
         member.excess_latency = Decaying::new(expected_excess + gain * (excess - expected_excess), now);
         let of_role = &mut self.excess_latency_by_role[member.role_index()];
         of_role.follow(excess, gain, now, ROLE_EXCESS_LATENCY_FADE_S);
@@ -182,7 +188,7 @@
     /// A class's priority weight for its work, as a fraction of the best class's.
     pub(super) fn relative_value(&self, class: usize, scale: f64) -> f64 {
         let values = self.service_times.zip(&self.settings.classes);
-        let best = values.map(|(class, time)| class.priority_weight / time).fold(1e-9, f64::max);
+        let best = values.map(|(class, time)| class.priority_weight / time).fold(MIN_VALUE, f64::max);
         scale * self.settings.classes[class].priority_weight / self.service_times.get(class) / best
     }
 }
--- a/crates/policy/src/policy/queue.rs
+++ b/crates/policy/src/policy/queue.rs
@@ -1,5 +1,6 @@
 //! Requests that wait for a member, and the order in which they are placed.
 
+use super::admission::Placement;
 use super::pending_request::PendingRequest;
 use super::Policy;
 use crate::api::*;
@@ -9,6 +10,9 @@
 /// A class is passed over in one round once this many of its requests found no member.
 const MAX_UNPLACED_PER_CLASS: u32 = 4;
 
+/// Values of requests are compared in units of one over this, per second of work.
+const VALUE_SCALE: f64 = 1e6;
+
 /// The ids of all queued requests, by group.
 #[derive(Default)]
 pub(super) struct RequestQueue {
@@ -65,7 +69,9 @@
         waiting.sort_by_key(|queued| (Reverse(queued.value), Reverse(queued.arrived_at), queued.id));
         let mut unplaced = vec![0; self.settings.classes.len()];
         for queued in waiting {
-            if unplaced[queued.class] < MAX_UNPLACED_PER_CLASS && !self.place(queued.id, out) {
+            if unplaced[queued.class] < MAX_UNPLACED_PER_CLASS
+                && self.place(queued.id, out) == Placement::Queued
+            {
                 unplaced[queued.class] += 1;
             }
         }
@@ -77,9 +83,9 @@
         Some(QueuedRequest { id, class, value: self.queue_value(request), arrived_at: request.arrived_at })
     }
 
-    /// Weight for the work, in millionths for one second.
+    /// Weight for the work, in units of one over [`VALUE_SCALE`] per second.
     fn queue_value(&self, request: &PendingRequest) -> u64 {
-        (request.weight / self.service_times.get(request.class) * 1e6) as u64
+        (request.weight / self.service_times.get(request.class) * VALUE_SCALE) as u64
     }
 
     /// Gives up the queued requests that wait in vain by now.
@@ -87,7 +93,7 @@
         let expired = self
             .queue
             .iter()
-            .filter(|id| self.requests.get(id).is_some_and(|request| !self.is_worth_waiting(request)));
+            .filter(|id| self.requests.get(id).is_some_and(|request| !self.can_wait(request)));
         let expired: Vec<RequestId> = expired.collect();
         for id in expired {
             self.give_up(id, out);
--- a/crates/policy/src/policy/selection.rs
+++ b/crates/policy/src/policy/selection.rs
@@ -20,6 +20,12 @@
 /// An eventual read whose service time is more than this multiple of the shortest class's is long.
 const LONG_READ_MULTIPLE: f64 = 4.0;
 
+/// What an idle member costs, in requests in flight.
+const IDLE_COST: f64 = 0.5;
+
+/// Ids are divided by this where they only decide between equals.
+const ID_TIE_BREAK: f64 = 1e10;
+
 /// Cost factor of an attempt across zones, for each point that the settings charge for it.
 const CROSS_ZONE_COST: f64 = 30.0;
 
@@ -140,7 +146,7 @@
         let success_rate = (1.0 - failure_rate).max(MIN_SUCCESS_RATE);
         let relative_latency = 1.0 + self.excess_latency(member) / self.service_times.get(request.class);
         let slowness = relative_latency.max(MIN_LATENCY_FACTOR) / (success_rate * success_rate);
-        let queue = f64::from(member.in_flight) + 0.5 + noise + self.connection_cost(member);
+        let queue = f64::from(member.in_flight) + IDLE_COST + noise + self.connection_cost(member);
         let mut cost = queue * slowness / (member.weight * self.warm_up_fraction(member));
         if member.zone != self.settings.zone {
             cost *= 1.0 + CROSS_ZONE_COST * self.settings.price_cross_zone;
@@ -156,7 +162,7 @@
     fn long_read_cost(&self, id: MemberId, member: &Member) -> f64 {
         let lag = self.estimated_lag_s(member);
         let counted_lag = if lag > DEFAULT_LAG_MARGIN.secs() { lag } else { 0.0 };
-        f64::from(id.0) / 1e10 - counted_lag
+        f64::from(id.0) / ID_TIE_BREAK - counted_lag
     }
 
     /// The most advanced replica whose position is out of date, where members reject reads that they are too
