--- /dev/null
+++ b/crates/router/src/routing/attempts.rs
@@ -0,0 +1,192 @@
+//! Attempts of requests: started by the policy's actions, ended by results, timeouts and cancellation. Each
+//! attempt gets exactly one outcome, which goes to the policy. The state is in
+//! [`RequestTable`](super::request_table::RequestTable).
+
+use super::exchanges::InFlightExchange;
+use super::input::{ExchangeId, ExchangeResult};
+use super::outcomes::{
+    attempt_status, is_statement_error, replication_from_load_report, reported_replication,
+};
+use super::requests::InvalidRequest;
+use super::system_clock::time_from_unix_ms;
+use super::timers::Timer;
+use super::{Answer, Effect, ExchangeStart, Query, Router};
+use crate::protocol::host::{QueryOutcome, ReportedState};
+use basalthill_fleet::Budget;
+use basalthill_policy::api::{Attempt, Event, MemberId, Outcome, RequestId, Status, Time};
+use std::rc::Rc;
+
+/// The number in the outcome of an attempt whose request has left the table before it could be started.
+const NO_ATTEMPT: Attempt = Attempt(u16::MAX);
+
+/// An attempt that has left the table, and how it ended.
+pub(super) struct FinishedAttempt {
+    /// Its request.
+    pub request: RequestId,
+    /// Its number in the request.
+    pub number: Attempt,
+    /// Where and when it was sent.
+    pub exchange: InFlightExchange,
+    /// How it ended.
+    pub status: Status,
+    /// What the host reported with its answer.
+    pub reported: ReportedState,
+}
+
+impl Router {
+    /// Starts an attempt as the policy decided, with a timeout of its own if there is one. An attempt that
+    /// can't be started gets its outcome at once.
+    pub(super) fn start_attempt(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        member: MemberId,
+        timeout: Option<Time>,
+        out: &mut Vec<Effect>,
+    ) {
+        let max_attempts = self.deployment.settings.max_attempts as usize;
+        let addr = self.endpoints.addr(member);
+        let Some(open) = self.requests.get_mut(id) else {
+            return self.attempt_not_started(now, id, NO_ATTEMPT, member, Status::NotSent);
+        };
+        let number = open.next_attempt();
+        if open.answered || open.attempts.len() >= max_attempts || now >= open.deadline {
+            open.attempts.push(None);
+            return self.attempt_not_started(now, id, number, member, Status::NotSent);
+        }
+        let Some(addr) = addr else {
+            open.attempts.push(None);
+            return self.attempt_not_started(now, id, number, member, Status::ConnectFailed);
+        };
+        let time_left = open.deadline.since(now);
+        let deadline = now.plus(timeout.unwrap_or(time_left).min(time_left));
+        let timer = self.timers.add(deadline, Timer::Attempt(id, number));
+        open.attempts.push(Some(InFlightExchange { member, sent_at: now, timer }));
+        let statement = Rc::clone(&open.statement);
+        let start = ExchangeStart {
+            id: ExchangeId::Attempt(id, number),
+            member,
+            client: Some(open.client),
+            addr,
+            query: Query::Statement { statement, deadline, floor_ms: open.floor_ms },
+        };
+        let is_retry = number > Attempt(0);
+        if !is_retry {
+            self.issue_early_token(now, id, deadline, out);
+        }
+        out.push(Effect::StartExchange(start));
+        self.occupy_member_slot(now, id, number, member, deadline);
+        if is_retry {
+            self.spend_budget(now, Budget::Retries);
+        }
+    }
+
+    /// Records the outcome of an attempt that nothing was sent for.
+    fn attempt_not_started(
+        &mut self,
+        now: Time,
+        request: RequestId,
+        number: Attempt,
+        member: MemberId,
+        status: Status,
+    ) {
+        let exchange = InFlightExchange::unsent(now, member);
+        let reported = ReportedState::default();
+        self.record_attempt_outcome(now, FinishedAttempt { request, number, exchange, status, reported });
+    }
+
+    /// Handles the result of an attempt, if it is in flight.
+    pub(super) fn attempt_finished(
+        &mut self,
+        now: Time,
+        request: RequestId,
+        number: Attempt,
+        result: ExchangeResult,
+        out: &mut Vec<Effect>,
+    ) {
+        let Some(exchange) = self.take_attempt(request, number) else { return };
+        let status = attempt_status(&result);
+        let reported = match result {
+            ExchangeResult::Answered(outcome, reported) => {
+                self.deliver_outcome(now, request, outcome, &reported, out);
+                reported
+            }
+            _ => ReportedState::default(),
+        };
+        self.record_attempt_outcome(now, FinishedAttempt { request, number, exchange, status, reported });
+    }
+
+    /// Answers the client with what a host returned, if that ends its request: a row, or an error that lies
+    /// in the statement itself.
+    fn deliver_outcome(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        outcome: QueryOutcome,
+        reported: &ReportedState,
+        out: &mut Vec<Effect>,
+    ) {
+        match outcome {
+            QueryOutcome::Row(row) => {
+                let position = reported.position_ms.map(time_from_unix_ms);
+                self.note_session_served(now, id, position, out);
+                self.answer_client(now, id, Answer::Served(row), out);
+            }
+            QueryOutcome::Error(code) if is_statement_error(&code) => {
+                let error = InvalidRequest::RejectedByHost.into();
+                self.answer_client(now, id, Answer::Invalid(error), out);
+            }
+            QueryOutcome::Error(_) | QueryOutcome::Empty => {}
+        }
+    }
+
+    /// Aborts an attempt, if it is in flight, and records its outcome with this status.
+    pub(super) fn abort_attempt(
+        &mut self,
+        now: Time,
+        request: RequestId,
+        number: Attempt,
+        status: Status,
+        out: &mut Vec<Effect>,
+    ) {
+        let Some(exchange) = self.take_attempt(request, number) else { return };
+        out.push(Effect::AbortExchange(ExchangeId::Attempt(request, number)));
+        let reported = ReportedState::default();
+        self.record_attempt_outcome(now, FinishedAttempt { request, number, exchange, status, reported });
+    }
+
+    /// Takes an attempt out of the table, if it is in flight, and cancels its timer. Its request stays for
+    /// [`Router::record_attempt_outcome`].
+    fn take_attempt(&mut self, id: RequestId, number: Attempt) -> Option<InFlightExchange> {
+        let exchange = self.requests.take_attempt(id, number)?;
+        self.timers.cancel(exchange.timer);
+        Some(exchange)
+    }
+
+    /// Records the one outcome of an attempt that has left the table, and queues it for the policy.
+    fn record_attempt_outcome(&mut self, now: Time, finished: FinishedAttempt) {
+        self.counters.record_attempt(finished.status);
+        self.release_member_slot(now, &finished);
+        let FinishedAttempt { request, number, exchange, status, reported } = finished;
+        let replication = reported_replication(&reported);
+        self.observe_position(now, exchange.sent_at, replication.position);
+        self.note_possible_execution(request, status);
+        let ended = self.requests.get(request).is_none_or(|open| open.answered);
+        if ended {
+            self.close_request(now, request);
+        }
+        let columns = &self.deployment.report_columns;
+        let load_report = reported.load_report.as_deref();
+        let report = load_report.map(|text| replication_from_load_report(columns, text)).unwrap_or_default();
+        self.events.push_back(Event::Outcome(Outcome {
+            request,
+            attempt: number,
+            member: exchange.member,
+            status,
+            took: now.since(exchange.sent_at),
+            ended,
+            replication: self.system_clock.replication_to_router_time(replication),
+            report: self.system_clock.replication_to_router_time(report),
+        }));
+    }
+}
--- a/crates/router/src/routing/counters.rs
+++ b/crates/router/src/routing/counters.rs
@@ -1,62 +1,70 @@
-//! Counts for the log, since they were last read.
+//! Counts of requests, attempts and health checks since they were last read. [`Router`](super::Router)
+//! counts; transport reads and resets them for the periodic line in the log.
 
 use basalthill_policy::api::Status;
 use std::fmt;
 
-/// What has happened since the last look.
+/// What has happened since the counters were last read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounters {
     /// Requests served.
     pub served: u32,
-    /// Requests refused.
+    /// Requests rejected.
     pub rejected: u32,
     /// Requests failed.
     pub failed: u32,
-    /// Statements that were none of ours.
+    /// Statements that this deployment does not serve.
     pub invalid: u32,
-    /// Clients that left before their answer.
+    /// Requests whose client disconnected or cancelled before the answer.
     pub abandoned: u32,
-    /// Ends of attempts, by status.
-    attempts: [u32; STATUSES.len()],
-    /// Probes that ended.
+    /// Finished attempts, in the order of [`STATUS_NAMES`].
+    attempts: [u32; STATUS_NAMES.len()],
+    /// Health checks finished.
     pub probes: u32,
-    /// Probes among them that failed.
+    /// Failed ones among them.
     pub probes_failed: u32,
 }
 
-const STATUSES: [(Status, &str); 9] = [
+/// Each status of an attempt, with its name in the log.
+const STATUS_NAMES: [(Status, &str); 9] = [
     (Status::Ok, "ok"),
-    (Status::Misdirected, "miss"),
+    (Status::Misdirected, "misdirected"),
     (Status::Error, "error"),
-    (Status::Overloaded, "full"),
+    (Status::Overloaded, "overloaded"),
     (Status::Timeout, "timeout"),
-    (Status::ConnectFailed, "no connection"),
+    (Status::ConnectFailed, "connect failed"),
     (Status::Reset, "reset"),
     (Status::Cancelled, "cancelled"),
-    (Status::NotSent, "moot"),
+    (Status::NotSent, "not sent"),
 ];
 
 impl RequestCounters {
-    /// An attempt has ended.
+    /// Counts an attempt that has finished with a status.
     pub fn record_attempt(&mut self, status: Status) {
-        if let Some(n) = STATUSES.iter().position(|(s, _)| *s == status) {
-            self.attempts[n] += 1;
+        if let Some(index) = index_of(status) {
+            self.attempts[index] += 1;
         }
     }
 
-    /// How many attempts have ended so.
+    /// How many attempts have finished with a status.
     pub fn attempts(&self, status: Status) -> u32 {
-        STATUSES.iter().zip(self.attempts).find(|((s, _), _)| *s == status).map_or(0, |(_, n)| n)
+        index_of(status).map_or(0, |index| self.attempts[index])
     }
 }
 
+fn index_of(status: Status) -> Option<usize> {
+    STATUS_NAMES.iter().position(|(named, _)| *named == status)
+}
+
 impl fmt::Display for RequestCounters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let RequestCounters { served, rejected, failed, invalid, abandoned, .. } = self;
         write!(f, "{served} served, {rejected} rejected, {failed} failed, {invalid} invalid, ")?;
         write!(f, "{abandoned} abandoned; attempts:")?;
-        for ((_, name), n) in STATUSES.iter().zip(self.attempts).filter(|(_, n)| *n > 0) {
-            write!(f, " {n} {name},")?;
+        for ((_, name), count) in STATUS_NAMES.iter().zip(self.attempts) {
+            if count > 0 {
+                write!(f, " {count} {name},")?;
+            }
         }
         let total: u32 = self.attempts.iter().sum();
         write!(f, " {total} in all; probes: {}, {} failed", self.probes, self.probes_failed)
--- /dev/null
+++ b/crates/router/src/routing/exchanges.rs
@@ -0,0 +1,67 @@
+//! Exchanges with database hosts, whether attempts of requests or health checks: what is known of one in
+//! flight, and the paths that both kinds share. Transport calls in with each exchange's result.
+
+use super::input::{ExchangeId, ExchangeResult};
+use super::timers::TimerKey;
+use super::{Effect, Router};
+use basalthill_policy::api::{MemberId, Time};
+
+/// An attempt or a health check that is in flight.
+#[derive(Clone, Copy)]
+pub struct InFlightExchange {
+    /// The member that it went to.
+    pub member: MemberId,
+    /// When it was started.
+    pub sent_at: Time,
+    /// The timer of its timeout.
+    pub timer: TimerKey,
+}
+
+impl InFlightExchange {
+    /// An exchange that ends at once, without anything having been sent. No timer guards it.
+    pub fn unsent(now: Time, member: MemberId) -> InFlightExchange {
+        InFlightExchange { member, sent_at: now, timer: TimerKey::default() }
+    }
+}
+
+impl Router {
+    /// Whether an exchange's query may still be written. The policy respects a member's drain grace period
+    /// when it sends; but a connection may come up only after that period, or after its request has ended, as
+    /// its client may disconnect meanwhile.
+    pub fn may_write(&self, now: Time, exchange: ExchangeId, member: MemberId) -> bool {
+        let awaited = match exchange {
+            ExchangeId::Attempt(id, _) => self.requests.get(id).is_some_and(|open| !open.answered),
+            ExchangeId::Probe(_) => true,
+        };
+        awaited && self.drain_ends_at(member).is_none_or(|end| now < end)
+    }
+
+    /// When a draining member's grace period ends; none if it is not draining.
+    pub(super) fn drain_ends_at(&self, member: MemberId) -> Option<Time> {
+        let notified_at = self.endpoints.draining_since(member)?;
+        Some(notified_at.plus(self.deployment.settings.drain_grace))
+    }
+
+    /// Handles the end of an exchange.
+    pub(super) fn exchange_finished(
+        &mut self,
+        now: Time,
+        exchange: ExchangeId,
+        result: ExchangeResult,
+        out: &mut Vec<Effect>,
+    ) {
+        match exchange {
+            ExchangeId::Attempt(id, number) => self.attempt_finished(now, id, number, result, out),
+            ExchangeId::Probe(number) => self.probe_finished(now, number, result),
+        }
+    }
+
+    /// Has the session floors learn a position that a host has reported, a Unix time, in an exchange that was
+    /// started at `sent_at`.
+    pub(super) fn observe_position(&mut self, now: Time, sent_at: Time, position: Option<Time>) {
+        let Some(position) = position else { return };
+        let now = self.system_clock.to_unix_time(now);
+        let sent_at = self.system_clock.to_unix_time(sent_at);
+        self.sessions.observe_position(now, sent_at, position);
+    }
+}
--- a/crates/router/src/routing/fleet_limits.rs
+++ b/crates/router/src/routing/fleet_limits.rs
@@ -1,70 +1,73 @@
-//! Limits that hold over all routers, where the settings name a fleet: what is open goes to the decisions
-//! with each request, and what was admitted is told the fleet's core. It decides nothing.
+//! Limits that hold over all routers together, as one router sees them. [`FleetLimits`] owns the fleet's core
+//! and what the policy was last sent of member capacities and budgets; `fleet.rs` connects it with the
+//! router.
 
-use super::{Effect, Router};
+use super::attempts::FinishedAttempt;
+use super::endpoints::PresentMember;
 use basalthill_config::local_settings::FleetSettings;
 use basalthill_config::settings::Deployment;
-use basalthill_fleet::packet::{Packet, StatusMessage};
-use basalthill_fleet::{
-    Bounds, Budget, DatagramCodec, DropReason, Effect as FleetEffect, Fleet, FleetConfig, Limit, LimitKey,
-    Subject, Timing,
-};
-use basalthill_policy::api::*;
+use basalthill_fleet::{Bounds, Budget, DatagramCodec, Fleet, FleetConfig, Limit, LimitKey, Subject, Timing};
+use basalthill_policy::api::{Attempt, Event, GroupId, MemberId, Request, RequestId, Status, Time};
 use std::collections::{BTreeMap, BTreeSet};
-use std::net::SocketAddr;
 
-/// What the fleet's driver brings.
-#[derive(Debug)]
-pub enum FleetInput {
-    /// A packet whose seal is right.
-    Packet(Packet),
-    /// An operator asks, from an address.
-    OperatorQuery {
-        /// What is queried.
-        query: StatusMessage,
-        /// Where the answer goes.
-        from: SocketAddr,
-    },
-    /// So many datagrams have been dropped.
-    DatagramsDropped {
-        /// Why.
-        reason: DropReason,
-        /// How many.
-        count: u64,
-    },
+/// Nanoseconds in a millisecond.
+const NS_PER_MS: u64 = 1_000_000;
+
+/// The lower bits of a slot's number hold the attempt's number, the bits above it the request's.
+const ATTEMPT_BITS: u32 = 16;
+
+/// The capacity of a member that no limit bounds.
+const UNLIMITED: u32 = u32::MAX;
+
+/// The tokens left in the budgets that the policy spends; none where there is no such budget.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+struct PolicyBudgets {
+    retries: Option<u32>,
+    probes: Option<u32>,
 }
 
-/// A fleet's plan as a deployment's settings need it.
-pub fn plan(deployment: &Deployment, fleet: &FleetSettings) -> FleetConfig {
-    let max_use = deployment.settings.classes.iter().map(|c| c.client_timeout).max().unwrap_or_default();
-    let at_once = fleet.limits.iter().any(|l| matches!(l.bounds, Bounds::Concurrent(_)));
-    let any = Timing::new(fleet.drift, max_use);
-    let max_use = if at_once { max_use } else { Time(0) };
+/// The fleet's configuration for a deployment. A request may use what it was granted up to the longest
+/// deadline of any class, where a limit bounds concurrent requests.
+fn fleet_config(deployment: &Deployment, fleet: &FleetSettings) -> FleetConfig {
+    let timeouts = deployment.settings.classes.iter().map(|class| class.client_timeout);
+    let longest = timeouts.max().unwrap_or_default();
+    let bounds_concurrency = fleet.limits.iter().any(|l| matches!(l.bounds, Bounds::Concurrent(_)));
+    let max_use = if bounds_concurrency { longest } else { Time(0) };
+    // The vote quarantine also covers limits of an earlier configuration.
+    let any_limits = Timing::new(fleet.drift, longest);
     FleetConfig {
         roster: fleet.names.clone(),
         limits: fleet.limits.clone(),
         timing: Timing::new(fleet.drift, max_use),
         max_use,
-        vote_quarantine: any.lender_span(any.lease),
+        vote_quarantine: any_limits.lender_span(any_limits.lease),
     }
 }
 
-/// The fleet's core, and what routing has to know of its limits.
+/// The name of the limit on concurrent attempts at each member, if there is one.
+fn per_member_limit(limits: &[Limit]) -> Option<String> {
+    limits.iter().find(|limit| limit.subject == Subject::EachMember).map(|limit| limit.name.clone())
+}
+
+/// The limits over all routers, and what the policy knows of them.
 pub struct FleetLimits {
     pub(super) fleet: Fleet,
-    /// The limit on attempts out at each member, if there is one.
-    each: Option<String>,
-    keys: BTreeMap<MemberId, LimitKey>,
-    groups: BTreeMap<GroupId, BTreeSet<MemberId>>,
-    /// What the decisions take each member's room for.
-    reported_capacity: BTreeMap<MemberId, u32>,
-    /// And what they take the budgets for retries and probes for.
-    left: [Option<u32>; 2],
+    /// The name of the limit on concurrent attempts at each member, if there is one.
+    per_member_limit: Option<String>,
+    /// The key of that limit at each member in service.
+    member_keys: BTreeMap<MemberId, LimitKey>,
+    /// The members in service, by group.
+    group_members: BTreeMap<GroupId, BTreeSet<MemberId>>,
+    /// The capacity that the policy assumes at each member, after what it has sent since.
+    policy_capacity: BTreeMap<MemberId, u32>,
+    /// The budgets that the policy assumes, after what it has spent since.
+    policy_budgets: PolicyBudgets,
+    /// How long an attempt may occupy a slot.
     max_use: Time,
 }
 
 impl FleetLimits {
-    /// The limits of a router that has just started.
+    /// The limits of a router that has just started under this name.
     pub fn new(
         now: Time,
         name: &str,
@@ -72,250 +75,221 @@
         settings: &FleetSettings,
         seed: u64,
     ) -> FleetLimits {
-        let (plan, codec) = (plan(deployment, settings), DatagramCodec::new(settings.keys.clone()));
-        let (each, max_use) = (each(&plan.limits), plan.max_use);
-        let fleet = Fleet::new(now, name, now.0 / 1_000_000, plan, codec, seed);
-        let (keys, groups, reported_capacity) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-        FleetLimits { fleet, each, keys, groups, reported_capacity, left: [None; 2], max_use }
-    }
-
-    /// Keys of the limits that count a request.
-    fn keys_for(&self, class: &str, tenant: &str, group: GroupId) -> Vec<LimitKey> {
-        let counts = |limit: &&Limit| match &limit.subject {
-            Subject::Tenant(name) => name == tenant,
-            Subject::Class(name) => name == class,
-            Subject::Group(number) => *number == group.0,
-            Subject::EachMember | Subject::Budget(_) => false,
-        };
-        self.fleet.limits().iter().filter(counts).map(|l| LimitKey::global(&l.name)).collect()
-    }
-
-    /// What is left of the budgets that the decisions spend.
-    fn left(&mut self, now: Time) -> [Option<u32>; 2] {
-        [Budget::Retries, Budget::Probes]
-            .map(|b| self.fleet.budget_key(b).map(|key| self.fleet.tokens_left(now, key)))
-    }
-
-    fn slot_number(id: RequestId, attempt: Attempt) -> u64 {
-        id.0 << 16 | u64::from(attempt.0)
+        let config = fleet_config(deployment, settings);
+        let per_member_limit = per_member_limit(&config.limits);
+        let max_use = config.max_use;
+        let incarnation = now.0 / NS_PER_MS;
+        let codec = DatagramCodec::new(settings.keys.clone());
+        FleetLimits {
+            fleet: Fleet::new(now, name, incarnation, config, codec, seed),
+            per_member_limit,
+            member_keys: BTreeMap::new(),
+            group_members: BTreeMap::new(),
+            policy_capacity: BTreeMap::new(),
+            policy_budgets: PolicyBudgets::default(),
+            max_use,
+        }
     }
-}
-
-fn each(limits: &[Limit]) -> Option<String> {
-    limits.iter().find(|l| l.subject == Subject::EachMember).map(|l| l.name.clone())
-}
 
-impl Router {
-    /// Keeps limits with other routers from now on.
-    pub fn join_fleet(
+    /// Takes over a changed configuration; the fleet's effects are appended to `effects`.
+    pub fn reload(
         &mut self,
         now: Time,
-        name: &str,
+        deployment: &Deployment,
         settings: &FleetSettings,
-        seed: u64,
-        out: &mut Vec<Effect>,
+        effects: &mut Vec<basalthill_fleet::Effect>,
     ) {
-        self.fleet_limits = Some(FleetLimits::new(now, name, &self.deployment, settings, seed));
-        self.update_limited_members(now);
-        self.queue_capacity_changes(now);
-        self.run(now, out);
-    }
-
-    /// Takes a fleet's settings over that have been read again.
-    pub fn reload_fleet(&mut self, now: Time, settings: &FleetSettings, out: &mut Vec<Effect>) {
-        let plan = plan(&self.deployment, settings);
-        let Some(limits) = &mut self.fleet_limits else { return };
-        (limits.each, limits.max_use) = (each(&plan.limits), plan.max_use);
-        let mut effects = Vec::new();
-        limits.fleet.reload(now, plan, DatagramCodec::new(settings.keys.clone()), &mut effects);
-        apply_fleet_effects(effects, out);
-        self.update_limited_members(now);
-        self.queue_capacity_changes(now);
-        self.run(now, out);
-    }
-
-    /// Leaves the fleet in good order.
-    pub fn leave_fleet(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let mut effects = Vec::new();
-        self.fleet_limits.iter_mut().for_each(|l| l.fleet.leave(now, &mut effects));
-        apply_fleet_effects(effects, out);
+        let config = fleet_config(deployment, settings);
+        self.per_member_limit = per_member_limit(&config.limits);
+        self.max_use = config.max_use;
+        let codec = DatagramCodec::new(settings.keys.clone());
+        self.fleet.reload(now, config, codec, effects);
     }
 
-    pub(super) fn handle_fleet_input(&mut self, now: Time, input: FleetInput, out: &mut Vec<Effect>) {
-        let Some(limits) = &mut self.fleet_limits else { return };
-        let mut effects = Vec::new();
-        match input {
-            FleetInput::Packet(packet) => limits.fleet.receive_packet(now, packet, &mut effects),
-            FleetInput::OperatorQuery { query: asked, from: addr } => {
-                let answer = limits.fleet.status_response(now, &asked);
-                effects.extend(answer.map(|bytes| FleetEffect::Send { to: addr, datagram: bytes }));
-            }
-            FleetInput::DatagramsDropped { reason: why, count } => limits.fleet.count_dropped(why, count),
+    /// Takes over the members in service, for the limit on each of them.
+    pub fn set_members<'a>(&mut self, now: Time, members: impl Iterator<Item = PresentMember<'a>>) {
+        let Some(limit) = &self.per_member_limit else { return };
+        self.member_keys.clear();
+        self.group_members.clear();
+        let mut names = Vec::new();
+        for PresentMember { name, member, group } in members {
+            self.member_keys.insert(member, LimitKey::at_member(limit, name));
+            self.group_members.entry(group).or_default().insert(member);
+            names.push(name.to_string());
         }
-        apply_fleet_effects(effects, out);
-        self.queue_capacity_changes(now);
+        self.fleet.set_members(now, names);
     }
 
-    pub(super) fn fire_fleet_timer(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let Some(limits) = self.fleet_limits.as_mut().filter(|l| now >= l.fleet.next_due()) else { return };
-        let mut effects = Vec::new();
-        limits.fleet.tick(now, &mut effects);
-        apply_fleet_effects(effects, out);
-        self.queue_capacity_changes(now);
+    /// The keys of the limits that count a request.
+    pub fn keys_for(&self, class: &str, tenant: &str, group: GroupId) -> Vec<LimitKey> {
+        let counts = |limit: &&Limit| match &limit.subject {
+            Subject::Tenant(name) => name == tenant,
+            Subject::Class(name) => name == class,
+            Subject::Group(number) => *number == group.0,
+            Subject::EachMember | Subject::Budget(_) => false,
+        };
+        self.fleet.limits().iter().filter(counts).map(|limit| LimitKey::global(&limit.name)).collect()
     }
 
-    /// The members that there are, for the limit on each of them.
-    pub(super) fn update_limited_members(&mut self, now: Time) {
-        let Some(limits) = &mut self.fleet_limits else { return };
-        let Some(name) = &limits.each else { return };
-        limits.keys.clear();
-        limits.groups.clear();
-        let mut ids = Vec::new();
-        for (id, member, group) in self.endpoints.present() {
-            limits.keys.insert(member, LimitKey::at_member(name, id));
-            limits.groups.entry(group).or_default().insert(member);
-            ids.push(id.to_string());
+    /// The event for a request that the limits with these keys count.
+    pub fn request_event(&mut self, now: Time, request: Request, keys: &[LimitKey]) -> Event {
+        self.record_missing_capacity(request.group);
+        if keys.is_empty() {
+            return Event::Request(request);
+        }
+        let available = self.fleet.availability(now, keys);
+        Event::LimitedRequest {
+            request,
+            open_fraction: available.fraction,
+            retry_after: available.retry_after,
         }
-        limits.fleet.set_members(now, ids);
     }
 
-    /// Tells the decisions each member's room, and what is left of budgets, where it is not what they take it
-    /// for.
-    fn queue_capacity_changes(&mut self, now: Time) {
-        let Some(limits) = &mut self.fleet_limits else { return };
-        if limits.left(now) != limits.left {
-            self.events.push_back(Event::Budgets { retries: None, probes: None });
-        }
-        if limits.each.is_none() {
-            // A limit that is gone leaves no bound behind.
-            let open = std::mem::take(&mut limits.reported_capacity).into_keys();
-            return self.events.extend(open.map(|m| Event::MemberCapacity { member: m, attempts: u32::MAX }));
-        }
-        for (member, key) in &limits.keys {
-            let capacity = limits.fleet.free_slots(now, *key, limits.max_use).min(u64::from(u32::MAX)) as u32;
-            if limits.reported_capacity.get(member) != Some(&capacity) {
-                self.events.push_back(Event::MemberCapacity { member: *member, attempts: capacity });
+    /// Reports demand for capacity at the members of a group where the policy assumes none.
+    fn record_missing_capacity(&mut self, group: GroupId) {
+        for member in self.group_members.get(&group).into_iter().flatten() {
+            if self.policy_capacity.get(member) != Some(&0) {
+                continue;
+            }
+            if let Some(key) = self.member_keys.get(member) {
+                self.fleet.record_missing_slot(*key);
             }
         }
     }
 
-    /// What a request is to the decisions: one that limits count brings what is open of them.
-    pub(super) fn request_event(&mut self, now: Time, request: Request) -> (Event, Vec<LimitKey>) {
-        let Some(limits) = &mut self.fleet_limits else { return (Event::Request(request), Vec::new()) };
-        // Where a member's room is what keeps a request, more of it is wanted.
-        for member in limits.groups.get(&request.group).into_iter().flatten() {
-            if limits.reported_capacity.get(member) == Some(&0) {
-                limits.keys.get(member).into_iter().for_each(|key| limits.fleet.record_missing_slot(*key));
-            }
-        }
-        let class = &self.deployment.classes[usize::from(request.class.0)];
-        let tenant = self.deployment.tenants.get(usize::from(request.tenant.0)).map_or("", String::as_str);
-        let keys = limits.keys_for(class, tenant, request.group);
+    /// The policy has admitted a request, or rejected it: the limits that count it spend a token, or learn of
+    /// the demand.
+    pub fn record_decision(&mut self, admitted: bool, keys: &[LimitKey]) {
         if keys.is_empty() {
-            return (Event::Request(request), keys);
+            return;
         }
-        let open = limits.fleet.availability(now, &keys);
-        (Event::LimitedRequest { request, open_fraction: open.fraction, retry_after: open.retry_after }, keys)
-    }
-
-    /// The decisions have had a request: what it counts under has been spent, or another's turn is
-    /// further off.
-    pub(super) fn record_admission(&mut self, id: RequestId, keys: &[LimitKey]) {
-        let taken = self.requests.get(id).is_some_and(|open| !open.answered || open.served);
-        if let Some(limits) = self.fleet_limits.as_mut().filter(|_| !keys.is_empty()) {
-            match taken {
-                true => limits.fleet.spend(keys),
-                false => limits.fleet.record_rejection(keys),
-            }
+        match admitted {
+            true => self.fleet.spend(keys),
+            false => self.fleet.record_rejection(keys),
         }
     }
 
-    /// An attempt is out.
-    pub(super) fn occupy_member_slot(
+    /// Occupies a slot at a member for an attempt that ends by `deadline`.
+    pub fn occupy_slot(
         &mut self,
         now: Time,
-        id: RequestId,
+        request: RequestId,
         attempt: Attempt,
         member: MemberId,
-        until: Time,
+        deadline: Time,
     ) {
-        let Some(limits) = &mut self.fleet_limits else { return };
-        if let Some(key) = limits.keys.get(&member) {
-            limits.fleet.occupy_slot(now, *key, FleetLimits::slot_number(id, attempt), until);
-            // The decisions have counted it already.
-            limits.reported_capacity.entry(member).and_modify(|n| *n = n.saturating_sub(1));
+        let Some(key) = self.member_keys.get(&member) else { return };
+        self.fleet.occupy_slot(now, *key, slot_number(request, attempt), deadline);
+        // The policy has counted the attempt already.
+        if let Some(capacity) = self.policy_capacity.get_mut(&member) {
+            *capacity = capacity.saturating_sub(1);
         }
     }
 
-    /// An attempt has ended. One that its host may still work on keeps its place until its time is over.
-    pub(super) fn release_member_slot(
-        &mut self,
-        now: Time,
-        id: RequestId,
-        attempt: Attempt,
-        member: MemberId,
-        status: Status,
-    ) {
-        let Some(limits) = &mut self.fleet_limits else { return };
-        let Some(key) = limits.keys.get(&member) else { return };
-        if !matches!(status, Status::Cancelled | Status::Timeout | Status::Reset) {
-            limits.fleet.release_slot(now, *key, FleetLimits::slot_number(id, attempt));
+    /// Releases the slot of a finished attempt, unless its host may still work on it: then the slot stays
+    /// occupied up to the attempt's deadline. Returns whether the limit counts its member.
+    pub fn release_slot(&mut self, now: Time, finished: &FinishedAttempt) -> bool {
+        let Some(key) = self.member_keys.get(&finished.exchange.member) else { return false };
+        let may_still_run = matches!(finished.status, Status::Cancelled | Status::Timeout | Status::Reset);
+        if !may_still_run {
+            let slot = slot_number(finished.request, finished.number);
+            self.fleet.release_slot(now, *key, slot);
         }
-        self.events.push_back(Event::MemberCapacity { member, attempts: 0 });
+        true
     }
 
-    /// A request ends without a value. If it had an attempt and the budget for further ones is spent, one
-    /// more was wanted.
-    pub(super) fn note_missed_retry(&mut self, id: RequestId) {
-        let tried = self.requests.get(id).is_some_and(|open| !open.attempts.is_empty());
-        let Some(limits) = self.fleet_limits.as_mut().filter(|l| tried && l.left[0] == Some(0)) else {
+    /// A request with attempts has ended without a result: if the budget for retries is spent, another retry
+    /// was missing.
+    pub fn record_missed_retry(&mut self) {
+        if self.policy_budgets.retries != Some(0) {
             return;
-        };
-        if let Some(key) = limits.fleet.budget_key(Budget::Retries) {
-            limits.fleet.record_missing_token(key);
+        }
+        if let Some(key) = self.fleet.budget_key(Budget::Retries) {
+            self.fleet.record_missing_token(key);
         }
     }
 
-    /// One is spent of a budget: by the decisions, which count down by themselves, or by transport, which may
-    /// only if it is there.
+    /// Takes a token out of a budget. Returns whether there was one, or the budget does not exist. The policy
+    /// counts down its own budgets likewise.
     pub fn spend_budget(&mut self, now: Time, budget: Budget) -> bool {
-        let Some(limits) = &mut self.fleet_limits else { return true };
-        let Some(key) = limits.fleet.budget_key(budget) else { return true };
-        let available = limits.fleet.take_token(now, key);
+        let Some(key) = self.fleet.budget_key(budget) else { return true };
+        let available = self.fleet.take_token(now, key);
+        let one_less = |tokens: Option<u32>| tokens.map(|n| n.saturating_sub(1));
         match budget {
-            Budget::Retries => limits.left[0] = limits.left[0].map(|n| n.saturating_sub(1)),
-            Budget::Probes => limits.left[1] = limits.left[1].map(|n| n.saturating_sub(1)),
+            Budget::Retries => self.policy_budgets.retries = one_less(self.policy_budgets.retries),
+            Budget::Probes => self.policy_budgets.probes = one_less(self.policy_budgets.probes),
             Budget::Connects | Budget::ListCalls => {}
         }
         available
     }
 
-    /// An event as it is to be handed on: a room, and what is left, are told as they are now, after all
-    /// that was sent meanwhile.
-    pub(super) fn with_current_capacity(&mut self, now: Time, event: Event) -> Event {
-        if let (Event::Budgets { .. }, Some(limits)) = (&event, &mut self.fleet_limits) {
-            limits.left = limits.left(now);
-            return Event::Budgets { retries: limits.left[0], probes: limits.left[1] };
+    /// Events for the budgets and capacities that differ from what the policy assumes. Their values are
+    /// filled in by [`FleetLimits::refresh`] when they are handed over.
+    pub fn changes(&mut self, now: Time) -> Vec<Event> {
+        let mut changes = Vec::new();
+        if self.budgets(now) != self.policy_budgets {
+            changes.push(Event::Budgets { retries: None, probes: None });
         }
-        let (Event::MemberCapacity { member, .. }, Some(limits)) = (&event, &mut self.fleet_limits) else {
-            return event;
-        };
-        let Some(key) = limits.keys.get(member).filter(|_| limits.each.is_some()) else {
-            return Event::MemberCapacity { member: *member, attempts: u32::MAX };
-        };
-        let capacity = limits.fleet.free_slots(now, *key, limits.max_use).min(u64::from(u32::MAX)) as u32;
-        limits.reported_capacity.insert(*member, capacity);
-        Event::MemberCapacity { member: *member, attempts: capacity }
+        if self.per_member_limit.is_none() {
+            // A limit that has been removed leaves no bound behind.
+            for member in std::mem::take(&mut self.policy_capacity).into_keys() {
+                changes.push(Event::MemberCapacity { member, attempts: UNLIMITED });
+            }
+            return changes;
+        }
+        for (member, key) in &self.member_keys {
+            let capacity = free_slots(&mut self.fleet, now, *key, self.max_use);
+            if self.policy_capacity.get(member) != Some(&capacity) {
+                changes.push(Event::MemberCapacity { member: *member, attempts: capacity });
+            }
+        }
+        changes
     }
-}
 
-fn apply_fleet_effects(effects: Vec<FleetEffect>, out: &mut Vec<Effect>) {
-    for one in effects {
-        match one {
-            FleetEffect::Send { to: addr, datagram: bytes } => {
-                out.push(Effect::SendDatagram { to: addr, bytes })
+    /// An event with budgets and capacities as they are now, after all that was sent since it was queued.
+    pub fn refresh(&mut self, now: Time, event: Event) -> Event {
+        match event {
+            Event::Budgets { .. } => {
+                self.policy_budgets = self.budgets(now);
+                let PolicyBudgets { retries, probes } = self.policy_budgets;
+                Event::Budgets { retries, probes }
+            }
+            Event::MemberCapacity { member, .. } => {
+                let attempts = self.refresh_capacity(now, member);
+                Event::MemberCapacity { member, attempts }
             }
-            FleetEffect::Log(line) => log::info!("{line}"),
+            other => other,
+        }
+    }
+
+    fn refresh_capacity(&mut self, now: Time, member: MemberId) -> u32 {
+        let key = self.member_keys.get(&member).filter(|_| self.per_member_limit.is_some());
+        let Some(key) = key else { return UNLIMITED };
+        let capacity = free_slots(&mut self.fleet, now, *key, self.max_use);
+        self.policy_capacity.insert(member, capacity);
+        capacity
+    }
+
+    fn budgets(&mut self, now: Time) -> PolicyBudgets {
+        PolicyBudgets {
+            retries: self.tokens_left(now, Budget::Retries),
+            probes: self.tokens_left(now, Budget::Probes),
         }
     }
+
+    fn tokens_left(&mut self, now: Time, budget: Budget) -> Option<u32> {
+        let key = self.fleet.budget_key(budget)?;
+        Some(self.fleet.tokens_left(now, key))
+    }
+}
+
+/// The attempts that may be started now under a key, if each ends within `max_use`.
+fn free_slots(fleet: &mut Fleet, now: Time, key: LimitKey, max_use: Time) -> u32 {
+    let slots = fleet.free_slots(now, key, max_use);
+    u32::try_from(slots).unwrap_or(UNLIMITED)
+}
+
+/// The number of an attempt's slot, unique at this router.
+fn slot_number(request: RequestId, attempt: Attempt) -> u64 {
+    request.0 << ATTEMPT_BITS | u64::from(attempt.0)
 }
--- a/crates/router/src/routing/outcomes.rs
+++ b/crates/router/src/routing/outcomes.rs
@@ -1,55 +1,102 @@
-//! The words of hosts and statements in the decisions' terms. Nothing is remembered here.
-
-use crate::protocol::host::parse_load_report;
-use crate::protocol::statement::Statement;
-use basalthill_policy::api::*;
-use basalthill_session::token::SessionIdentity;
-use basalthill_session::Sessions;
-
-/// Whose request it is: by the name in the comment where floors are ours to make, else by the key.
-pub fn session_identity<'a>(sessions: &Sessions, statement: &'a Statement) -> SessionIdentity<'a> {
-    let name = statement.session().filter(|_| sessions.manages_floors()).unwrap_or(statement.key());
-    SessionIdentity { name, key: SessionKey(session_hash(name)) }
+//! Maps what hosts send to the policy's terms: exchange results and SQLSTATEs to statuses, load reports to
+//! replication states. It has no state; the modules for attempts and health checks call it.
+
+use super::input::ExchangeResult;
+use super::system_clock::time_from_unix_ms;
+use crate::protocol::host::{parse_load_report, QueryOutcome, ReportedState};
+use basalthill_policy::api::{ReplicationState, Role, Status, Time};
+
+/// SQLSTATE `too_many_connections`: the host is at its limit and has run nothing.
+const TOO_MANY_CONNECTIONS: &str = "53300";
+/// SQLSTATE `read_only_sql_transaction`: a write at a replica.
+const READ_ONLY_TRANSACTION: &str = "25006";
+/// SQLSTATE `snapshot_too_old`: a read at a replica that is too far behind for it.
+const SNAPSHOT_TOO_OLD: &str = "72000";
+
+/// SQLSTATE prefixes of errors in the statement itself: protocol violations, data exceptions and syntax
+/// errors or access rule violations.
+const STATEMENT_ERRORS: [&str; 3] = ["08P", "22", "42"];
+
+/// The load report's column with the position, a Unix time in seconds.
+const POSITION_COLUMN: &str = "x0";
+/// The load report's column with the role: at the primary 1, at a replica 0.
+const ROLE_COLUMN: &str = "x1";
+/// From this value of [`ROLE_COLUMN`] on a host is the primary.
+const PRIMARY_FROM: f64 = 0.5;
+
+/// The rounding error of a Unix time in seconds as a 64-bit float is below this. Reported positions are
+/// rounded down by it: a position taken too high would let a replica serve a read that it is behind for.
+const POSITION_ERROR: Time = Time(1000);
+
+/// The status of an attempt by its exchange's result.
+pub fn attempt_status(result: &ExchangeResult) -> Status {
+    match result {
+        ExchangeResult::Answered(QueryOutcome::Row(_), _) => Status::Ok,
+        ExchangeResult::Answered(QueryOutcome::Error(code), _) => status_for_sqlstate(code),
+        ExchangeResult::Answered(QueryOutcome::Empty, _) => Status::Error,
+        ExchangeResult::ConnectionRejected(code) if code == TOO_MANY_CONNECTIONS => Status::Overloaded,
+        ExchangeResult::ConnectionRejected(_) | ExchangeResult::NotSent => Status::ConnectFailed,
+        ExchangeResult::Skipped => Status::NotSent,
+        ExchangeResult::ConnectionLost => Status::Reset,
+        // It may have run, as with an error; the member is reachable and responds.
+        ExchangeResult::MalformedResponse => Status::Error,
+    }
 }
 
-/// What a load report says of its member's standing.
-pub fn replication_state(columns: &[String], text: &str) -> ReplicationState {
-    let mut standing = ReplicationState::default();
-    for (name, value) in parse_load_report(text).filter(|(name, _)| columns.iter().any(|c| c == name)) {
-        match name {
-            // Rounded down past the error of a float of this size.
-            "x0" if value > 0.0 => {
-                standing.position = Some(Time((value * 1e6) as u64 * 1000).minus(Time(1000)))
-            }
-            "x1" => standing.role = Some(if value >= 0.5 { Role::Primary } else { Role::Replica }),
-            _ => {}
-        }
+/// The status of a health check by its exchange's result. Any error in an answer is the member's fault.
+pub fn probe_status(result: &ExchangeResult) -> Status {
+    match result {
+        ExchangeResult::Answered(QueryOutcome::Row(_), _) => Status::Ok,
+        ExchangeResult::Answered(..) => Status::Error,
+        not_answered => attempt_status(not_answered),
     }
-    standing
 }
 
-pub fn status_for_sqlstate(code: &str) -> Status {
+fn status_for_sqlstate(code: &str) -> Status {
     match code {
-        "25006" | "72000" => Status::Misdirected,
-        "53300" => Status::Overloaded,
+        READ_ONLY_TRANSACTION | SNAPSHOT_TOO_OLD => Status::Misdirected,
+        TOO_MANY_CONNECTIONS => Status::Overloaded,
+        _ if is_statement_error(code) => Status::NotSent,
         _ => Status::Error,
     }
 }
 
-/// Whether an error lies in the statement, not in its host: by the standard's classes, in the protocol, the
-/// data or the syntax. It is as wrong anywhere else.
+/// Whether an error lies in the statement and not in its host: any other host would return it as well.
 pub fn is_statement_error(code: &str) -> bool {
-    code.starts_with("08P") || code.starts_with("22") || code.starts_with("42")
+    STATEMENT_ERRORS.iter().any(|prefix| code.starts_with(prefix))
 }
 
-/// A Unix time in milliseconds on the decisions' clock.
-pub fn time_from_unix_ms(ms: u64) -> Time {
-    Time(ms.saturating_mul(1_000_000))
+/// The replication state that a host reports with an answer, apart from its load report. The position is a
+/// Unix time.
+pub fn reported_replication(reported: &ReportedState) -> ReplicationState {
+    let role = |is_primary| if is_primary { Role::Primary } else { Role::Replica };
+    ReplicationState {
+        position: reported.position_ms.map(time_from_unix_ms),
+        role: reported.primary.map(role),
+    }
+}
+
+/// The replication state in a load report, as far as `columns` lists its columns as meaningful. The position
+/// is a Unix time.
+pub fn replication_from_load_report(columns: &[String], text: &str) -> ReplicationState {
+    let mut replication = ReplicationState::default();
+    for (name, value) in parse_load_report(text) {
+        if !columns.iter().any(|column| column == name) {
+            continue;
+        }
+        match name {
+            POSITION_COLUMN if value > 0.0 => replication.position = Some(position_from_seconds(value)),
+            ROLE_COLUMN if value >= PRIMARY_FROM => replication.role = Some(Role::Primary),
+            ROLE_COLUMN => replication.role = Some(Role::Replica),
+            _ => {}
+        }
+    }
+    replication
 }
 
-/// FNV-1a: a session's number from its key.
-fn session_hash(bytes: &[u8]) -> u64 {
-    bytes.iter().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3))
+fn position_from_seconds(seconds: f64) -> Time {
+    let microseconds = (seconds * 1e6) as u64;
+    Time(microseconds * 1000).minus(POSITION_ERROR)
 }
 
 #[cfg(test)]
--- a/crates/router/src/routing/proxy_leases.rs
+++ b/crates/router/src/routing/proxy_leases.rs
@@ -1,23 +1,24 @@
-//! Other proxies, which ask for a decision and do the sending themselves. The coordinator owns what is
-//! known of
-//! them; here its words and the decisions' are carried over.
+//! Requests of other proxies, which get a member under a lease and send the request themselves. The
+//! [`LeaseCoordinator`] owns what is known of them; this module connects it with the router's policy and
+//! endpoints.
 
-use super::{Effect, ProxyMessage, Router};
+use super::input::ProxyMessage;
+use super::{Effect, Router};
 use basalthill_extproc::{LeaseCoordinator, LeaseUsage, Output, ProxyLimits, ProxyReply, StreamId};
-use basalthill_policy::api::*;
+use basalthill_policy::api::{Action, RequestId, Time};
 
 impl Router {
-    /// Takes calls of other proxies from now on.
+    /// Serves other proxies from now on, within limits.
     pub fn serve_proxies(&mut self, now: Time, limits: ProxyLimits) {
         self.coordinator = Some(LeaseCoordinator::new(now, &self.deployment.settings, limits));
     }
 
-    /// Calls of proxies, their leases, and the writes remembered for them.
+    /// How much the lease coordinator holds; nothing where no proxies are served.
     pub fn lease_usage(&self) -> LeaseUsage {
         self.coordinator.as_ref().map(LeaseCoordinator::usage).unwrap_or_default()
     }
 
-    /// A proxy's word, to the coordinator.
+    /// Handles a message of another proxy. Where proxies are not served, it is ignored.
     pub(super) fn handle_proxy_message(
         &mut self,
         now: Time,
@@ -25,10 +26,10 @@
         message: ProxyMessage,
         out: &mut Vec<Effect>,
     ) {
-        let mut outputs = Vec::new();
         let Some(coordinator) = &mut self.coordinator else { return };
+        let mut outputs = Vec::new();
         match message {
-            ProxyMessage::Request(call) => coordinator.request(now, stream, call, &mut outputs),
+            ProxyMessage::Request(request) => coordinator.request(now, stream, request, &mut outputs),
             ProxyMessage::Outcome { lease, outcome, replication } => {
                 coordinator.report_outcome(now, stream, lease, outcome, replication, &mut outputs)
             }
@@ -37,25 +38,30 @@
         self.apply_coordinator_outputs(outputs, out);
     }
 
-    /// What the decisions do with a proxy's request. The decision holds up to a drain's grace, and a member
-    /// that nobody can reach is not named.
+    /// Lets leases expire that are due.
+    pub(super) fn expire_leases(&mut self, now: Time, out: &mut Vec<Effect>) {
+        let Some(coordinator) = &mut self.coordinator else { return };
+        let mut outputs = Vec::new();
+        coordinator.tick(now, &mut outputs);
+        self.apply_coordinator_outputs(outputs, out);
+    }
+
+    /// Carries out an action of the policy on a proxy's request. A decision is valid up to the end of its
+    /// member's drain grace period, and a member without a known address is not named.
     pub(super) fn apply_proxy_action(&mut self, now: Time, action: &Action, out: &mut Vec<Effect>) {
-        let until = match action {
+        let valid_until = match action {
             Action::Send(_, member, _) if self.endpoints.addr(*member).is_none() => Some(now),
-            Action::Send(_, member, _) => self
-                .endpoints
-                .draining_since(*member)
-                .map(|notified_at| notified_at.plus(self.deployment.settings.drain_grace)),
+            Action::Send(_, member, _) => self.drain_ends_at(*member),
             _ => None,
         };
+        let Some(coordinator) = &mut self.coordinator else { return };
         let mut outputs = Vec::new();
-        if let Some(coordinator) = &mut self.coordinator {
-            coordinator.apply(now, action, until, &mut outputs);
-        }
+        coordinator.apply(now, action, valid_until, &mut outputs);
         self.apply_coordinator_outputs(outputs, out);
     }
 
-    pub(super) fn apply_coordinator_outputs(&mut self, outputs: Vec<Output>, out: &mut Vec<Effect>) {
+    /// Queues the coordinator's events for the policy and sends its replies.
+    fn apply_coordinator_outputs(&mut self, outputs: Vec<Output>, out: &mut Vec<Effect>) {
         for output in outputs {
             match output {
                 Output::Event(event) => self.events.push_back(event),
@@ -64,9 +70,18 @@
                         ProxyReply::Member { member, .. } => self.endpoints.addr(member),
                         _ => None,
                     };
-                    out.push(Effect::ProxyReply(stream, reply, addr));
+                    out.push(Effect::ProxyReply { stream, reply, addr });
                 }
             }
         }
     }
 }
+
+/// Whether an action is on a request of another proxy.
+pub(super) fn is_proxy_action(action: &Action) -> bool {
+    let request: RequestId = match action {
+        Action::Send(id, ..) | Action::Reject(id, _) | Action::Fail(id) | Action::Cancel(id, _) => *id,
+        _ => return false,
+    };
+    LeaseCoordinator::owns(request)
+}
--- /dev/null
+++ b/crates/router/src/routing/requests.rs
@@ -0,0 +1,216 @@
+//! The life cycle of a client's request: validated, handed to the policy, answered, closed. The state is in
+//! [`RequestTable`](super::request_table::RequestTable); [`Router::handle`] and the policy's actions lead
+//! here.
+
+use super::input::{ClientId, ClientRequest};
+use super::request_table::{AwaitedCommand, OpenRequest};
+use super::sessions::SessionStart;
+use super::system_clock::ms_rounded_up;
+use super::{Answer, Effect, Router};
+use crate::protocol::statement::{Statement, StatementError};
+use basalthill_fleet::LimitKey;
+use basalthill_policy::api::{ClassId, Event, GroupId, Request, RequestId, TenantId, Time};
+use std::rc::Rc;
+use thiserror::Error;
+
+/// SQLSTATE `invalid_parameter_value`.
+const INVALID_PARAMETER_VALUE: &str = "22023";
+
+/// Why a request is invalid at this deployment. The texts go to clients.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub(super) enum InvalidRequest {
+    /// The settings have no class of this name.
+    #[error("the class is unknown")]
+    UnknownClass,
+    /// Discovery has named members, and none of this group.
+    #[error("the cluster is unknown")]
+    UnknownGroup,
+    /// Two open requests with one id could not be told apart at a host, and one would get the other's answer.
+    #[error("the id is that of an open request")]
+    DuplicateId,
+    /// A host has returned an error that lies in the statement.
+    #[error("a host can't use it")]
+    RejectedByHost,
+}
+
+impl From<InvalidRequest> for StatementError {
+    fn from(error: InvalidRequest) -> StatementError {
+        StatementError { code: INVALID_PARAMETER_VALUE, message: error.to_string() }
+    }
+}
+
+/// The class, tenant and group that a statement names.
+struct RequestTarget {
+    class: ClassId,
+    tenant: TenantId,
+    group: GroupId,
+}
+
+/// A request that has been handed to the policy.
+struct OpenedRequest {
+    id: RequestId,
+    /// The fleet's limits that count it.
+    limits: Vec<LimitKey>,
+}
+
+impl Router {
+    /// Handles a client's request: rejects it if the program is ending, answers it if it is invalid, and has
+    /// the policy decide otherwise.
+    pub(super) fn handle_request(&mut self, now: Time, request: ClientRequest, out: &mut Vec<Effect>) {
+        let client = request.client;
+        let command = request.command;
+        if self.shutting_down {
+            self.counters.rejected += 1;
+            let answer = Answer::Rejected { retry_after_ms: None };
+            return out.push(Effect::Answer { client, command, answer });
+        }
+        match self.open_request(now, request) {
+            Ok(opened) => {
+                self.run_policy(now, out);
+                self.record_admission(opened.id, &opened.limits);
+            }
+            Err(error) => {
+                self.counters.invalid += 1;
+                out.push(Effect::Answer { client, command, answer: Answer::Invalid(error.into()) });
+            }
+        }
+    }
+
+    /// Validates a request, inserts it into the table and queues its event for the policy.
+    fn open_request(&mut self, now: Time, request: ClientRequest) -> Result<OpenedRequest, InvalidRequest> {
+        let ClientRequest { client, command, statement, arrived_at } = request;
+        let RequestTarget { class, tenant, group } = self.resolve(&statement)?;
+        let id = self.requests.next_id();
+        let deadline = arrived_at.min(now).plus(Time::ms(statement.deadline_ms));
+        let SessionStart { tracked, floor } =
+            self.begin_session_request(now, client, &statement, class, group);
+        let request = Request {
+            id,
+            class,
+            tenant,
+            deadline,
+            group,
+            floor: self.system_clock.to_router_time(floor.position),
+            lead: floor.lead,
+            client_retry: statement.is_retry,
+        };
+        let open = OpenRequest {
+            client,
+            command,
+            statement: Rc::from(statement),
+            deadline,
+            group,
+            tracked,
+            floor_ms: floor.send_to_hosts.then(|| ms_rounded_up(floor.position)),
+            answered: false,
+            served: false,
+            attempts: Vec::new(),
+        };
+        self.requests.insert(id, open);
+        let limits = self.queue_request(now, request);
+        Ok(OpenedRequest { id, limits })
+    }
+
+    /// Looks up what a statement names, and checks that its id is not in use.
+    fn resolve(&self, statement: &Statement) -> Result<RequestTarget, InvalidRequest> {
+        let index = |names: &[String], name: &[u8]| names.iter().position(|n| n.as_bytes() == name);
+        let class = index(&self.deployment.classes, statement.class()).ok_or(InvalidRequest::UnknownClass)?;
+        // Before the first endpoint list no group is known to be missing: the policy rejects the request, and
+        // the client may retry.
+        let group = GroupId(statement.group);
+        if self.endpoints.lacks_group(group) {
+            return Err(InvalidRequest::UnknownGroup);
+        }
+        if self.requests.has_client_id(statement.id()) {
+            return Err(InvalidRequest::DuplicateId);
+        }
+        // A tenant that the settings don't name has no quota.
+        let tenants = &self.deployment.tenants;
+        let tenant = index(tenants, statement.tenant()).unwrap_or(tenants.len());
+        Ok(RequestTarget { class: ClassId(class as u16), tenant: TenantId(tenant as u16), group })
+    }
+
+    /// Rejects a request as the policy decided: nothing has run, and its client may retry after a span.
+    pub(super) fn reject_request(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        retry_after: Option<Time>,
+        out: &mut Vec<Effect>,
+    ) {
+        self.record_missed_retry(id);
+        self.note_unknown_outcome(now, id, out);
+        let retry_after_ms = retry_after.map(ms_rounded_up);
+        self.answer_client(now, id, Answer::Rejected { retry_after_ms }, out);
+    }
+
+    /// Fails a request as the policy decided: it may have run.
+    pub(super) fn fail_request(&mut self, now: Time, id: RequestId, out: &mut Vec<Effect>) {
+        self.record_missed_retry(id);
+        self.note_unknown_outcome(now, id, out);
+        self.answer_client(now, id, Answer::Failed, out);
+    }
+
+    /// Sends a request's only answer, unless its client has one or awaits none.
+    pub(super) fn answer_client(&mut self, now: Time, id: RequestId, answer: Answer, out: &mut Vec<Effect>) {
+        let Some(open) = self.requests.get(id).filter(|open| !open.answered) else { return };
+        let client = open.client;
+        let command = open.command;
+        match answer {
+            Answer::Served(_) => self.counters.served += 1,
+            Answer::Rejected { .. } => self.counters.rejected += 1,
+            Answer::Failed | Answer::Cancelled => self.counters.failed += 1,
+            Answer::Invalid(_) => self.counters.invalid += 1,
+        }
+        self.requests.release(client, command);
+        out.push(Effect::Answer { client, command, answer });
+        self.close_request(now, id);
+    }
+
+    /// Marks a request as ended. It leaves the table, and its session's books, once no attempt is in flight.
+    pub(super) fn close_request(&mut self, now: Time, id: RequestId) {
+        if let Some(OpenRequest { group, tracked: Some(tracked), .. }) = self.requests.close(id) {
+            self.sessions.end_request(self.system_clock.to_unix_time(now), group, &tracked);
+        }
+    }
+
+    /// A client has disconnected: the policy aborts what it safely can of its requests.
+    pub(super) fn client_disconnected(&mut self, now: Time, client: ClientId) {
+        self.accepted_at.remove(&client);
+        for AwaitedCommand { request, .. } in self.requests.release_client(client) {
+            self.counters.abandoned += 1;
+            self.close_request(now, request);
+            self.events.push_back(Event::ClientGone(request));
+        }
+    }
+
+    /// A client cancels its first unanswered request.
+    pub(super) fn cancel_first_request(&mut self, now: Time, client: ClientId, out: &mut Vec<Effect>) {
+        let Some(awaited) = self.requests.release_first(client) else { return };
+        self.counters.abandoned += 1;
+        self.end_without_result(now, awaited, Answer::Cancelled, out);
+    }
+
+    /// Fails all unanswered requests, as the program is about to end; later ones are rejected.
+    pub(super) fn shut_down(&mut self, now: Time, out: &mut Vec<Effect>) {
+        self.shutting_down = true;
+        for awaited in self.requests.release_all() {
+            self.end_without_result(now, awaited, Answer::Failed, out);
+        }
+    }
+
+    /// Ends a request whose answer is not awaited any more with an answer that does not come from a host.
+    fn end_without_result(
+        &mut self,
+        now: Time,
+        awaited: AwaitedCommand,
+        answer: Answer,
+        out: &mut Vec<Effect>,
+    ) {
+        let AwaitedCommand { client, command, request } = awaited;
+        self.note_unknown_outcome(now, request, out);
+        self.close_request(now, request);
+        out.push(Effect::Answer { client, command, answer });
+        self.events.push_back(Event::ClientGone(request));
+    }
+}
--- a/crates/router/src/routing/sessions.rs
+++ b/crates/router/src/routing/sessions.rs
@@ -1,48 +1,87 @@
-//! What requests say of their sessions, and what sessions ask of requests: floors and tokens.
+//! The requests' part in sessions: what a request says of its session, the floor that its read needs, and the
+//! tokens that its client gets. The sessions' state is in [`basalthill_session::Sessions`], whose times are
+//! Unix times; the modules for requests and attempts call in here.
 
-use super::outcomes::{session_identity, time_from_unix_ms};
-use super::{ClientId, Effect, Router};
+use super::input::ClientId;
+use super::system_clock::time_from_unix_ms;
+use super::{Effect, Router};
 use crate::protocol::statement::Statement;
-use basalthill_policy::api::*;
-use basalthill_session::TrackedRequest;
-use basalthill_session::{PlatformFloors, ReadFloor, SessionRequest};
+use basalthill_policy::api::{ClassId, Consistency, GroupId, RequestId, SessionKey, Status, Time};
+use basalthill_session::token::SessionIdentity;
+use basalthill_session::{PlatformFloors, ReadFloor, SessionRequest, Sessions, TrackedRequest};
+
+/// The offset basis of 64-bit FNV-1a.
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+/// The prime of 64-bit FNV-1a.
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
+
+/// How a request takes part in its session.
+#[derive(Default)]
+pub(super) struct SessionStart {
+    /// What the session's floors depend on; none if the request belongs to no session.
+    pub tracked: Option<TrackedRequest>,
+    /// The floor that the request's read needs; the default for a write.
+    pub floor: ReadFloor,
+}
 
 impl Router {
-    /// What a request's session is known by, and the floor of its read.
+    /// Begins a request's part in its session.
     pub(super) fn begin_session_request(
         &mut self,
         now: Time,
         client: ClientId,
         statement: &Statement,
-        class: usize,
+        class: ClassId,
         group: GroupId,
-    ) -> (Option<TrackedRequest>, ReadFloor) {
-        let consistency = self.deployment.settings.classes[class].consistency;
-        let write = consistency == Consistency::Write;
-        let remembers =
+    ) -> SessionStart {
+        let consistency = self.deployment.settings.classes[usize::from(class.0)].consistency;
+        let is_write = consistency == Consistency::Write;
+        let remembers_writes =
             self.sessions.manages_floors() || self.deployment.tokens == PlatformFloors::Remembered;
-        if consistency != Consistency::Session && !(write && remembers) {
-            return (None, ReadFloor::default());
+        let is_tracked = consistency == Consistency::Session || (is_write && remembers_writes);
+        if !is_tracked {
+            return SessionStart::default();
         }
+        // A connection whose acceptance was not seen counts as new, which is stricter.
+        let accepted_at = self.accepted_at.get(&client).copied().unwrap_or(now);
         let tokens: Vec<&[u8]> = statement.tokens().collect();
         let request = SessionRequest {
             identity: session_identity(&self.sessions, statement),
             group,
             after: statement.min_position_ms.map(time_from_unix_ms),
             tokens: &tokens,
-            // One that nobody saw come counts as new, which is stricter.
-            accepted_at: self
-                .system_clock
-                .to_unix_time(self.accepted_at.get(&client).copied().unwrap_or(now)),
+            accepted_at: self.system_clock.to_unix_time(accepted_at),
         };
         let now = self.system_clock.to_unix_time(now);
-        let tracked = self.sessions.begin_request(now, &request, write);
-        let floor =
-            if write { ReadFloor::default() } else { self.sessions.read_floor(now, &request, &tracked) };
-        (Some(tracked), floor)
+        let tracked = self.sessions.begin_request(now, &request, is_write);
+        let floor = match is_write {
+            true => ReadFloor::default(),
+            false => self.sessions.read_floor(now, &request, &tracked),
+        };
+        SessionStart { tracked: Some(tracked), floor }
     }
 
-    /// A host has served a request: what that says of its session, and the token that goes with the answer.
+    /// Issues the token that covers a write whose first attempt is being sent, where the settings want one:
+    /// the client has it even if this router dies. The write ends by `deadline`.
+    pub(super) fn issue_early_token(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        deadline: Time,
+        out: &mut Vec<Effect>,
+    ) {
+        let Some(open) = self.requests.get(id) else { return };
+        let Some(tracked) = open.tracked.as_ref().filter(|tracked| tracked.is_write) else { return };
+        let client = open.client;
+        let identity = session_identity(&self.sessions, &open.statement);
+        let now = self.system_clock.to_unix_time(now);
+        let deadline = self.system_clock.to_unix_time(deadline);
+        let token = self.sessions.early_token(now, identity, open.group, tracked, deadline);
+        out.extend(token.map(|token| Effect::SessionToken { client, token }));
+    }
+
+    /// A host has served a request, at a position that it reported as a Unix time: the session learns of it,
+    /// and the token goes out before the answer. A second answer to the same request changes nothing.
     pub(super) fn note_session_served(
         &mut self,
         now: Time,
@@ -51,38 +90,61 @@
         out: &mut Vec<Effect>,
     ) {
         let Some(open) = self.requests.get_mut(id) else { return };
-        let again = std::mem::replace(&mut open.served, true);
-        let Some(tracked) = open.tracked.as_mut().filter(|_| !again) else { return };
+        let served_before = std::mem::replace(&mut open.served, true);
+        let Some(tracked) = open.tracked.as_mut().filter(|_| !served_before) else { return };
         let identity = session_identity(&self.sessions, &open.statement);
-        let token = self.sessions.request_served(
-            self.system_clock.to_unix_time(now),
-            identity,
-            open.group,
-            tracked,
-            position,
-        );
-        out.extend(
-            token.filter(|_| !open.answered).map(|t| Effect::SessionToken { client: open.client, token: t }),
-        );
+        let now = self.system_clock.to_unix_time(now);
+        let token = self.sessions.request_served(now, identity, open.group, tracked, position);
+        if open.answered {
+            return;
+        }
+        let client = open.client;
+        out.extend(token.map(|token| Effect::SessionToken { client, token }));
+    }
+
+    /// An attempt has ended with a status. If a write may have run in it, its outcome is unknown from now on.
+    pub(super) fn note_possible_execution(&mut self, id: RequestId, status: Status) {
+        if status.proves_not_executed() {
+            return;
+        }
+        let Some(open) = self.requests.get_mut(id).filter(|open| !open.served) else { return };
+        if let Some(tracked) = &mut open.tracked {
+            tracked.outcome_unknown = tracked.is_write;
+        }
     }
 
-    /// A request ends without a host's answer. A write that may have run, or may yet, leaves its session in
-    /// doubt, and its token says so.
+    /// A request ends without a host's answer. For a write that may have run, or still may, the session's
+    /// floor has to cover either outcome, and so does the token that the client gets.
     pub(super) fn note_unknown_outcome(&mut self, now: Time, id: RequestId, out: &mut Vec<Effect>) {
-        let Some(open) = self.requests.get_mut(id).filter(|o| !o.answered && !o.served) else { return };
-        let still_out = open.attempts.iter().any(Option::is_some);
-        let Some(tracked) = open.tracked.as_mut().filter(|b| b.is_write && (b.outcome_unknown || still_out))
-        else {
+        let Some(open) = self.requests.get_mut(id) else { return };
+        if open.answered || open.served {
             return;
-        };
+        }
+        let in_flight = open.has_attempt_in_flight();
+        let may_run = |t: &&mut TrackedRequest| t.is_write && (t.outcome_unknown || in_flight);
+        let Some(tracked) = open.tracked.as_mut().filter(may_run) else { return };
         tracked.outcome_unknown = true;
+        let client = open.client;
         let identity = session_identity(&self.sessions, &open.statement);
-        let token = self.sessions.write_outcome_unknown(
-            self.system_clock.to_unix_time(now),
-            identity,
-            open.group,
-            tracked,
-        );
-        out.extend(token.map(|t| Effect::SessionToken { client: open.client, token: t }));
+        let now = self.system_clock.to_unix_time(now);
+        let token = self.sessions.write_outcome_unknown(now, identity, open.group, tracked);
+        out.extend(token.map(|token| Effect::SessionToken { client, token }));
     }
 }
+
+/// The session of a statement: by the session name in its comment where this router manages floors, else by
+/// its key.
+fn session_identity<'a>(sessions: &Sessions, statement: &'a Statement) -> SessionIdentity<'a> {
+    let session_name = statement.session().filter(|_| sessions.manages_floors());
+    let name = session_name.unwrap_or(statement.key());
+    SessionIdentity { name, key: SessionKey(session_hash(name)) }
+}
+
+/// A session's number from its name, by 64-bit FNV-1a.
+fn session_hash(name: &[u8]) -> u64 {
+    let step = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME);
+    name.iter().fold(FNV_OFFSET_BASIS, step)
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/router/src/routing/system_clock.rs
+++ b/crates/router/src/routing/system_clock.rs
@@ -1,44 +1,67 @@
-//! Unix times, as hosts, discovery and clients tell them, on the router's own clock. That one never steps;
-//! the system's may be set at any time.
+//! Conversion between Unix times, which hosts, discovery and clients send, and the router's own clock. The
+//! router's clock never steps; the system clock may be set at any time. [`Router`](super::Router) owns the
+//! one offset and updates it before each input.
 
-use basalthill_policy::api::Time;
+use basalthill_policy::api::{ReplicationState, Time};
 
-/// A smaller change is the slow correction of a clock that is kept right, and is followed as it comes.
-const STEP_NS: u64 = 20_000_000;
+/// Nanoseconds in a millisecond.
+const NS_PER_MS: u64 = 1_000_000;
 
-/// How far the system's clock is from the router's own.
+/// A change of the offset by less than this, in nanoseconds, is the gradual correction of a synchronized
+/// clock; from here on it is a step, after which earlier and later Unix times can't be compared.
+const STEP_NS: u64 = 20 * NS_PER_MS;
+
+/// How far the system clock is ahead of the router's own clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SystemClockOffset {
     offset_ns: i64,
 }
 
 impl SystemClockOffset {
-    /// Takes note of how far the system's clock is ahead now; whether it has been set since.
+    /// Records the present offset in nanoseconds. Returns whether the system clock has been stepped since the
+    /// last update.
     pub fn update(&mut self, offset_ns: i64) -> bool {
         let stepped = offset_ns.abs_diff(self.offset_ns) >= STEP_NS;
         self.offset_ns = offset_ns;
         stepped
     }
 
-    /// How far the system's clock is ahead, in milliseconds.
+    /// How far the system clock is ahead, in milliseconds.
     pub fn offset_ms(&self) -> i64 {
-        self.offset_ns / 1_000_000
+        self.offset_ns / NS_PER_MS as i64
     }
 
-    /// A Unix time on the router's own clock. Zero, for long ago, and the end of time stay as they are.
+    /// Converts a Unix time to the router's clock.
     pub fn to_router_time(self, unix: Time) -> Time {
-        self.shifted(unix, -i128::from(self.offset_ns))
+        shift(unix, -i128::from(self.offset_ns))
+    }
+
+    /// Converts a time of the router's clock to a Unix time.
+    pub fn to_unix_time(self, time: Time) -> Time {
+        shift(time, i128::from(self.offset_ns))
     }
 
-    /// A time of the router's own clock as a Unix time.
-    pub fn to_unix_time(self, own: Time) -> Time {
-        self.shifted(own, i128::from(self.offset_ns))
+    /// Converts the position in a replication state to the router's clock.
+    pub fn replication_to_router_time(self, replication: ReplicationState) -> ReplicationState {
+        let position = replication.position.map(|unix| self.to_router_time(unix));
+        ReplicationState { position, ..replication }
     }
+}
 
-    fn shifted(self, time: Time, by: i128) -> Time {
-        match time {
-            Time(0 | u64::MAX) => time,
-            Time(ns) => Time((i128::from(ns) + by).clamp(1, i128::from(u64::MAX - 1)) as u64),
-        }
+/// Shifts a time by nanoseconds. Zero, which stands for long ago, and the end of time stay as they are.
+fn shift(time: Time, by_ns: i128) -> Time {
+    match time {
+        Time(0 | u64::MAX) => time,
+        Time(ns) => Time((i128::from(ns) + by_ns).clamp(1, i128::from(u64::MAX - 1)) as u64),
     }
 }
+
+/// A Unix time from milliseconds.
+pub fn time_from_unix_ms(ms: u64) -> Time {
+    Time(ms.saturating_mul(NS_PER_MS))
+}
+
+/// A time in milliseconds, rounded up.
+pub fn ms_rounded_up(time: Time) -> u64 {
+    time.0.div_ceil(NS_PER_MS)
+}
--- a/crates/router/src/routing/timers.rs
+++ b/crates/router/src/routing/timers.rs
@@ -1,4 +1,5 @@
-//! Timers in the order in which they are due; each is taken back when what it guards has ended.
+//! The timers of the router, in the order in which they are due. Each is cancelled when what it guards has
+//! ended. [`Router`](super::Router) sets and fires them; transport wakes it at [`Timers::next_due`].
 
 use basalthill_policy::api::{Attempt, RequestId, Time};
 use std::collections::BTreeMap;
@@ -6,51 +7,55 @@
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timer {
-    /// The decisions asked for it.
+    /// The policy requested it, with this token.
     Policy(u64),
-    /// The limit of an attempt.
+    /// The timeout of an attempt.
     Attempt(RequestId, Attempt),
-    /// The limit of a probe.
+    /// The timeout of a health check.
     Probe(u64),
 }
 
-/// A timer's place.
+/// Identifies a timer: when it is due, and its number among those due at that time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct TimerKey(Time, u64);
+pub struct TimerKey {
+    due: Time,
+    number: u64,
+}
 
 /// All timers of a router.
 #[derive(Debug, Default)]
 pub struct Timers {
-    set: BTreeMap<TimerKey, Timer>,
-    count: u64,
+    timers: BTreeMap<TimerKey, Timer>,
+    last_number: u64,
 }
 
 impl Timers {
     /// Sets a timer.
     pub fn add(&mut self, due: Time, timer: Timer) -> TimerKey {
-        self.count += 1;
-        let key = TimerKey(due, self.count);
-        self.set.insert(key, timer);
+        self.last_number += 1;
+        let key = TimerKey { due, number: self.last_number };
+        self.timers.insert(key, timer);
         key
     }
 
-    /// Takes a timer back.
+    /// Cancels a timer. One that has been cancelled before stays so.
     pub fn cancel(&mut self, key: TimerKey) {
-        self.set.remove(&key);
+        self.timers.remove(&key);
     }
 
-    /// The timers that are due; they stay until they are taken back.
+    /// The timers that are due, in order. They stay set until they are cancelled.
     pub fn due(&self, now: Time) -> Vec<(TimerKey, Timer)> {
-        self.set.range(..=TimerKey(now, u64::MAX)).map(|(k, t)| (*k, *t)).collect()
+        let last = TimerKey { due: now, number: u64::MAX };
+        self.timers.range(..=last).map(|(key, timer)| (*key, *timer)).collect()
     }
 
-    /// When the first is due.
-    pub fn next(&self) -> Option<Time> {
-        self.set.first_key_value().map(|(k, _)| k.0)
+    /// When the first timer is due.
+    pub fn next_due(&self) -> Option<Time> {
+        self.timers.first_key_value().map(|(key, _)| key.due)
     }
 
-    /// How many there are.
+    /// How many timers are set.
     pub fn len(&self) -> usize {
-        self.set.len()
+        self.timers.len()
     }
 }
--- a/crates/router/tests/routing.rs
+++ b/crates/router/tests/routing.rs
@@ -12,8 +12,8 @@
 use basalthill_router::protocol::host::{QueryOutcome, ReportedState, Row};
 use basalthill_router::protocol::statement::Statement;
 use basalthill_router::routing::{
-    Answer, ClientId, ClientRequest, CommandId, Effect, ExchangeId, ExchangeResult, Input, ProxyMessage,
-    Query, Router,
+    Answer, ClientId, ClientRequest, CommandId, Effect, ExchangeId, ExchangeResult, Input, Outstanding,
+    ProxyMessage, Query, Router,
 };
 use common::{host_list, sessions, site, statement};
 use proptest::prelude::*;
@@ -104,8 +104,8 @@
 
     /// Nothing is left on the books but the decisions' own timer, once every probe has ended.
     fn empty(&mut self) {
-        let (requests, probes, timers) = self.router.books();
-        assert_eq!((requests, timers - probes), (0, 1), "{:?}", self.router.books());
+        let Outstanding { requests, probes, timers } = self.router.outstanding();
+        assert_eq!((requests, timers - probes), (0, 1), "{:?}", self.router.outstanding());
     }
 }
 
@@ -298,7 +298,7 @@
     let mut d = Driven::new();
     let (id, ..) = d.attempt(1, "write");
     d.input(Input::ClientDisconnected(ClientId(1)));
-    assert_eq!(d.router.books().0, 1);
+    assert_eq!(d.router.outstanding().requests, 1);
     let effects = d.end(id, ExchangeResult::Answered(QueryOutcome::Row(row(b"x")), ReportedState::default()));
     assert!(answers(&effects).is_empty());
     d.empty();
@@ -343,13 +343,13 @@
     let router = Router::new(START, site(), sessions(), 7, Some(known), &mut out);
     let mut d = Driven { router, now: START };
     let [(probe, _, Query::HealthCheck("SHOW vitals"))] = begun(&out)[..] else { panic!("{out:?}") };
-    assert_eq!(d.router.books().1, 1);
+    assert_eq!(d.router.outstanding().probes, 1);
     let effects = d.pass(251);
     assert!(effects.iter().any(|e| matches!(e, Effect::AbortExchange(x) if *x == probe)), "{effects:?}");
     assert!(!begun(&effects).iter().any(|b| b.0 == probe));
     let now = d.now;
     d.end(probe, ExchangeResult::Answered(QueryOutcome::Row(row(b"x0=1,x1=1")), told(true, 0, now)));
-    let (requests, probes, timers) = d.router.books();
+    let Outstanding { requests, probes, timers } = d.router.outstanding();
     assert_eq!((requests, timers - probes), (0, 1));
 }
 
@@ -587,7 +587,7 @@
             prop_assert!(settled, "{} of client {} has no answer", class, client);
         }
         prop_assert_eq!(d.router.unanswered(), 0);
-        prop_assert_eq!(d.router.books().0, 0);
+        prop_assert_eq!(d.router.outstanding().requests, 0);
     }
 }
 
@@ -658,9 +658,9 @@
 
 fn named(effects: &[Effect]) -> Option<(LeaseId, SocketAddr, Time)> {
     effects.iter().find_map(|e| match e {
-        Effect::ProxyReply(_, ProxyReply::Member { lease, send_by: by, .. }, Some(addr)) => {
-            Some((*lease, *addr, *by))
-        }
+        Effect::ProxyReply {
+            reply: ProxyReply::Member { lease, send_by: by, .. }, addr: Some(addr), ..
+        } => Some((*lease, *addr, *by)),
         _ => None,
     })
 }
@@ -691,7 +691,9 @@
     let (lease, ..) = named(&d.proxy_asks(1)).expect("a member");
     assert_eq!(d.router.lease_usage(), usage(1, 1, 1));
     let effects = d.pass(900);
-    let failed = |e: &&Effect| matches!(e, Effect::ProxyReply(StreamId(1), ProxyReply::Failed, None));
+    let failed = |e: &&Effect| {
+        matches!(e, Effect::ProxyReply { stream: StreamId(1), reply: ProxyReply::Failed, addr: None })
+    };
     assert_eq!(effects.iter().filter(failed).count(), 1, "{effects:?}");
     assert!(d.proxy_tells(1, lease, LeaseOutcome::NotSent, Role::Primary).is_empty());
     d.input(Input::Proxy(StreamId(1), ProxyMessage::StreamClosed));
@@ -738,7 +740,7 @@
         let effects = d.end(id, ExchangeResult::Skipped);
         assert!(begun(&effects).iter().all(|b| !is_attempt(b.0)), "{effects:?}");
         d.pass(4000);
-        assert_eq!(d.router.books().0, 0);
+        assert_eq!(d.router.outstanding().requests, 0);
     }
 }
 
