--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -1,12 +1,12 @@
 //! One router's part in the fleet: datagrams and ticks come in, datagrams go out, and limits say what is
 //! open.
 
-use crate::account::Account;
-use crate::lease::{Asks, Claim, Life, Voter};
+use crate::account::QuotaAccount;
+use crate::lease::{LeaseClaim, NodeIncarnation, VoteRequest, Voter};
 use crate::limit::{Bounds, Budget, Limit, LimitKey, Subject};
-use crate::loan::Question;
-use crate::names::{mix, NodeId, Roster};
-use crate::packet::{size, Message, Packet, Payload, Word, ROOM};
+use crate::loan::LoanRequest;
+use crate::names::{mix_bits, NodeId, Roster};
+use crate::packet::{encoded_len, Message, Packet, Payload, PeerState, PAYLOAD_CAPACITY};
 use crate::seal::{DatagramCodec, DropReason, Window};
 use crate::swim::{self, Swim};
 use crate::times::Timing;
@@ -32,9 +32,9 @@
 
 impl FleetConfig {
     fn digest(&self) -> u32 {
-        let order = |h, l: &Limit| mix(h ^ l.digest());
+        let order = |h, l: &Limit| mix_bits(h ^ l.digest());
         let times = [self.timing.drift.to_bits(), self.timing.lease.0];
-        times.iter().fold(self.limits.iter().fold(0, order), |h, t| mix(h ^ t)) as u32
+        times.iter().fold(self.limits.iter().fold(0, order), |h, t| mix_bits(h ^ t)) as u32
     }
 }
 
@@ -103,8 +103,8 @@
     voter: Voter,
     /// Names whose shares were asked about, and whether this router watches over them.
     guards: BTreeMap<NodeId, bool>,
-    claims: BTreeMap<NodeId, Claim>,
-    accounts: BTreeMap<LimitKey, Account>,
+    claims: BTreeMap<NodeId, LeaseClaim>,
+    accounts: BTreeMap<LimitKey, QuotaAccount>,
     /// Accounts opened by a change of the settings hold no shares before their time.
     opens: BTreeMap<LimitKey, Time>,
     members: Vec<String>,
@@ -114,9 +114,9 @@
     rounds: u64,
     /// Questions for votes, over all shares and claims of this life.
     questions: u32,
-    /// Rises whenever who is alive changes: until then dealers and the lost stay who they are.
+    /// Rises whenever who is alive changes: until then coordinators and the lost stay who they are.
     epoch: u64,
-    dealers: BTreeMap<LimitKey, (u64, NodeId)>,
+    coordinators: BTreeMap<LimitKey, (u64, NodeId)>,
     scanned: Option<(u64, bool)>,
     counts: Counters,
 }
@@ -140,16 +140,16 @@
             links: BTreeMap::new(),
             say: BTreeMap::new(),
             // Rounds of different routers fall at different times.
-            next_round: now.plus(plan.timing.period.times((mix(seed ^ me.0) % 1000) as f64 / 1000.0)),
+            next_round: now.plus(plan.timing.period.times((mix_bits(seed ^ me.0) % 1000) as f64 / 1000.0)),
             rounds: 0,
             questions: 0,
             epoch: 0,
-            dealers: BTreeMap::new(),
+            coordinators: BTreeMap::new(),
             scanned: None,
             counts: Counters::default(),
             plan,
         };
-        fleet.claims.insert(me, Claim::new(fleet.plan.roster.guardians(me)));
+        fleet.claims.insert(me, LeaseClaim::new(fleet.plan.roster.voters(me)));
         fleet.open_accounts(now);
         fleet
     }
@@ -193,7 +193,7 @@
                     let before = self.started == now || self.opens.contains_key(&key);
                     let settled = if before { now.plus(self.plan.max_use) } else { now };
                     let account = account_of(now, &self.plan, limit, key, self.me, settled);
-                    let account = account.counting_from(now.since(self.started));
+                    let account = account.numbering_from(now.since(self.started));
                     self.accounts.insert(key, account);
                 }
             }
@@ -232,14 +232,14 @@
         self.digest = self.plan.digest();
         if old.roster != self.plan.roster {
             self.swim.list(now, &self.plan.roster);
-            for tag in old.roster.tags().filter(|t| self.plan.roster.get(*t).is_none()) {
+            for tag in old.roster.ids().filter(|t| self.plan.roster.get(*t).is_none()) {
                 self.links.remove(&tag);
-                self.accounts.values_mut().for_each(|a| a.forget(tag));
+                self.accounts.values_mut().for_each(|a| a.forget_peer(tag));
             }
         }
         if old.roster.digest() != self.plan.roster.digest() {
             // Claims begin anew with the new guardians; shares that are held under the old ones lapse.
-            self.claims = [(self.me, Claim::new(self.plan.roster.guardians(self.me)))].into();
+            self.claims = [(self.me, LeaseClaim::new(self.plan.roster.voters(self.me)))].into();
         }
         let names = old.roster.digest() != self.plan.roster.digest();
         let same = |key: &LimitKey| {
@@ -267,7 +267,7 @@
     fn hold_shares(&mut self, now: Time) {
         self.opens.retain(|_, at| now < *at);
         for (slot, claim) in &self.claims {
-            let until = claim.until();
+            let until = claim.expires_at();
             if until <= now {
                 continue;
             }
@@ -278,9 +278,9 @@
                     continue;
                 };
                 account.settle(now);
-                let units = account.units_of(*slot);
+                let units = account.quota_units(*slot);
                 let units = units.unwrap_or_else(|| parts(&self.plan.roster, limit, *key, *slot).1);
-                account.share(*slot, units, until);
+                account.lease_quota(*slot, units, until);
             }
         }
     }
@@ -313,7 +313,7 @@
         if packet.life < known {
             // It, or one who repeats what it once said. Only it can take the answer for its own.
             if self.may_correct(now, from) {
-                self.send_to(from, packet.life, vec![Message::Known(known)], out);
+                self.send_to(from, packet.life, vec![Message::StaleIncarnation(known)], out);
             }
             return Err(DropReason::OtherLife);
         }
@@ -348,33 +348,41 @@
                 // One who does not know this life may ask whether it is there, no more.
                 Message::Ping(_) => self.swim.take(now, from, message, &mut said),
                 _ if packet.to_life == 0 => {}
-                Message::Known(life) => {
+                Message::StaleIncarnation(life) => {
                     out.push(Effect::Log(format!("fleet: a later life {life} of this router is known")));
                     self.swim.live_after(*life);
                 }
-                Message::Claim(..) | Message::Vote(..) | Message::Taken(..) | Message::Release(..) => {
+                Message::VoteRequest(..)
+                | Message::VoteGranted(..)
+                | Message::VoteDenied(..)
+                | Message::LeaseReleased(..) => {
                     if !names {
-                        self.of_shares(now, Life { router: from, life: packet.life }, message, out);
+                        self.of_shares(
+                            now,
+                            NodeIncarnation { router: from, life: packet.life },
+                            message,
+                            out,
+                        );
                     }
                 }
                 Message::Report(report) if !(names || limits) => {
                     if let Some(account) = self.account(now, report.key) {
-                        if let Some(reply) = account.reported(now, from, report) {
+                        if let Some(reply) = account.receive_report(now, from, report) {
                             self.say.entry(from).or_default().push(Message::Reply(reply));
                         }
                     }
                 }
                 Message::Reply(reply) if !(names || limits) => {
                     if let Some(account) = self.account(now, reply.key) {
-                        account.replied(now, from, reply);
+                        account.receive_reply(now, from, reply);
                     }
                 }
-                Message::Back(key, number, keep) if !(names || limits) => {
+                Message::LoanReturned(key, number, keep) if !(names || limits) => {
                     if let Some(account) = self.account(now, *key) {
-                        account.returned(now, from, Question { number: *number, keep: *keep });
+                        account.receive_return(now, from, LoanRequest { number: *number, keep: *keep });
                     }
                 }
-                Message::Report(_) | Message::Reply(_) | Message::Back(..) => {}
+                Message::Report(_) | Message::Reply(_) | Message::LoanReturned(..) => {}
                 _ => self.swim.take(now, from, message, &mut said),
             }
         }
@@ -392,7 +400,7 @@
     }
 
     /// The account of a key, settled. One of a member that is not known here is opened, if its limit is.
-    fn account(&mut self, now: Time, key: LimitKey) -> Option<&mut Account> {
+    fn account(&mut self, now: Time, key: LimitKey) -> Option<&mut QuotaAccount> {
         if !self.accounts.contains_key(&key) {
             let limit = self.plan.limits.iter().find(|l| LimitKey::global(&l.name).limit == key.limit)?;
             let strange = limit.subject != Subject::EachMember || key.member == 0;
@@ -401,7 +409,7 @@
             }
             let settled = self.started.plus(self.plan.max_use);
             let account = account_of(now, &self.plan, limit, key, self.me, settled);
-            let account = account.counting_from(now.since(self.started));
+            let account = account.numbering_from(now.since(self.started));
             self.accounts.insert(key, account);
         }
         let account = self.accounts.get_mut(&key)?;
@@ -410,32 +418,32 @@
     }
 
     /// What is said of shares.
-    fn of_shares(&mut self, now: Time, from: Life, message: &Message, out: &mut Vec<Effect>) {
+    fn of_shares(&mut self, now: Time, from: NodeIncarnation, message: &Message, out: &mut Vec<Effect>) {
         match message {
-            Message::Claim(slot, number, span) => {
+            Message::VoteRequest(slot, number, span) => {
                 let (names, me) = (&self.plan.roster, self.me);
                 if names.get(*slot).is_none() {
                     return;
                 }
-                if !*self.guards.entry(*slot).or_insert_with(|| names.guardians(*slot).contains(&me)) {
+                if !*self.guards.entry(*slot).or_insert_with(|| names.voters(*slot).contains(&me)) {
                     return;
                 }
-                let asks = Asks { life: from, number: *number, span: Time::ms(u64::from(*span)) };
-                let answer = match self.voter.asked(now, &self.plan.timing, *slot, asks) {
-                    Ok(()) => Message::Vote(*slot, *number),
-                    Err(by) => Message::Taken(*slot, by.map(|l| (l.router, l.life))),
+                let request = VoteRequest { life: from, number: *number, span: Time::ms(u64::from(*span)) };
+                let answer = match self.voter.request_vote(now, &self.plan.timing, *slot, request) {
+                    Ok(()) => Message::VoteGranted(*slot, *number),
+                    Err(by) => Message::VoteDenied(*slot, by.map(|l| (l.router, l.life))),
                 };
                 self.say.entry(from.router).or_default().push(answer);
             }
-            Message::Vote(slot, number) => {
+            Message::VoteGranted(slot, number) => {
                 let Some(claim) = self.claims.get_mut(slot) else { return };
-                let before = claim.until();
-                claim.given(from.router, *number);
-                if claim.until() > before {
+                let before = claim.expires_at();
+                claim.record_vote(from.router, *number);
+                if claim.expires_at() > before {
                     self.held(now, *slot, before, out);
                 }
             }
-            Message::Release(slot, number) => self.voter.released(*slot, from, *number),
+            Message::LeaseReleased(slot, number) => self.voter.release(*slot, from, *number),
             _ => {}
         }
     }
@@ -460,15 +468,15 @@
                     if restarted {
                         for account in self.accounts.values_mut() {
                             account.settle(now);
-                            account.forget(of);
+                            account.forget_peer(of);
                         }
                     }
                     let what = match word {
-                        Word::Alive if restarted => "has started again",
-                        Word::Alive => "is alive",
-                        Word::Suspect => "does not answer",
-                        Word::Dead => "is dead",
-                        Word::Left => "has left",
+                        PeerState::Alive if restarted => "has started again",
+                        PeerState::Alive => "is alive",
+                        PeerState::Suspect => "does not answer",
+                        PeerState::Dead => "is dead",
+                        PeerState::Left => "has left",
                     };
                     let (of, by) = (self.plan.roster.name(of), self.plan.roster.name(by));
                     out.push(Effect::Log(format!("fleet: {of} {what}, says {by}")));
@@ -500,26 +508,27 @@
     /// A round of talk about rights.
     fn round(&mut self, now: Time, out: &mut Vec<Effect>) {
         self.rounds += 1;
-        self.voter.lapse(now);
+        self.voter.expire(now);
         self.claim(now, out);
         self.hold_shares(now);
         let (me, epoch) = (self.me, self.epoch);
-        self.dealers.retain(|key, _| self.accounts.contains_key(key));
+        self.coordinators.retain(|key, _| self.accounts.contains_key(key));
         for (key, account) in &mut self.accounts {
             account.settle(now);
-            let known = self.dealers.get(key).filter(|d| d.0 == epoch);
-            let dealer = known.map(|d| d.1).unwrap_or_else(|| {
+            let known = self.coordinators.get(key).filter(|d| d.0 == epoch);
+            let coordinator = known.map(|d| d.1).unwrap_or_else(|| {
                 let number = key.number();
-                let best = self.swim.living().max_by_key(|t| (crate::names::fit(*t, number), *t));
+                let best =
+                    self.swim.living().max_by_key(|t| (crate::names::rendezvous_weight(*t, number), *t));
                 best.unwrap_or(me)
             });
-            self.dealers.insert(*key, (epoch, dealer));
-            if let Some(report) = account.round(now, me, dealer) {
-                self.say.entry(dealer).or_default().push(Message::Report(report));
+            self.coordinators.insert(*key, (epoch, coordinator));
+            if let Some(report) = account.round(now, me, coordinator) {
+                self.say.entry(coordinator).or_default().push(Message::Report(report));
             }
-            if dealer != me {
-                for (to, back) in account.returns(now, dealer) {
-                    self.say.entry(to).or_default().push(Message::Back(*key, back.number, back.keep));
+            if coordinator != me {
+                for (to, back) in account.surplus_returns(now, coordinator) {
+                    self.say.entry(to).or_default().push(Message::LoanReturned(*key, back.number, back.keep));
                 }
             }
         }
@@ -536,31 +545,32 @@
             self.scanned = Some((self.epoch, unheard));
             let living: Vec<NodeId> = self.swim.living().collect();
             let lost: Vec<NodeId> =
-                self.plan.roster.tags().filter(|t| *t != self.me && gone(&self.swim, *t)).collect();
+                self.plan.roster.ids().filter(|t| *t != self.me && gone(&self.swim, *t)).collect();
             for slot in lost {
-                let best = living.iter().copied().max_by_key(|t| (crate::names::fit(*t, slot.0), *t));
+                let best =
+                    living.iter().copied().max_by_key(|t| (crate::names::rendezvous_weight(*t, slot.0), *t));
                 if best == Some(self.me) && !self.claims.contains_key(&slot) {
-                    self.claims.insert(slot, Claim::new(self.plan.roster.guardians(slot)));
+                    self.claims.insert(slot, LeaseClaim::new(self.plan.roster.voters(slot)));
                 }
             }
         }
         let back: Vec<NodeId> = self.claims.keys().copied().filter(|s| !self.claimed(*s, &gone)).collect();
         for slot in back {
-            self.accounts.values_mut().for_each(|a| a.end(slot, true));
+            self.accounts.values_mut().for_each(|a| a.set_ending(slot, true));
             if self.release(now, slot) {
                 let whose = self.plan.roster.name(slot);
                 out.push(Effect::Log(format!("fleet: the share of {whose} is given up")));
             }
         }
-        let me = Life { router: self.me, life: self.swim.life() };
+        let me = NodeIncarnation { router: self.me, life: self.swim.life() };
         for (slot, claim) in &mut self.claims {
             let wanted = *slot == self.me || gone(&self.swim, *slot);
-            let again = self.rounds % CLAIM_ROUNDS == slot.0 % CLAIM_ROUNDS || claim.until() <= now;
+            let again = self.rounds % CLAIM_ROUNDS == slot.0 % CLAIM_ROUNDS || claim.expires_at() <= now;
             if !wanted {
                 continue;
             }
             if *slot != self.me {
-                self.accounts.values_mut().for_each(|a| a.end(*slot, false));
+                self.accounts.values_mut().for_each(|a| a.set_ending(*slot, false));
             }
             if !again {
                 continue;
@@ -568,13 +578,17 @@
             self.questions += 1;
             let number = self.questions;
             let span = self.plan.timing.lease;
-            claim.ask(now, number, span);
-            let asks = Asks { life: me, number, span };
-            if self.voter.asked(now, &self.plan.timing, *slot, asks).is_ok() {
-                claim.given(self.me, number);
+            claim.begin_round(now, number, span);
+            let request = VoteRequest { life: me, number, span };
+            if self.voter.request_vote(now, &self.plan.timing, *slot, request).is_ok() {
+                claim.record_vote(self.me, number);
             }
-            for guardian in claim.guardians().iter().filter(|g| **g != self.me) {
-                self.say.entry(*guardian).or_default().push(Message::Claim(*slot, number, millis(span)));
+            for guardian in claim.voters().iter().filter(|g| **g != self.me) {
+                self.say.entry(*guardian).or_default().push(Message::VoteRequest(
+                    *slot,
+                    number,
+                    millis(span),
+                ));
             }
         }
     }
@@ -583,14 +597,14 @@
     fn release(&mut self, now: Time, slot: NodeId) -> bool {
         self.accounts.values_mut().for_each(|a| a.settle(now));
         let Some(claim) = self.claims.get(&slot) else { return false };
-        if claim.until() > now && !self.accounts.values().all(|a| a.is_free(now, slot)) {
+        if claim.expires_at() > now && !self.accounts.values().all(|a| a.can_release(now, slot)) {
             return false;
         }
-        self.accounts.values_mut().for_each(|a| a.give_up(slot));
-        for guardian in claim.guardians().iter().filter(|g| **g != self.me) {
-            self.say.entry(*guardian).or_default().push(Message::Release(slot, claim.number()));
+        self.accounts.values_mut().for_each(|a| a.release_quota(slot));
+        for guardian in claim.voters().iter().filter(|g| **g != self.me) {
+            self.say.entry(*guardian).or_default().push(Message::LeaseReleased(slot, claim.number()));
         }
-        self.voter.released(slot, Life { router: self.me, life: self.swim.life() }, claim.number());
+        self.voter.release(slot, NodeIncarnation { router: self.me, life: self.swim.life() }, claim.number());
         self.claims.remove(&slot).is_some()
     }
 
@@ -604,7 +618,7 @@
         for key in keys {
             let Some(account) = self.accounts.get_mut(key) else { continue };
             account.settle(now);
-            let (share, back) = account.asked(now);
+            let (share, back) = account.check(now);
             open =
                 Availability { fraction: open.fraction.min(share), retry_after: open.retry_after.max(back) };
         }
@@ -614,14 +628,14 @@
     /// A request that these limits count has been admitted.
     pub fn spend(&mut self, keys: &[LimitKey]) {
         for key in keys {
-            self.accounts.get_mut(key).into_iter().for_each(Account::spend);
+            self.accounts.get_mut(key).into_iter().for_each(QuotaAccount::spend);
         }
     }
 
     /// A request that these limits count has been refused: the next is told to come back later.
     pub fn record_rejection(&mut self, keys: &[LimitKey]) {
         for key in keys {
-            self.accounts.get_mut(key).into_iter().for_each(Account::refused);
+            self.accounts.get_mut(key).into_iter().for_each(QuotaAccount::record_rejection);
         }
     }
 
@@ -635,27 +649,27 @@
     pub fn tokens_left(&mut self, now: Time, key: LimitKey) -> u32 {
         self.accounts.get_mut(&key).map_or(0, |account| {
             account.settle(now);
-            account.left()
+            account.tokens_left()
         })
     }
 
     /// One more was wanted of a budget that is spent.
     pub fn record_missing_token(&mut self, key: LimitKey) {
-        self.accounts.get_mut(&key).into_iter().for_each(Account::wanted);
+        self.accounts.get_mut(&key).into_iter().for_each(QuotaAccount::record_missing_token);
     }
 
     /// One is wanted of a budget; it is spent if it is there.
     pub fn take_token(&mut self, now: Time, key: LimitKey) -> bool {
         let Some(account) = self.accounts.get_mut(&key) else { return true };
         account.settle(now);
-        account.take_one(now)
+        account.take_token(now)
     }
 
     /// How many more may be out at a time under a key, each for so long at most; all if it has no account.
     pub fn free_slots(&mut self, now: Time, key: LimitKey, span: Time) -> u64 {
         self.accounts.get_mut(&key).map_or(u64::MAX, |account| {
             account.settle(now);
-            account.room(now, span)
+            account.free_slots(now, span)
         })
     }
 
@@ -663,7 +677,7 @@
     pub fn occupy_slot(&mut self, now: Time, key: LimitKey, number: u64, until: Time) {
         if let Some(account) = self.accounts.get_mut(&key) {
             account.settle(now);
-            account.take(number, until);
+            account.occupy_slot(number, until);
         }
     }
 
@@ -671,18 +685,18 @@
     pub fn release_slot(&mut self, now: Time, key: LimitKey, number: u64) {
         if let Some(account) = self.accounts.get_mut(&key) {
             account.settle(now);
-            account.give_back(number);
+            account.release_slot(number);
         }
     }
 
     /// One more was wanted under a key, and there was no room.
     pub fn record_missing_slot(&mut self, key: LimitKey) {
-        self.accounts.get_mut(&key).into_iter().for_each(Account::missed);
+        self.accounts.get_mut(&key).into_iter().for_each(QuotaAccount::record_missing_slot);
     }
 
     /// What is known of an account.
     pub fn account_stats(&self, now: Time, key: LimitKey) -> Option<account::AccountStats> {
-        self.accounts.get(&key).map(|a| a.figures(now))
+        self.accounts.get(&key).map(|a| a.stats(now))
     }
 
     /// This router goes: it says so, and gives back the shares on which nothing hangs.
@@ -702,20 +716,20 @@
         for (to, messages) in std::mem::take(&mut self.say) {
             let life = self.swim.peer(to).filter(|k| k.word.is_some()).map_or(0, |k| k.life);
             let mut packet = Vec::new();
-            let mut left = ROOM;
+            let mut left = PAYLOAD_CAPACITY;
             for message in messages {
-                let size = size(&message);
+                let size = encoded_len(&message);
                 if size > left {
                     self.send_to(to, life, std::mem::take(&mut packet), out);
-                    left = ROOM;
+                    left = PAYLOAD_CAPACITY;
                 }
                 left = left.saturating_sub(size);
                 packet.push(message);
             }
             let news = if life != 0 { self.swim.news() } else { Vec::new() };
             if !news.is_empty() {
-                let news = Message::News(news);
-                if size(&news) <= left {
+                let news = Message::Gossip(news);
+                if encoded_len(&news) <= left {
                     packet.push(news);
                 }
             }
@@ -744,7 +758,7 @@
         out.push(Effect::Send { to: addr, datagram: bytes });
     }
 
-    /// An operator asks for the status.
+    /// An operator request for the status.
     pub fn status_response(&self, now: Time, asked: &crate::packet::StatusMessage) -> Option<Vec<u8>> {
         status::answer(asked, || self.status_lines(now)).map(|content| self.seal.encode(&content))
     }
@@ -779,7 +793,7 @@
             ));
         }
         for (slot, claim) in &self.claims {
-            let left = claim.until().since(now);
+            let left = claim.expires_at().since(now);
             let state = match left > Time(0) {
                 true => format!("held for {:.1} s more", left.secs()),
                 false => "withheld: most of its guardians have not given their votes".into(),
@@ -792,7 +806,7 @@
             let member =
                 self.members.iter().find(|m| key.member != 0 && LimitKey::at_member(name, m) == *key);
             let at = member.map(|m| format!(" at {m}")).unwrap_or_default();
-            let f = account.figures(now);
+            let f = account.stats(now);
             let lapsing = f.lapses.map(|at| format!(" next lapse in {:.1} s", at.since(now).secs()));
             let lapses = lapsing.unwrap_or_default();
             let why = match self.opens.get(key) {
@@ -821,7 +835,7 @@
 
 /// A name's part of a limit: what its own router keeps whatever happens, and the rest, which lapses.
 fn parts(names: &Roster, limit: &Limit, key: LimitKey, slot: NodeId) -> (u64, u64) {
-    let part = names.part(limit.bounds.units(), slot, key.number());
+    let part = names.quota(limit.bounds.units(), slot, key.number());
     let floor = (part as f64 * limit.reserved_fraction) as u64;
     (floor, part - floor)
 }
@@ -833,18 +847,18 @@
     key: LimitKey,
     me: NodeId,
     settled: Time,
-) -> Account {
+) -> QuotaAccount {
     let floor = parts(&plan.roster, limit, key, me).0;
     match limit.bounds {
         // Tokens are spent at once: loans of them need not outlast any use.
         Bounds::Rate { .. } => {
             let times = Timing { lease: plan.timing.lease, ..Timing::new(plan.timing.drift, Time(0)) };
-            let account = Account::new(now, key, limit.bounds, floor, now, times);
+            let account = QuotaAccount::new(now, key, limit.bounds, floor, now, times);
             match limit.subject {
-                Subject::Budget(_) => account.standing(),
+                Subject::Budget(_) => account.with_standing_demand(),
                 _ => account,
             }
         }
-        Bounds::Concurrent(_) => Account::new(now, key, limit.bounds, floor, settled, plan.timing),
+        Bounds::Concurrent(_) => QuotaAccount::new(now, key, limit.bounds, floor, settled, plan.timing),
     }
 }
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -14,18 +14,18 @@
 
 /// One life of a router.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Life {
+pub struct NodeIncarnation {
     /// Its name.
     pub router: NodeId,
     /// The life: later ones are larger.
     pub life: u64,
 }
 
-/// Who asks for a vote, and how.
+/// Who request for a vote, and how.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Asks {
+pub struct VoteRequest {
     /// The router, and its life.
-    pub life: Life,
+    pub life: NodeIncarnation,
     /// The question's number.
     pub number: u32,
     /// For so long, by its own clock.
@@ -33,19 +33,19 @@
 }
 
 /// No vote is given for longer.
-pub const LONGEST_LEASE: Time = Time::ms(120_000);
+pub const MAX_LEASE: Time = Time::ms(120_000);
 
 /// A guardian's votes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Voter {
     quiet_until: Time,
-    votes: BTreeMap<NodeId, Given>,
+    votes: BTreeMap<NodeId, GrantedVote>,
 }
 
 /// A vote that has been given.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Given {
-    to: Life,
+struct GrantedVote {
+    to: NodeIncarnation,
     until: Time,
     /// Of the newest question that it answers.
     number: u32,
@@ -57,9 +57,15 @@
         Voter { quiet_until: now.plus(quiet), votes: BTreeMap::new() }
     }
 
-    /// A router asks for this guardian's vote on a share, for a span. If it can't have it, who has it.
-    pub fn asked(&mut self, now: Time, times: &Timing, slot: NodeId, by: Asks) -> Result<(), Option<Life>> {
-        if by.span > LONGEST_LEASE {
+    /// A router request for this guardian's vote on a share, for a span. If it can't have it, who has it.
+    pub fn request_vote(
+        &mut self,
+        now: Time,
+        times: &Timing,
+        slot: NodeId,
+        by: VoteRequest,
+    ) -> Result<(), Option<NodeIncarnation>> {
+        if by.span > MAX_LEASE {
             return Err(None);
         }
         if now < self.quiet_until {
@@ -72,35 +78,35 @@
         // A question that comes late must not shorten what a newer one was answered with.
         let number = given.map_or(by.number, |g| g.number.max(by.number));
         let until = now.plus(times.lender_span(by.span)).max(given.map_or(Time(0), |g| g.until));
-        self.votes.insert(slot, Given { to: by.life, until, number });
+        self.votes.insert(slot, GrantedVote { to: by.life, until, number });
         Ok(())
     }
 
     /// A holder has given a share up, and uses no vote that answers its questions up to this one. A word that
     /// comes late, after a newer question, says nothing of the vote that this has had.
-    pub fn released(&mut self, slot: NodeId, by: Life, number: u32) {
+    pub fn release(&mut self, slot: NodeId, by: NodeIncarnation, number: u32) {
         if self.votes.get(&slot).is_some_and(|g| g.to == by && g.number <= number) {
             self.votes.remove(&slot);
         }
     }
 
     /// Forgets votes that have lapsed.
-    pub fn lapse(&mut self, now: Time) {
+    pub fn expire(&mut self, now: Time) {
         self.votes.retain(|_, given| now < given.until);
     }
 
     /// Who has this guardian's vote on a share.
-    pub fn holder(&self, slot: NodeId) -> Option<Life> {
+    pub fn holder(&self, slot: NodeId) -> Option<NodeIncarnation> {
         self.votes.get(&slot).map(|given| given.to)
     }
 }
 
 /// Questions whose answers still count.
-const QUESTIONS: usize = 4;
+const OPEN_ROUNDS: usize = 4;
 
 /// A router's claim on a share.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Claim {
+pub struct LeaseClaim {
     number: u32,
     /// The newest questions, and until when a vote counts that answers each.
     asked: VecDeque<(u32, Time)>,
@@ -109,18 +115,18 @@
     guardians: Vec<NodeId>,
 }
 
-impl Claim {
+impl LeaseClaim {
     /// A claim on a share with these guardians.
-    pub fn new(guardians: Vec<NodeId>) -> Claim {
-        Claim { guardians, ..Claim::default() }
+    pub fn new(guardians: Vec<NodeId>) -> LeaseClaim {
+        LeaseClaim { guardians, ..LeaseClaim::default() }
     }
 
     /// Asks all guardians again, by a number that this life has not used for this share before and that is
     /// larger than all it has.
-    pub fn ask(&mut self, now: Time, number: u32, span: Time) {
+    pub fn begin_round(&mut self, now: Time, number: u32, span: Time) {
         self.number = number;
         self.asked.push_back((number, now.plus(span)));
-        if self.asked.len() > QUESTIONS {
+        if self.asked.len() > OPEN_ROUNDS {
             self.asked.pop_front();
         }
     }
@@ -131,7 +137,7 @@
     }
 
     /// A guardian has given its vote.
-    pub fn given(&mut self, by: NodeId, number: u32) {
+    pub fn record_vote(&mut self, by: NodeId, number: u32) {
         let Some((_, until)) = self.asked.iter().find(|(n, _)| *n == number) else { return };
         if self.guardians.contains(&by) {
             let counts = self.votes.entry(by).or_default();
@@ -140,14 +146,14 @@
     }
 
     /// Until when the share is held: so long most of the guardians' votes count.
-    pub fn until(&self) -> Time {
+    pub fn expires_at(&self) -> Time {
         let mut votes: Vec<Time> = self.votes.values().copied().collect();
         votes.sort_unstable_by(|a, b| b.cmp(a));
         votes.get(self.guardians.len() / 2).copied().unwrap_or_default()
     }
 
     /// The guardians.
-    pub fn guardians(&self) -> &[NodeId] {
+    pub fn voters(&self) -> &[NodeId] {
         &self.guardians
     }
 }
--- a/crates/fleet/src/ledger.rs
+++ b/crates/fleet/src/ledger.rs
@@ -31,28 +31,28 @@
     }
 
     /// Units are there until a time.
-    pub fn add(&mut self, units: u64, until: Time) {
+    pub fn credit(&mut self, units: u64, until: Time) {
         self.change(until.0 / TICK, units as i64);
     }
 
-    /// Takes back an [`Ledger::add`].
-    pub fn drop(&mut self, units: u64, until: Time) {
+    /// Takes back an [`Ledger::credit`].
+    pub fn cancel_credit(&mut self, units: u64, until: Time) {
         self.change(until.0 / TICK, -(units as i64));
     }
 
     /// Units are away until a time.
-    pub fn lend(&mut self, units: u64, until: Time) {
+    pub fn debit(&mut self, units: u64, until: Time) {
         self.change(until.0.div_ceil(TICK), -(units as i64));
     }
 
-    /// Takes back a [`Ledger::lend`].
-    pub fn regain(&mut self, units: u64, until: Time) {
+    /// Takes back a [`Ledger::debit`].
+    pub fn cancel_debit(&mut self, units: u64, until: Time) {
         self.change(until.0.div_ceil(TICK), units as i64);
     }
 
     /// The fewest units that are there at any time from `from` on and before `until`. What lapsed before
     /// `from` must not have been forgotten by then.
-    pub fn least(&self, from: Time, until: Time) -> i64 {
+    pub fn minimum(&self, from: Time, until: Time) -> i64 {
         // At a tick's time, what goes at it is gone.
         let (from, until) = (from.0 / TICK, until.0.div_ceil(TICK).max(from.0 / TICK + 1));
         let mut there = self.now - self.goes.range(..=from).map(|g| g.1).sum::<i64>();
@@ -65,14 +65,14 @@
     }
 
     /// Forgets what has gone by a time.
-    pub fn forget(&mut self, before: Time) {
+    pub fn discard_before(&mut self, before: Time) {
         while let Some(first) = self.goes.first_entry().filter(|e| *e.key() <= before.0 / TICK) {
             self.now -= first.remove();
         }
     }
 
     /// When something goes or comes back next.
-    pub fn next(&self) -> Option<Time> {
+    pub fn next_change(&self) -> Option<Time> {
         self.goes.first_key_value().map(|(tick, _)| Time(tick * TICK))
     }
 
--- a/crates/fleet/src/ledger/tests.rs
+++ b/crates/fleet/src/ledger/tests.rs
@@ -3,29 +3,29 @@
 #[test]
 fn what_is_there_at_each_time() {
     let mut ledger = Ledger::default();
-    ledger.add(10, Time::ms(100));
-    ledger.add(5, Time::ms(300));
-    ledger.lend(4, Time::ms(200));
-    assert_eq!(ledger.least(Time(0), Time::ms(1)), 11);
-    assert_eq!(ledger.least(Time(0), Time::ms(100)), 11);
-    assert_eq!(ledger.least(Time(0), Time::ms(110)), 1);
-    assert_eq!(ledger.least(Time::ms(210), Time::ms(290)), 5);
-    assert_eq!(ledger.least(Time(0), Time::ms(400)), 0);
-    ledger.forget(Time::ms(150));
-    assert_eq!(ledger.least(Time::ms(150), Time::ms(151)), 1);
-    ledger.regain(4, Time::ms(200));
-    ledger.drop(5, Time::ms(300));
+    ledger.credit(10, Time::ms(100));
+    ledger.credit(5, Time::ms(300));
+    ledger.debit(4, Time::ms(200));
+    assert_eq!(ledger.minimum(Time(0), Time::ms(1)), 11);
+    assert_eq!(ledger.minimum(Time(0), Time::ms(100)), 11);
+    assert_eq!(ledger.minimum(Time(0), Time::ms(110)), 1);
+    assert_eq!(ledger.minimum(Time::ms(210), Time::ms(290)), 5);
+    assert_eq!(ledger.minimum(Time(0), Time::ms(400)), 0);
+    ledger.discard_before(Time::ms(150));
+    assert_eq!(ledger.minimum(Time::ms(150), Time::ms(151)), 1);
+    ledger.cancel_debit(4, Time::ms(200));
+    ledger.cancel_credit(5, Time::ms(300));
     assert!(ledger.is_empty());
 }
 
 #[test]
 fn ticks_are_rounded_against_the_holder() {
     let mut ledger = Ledger::default();
-    ledger.add(1, Time(25_000_000));
-    assert_eq!(ledger.least(Time(20_000_000), Time(20_000_001)), 0);
-    assert_eq!(ledger.least(Time(19_999_999), Time(20_000_000)), 1);
+    ledger.credit(1, Time(25_000_000));
+    assert_eq!(ledger.minimum(Time(20_000_000), Time(20_000_001)), 0);
+    assert_eq!(ledger.minimum(Time(19_999_999), Time(20_000_000)), 1);
     let mut ledger = Ledger::default();
-    ledger.lend(1, Time(25_000_000));
-    assert_eq!(ledger.least(Time(29_999_999), Time(30_000_000)), -1);
-    assert_eq!(ledger.least(Time(30_000_000), Time(30_000_001)), 0);
+    ledger.debit(1, Time(25_000_000));
+    assert_eq!(ledger.minimum(Time(29_999_999), Time(30_000_000)), -1);
+    assert_eq!(ledger.minimum(Time(30_000_000), Time(30_000_001)), 0);
 }
--- a/crates/fleet/src/limit.rs
+++ b/crates/fleet/src/limit.rs
@@ -1,6 +1,6 @@
 //! What is limited, and by how much.
 
-use crate::names::{hash, mix};
+use crate::names::{mix_bits, stable_hash};
 use serde::{Deserialize, Serialize};
 
 /// What a limit counts.
@@ -89,14 +89,15 @@
             Bounds::Concurrent(most) => (2, u64::from(most), 0),
         };
         let subject = match &self.subject {
-            Subject::Tenant(name) => hash(name.as_bytes()) ^ 1,
-            Subject::Class(name) => hash(name.as_bytes()) ^ 2,
-            Subject::Group(number) => mix(u64::from(*number) ^ 3 << 32),
+            Subject::Tenant(name) => stable_hash(name.as_bytes()) ^ 1,
+            Subject::Class(name) => stable_hash(name.as_bytes()) ^ 2,
+            Subject::Group(number) => mix_bits(u64::from(*number) ^ 3 << 32),
             Subject::EachMember => 4,
-            Subject::Budget(budget) => mix(5 << 32 | *budget as u64),
+            Subject::Budget(budget) => mix_bits(5 << 32 | *budget as u64),
         };
-        let parts = [hash(self.name.as_bytes()), subject, kind, a, b, self.reserved_fraction.to_bits()];
-        parts.iter().fold(0, |h, part| mix(h ^ part))
+        let parts =
+            [stable_hash(self.name.as_bytes()), subject, kind, a, b, self.reserved_fraction.to_bits()];
+        parts.iter().fold(0, |h, part| mix_bits(h ^ part))
     }
 }
 
@@ -112,16 +113,16 @@
 impl LimitKey {
     /// The key of a limit that is one for all.
     pub fn global(name: &str) -> LimitKey {
-        LimitKey { limit: hash(name.as_bytes()), member: 0 }
+        LimitKey { limit: stable_hash(name.as_bytes()), member: 0 }
     }
 
     /// The key of a limit at one member.
     pub fn at_member(name: &str, member: &str) -> LimitKey {
-        LimitKey { limit: hash(name.as_bytes()), member: hash(member.as_bytes()).max(1) }
+        LimitKey { limit: stable_hash(name.as_bytes()), member: stable_hash(member.as_bytes()).max(1) }
     }
 
     /// A number for rendezvous hashing.
     pub fn number(self) -> u64 {
-        mix(self.limit ^ mix(self.member))
+        mix_bits(self.limit ^ mix_bits(self.member))
     }
 }
--- a/crates/fleet/src/loan.rs
+++ b/crates/fleet/src/loan.rs
@@ -17,21 +17,21 @@
 
 /// Units that go down as time passes: up to each end, so many.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Stairs {
+struct StepSchedule {
     /// The ends rise, the units fall.
     steps: Vec<(Time, u64)>,
 }
 
-impl Stairs {
+impl StepSchedule {
     /// Units at a time.
     fn units(&self, at: Time) -> u64 {
         self.steps.iter().find(|s| s.0 > at).map_or(0, |s| s.1)
     }
 
     /// No more than so many from now on.
-    fn cut(&mut self, most: u64) {
+    fn cap(&mut self, most: u64) {
         self.steps.iter_mut().for_each(|s| s.1 = s.1.min(most));
-        self.level();
+        self.normalize();
     }
 
     /// At least so many until a time.
@@ -41,11 +41,11 @@
         if self.steps.get(at).is_none_or(|s| s.1 < units) {
             self.steps.insert(at, (until, units));
         }
-        self.level();
+        self.normalize();
     }
 
     /// Steps that go no further down than the next say nothing; nor do those at nothing.
-    fn level(&mut self) {
+    fn normalize(&mut self) {
         let mut next = 0;
         self.steps.reverse();
         self.steps.retain(|s| {
@@ -56,12 +56,12 @@
         self.steps.reverse();
     }
 
-    fn lapse(&mut self, now: Time) {
+    fn expire(&mut self, now: Time) {
         self.steps.retain(|s| s.0 > now);
     }
 
     /// How many units go at each end.
-    fn parts(&self) -> impl Iterator<Item = (u64, Time)> + '_ {
+    fn segments(&self) -> impl Iterator<Item = (u64, Time)> + '_ {
         let next = self.steps.iter().skip(1).map(|s| s.1).chain([0]);
         self.steps.iter().zip(next).map(|(s, next)| (s.1 - next, s.0))
     }
@@ -69,41 +69,41 @@
 
 /// What a router has borrowed from one other.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Borrowed {
+pub struct Borrowing {
     number: u32,
     asked: Option<Time>,
     answer: u64,
-    there: Stairs,
+    there: StepSchedule,
 }
 
 /// A question: the number, and how many units of the earlier loan are kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Question {
+pub struct LoanRequest {
     /// Rises with each question.
     pub number: u32,
     /// No more than these are used from now on, until an answer comes.
     pub keep: u64,
 }
 
-impl Borrowed {
+impl Borrowing {
     /// A line whose questions count from a number on.
-    pub fn counting_from(number: u32) -> Borrowed {
-        Borrowed { number, ..Borrowed::default() }
+    pub fn counting_from(number: u32) -> Borrowing {
+        Borrowing { number, ..Borrowing::default() }
     }
 
     /// Asks anew and keeps no more than `keep` of what is there. What is given up leaves the ledger.
-    pub fn ask(&mut self, now: Time, keep: u64, ledger: &mut Ledger) -> Question {
+    pub fn request(&mut self, now: Time, keep: u64, ledger: &mut Ledger) -> LoanRequest {
         self.change(ledger, |there| {
-            there.lapse(now);
-            there.cut(keep);
+            there.expire(now);
+            there.cap(keep);
         });
         self.number += 1;
         self.asked = Some(now);
-        Question { number: self.number, keep: self.there.units(now) }
+        LoanRequest { number: self.number, keep: self.there.units(now) }
     }
 
     /// An answer has come: these units, for a span from when the question went out.
-    pub fn answered(&mut self, number: u32, units: u64, span: Time, ledger: &mut Ledger) {
+    pub fn receive_grant(&mut self, number: u32, units: u64, span: Time, ledger: &mut Ledger) {
         if number != self.number {
             return;
         }
@@ -113,21 +113,21 @@
         }
     }
 
-    fn change(&mut self, ledger: &mut Ledger, f: impl FnOnce(&mut Stairs)) {
-        self.there.parts().for_each(|(units, until)| ledger.drop(units, until));
+    fn change(&mut self, ledger: &mut Ledger, f: impl FnOnce(&mut StepSchedule)) {
+        self.there.segments().for_each(|(units, until)| ledger.cancel_credit(units, until));
         f(&mut self.there);
-        self.there.parts().for_each(|(units, until)| ledger.add(units, until));
+        self.there.segments().for_each(|(units, until)| ledger.credit(units, until));
     }
 
     /// Forgets what has lapsed.
-    pub fn lapse(&mut self, now: Time, ledger: &mut Ledger) {
+    pub fn expire(&mut self, now: Time, ledger: &mut Ledger) {
         if self.there.steps.first().is_some_and(|s| s.0 <= now) {
-            self.change(ledger, |there| there.lapse(now));
+            self.change(ledger, |there| there.expire(now));
         }
     }
 
     /// Units of the newest answer.
-    pub fn answer(&self) -> u64 {
+    pub fn last_granted(&self) -> u64 {
         self.answer
     }
 
@@ -139,66 +139,67 @@
 
 /// What a router has lent to one other.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Lent {
+pub struct Lending {
     number: u32,
     answer: u64,
-    out: Stairs,
+    out: StepSchedule,
 }
 
 /// What is to be made of a question.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
-    /// It is new: it is to be answered by [`Lent::answer`].
+pub enum Receipt {
+    /// It is new: it is to be answered by [`Lending::grant`].
     New,
     /// It has been answered, so.
-    Again(u64),
+    Duplicate(u64),
     /// It is old.
-    Old,
+    Stale,
 }
 
-impl Lent {
+impl Lending {
     /// A question has come. If it is new, the borrower has cut down to what it keeps; the rest is back.
-    pub fn asked(&mut self, now: Time, question: Question, ledger: &mut Ledger) -> Heard {
+    pub fn receive_request(&mut self, now: Time, question: LoanRequest, ledger: &mut Ledger) -> Receipt {
         if question.number < self.number {
-            return Heard::Old;
+            return Receipt::Stale;
         }
         if question.number == self.number {
-            return Heard::Again(self.answer);
+            return Receipt::Duplicate(self.answer);
         }
         self.number = question.number;
         self.answer = 0;
         self.change(ledger, |out| {
-            out.lapse(now);
-            out.cut(question.keep);
+            out.expire(now);
+            out.cap(question.keep);
         });
-        Heard::New
+        Receipt::New
     }
 
-    /// Answers the question with units until a time by this clock: no more than [`Lent::room`] for that time.
-    pub fn answer(&mut self, units: u64, until: Time, ledger: &mut Ledger) {
+    /// Answers the question with units until a time by this clock: no more than [`Lending::available`] for
+    /// that time.
+    pub fn grant(&mut self, units: u64, until: Time, ledger: &mut Ledger) {
         self.answer = units;
         self.change(ledger, |out| out.raise(units, until));
     }
 
     /// The most that can be answered with until a time: what is there, and what the borrower has kept, which
     /// counts once.
-    pub fn room(&self, now: Time, until: Time, ledger: &Ledger) -> u64 {
+    pub fn available(&self, now: Time, until: Time, ledger: &Ledger) -> u64 {
         let mut without = ledger.clone();
-        self.out.parts().for_each(|(units, until)| without.regain(units, until));
-        without.least(now, until).max(0) as u64
+        self.out.segments().for_each(|(units, until)| without.cancel_debit(units, until));
+        without.minimum(now, until).max(0) as u64
     }
 
-    fn change(&mut self, ledger: &mut Ledger, f: impl FnOnce(&mut Stairs)) {
-        self.out.parts().for_each(|(units, until)| ledger.regain(units, until));
+    fn change(&mut self, ledger: &mut Ledger, f: impl FnOnce(&mut StepSchedule)) {
+        self.out.segments().for_each(|(units, until)| ledger.cancel_debit(units, until));
         f(&mut self.out);
-        self.out.parts().for_each(|(units, until)| ledger.lend(units, until));
+        self.out.segments().for_each(|(units, until)| ledger.debit(units, until));
     }
 
     /// Forgets what has lapsed.
-    pub fn lapse(&mut self, now: Time, ledger: &mut Ledger) {
+    pub fn expire(&mut self, now: Time, ledger: &mut Ledger) {
         if self.out.steps.first().is_some_and(|s| s.0 <= now) {
             // In the ledger it stands at its tick until that forgets it, a moment later.
-            self.change(ledger, |out| out.lapse(now));
+            self.change(ledger, |out| out.expire(now));
         }
     }
 
--- a/crates/fleet/src/names/tests.rs
+++ b/crates/fleet/src/names/tests.rs
@@ -12,7 +12,7 @@
         let names = names(count);
         for units in [0, 1, 5, 23, 24, 1000, 1_000_000] {
             for what in [3, 77] {
-                let parts: Vec<u64> = names.tags().map(|t| names.part(units, t, what)).collect();
+                let parts: Vec<u64> = names.ids().map(|t| names.quota(units, t, what)).collect();
                 assert_eq!(parts.iter().sum::<u64>(), units);
                 assert!(parts.iter().max().unwrap_or(&0) - parts.iter().min().unwrap_or(&0) <= 1);
             }
@@ -24,10 +24,10 @@
 fn guardians_are_odd_in_number_and_hold_the_name_itself() {
     for (count, wanted) in [(1, 1), (2, 1), (3, 3), (4, 3), (5, 5), (8, 7), (24, 7)] {
         let names = names(count);
-        for slot in names.tags() {
-            let guardians = names.guardians(slot);
-            assert_eq!((guardians.len(), guardians[0]), (wanted, slot));
-            let mut all = guardians.clone();
+        for slot in names.ids() {
+            let voters = names.voters(slot);
+            assert_eq!((voters.len(), voters[0]), (wanted, slot));
+            let mut all = voters.clone();
             all.sort_unstable();
             all.dedup();
             assert_eq!(all.len(), wanted);
@@ -38,8 +38,8 @@
 #[test]
 fn a_name_more_changes_one_guardian_of_a_slot_at_most() {
     let (old, new) = (names(24), names(25));
-    for slot in old.tags() {
-        let after = new.guardians(slot);
-        assert!(old.guardians(slot).iter().filter(|g| !after.contains(g)).count() <= 1);
+    for slot in old.ids() {
+        let after = new.voters(slot);
+        assert!(old.voters(slot).iter().filter(|g| !after.contains(g)).count() <= 1);
     }
 }
--- a/crates/fleet/src/packet.rs
+++ b/crates/fleet/src/packet.rs
@@ -14,11 +14,11 @@
 /// Most bytes of a datagram: what passes an Ethernet unbroken, with room for tunnels.
 pub const MAX_DATAGRAM: usize = 1200;
 /// Bytes that messages may take: the rest is the seal's and the head's.
-pub const ROOM: usize = MAX_DATAGRAM - 80;
+pub const PAYLOAD_CAPACITY: usize = MAX_DATAGRAM - 80;
 
 /// What is known of a router, by those who heard it or heard of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Word {
+pub enum PeerState {
     /// It answers, or says so itself.
     Alive,
     /// It did not answer one who asked.
@@ -31,7 +31,7 @@
 
 /// News of a router. What it says itself of a later life or a later turn of a life counts more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct MembershipUpdate {
     /// Of whom.
     pub of: NodeId,
     /// Its life.
@@ -39,7 +39,7 @@
     /// Its turn in that life: it rises whenever the router has to contradict.
     pub turn: u32,
     /// What is said.
-    pub word: Word,
+    pub word: PeerState,
     /// Who says so first.
     pub by: NodeId,
 }
@@ -52,34 +52,34 @@
     /// The answer.
     Ack(u32),
     /// Another router is to be asked in the sender's place.
-    AskFor(u32, NodeId),
+    PingRequest(u32, NodeId),
     /// It has answered.
-    AnsweredFor(u32, NodeId),
+    IndirectAck(u32, NodeId),
     /// News of routers.
-    News(Vec<News>),
+    Gossip(Vec<MembershipUpdate>),
     /// The sender's life is an earlier one than this, which is known of it.
-    Known(u64),
+    StaleIncarnation(u64),
     /// A vote on a name's share is asked for: the name, the question's number, and for how many milliseconds.
     /// Routers with other limits may want other spans.
-    Claim(NodeId, u32, u32),
+    VoteRequest(NodeId, u32, u32),
     /// The vote is given.
-    Vote(NodeId, u32),
+    VoteGranted(NodeId, u32),
     /// It is not given, as this life of a router has it, if any.
-    Taken(NodeId, Option<(NodeId, u64)>),
+    VoteDenied(NodeId, Option<(NodeId, u64)>),
     /// The sender no longer uses a name's share, nor any vote for it up to its question of this number.
-    Release(NodeId, u32),
+    LeaseReleased(NodeId, u32),
     /// To the one who deals a limit's rights out.
-    Report(Report),
+    Report(QuotaReport),
     /// From that one.
-    Reply(Reply),
+    Reply(QuotaReply),
     /// Of what the sender has borrowed under a limit, it keeps no more than so many units: the question's
     /// number, and the units. No answer is wanted.
-    Back(LimitKey, u32, u64),
+    LoanReturned(LimitKey, u32, u64),
 }
 
 /// What a router needs and what it can spare.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Report {
+pub struct QuotaReport {
     /// Of which limit.
     pub key: LimitKey,
     /// The question's number.
@@ -94,7 +94,7 @@
 
 /// What a router gets, and what it is asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Reply {
+pub struct QuotaReply {
     /// Of which limit.
     pub key: LimitKey,
     /// The question that is answered.
@@ -164,6 +164,6 @@
 }
 
 /// How many bytes a message takes.
-pub fn size(message: &Message) -> usize {
+pub fn encoded_len(message: &Message) -> usize {
     postcard::to_allocvec(message).map_or(usize::MAX, |bytes| bytes.len())
 }
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -1,9 +1,9 @@
 //! What operators are told of a router's fleet: pages of lines.
 
-use crate::packet::{Payload, StatusMessage, MAX_DATAGRAM, ROOM};
+use crate::packet::{Payload, StatusMessage, MAX_DATAGRAM, PAYLOAD_CAPACITY};
 
 /// Bytes of lines on a page.
-const PAGE: usize = ROOM - 40;
+const PAGE: usize = PAYLOAD_CAPACITY - 40;
 
 /// The longest question; shorter ones get shorter answers.
 pub const PADDING: usize = MAX_DATAGRAM - 60;
--- a/crates/fleet/src/swim.rs
+++ b/crates/fleet/src/swim.rs
@@ -15,7 +15,7 @@
 //! heals.
 
 use crate::names::{NodeId, Roster};
-use crate::packet::{Message, News, Word};
+use crate::packet::{MembershipUpdate, Message, PeerState};
 use basalthill_policy::api::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Known {
     /// What it is taken for; nothing was ever heard of it if there is none.
-    pub word: Option<Word>,
+    pub word: Option<PeerState>,
     /// Its life.
     pub life: u64,
     /// Its turn.
@@ -90,7 +90,7 @@
         /// Who.
         of: NodeId,
         /// For what.
-        word: Word,
+        word: PeerState,
         /// It has started again.
         restarted: bool,
         /// Who said so first.
@@ -109,7 +109,7 @@
     probe: Option<Probe>,
     errands: Vec<Errand>,
     numbers: u32,
-    news: Vec<(News, u32)>,
+    news: Vec<(MembershipUpdate, u32)>,
     slow: u32,
     next: Time,
     leaving: bool,
@@ -138,14 +138,14 @@
         swim.list(now, names);
         // All that start at once do not ask at once.
         swim.next = now.plus(PERIOD.times(swim.dice()));
-        swim.tell(News { of: me, life, turn: 0, word: Word::Alive, by: me });
+        swim.tell(MembershipUpdate { of: me, life, turn: 0, word: PeerState::Alive, by: me });
         swim
     }
 
     /// Takes another list of names.
     pub fn list(&mut self, now: Time, names: &Roster) {
         self.peers.retain(|tag, _| names.get(*tag).is_some());
-        for tag in names.tags().filter(|t| *t != self.me) {
+        for tag in names.ids().filter(|t| *t != self.me) {
             self.peers.entry(tag).or_insert(Known {
                 word: None,
                 life: 0,
@@ -179,13 +179,13 @@
     /// This router and those that it takes for alive, suspects among them.
     pub fn living(&self) -> impl Iterator<Item = NodeId> + '_ {
         let me = (!self.leaving).then_some(self.me);
-        let up = |k: &Known| matches!(k.word, Some(Word::Alive | Word::Suspect));
+        let up = |k: &Known| matches!(k.word, Some(PeerState::Alive | PeerState::Suspect));
         me.into_iter().chain(self.peers.iter().filter(move |p| up(p.1)).map(|p| *p.0))
     }
 
     /// Whether a router is taken for gone: dead, or left.
     pub fn gone(&self, tag: NodeId) -> bool {
-        self.peers.get(&tag).is_some_and(|k| matches!(k.word, Some(Word::Dead | Word::Left)))
+        self.peers.get(&tag).is_some_and(|k| matches!(k.word, Some(PeerState::Dead | PeerState::Left)))
     }
 
     /// This router's life.
@@ -203,7 +203,13 @@
         self.life = self.life.max(known) + 1;
         self.turn = 0;
         self.news.retain(|(n, _)| n.of != self.me);
-        self.tell(News { of: self.me, life: self.life, turn: 0, word: Word::Alive, by: self.me });
+        self.tell(MembershipUpdate {
+            of: self.me,
+            life: self.life,
+            turn: 0,
+            word: PeerState::Alive,
+            by: self.me,
+        });
     }
 
     /// Something has come from a peer, in this life of it.
@@ -212,19 +218,19 @@
         known.heard = Some(now);
         let told = known.told.is_some_and(|at| now.since(at) < ANSWER);
         if known.word.is_none() || life > known.life {
-            let news = News { of: from, life, turn: 0, word: Word::Alive, by: self.me };
+            let news = MembershipUpdate { of: from, life, turn: 0, word: PeerState::Alive, by: self.me };
             self.learn(now, news, out);
-        } else if known.word != Some(Word::Alive) && !told {
+        } else if known.word != Some(PeerState::Alive) && !told {
             // It does not know: it contradicts once it does.
             known.told = Some(now);
-            let news = News {
+            let news = MembershipUpdate {
                 of: from,
                 life: known.life,
                 turn: known.turn,
-                word: known.word.unwrap_or(Word::Dead),
+                word: known.word.unwrap_or(PeerState::Dead),
                 by: self.me,
             };
-            out.push(Out::Say(from, Message::News(vec![news])));
+            out.push(Out::Say(from, Message::Gossip(vec![news])));
         }
     }
 
@@ -239,10 +245,10 @@
                 }
                 if let Some(at) = self.errands.iter().position(|e| e.number == *number && e.target == from) {
                     let errand = self.errands.swap_remove(at);
-                    out.push(Out::Say(errand.by, Message::AnsweredFor(errand.theirs, from)));
+                    out.push(Out::Say(errand.by, Message::IndirectAck(errand.theirs, from)));
                 }
             }
-            Message::AskFor(theirs, target)
+            Message::PingRequest(theirs, target)
                 if self.peers.contains_key(target) && self.errands.len() < ERRANDS =>
             {
                 self.numbers += 1;
@@ -251,36 +257,41 @@
                 self.errands.push(Errand { number, target, by: from, theirs, until });
                 out.push(Out::Say(target, Message::Ping(number)));
             }
-            Message::AnsweredFor(number, target)
+            Message::IndirectAck(number, target)
                 if self.probe.as_ref().is_some_and(|p| p.number == *number && p.target == *target) =>
             {
                 self.probe = None;
                 self.slow = self.slow.saturating_sub(1);
             }
-            Message::News(all) => all.iter().for_each(|news| self.learn(now, *news, out)),
+            Message::Gossip(all) => all.iter().for_each(|news| self.learn(now, *news, out)),
             _ => {}
         }
     }
 
     /// Takes a piece of news; it goes on if it is news.
-    pub fn learn(&mut self, now: Time, news: News, out: &mut Vec<Out>) {
+    pub fn learn(&mut self, now: Time, news: MembershipUpdate, out: &mut Vec<Out>) {
         if news.of == self.me {
-            if news.life == self.life && news.word != Word::Alive && !self.leaving {
+            if news.life == self.life && news.word != PeerState::Alive && !self.leaving {
                 if news.turn >= self.turn {
                     self.turn = news.turn + 1;
                     self.slow = (self.slow + 1).min(SLOW_MOST);
                 }
                 // One who has not heard of a turn that was contradicted by hears of it now.
-                let mine =
-                    News { of: self.me, life: self.life, turn: self.turn, word: Word::Alive, by: self.me };
+                let mine = MembershipUpdate {
+                    of: self.me,
+                    life: self.life,
+                    turn: self.turn,
+                    word: PeerState::Alive,
+                    by: self.me,
+                };
                 self.tell(mine);
-                out.push(Out::Say(news.by, Message::News(vec![mine])));
+                out.push(Out::Say(news.by, Message::Gossip(vec![mine])));
             }
             return;
         }
         let Some(known) = self.peers.get_mut(&news.of) else { return };
         let (old, new) = ((known.life, known.turn, known.word), (news.life, news.turn, Some(news.word)));
-        if news.word == Word::Suspect && old == new {
+        if news.word == PeerState::Suspect && old == new {
             // A witness more.
             if known.suspected_by.len() <= OTHERS && known.suspected_by.insert(news.by) {
                 self.tell(news);
@@ -294,27 +305,29 @@
         let changed = known.word != Some(news.word) || restarted;
         (known.life, known.turn, known.word, known.by) = (news.life, news.turn, Some(news.word), news.by);
         known.since = now;
-        known.suspected_by = if news.word == Word::Suspect { [news.by].into() } else { BTreeSet::new() };
+        known.suspected_by = if news.word == PeerState::Suspect { [news.by].into() } else { BTreeSet::new() };
         self.tell(news);
         if changed {
             out.push(Out::Changed { of: news.of, word: news.word, restarted, by: news.by });
         }
     }
 
-    fn tell(&mut self, news: News) {
-        let suspects = |n: &News| n.word == Word::Suspect && n.by != news.by && news.word == Word::Suspect;
+    fn tell(&mut self, news: MembershipUpdate) {
+        let suspects = |n: &MembershipUpdate| {
+            n.word == PeerState::Suspect && n.by != news.by && news.word == PeerState::Suspect
+        };
         self.news.retain(|(n, _)| n.of != news.of || suspects(n));
         self.news.push((news, 0));
     }
 
     /// News that goes with the next packet, the least told first.
-    pub fn news(&mut self) -> Vec<News> {
+    pub fn news(&mut self) -> Vec<MembershipUpdate> {
         if self.news.is_empty() {
             return Vec::new();
         }
         let most = (SPREAD * ((self.peers.len() + 2) as f64).log10()).ceil() as u32 + SPREAD_LEAST;
         self.news.sort_by_key(|(_, told)| *told);
-        let some: Vec<News> = self.news.iter().take(NEWS_AT_ONCE).map(|(n, _)| *n).collect();
+        let some: Vec<MembershipUpdate> = self.news.iter().take(NEWS_AT_ONCE).map(|(n, _)| *n).collect();
         self.news.iter_mut().take(NEWS_AT_ONCE).for_each(|(_, told)| *told += 1);
         self.news.retain(|(_, told)| *told < most);
         some
@@ -323,12 +336,18 @@
     /// This router goes: those that it says so to tell the others.
     pub fn leave(&mut self, out: &mut Vec<Out>) {
         self.leaving = true;
-        let news = News { of: self.me, life: self.life, turn: self.turn, word: Word::Left, by: self.me };
+        let news = MembershipUpdate {
+            of: self.me,
+            life: self.life,
+            turn: self.turn,
+            word: PeerState::Left,
+            by: self.me,
+        };
         let up: Vec<NodeId> = self.living().collect();
         // All at once would be a burst in a large fleet; news spreads by itself.
         for _ in 0..(2 * OTHERS).min(up.len()) {
             let to = up[(self.dice() * up.len() as f64) as usize % up.len()];
-            out.push(Out::Say(to, Message::News(vec![news])));
+            out.push(Out::Say(to, Message::Gossip(vec![news])));
         }
     }
 
@@ -355,7 +374,7 @@
             self.probe = None;
             self.slow = (self.slow + 1).min(SLOW_MOST);
             let away = now.since(self.next);
-            for known in self.peers.values_mut().filter(|k| k.word == Some(Word::Suspect)) {
+            for known in self.peers.values_mut().filter(|k| k.word == Some(PeerState::Suspect)) {
                 known.since = known.since.plus(away);
             }
             self.next = now.plus(PERIOD);
@@ -367,7 +386,7 @@
             let mut others: Vec<NodeId> = self.living().filter(|t| *t != self.me && *t != target).collect();
             for _ in 0..OTHERS.min(others.len()) {
                 let at = (self.dice() * others.len() as f64) as usize % others.len();
-                out.push(Out::Say(others.swap_remove(at), Message::AskFor(number, target)));
+                out.push(Out::Say(others.swap_remove(at), Message::PingRequest(number, target)));
             }
         }
         if now < self.next {
@@ -387,25 +406,35 @@
 
     fn suspect(&mut self, now: Time, target: NodeId, out: &mut Vec<Out>) {
         let Some(known) = self.peers.get(&target) else { return };
-        if matches!(known.word, Some(Word::Alive | Word::Suspect)) {
+        if matches!(known.word, Some(PeerState::Alive | PeerState::Suspect)) {
             let (life, turn) = (known.life, known.turn);
-            self.learn(now, News { of: target, life, turn, word: Word::Suspect, by: self.me }, out);
+            self.learn(
+                now,
+                MembershipUpdate { of: target, life, turn, word: PeerState::Suspect, by: self.me },
+                out,
+            );
         }
     }
 
     /// Suspicions whose time is over become verdicts.
     fn condemn(&mut self, now: Time, out: &mut Vec<Out>) {
-        let suspects = self.peers.iter().filter(|(_, k)| k.word == Some(Word::Suspect));
+        let suspects = self.peers.iter().filter(|(_, k)| k.word == Some(PeerState::Suspect));
         let over = suspects.filter(|(_, k)| now.since(k.since) >= self.suspicion(k.suspected_by.len()));
-        let dead: Vec<News> = over
-            .map(|(of, k)| News { of: *of, life: k.life, turn: k.turn, word: Word::Dead, by: self.me })
+        let dead: Vec<MembershipUpdate> = over
+            .map(|(of, k)| MembershipUpdate {
+                of: *of,
+                life: k.life,
+                turn: k.turn,
+                word: PeerState::Dead,
+                by: self.me,
+            })
             .collect();
         dead.into_iter().for_each(|news| self.learn(now, news, out));
     }
 
     fn ask_next(&mut self, now: Time, out: &mut Vec<Out>) {
         self.periods += 1;
-        let up = |k: &Known| matches!(k.word, Some(Word::Alive | Word::Suspect));
+        let up = |k: &Known| matches!(k.word, Some(PeerState::Alive | PeerState::Suspect));
         let down: Vec<NodeId> = self.peers.iter().filter(|p| !up(p.1)).map(|p| *p.0).collect();
         if !down.is_empty() && (self.periods % DEAD_EVERY == 0 || down.len() == self.peers.len()) {
             // Not the living's turn: an answer makes it alive, silence changes nothing.
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -2,9 +2,9 @@
 //! that run at other rates, datagrams that are lost, late or come twice, and crashes. The cores are the
 //! real ones.
 
-use basalthill_fleet::lease::{Asks, Claim, Life, Voter};
+use basalthill_fleet::lease::{LeaseClaim, NodeIncarnation, VoteRequest, Voter};
 use basalthill_fleet::ledger::Ledger;
-use basalthill_fleet::loan::{Borrowed, Heard, Lent, Question};
+use basalthill_fleet::loan::{Borrowing, Lending, LoanRequest, Receipt};
 use basalthill_fleet::{NodeId, Timing};
 use basalthill_policy::api::Time;
 use stateright::{Checker, Model, Property};
@@ -33,12 +33,12 @@
     steps: u32,
     lender_now: Time,
     ledger: Ledger,
-    lent: Lent,
+    lent: Lending,
     knows: u8,
     now: Time,
     life: u8,
     there: Ledger,
-    borrowed: Borrowed,
+    borrowed: Borrowing,
     asked: u32,
     net: Vec<Word>,
 }
@@ -64,7 +64,7 @@
 
 impl Loans {
     fn used(&self) -> u64 {
-        let own = self.ledger.least(self.lender_now, self.lender_now.plus(Time(1))).max(0) as u64;
+        let own = self.ledger.minimum(self.lender_now, self.lender_now.plus(Time(1))).max(0) as u64;
         own + self.borrowed.units(self.now)
     }
 }
@@ -75,18 +75,18 @@
 
     fn init_states(&self) -> Vec<Loans> {
         let mut ledger = Ledger::default();
-        ledger.add(self.units, Time::ms(1_000_000));
+        ledger.credit(self.units, Time::ms(1_000_000));
         let start = Time::ms(100);
         vec![Loans {
             steps: 0,
             lender_now: start,
             ledger,
-            lent: Lent::default(),
+            lent: Lending::default(),
             knows: 0,
             now: start,
             life: 0,
             there: Ledger::default(),
-            borrowed: Borrowed::default(),
+            borrowed: Borrowing::default(),
             asked: 0,
             net: Vec::new(),
         }]
@@ -120,15 +120,15 @@
             LoanStep::Time(rates) => {
                 state.steps += 1;
                 state.lender_now = state.lender_now.plus(Time(STEPS[rates[0]]));
-                state.lent.lapse(state.lender_now, &mut state.ledger);
-                state.ledger.forget(state.lender_now);
+                state.lent.expire(state.lender_now, &mut state.ledger);
+                state.ledger.discard_before(state.lender_now);
                 state.now = state.now.plus(Time(STEPS[rates[1]]));
-                state.borrowed.lapse(state.now, &mut state.there);
-                state.there.forget(state.now);
+                state.borrowed.expire(state.now, &mut state.there);
+                state.there.discard_before(state.now);
             }
             LoanStep::Ask(keep) => {
                 state.asked += 1;
-                let question = state.borrowed.ask(state.now, keep, &mut state.there);
+                let question = state.borrowed.request(state.now, keep, &mut state.there);
                 state.net.push(Word::Ask(state.life, question.number, question.keep));
             }
             LoanStep::Arrives(n, units, again) => {
@@ -141,27 +141,28 @@
                     Word::Ask(life, number, keep) => {
                         if life > state.knows {
                             // As an account does when its peer has started again.
-                            (state.knows, state.lent) = (life, Lent::default());
+                            (state.knows, state.lent) = (life, Lending::default());
                         }
                         let now = state.lender_now;
-                        match state.lent.asked(now, Question { number, keep }, &mut state.ledger) {
-                            Heard::New => {
+                        match state.lent.receive_request(now, LoanRequest { number, keep }, &mut state.ledger)
+                        {
+                            Receipt::New => {
                                 let span = if self.hasty { SPAN } else { times().lender_span(SPAN) };
                                 let until = now.plus(span);
-                                if units > state.lent.room(now, until, &state.ledger) {
+                                if units > state.lent.available(now, until, &state.ledger) {
                                     return None;
                                 }
-                                state.lent.answer(units, until, &mut state.ledger);
+                                state.lent.grant(units, until, &mut state.ledger);
                                 state.net.push(Word::Answer(life, number, units));
                             }
-                            Heard::Again(answer) if units == 0 => {
+                            Receipt::Duplicate(answer) if units == 0 => {
                                 state.net.push(Word::Answer(life, number, answer));
                             }
                             _ => return None,
                         }
                     }
                     Word::Answer(life, number, units) if life == state.life => {
-                        state.borrowed.answered(number, units, SPAN, &mut state.there);
+                        state.borrowed.receive_grant(number, units, SPAN, &mut state.there);
                     }
                     Word::Answer(..) => {}
                 }
@@ -169,7 +170,7 @@
             LoanStep::Lost(n) => drop(state.net.remove(n)),
             LoanStep::Crash => {
                 state.life += 1;
-                (state.borrowed, state.there) = (Borrowed::default(), Ledger::default());
+                (state.borrowed, state.there) = (Borrowing::default(), Ledger::default());
             }
         }
         state.net.sort();
@@ -225,7 +226,7 @@
     steps: u32,
     now: [Time; 3],
     voters: [Voter; 3],
-    claims: [Claim; 2],
+    claims: [LeaseClaim; 2],
     asked: [u32; 2],
     crashes: u32,
     net: Vec<(usize, Vote)>,
@@ -263,12 +264,12 @@
 
 const SLOT: NodeId = NodeId(1);
 
-fn holder(n: usize) -> Life {
-    Life { router: NodeId(n as u64 + 1), life: 1 }
+fn holder(n: usize) -> NodeIncarnation {
+    NodeIncarnation { router: NodeId(n as u64 + 1), life: 1 }
 }
 
-fn asks(n: usize, number: u32) -> Asks {
-    Asks { life: holder(n), number, span: SPAN }
+fn request(n: usize, number: u32) -> VoteRequest {
+    VoteRequest { life: holder(n), number, span: SPAN }
 }
 
 impl ShareModel {
@@ -288,7 +289,7 @@
         let start = Time::ms(1000);
         // They have been there for long.
         let voters = [(); 3].map(|()| Voter::default());
-        let claims = [(); 2].map(|()| Claim::new((1..=3).map(NodeId).collect()));
+        let claims = [(); 2].map(|()| LeaseClaim::new((1..=3).map(NodeId).collect()));
         vec![Share { steps: 0, now: [start; 3], voters, claims, asked: [0; 2], crashes: 0, net: Vec::new() }]
     }
 
@@ -302,7 +303,7 @@
             }
         }
         for n in (0..2).filter(|_| self.releases) {
-            let held = state.claims[n].until() > state.now[n];
+            let held = state.claims[n].expires_at() > state.now[n];
             if held && state.net.len() + 2 <= self.net {
                 actions.push(ShareStep::Release(n));
             }
@@ -328,15 +329,15 @@
                 state.steps += 1;
                 for (n, rate) in rates.into_iter().enumerate() {
                     state.now[n] = state.now[n].plus(Time(STEPS[rate]));
-                    state.voters[n].lapse(state.now[n]);
+                    state.voters[n].expire(state.now[n]);
                 }
             }
             ShareStep::Claim(n) => {
                 state.asked[n] += 1;
                 let number = state.asked[n];
-                state.claims[n].ask(state.now[n], number, SPAN);
-                if state.voters[n].asked(state.now[n], &times, SLOT, asks(n, number)).is_ok() {
-                    state.claims[n].given(NodeId(n as u64 + 1), number);
+                state.claims[n].begin_round(state.now[n], number, SPAN);
+                if state.voters[n].request_vote(state.now[n], &times, SLOT, request(n, number)).is_ok() {
+                    state.claims[n].record_vote(NodeId(n as u64 + 1), number);
                 }
                 for to in (0..3).filter(|to| *to != n) {
                     state.net.push((to, Vote::Claim(n, number)));
@@ -344,8 +345,8 @@
             }
             ShareStep::Release(n) => {
                 let number = state.claims[n].number();
-                state.claims[n] = Claim::new((1..=3).map(NodeId).collect());
-                state.voters[n].released(SLOT, holder(n), number);
+                state.claims[n] = LeaseClaim::new((1..=3).map(NodeId).collect());
+                state.voters[n].release(SLOT, holder(n), number);
                 let number = if self.mistake == Mistake::Late { u32::MAX } else { number };
                 for to in (0..3).filter(|to| *to != n) {
                     state.net.push((to, Vote::Release(n, number)));
@@ -358,12 +359,15 @@
                 }
                 match word {
                     Vote::Claim(n, number) => {
-                        if state.voters[to].asked(state.now[to], &times, SLOT, asks(n, number)).is_ok() {
+                        if state.voters[to]
+                            .request_vote(state.now[to], &times, SLOT, request(n, number))
+                            .is_ok()
+                        {
                             state.net.push((n, Vote::Given(n, to, number)));
                         }
                     }
-                    Vote::Release(n, number) => state.voters[to].released(SLOT, holder(n), number),
-                    Vote::Given(n, by, number) => state.claims[n].given(NodeId(by as u64 + 1), number),
+                    Vote::Release(n, number) => state.voters[to].release(SLOT, holder(n), number),
+                    Vote::Given(n, by, number) => state.claims[n].record_vote(NodeId(by as u64 + 1), number),
                 }
             }
             ShareStep::Lost(at) => drop(state.net.remove(at)),
@@ -378,7 +382,7 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         fn held(s: &Share, n: usize) -> bool {
-            s.claims[n].until() > s.now[n]
+            s.claims[n].expires_at() > s.now[n]
         }
         vec![
             Property::always("one holder at a time", |_: &ShareModel, s: &Share| !(held(s, 0) && held(s, 1))),
