--- /dev/null
+++ b/crates/fleet/src/fleet/accounts.rs
@@ -0,0 +1,200 @@
+//! The quota accounts of a router: which there are, which leases they count, and who coordinates each limit.
+
+use super::config::FleetConfig;
+use super::outbox::Outbox;
+use crate::account::QuotaAccount;
+use crate::hash::rendezvous_winner;
+use crate::limit::{LimitKey, Subject};
+use crate::packet::Message;
+use crate::roster::NodeId;
+use crate::swim::Swim;
+use basalthill_policy::api::Time;
+use std::collections::BTreeMap;
+
+/// The most accounts of members that peers report on but this router does not know.
+const MAX_UNKNOWN_MEMBER_ACCOUNTS: usize = 4096;
+
+/// The coordinator of a limit while the membership is the same.
+#[derive(Clone, Copy, Debug)]
+struct ElectedCoordinator {
+    membership_version: u64,
+    node: NodeId,
+}
+
+/// The quota accounts of a router.
+#[derive(Debug)]
+pub struct AccountTable {
+    me: NodeId,
+    started_at: Time,
+    accounts: BTreeMap<LimitKey, QuotaAccount>,
+    /// Accounts that were opened by a change of the settings count no leases before these times.
+    leases_from: BTreeMap<LimitKey, Time>,
+    members: Vec<String>,
+    coordinators: BTreeMap<LimitKey, ElectedCoordinator>,
+}
+
+impl AccountTable {
+    /// No accounts, at a router that starts at `now`.
+    pub fn new(now: Time, me: NodeId) -> AccountTable {
+        AccountTable {
+            me,
+            started_at: now,
+            accounts: BTreeMap::new(),
+            leases_from: BTreeMap::new(),
+            members: Vec::new(),
+            coordinators: BTreeMap::new(),
+        }
+    }
+
+    /// The accounts by key.
+    pub fn iter(&self) -> impl Iterator<Item = (&LimitKey, &QuotaAccount)> {
+        self.accounts.iter()
+    }
+
+    /// All accounts.
+    pub fn all_mut(&mut self) -> impl Iterator<Item = &mut QuotaAccount> {
+        self.accounts.values_mut()
+    }
+
+    /// The account of a key.
+    pub fn get(&self, key: LimitKey) -> Option<&QuotaAccount> {
+        self.accounts.get(&key)
+    }
+
+    /// The account of a key, to be changed without regard to the time.
+    pub fn get_mut(&mut self, key: LimitKey) -> Option<&mut QuotaAccount> {
+        self.accounts.get_mut(&key)
+    }
+
+    /// The account of a key, settled.
+    pub fn settled(&mut self, now: Time, key: LimitKey) -> Option<&mut QuotaAccount> {
+        let account = self.accounts.get_mut(&key)?;
+        account.settle(now);
+        Some(account)
+    }
+
+    /// The account of a key, settled. One of a member that this router does not know is opened if there is
+    /// such a limit.
+    pub fn settled_or_open(
+        &mut self,
+        now: Time,
+        config: &FleetConfig,
+        key: LimitKey,
+    ) -> Option<&mut QuotaAccount> {
+        if !self.accounts.contains_key(&key) {
+            let limit = config.limit_of(key)?;
+            let is_at_member = limit.subject == Subject::EachMember && key.member != 0;
+            let is_full = self.accounts.len() >= MAX_UNKNOWN_MEMBER_ACCOUNTS + self.members.len();
+            if !is_at_member || is_full {
+                return None;
+            }
+            let slots_free_at = self.started_at.plus(config.max_use);
+            let account = config.account_config(now, limit, key, self.me, self.started_at, slots_free_at);
+            self.accounts.insert(key, QuotaAccount::new(now, account));
+        }
+        self.settled(now, key)
+    }
+
+    /// The names of the members that limits are counted at.
+    pub fn members(&self) -> &[String] {
+        &self.members
+    }
+
+    /// Takes another list of members. Returns whether it differs from the one before.
+    pub fn set_members(&mut self, members: Vec<String>) -> bool {
+        let differs = members != self.members;
+        self.members = members;
+        differs
+    }
+
+    /// Opens the accounts of all limits and members that have none.
+    pub fn open_missing(&mut self, now: Time, config: &FleetConfig) {
+        for limit in &config.limits {
+            for key in FleetConfig::keys_of(limit, &self.members) {
+                if self.accounts.contains_key(&key) {
+                    continue;
+                }
+                // At a start, and after a change, slots that were occupied before may still be.
+                let may_be_in_use = self.started_at == now || self.leases_from.contains_key(&key);
+                let slots_free_at = if may_be_in_use { now.plus(config.max_use) } else { now };
+                let account = config.account_config(now, limit, key, self.me, self.started_at, slots_free_at);
+                self.accounts.insert(key, QuotaAccount::new(now, account));
+            }
+        }
+    }
+
+    /// Closes the accounts of members that are gone once nothing relies on them.
+    pub fn close_unlisted(&mut self, now: Time, config: &FleetConfig) {
+        let by_member = config.limits.iter().filter(|limit| limit.subject == Subject::EachMember);
+        let listed: Vec<LimitKey> =
+            by_member.flat_map(|limit| FleetConfig::keys_of(limit, &self.members)).collect();
+        self.accounts.retain(|key, account| key.member == 0 || listed.contains(key) || !account.is_idle(now));
+    }
+
+    /// Closes the accounts that a change of the settings affects. They may be opened anew, but count no
+    /// leases before `leases_from`: until then, units under the old settings may be lent out.
+    pub fn close_changed(&mut self, old: &FleetConfig, new: &FleetConfig, leases_from: Time) {
+        let same_roster = old.roster.digest() == new.roster.digest();
+        let same_timing = old.timing == new.timing;
+        let is_unchanged = |key: &LimitKey| {
+            let limit = new.limit_of(*key);
+            limit.is_some() && limit == old.limit_of(*key) && same_roster && same_timing
+        };
+        let changed: Vec<LimitKey> = self.accounts.keys().filter(|key| !is_unchanged(key)).copied().collect();
+        for key in changed {
+            self.accounts.remove(&key);
+            self.leases_from.insert(key, leases_from);
+        }
+    }
+
+    /// From when on an account counts leases, if that is still to come.
+    pub fn leases_from(&self, key: LimitKey) -> Option<Time> {
+        self.leases_from.get(&key).copied()
+    }
+
+    /// Has every account count the quotas that this router has leases on: of these nodes, until these times.
+    pub fn apply_leases(
+        &mut self,
+        now: Time,
+        config: &FleetConfig,
+        leases: impl Iterator<Item = (NodeId, Time)>,
+    ) {
+        self.leases_from.retain(|_, from| now < *from);
+        for (owner, expires_at) in leases {
+            for (key, account) in &mut self.accounts {
+                if self.leases_from.contains_key(key) {
+                    continue;
+                }
+                let Some(limit) = config.limit_of(*key) else { continue };
+                account.settle(now);
+                let known_units = account.leased_units(owner);
+                let units =
+                    known_units.unwrap_or_else(|| limit.quota_split(&config.roster, *key, owner).leased);
+                account.add_lease(owner, units, expires_at);
+            }
+        }
+    }
+
+    /// Runs a round of every account: reports go to the coordinators, and loans that are not needed go back.
+    pub fn run_round(&mut self, now: Time, swim: &Swim, membership_version: u64, outbox: &mut Outbox) {
+        let me = self.me;
+        self.coordinators.retain(|key, _| self.accounts.contains_key(key));
+        for (key, account) in &mut self.accounts {
+            account.settle(now);
+            let elected = self.coordinators.get(key).filter(|c| c.membership_version == membership_version);
+            let coordinator = elected
+                .map(|elected| elected.node)
+                .unwrap_or_else(|| rendezvous_winner(swim.alive(), key.rendezvous_key()).unwrap_or(me));
+            self.coordinators.insert(*key, ElectedCoordinator { membership_version, node: coordinator });
+            if let Some(report) = account.run_round(now, me, coordinator) {
+                outbox.push(coordinator, Message::QuotaReport(report));
+            }
+            if coordinator != me {
+                for returned in account.return_surplus(now, coordinator) {
+                    let message = Message::LoanReturned { key: *key, request: returned.request };
+                    outbox.push(returned.lender, message);
+                }
+            }
+        }
+    }
+}
--- a/crates/fleet/src/ledger/tests.rs
+++ b/crates/fleet/src/ledger/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_is_there_at_each_time() {
+fn minimum_over_a_span_follows_credits_and_debits() {
     let mut ledger = Ledger::default();
     ledger.credit(10, Time::ms(100));
     ledger.credit(5, Time::ms(300));
@@ -11,7 +11,7 @@
     assert_eq!(ledger.minimum(Time(0), Time::ms(110)), 1);
     assert_eq!(ledger.minimum(Time::ms(210), Time::ms(290)), 5);
     assert_eq!(ledger.minimum(Time(0), Time::ms(400)), 0);
-    ledger.discard_before(Time::ms(150));
+    ledger.discard_expired(Time::ms(150));
     assert_eq!(ledger.minimum(Time::ms(150), Time::ms(151)), 1);
     ledger.cancel_debit(4, Time::ms(200));
     ledger.cancel_credit(5, Time::ms(300));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn ticks_are_rounded_against_the_holder() {
+fn credits_end_a_tick_early_and_debits_a_tick_late() {
     let mut ledger = Ledger::default();
     ledger.credit(1, Time(25_000_000));
     assert_eq!(ledger.minimum(Time(20_000_000), Time(20_000_001)), 0);
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,27 +1,39 @@
-//! Routers that talk to each other: who is there, and limits that hold over all of them while links fail.
-//! No clock and no I/O: datagrams come in with their time, datagrams go out.
+//! Routers that exchange messages with each other: which of them are alive, and limits that hold over all of
+//! them while links fail. No clock and no I/O: datagrams come in with their time, datagrams go out.
 //!
-//! [`Fleet`] belongs to one router and puts the parts together. [`names`] is the list of routers that the
-//! settings give, [`seal`] and [`packet`] are what goes over the wire, [`swim`] says who is alive. Rights
-//! to a limit: [`lease`] says whose the share of each name is, [`loan`] passes rights on between two
-//! routers, [`ledger`] knows how many are there until when, [`account`] puts them together for one limit,
-//! and [`meter`] spends them. `docs/design/fleet.md` argues why they never add up to more than the limit.
+//! [`Fleet`] is one router's part and puts the modules together:
+//!
+//! - [`roster`] is the list of routers from the settings, [`limit`] what is limited, [`timing`] how long
+//!   leases and loans are valid.
+//! - [`packet`] and [`codec`] are the wire format, [`replay`] its replay protection, [`status`] the exchange
+//!   with operators, [`hash`] what all routers must compute alike.
+//! - [`swim`] says who is alive.
+//! - [`lease`] says which router may use the quotas of each node, [`loan`] passes units on between two
+//!   routers, [`ledger`] knows how many units there are until when. [`account`] puts them together for one
+//!   limit; [`token_bucket`] and [`slots`] spend them.
+//!
+//! `docs/design/fleet.md` argues why the units in use never add up to more than a limit.
+
 pub mod account;
+pub mod codec;
 pub mod fleet;
+pub mod hash;
 pub mod lease;
 pub mod ledger;
 pub mod limit;
 pub mod loan;
-pub mod meter;
-pub mod names;
 pub mod packet;
-pub mod seal;
+pub mod replay;
+pub mod roster;
+pub mod slots;
 pub mod status;
 pub mod swim;
-pub mod times;
+pub mod timing;
+pub mod token_bucket;
 
-pub use fleet::{Availability, Effect, Fleet, FleetConfig};
+pub use account::Availability;
+pub use codec::{DatagramCodec, DropReason};
+pub use fleet::{Effect, Fleet, FleetConfig};
 pub use limit::{Bounds, Budget, Limit, LimitKey, Subject};
-pub use names::{NodeId, Peer, Roster, RosterError};
-pub use seal::{DatagramCodec, DropReason};
-pub use times::Timing;
+pub use roster::{NodeId, Peer, Roster, RosterError};
+pub use timing::Timing;
--- a/crates/fleet/src/loan.rs
+++ b/crates/fleet/src/loan.rs
@@ -1,211 +1,250 @@
-//! Rights passed on between two routers, over links that lose, delay, repeat and reorder.
+//! Loans of units between two routers, over links that lose, delay, duplicate and reorder datagrams.
 //!
-//! The borrower asks, by rising numbers, and says how much it keeps of what it has; it has cut down to
-//! that before the question goes out. The lender answers the newest question. The borrower counts its
-//! span from when it asked, the lender from when it answered, which is later; the lender's span is longer
-//! by what their clocks may differ. Both write down the same: from a question on, no more than what is
-//! kept; from an answer on, what was answered until its end, and what was kept beyond that until its own.
-//! The lender does so first, whether or not its answer arrives, and each of its ends comes later. So at
-//! any time the borrower uses no more than the lender has written off.
+//! The borrower sends requests with rising numbers. Each says how many units of the loan so far it retains;
+//! it has cut down to them before the request is sent. The lender answers the latest request. The borrower
+//! measures the loan's span from when it sent the request, the lender from when it answered, which is later;
+//! the lender's span is longer by what their clocks may differ. Both record the same schedule: from a request
+//! on, no more than what is retained; from a grant on, what was granted until its end, and what was retained
+//! beyond that until its own end. The lender does so first, whether or not its answer arrives, and each of
+//! its ends comes later. So at any time the borrower uses no more units than the lender has written off.
 //!
-//! An answer to any but the newest question is passed over by the borrower, a question that is not newer
-//! than the last by the lender. A borrower that restarts has forgotten its loans; they lapse. One that
-//! was frozen finds them lapsed by its own clock.
+//! The borrower ignores an answer to any but its latest request; the lender ignores a request that is not
+//! newer than the last one. A borrower that restarts has forgotten its loans, and they expire. One that was
+//! suspended finds them expired by its own clock.
 
 use crate::ledger::Ledger;
 use basalthill_policy::api::Time;
+use serde::{Deserialize, Serialize};
 
-/// Units that go down as time passes: up to each end, so many.
+/// Units that are there until a time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct Step {
+    ends_at: Time,
+    units: u64,
+}
+
+/// A number of units that falls in steps as time passes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct StepSchedule {
     /// The ends rise, the units fall.
-    steps: Vec<(Time, u64)>,
+    steps: Vec<Step>,
 }
 
 impl StepSchedule {
-    /// Units at a time.
-    fn units(&self, at: Time) -> u64 {
-        self.steps.iter().find(|s| s.0 > at).map_or(0, |s| s.1)
+    /// The units at a time.
+    fn units_at(&self, at: Time) -> u64 {
+        self.steps.iter().find(|step| step.ends_at > at).map_or(0, |step| step.units)
     }
 
-    /// No more than so many from now on.
-    fn cap(&mut self, most: u64) {
-        self.steps.iter_mut().for_each(|s| s.1 = s.1.min(most));
+    /// Cuts all steps down to `max_units`.
+    fn cap(&mut self, max_units: u64) {
+        for step in &mut self.steps {
+            step.units = step.units.min(max_units);
+        }
         self.normalize();
     }
 
-    /// At least so many until a time.
+    /// Raises the units to at least `units` until a time.
     fn raise(&mut self, units: u64, until: Time) {
-        self.steps.iter_mut().filter(|s| s.0 <= until).for_each(|s| s.1 = s.1.max(units));
-        let at = self.steps.partition_point(|s| s.0 <= until);
-        if self.steps.get(at).is_none_or(|s| s.1 < units) {
-            self.steps.insert(at, (until, units));
+        let later = self.steps.partition_point(|step| step.ends_at <= until);
+        for step in &mut self.steps[..later] {
+            step.units = step.units.max(units);
+        }
+        if self.steps.get(later).is_none_or(|step| step.units < units) {
+            self.steps.insert(later, Step { ends_at: until, units });
         }
         self.normalize();
     }
 
-    /// Steps that go no further down than the next say nothing; nor do those at nothing.
+    /// Removes steps that are no higher than the next one, or at zero.
     fn normalize(&mut self) {
-        let mut next = 0;
+        let mut next_units = 0;
         self.steps.reverse();
-        self.steps.retain(|s| {
-            let says = s.1 > next;
-            next = next.max(s.1);
-            says
+        self.steps.retain(|step| {
+            let is_higher = step.units > next_units;
+            next_units = next_units.max(step.units);
+            is_higher
         });
         self.steps.reverse();
     }
 
+    /// Removes steps that have ended.
     fn expire(&mut self, now: Time) {
-        self.steps.retain(|s| s.0 > now);
+        self.steps.retain(|step| step.ends_at > now);
     }
 
-    /// How many units go at each end.
-    fn segments(&self) -> impl Iterator<Item = (u64, Time)> + '_ {
-        let next = self.steps.iter().skip(1).map(|s| s.1).chain([0]);
-        self.steps.iter().zip(next).map(|(s, next)| (s.1 - next, s.0))
+    /// Whether a step has ended.
+    fn has_expired(&self, now: Time) -> bool {
+        self.steps.first().is_some_and(|step| step.ends_at <= now)
     }
+
+    /// The units that end at each step's end.
+    fn drops(&self) -> impl Iterator<Item = Step> + '_ {
+        let next_units = self.steps.iter().skip(1).map(|step| step.units).chain([0]);
+        self.steps.iter().zip(next_units).map(|(step, next)| Step { units: step.units - next, ..*step })
+    }
+}
+
+/// A borrower's request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct LoanRequest {
+    /// Rises with each request.
+    pub number: u32,
+    /// Units of the loan so far that the borrower retains. It uses no more from now on, until an answer
+    /// arrives.
+    pub retained: u64,
 }
 
 /// What a router has borrowed from one other.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Borrowing {
+    /// The number of the latest request.
     number: u32,
-    asked: Option<Time>,
-    answer: u64,
-    there: StepSchedule,
-}
-
-/// A question: the number, and how many units of the earlier loan are kept.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct LoanRequest {
-    /// Rises with each question.
-    pub number: u32,
-    /// No more than these are used from now on, until an answer comes.
-    pub keep: u64,
+    /// When it was sent, until it is answered.
+    requested_at: Option<Time>,
+    last_granted: u64,
+    schedule: StepSchedule,
 }
 
 impl Borrowing {
-    /// A line whose questions count from a number on.
-    pub fn counting_from(number: u32) -> Borrowing {
+    /// A borrowing whose requests are numbered from `number` on.
+    pub fn numbered_from(number: u32) -> Borrowing {
         Borrowing { number, ..Borrowing::default() }
     }
 
-    /// Asks anew and keeps no more than `keep` of what is there. What is given up leaves the ledger.
-    pub fn request(&mut self, now: Time, keep: u64, ledger: &mut Ledger) -> LoanRequest {
-        self.change(ledger, |there| {
-            there.expire(now);
-            there.cap(keep);
+    /// Requests a new grant and retains no more than `max_retained` units of the loan so far. What is given
+    /// up leaves the ledger.
+    pub fn request(&mut self, now: Time, max_retained: u64, ledger: &mut Ledger) -> LoanRequest {
+        self.change(ledger, |schedule| {
+            schedule.expire(now);
+            schedule.cap(max_retained);
         });
         self.number += 1;
-        self.asked = Some(now);
-        LoanRequest { number: self.number, keep: self.there.units(now) }
+        self.requested_at = Some(now);
+        LoanRequest { number: self.number, retained: self.schedule.units_at(now) }
     }
 
-    /// An answer has come: these units, for a span from when the question went out.
+    /// Takes an answer: `units` for `span`, measured from when the request was sent. Ignored if it does not
+    /// answer the latest request, or answers it again.
     pub fn receive_grant(&mut self, number: u32, units: u64, span: Time, ledger: &mut Ledger) {
         if number != self.number {
             return;
         }
-        if let Some(asked) = self.asked.take() {
-            self.answer = units;
-            self.change(ledger, |there| there.raise(units, asked.plus(span)));
+        if let Some(requested_at) = self.requested_at.take() {
+            self.last_granted = units;
+            self.change(ledger, |schedule| schedule.raise(units, requested_at.plus(span)));
         }
     }
 
-    fn change(&mut self, ledger: &mut Ledger, f: impl FnOnce(&mut StepSchedule)) {
-        self.there.segments().for_each(|(units, until)| ledger.cancel_credit(units, until));
-        f(&mut self.there);
-        self.there.segments().for_each(|(units, until)| ledger.credit(units, until));
+    fn change(&mut self, ledger: &mut Ledger, change: impl FnOnce(&mut StepSchedule)) {
+        for drop in self.schedule.drops() {
+            ledger.cancel_credit(drop.units, drop.ends_at);
+        }
+        change(&mut self.schedule);
+        for drop in self.schedule.drops() {
+            ledger.credit(drop.units, drop.ends_at);
+        }
     }
 
-    /// Forgets what has lapsed.
+    /// Removes what has expired.
     pub fn expire(&mut self, now: Time, ledger: &mut Ledger) {
-        if self.there.steps.first().is_some_and(|s| s.0 <= now) {
-            self.change(ledger, |there| there.expire(now));
+        if self.schedule.has_expired(now) {
+            self.change(ledger, |schedule| schedule.expire(now));
         }
     }
 
-    /// Units of the newest answer.
+    /// The units of the latest grant.
     pub fn last_granted(&self) -> u64 {
-        self.answer
+        self.last_granted
     }
 
-    /// Units that are there at a time.
-    pub fn units(&self, at: Time) -> u64 {
-        self.there.units(at)
+    /// The units that are borrowed at a time.
+    pub fn units_at(&self, at: Time) -> u64 {
+        self.schedule.units_at(at)
     }
 }
 
 /// What a router has lent to one other.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Lending {
+    /// The number of the latest request.
     number: u32,
-    answer: u64,
-    out: StepSchedule,
+    last_granted: u64,
+    schedule: StepSchedule,
 }
 
-/// What is to be made of a question.
+/// What a lender makes of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Receipt {
+pub enum RequestReceipt {
     /// It is new: it is to be answered by [`Lending::grant`].
     New,
-    /// It has been answered, so.
+    /// It has been answered with these units before.
     Duplicate(u64),
-    /// It is old.
+    /// It is older than the latest one.
     Stale,
 }
 
 impl Lending {
-    /// A question has come. If it is new, the borrower has cut down to what it keeps; the rest is back.
-    pub fn receive_request(&mut self, now: Time, question: LoanRequest, ledger: &mut Ledger) -> Receipt {
-        if question.number < self.number {
-            return Receipt::Stale;
+    /// Receives a request. If it is new, the borrower has cut down to what it retains and the rest is back.
+    pub fn receive_request(
+        &mut self,
+        now: Time,
+        request: LoanRequest,
+        ledger: &mut Ledger,
+    ) -> RequestReceipt {
+        if request.number < self.number {
+            return RequestReceipt::Stale;
         }
-        if question.number == self.number {
-            return Receipt::Duplicate(self.answer);
+        if request.number == self.number {
+            return RequestReceipt::Duplicate(self.last_granted);
         }
-        self.number = question.number;
-        self.answer = 0;
-        self.change(ledger, |out| {
-            out.expire(now);
-            out.cap(question.keep);
+        self.number = request.number;
+        self.last_granted = 0;
+        self.change(ledger, |schedule| {
+            schedule.expire(now);
+            schedule.cap(request.retained);
         });
-        Receipt::New
+        RequestReceipt::New
     }
 
-    /// Answers the question with units until a time by this clock: no more than [`Lending::available`] for
-    /// that time.
+    /// Answers the latest request with units until a time by this clock: no more than [`Lending::available`]
+    /// for that time.
     pub fn grant(&mut self, units: u64, until: Time, ledger: &mut Ledger) {
-        self.answer = units;
-        self.change(ledger, |out| out.raise(units, until));
+        self.last_granted = units;
+        self.change(ledger, |schedule| schedule.raise(units, until));
     }
 
-    /// The most that can be answered with until a time: what is there, and what the borrower has kept, which
-    /// counts once.
+    /// The most units that can be granted until a time: what is there, and what the borrower has retained,
+    /// which counts once.
     pub fn available(&self, now: Time, until: Time, ledger: &Ledger) -> u64 {
-        let mut without = ledger.clone();
-        self.out.segments().for_each(|(units, until)| without.cancel_debit(units, until));
-        without.minimum(now, until).max(0) as u64
+        let mut without_loan = ledger.clone();
+        for drop in self.schedule.drops() {
+            without_loan.cancel_debit(drop.units, drop.ends_at);
+        }
+        without_loan.minimum(now, until).max(0) as u64
     }
 
-    fn change(&mut self, ledger: &mut Ledger, f: impl FnOnce(&mut StepSchedule)) {
-        self.out.segments().for_each(|(units, until)| ledger.cancel_debit(units, until));
-        f(&mut self.out);
-        self.out.segments().for_each(|(units, until)| ledger.debit(units, until));
+    fn change(&mut self, ledger: &mut Ledger, change: impl FnOnce(&mut StepSchedule)) {
+        for drop in self.schedule.drops() {
+            ledger.cancel_debit(drop.units, drop.ends_at);
+        }
+        change(&mut self.schedule);
+        for drop in self.schedule.drops() {
+            ledger.debit(drop.units, drop.ends_at);
+        }
     }
 
-    /// Forgets what has lapsed.
+    /// Removes what has expired.
     pub fn expire(&mut self, now: Time, ledger: &mut Ledger) {
-        if self.out.steps.first().is_some_and(|s| s.0 <= now) {
-            // In the ledger it stands at its tick until that forgets it, a moment later.
-            self.change(ledger, |out| out.expire(now));
+        if self.schedule.has_expired(now) {
+            // The ledger rounds the end up to a tick: there it expires a moment later.
+            self.change(ledger, |schedule| schedule.expire(now));
         }
     }
 
-    /// Units that may be in use by the borrower at a time.
-    pub fn units(&self, at: Time) -> u64 {
-        self.out.units(at)
+    /// The units that the borrower may have in use at a time.
+    pub fn units_at(&self, at: Time) -> u64 {
+        self.schedule.units_at(at)
     }
 }
 
--- a/crates/fleet/src/loan/tests.rs
+++ b/crates/fleet/src/loan/tests.rs
@@ -1,39 +1,45 @@
 use super::*;
 
+fn steps(expected: &[(u64, u64)]) -> Vec<Step> {
+    expected.iter().map(|(ends_at, units)| Step { ends_at: Time(*ends_at), units: *units }).collect()
+}
+
 #[test]
-fn stairs_go_down() {
-    let mut stairs = StepSchedule::default();
-    stairs.raise(5, Time(10));
-    stairs.raise(3, Time(20));
-    stairs.raise(4, Time(15));
-    assert_eq!(stairs.steps, [(Time(10), 5), (Time(15), 4), (Time(20), 3)]);
-    assert_eq!(stairs.segments().collect::<Vec<_>>(), [(1, Time(10)), (1, Time(15)), (3, Time(20))]);
-    stairs.cap(4);
-    assert_eq!(stairs.steps, [(Time(15), 4), (Time(20), 3)]);
-    stairs.raise(6, Time(17));
-    assert_eq!(stairs.steps, [(Time(17), 6), (Time(20), 3)]);
-    assert_eq!((stairs.units(Time(16)), stairs.units(Time(17)), stairs.units(Time(20))), (6, 3, 0));
-    stairs.cap(0);
-    assert!(stairs.steps.is_empty());
+fn a_schedule_falls_in_steps_through_raises_and_caps() {
+    let mut schedule = StepSchedule::default();
+    schedule.raise(5, Time(10));
+    schedule.raise(3, Time(20));
+    schedule.raise(4, Time(15));
+    assert_eq!(schedule.steps, steps(&[(10, 5), (15, 4), (20, 3)]));
+    assert_eq!(schedule.drops().collect::<Vec<_>>(), steps(&[(10, 1), (15, 1), (20, 3)]));
+    schedule.cap(4);
+    assert_eq!(schedule.steps, steps(&[(15, 4), (20, 3)]));
+    schedule.raise(6, Time(17));
+    assert_eq!(schedule.steps, steps(&[(17, 6), (20, 3)]));
+    assert_eq!(schedule.units_at(Time(16)), 6);
+    assert_eq!(schedule.units_at(Time(17)), 3);
+    assert_eq!(schedule.units_at(Time(20)), 0);
+    schedule.cap(0);
+    assert!(schedule.steps.is_empty());
 }
 
 #[test]
-fn an_answer_that_comes_after_its_lapse_or_twice_gives_nothing_more() {
+fn a_duplicate_superseded_or_expired_grant_adds_nothing() {
     let mut ledger = Ledger::default();
     let mut borrowed = Borrowing::default();
-    let question = borrowed.request(Time::ms(100), 0, &mut ledger);
-    borrowed.receive_grant(question.number, 7, Time::ms(500), &mut ledger);
-    assert_eq!((borrowed.units(Time::ms(599)), borrowed.units(Time::ms(600))), (7, 0));
-    // Again, and larger: the question has had its answer.
-    borrowed.receive_grant(question.number, 9, Time::ms(500), &mut ledger);
-    assert_eq!(borrowed.units(Time::ms(599)), 7);
-    // An answer to an earlier question, after a newer one has gone out.
+    let request = borrowed.request(Time::ms(100), 0, &mut ledger);
+    borrowed.receive_grant(request.number, 7, Time::ms(500), &mut ledger);
+    assert_eq!((borrowed.units_at(Time::ms(599)), borrowed.units_at(Time::ms(600))), (7, 0));
+    // Again, and larger: the request has had its answer.
+    borrowed.receive_grant(request.number, 9, Time::ms(500), &mut ledger);
+    assert_eq!(borrowed.units_at(Time::ms(599)), 7);
+    // An answer to an earlier request, after a newer one has been sent.
     let later = borrowed.request(Time::ms(300), 2, &mut ledger);
-    borrowed.receive_grant(question.number, 9, Time::ms(500), &mut ledger);
-    assert_eq!((later.keep, borrowed.units(Time::ms(301))), (2, 2));
-    // One that comes later than it counts for.
+    borrowed.receive_grant(request.number, 9, Time::ms(500), &mut ledger);
+    assert_eq!((later.retained, borrowed.units_at(Time::ms(301))), (2, 2));
+    // One that arrives after its span.
     let late = borrowed.request(Time::ms(700), 9, &mut ledger);
     borrowed.receive_grant(late.number, 9, Time::ms(500), &mut ledger);
-    assert_eq!(borrowed.units(Time::ms(1300)), 0);
+    assert_eq!(borrowed.units_at(Time::ms(1300)), 0);
     assert_eq!(ledger.minimum(Time::ms(1300), Time::ms(1301)), 0);
 }
--- a/crates/fleet/src/packet.rs
+++ b/crates/fleet/src/packet.rs
@@ -1,169 +1,232 @@
-//! What routers say to each other, as postcard writes it. One packet is one datagram, [`MAX_DATAGRAM`] bytes
-//! at most.
+//! The wire format between routers: packets and messages, encoded by postcard. One packet is one datagram of
+//! [`MAX_DATAGRAM`] bytes at most.
 //!
-//! A packet says from which life of which router it comes and for which it is: one that was meant for an
-//! earlier life, or comes from one, carries no rights. Only a ping may come from one who does not know
-//! the other's life.
+//! A packet names the incarnations that it comes from and is addressed to. One that is addressed to an
+//! earlier incarnation, or comes from one, carries no units. A sender that does not know the receiver's
+//! incarnation may only send a ping.
+//!
+//! postcard writes fields and variants by their order alone, so the order of the types below is part of the
+//! format.
 
+use crate::lease::NodeIncarnation;
 use crate::limit::LimitKey;
-use crate::names::NodeId;
+use crate::loan::LoanRequest;
+use crate::roster::NodeId;
 use serde::{Deserialize, Serialize};
 
-/// The wire's version; another one is dropped and counted.
+/// The version of the format. Datagrams of other versions are dropped and counted.
 pub const VERSION: u8 = 1;
-/// Most bytes of a datagram: what passes an Ethernet unbroken, with room for tunnels.
+/// The most bytes of a datagram: it passes an Ethernet without fragmentation, also through a tunnel.
 pub const MAX_DATAGRAM: usize = 1200;
-/// Bytes that messages may take: the rest is the seal's and the head's.
-pub const PAYLOAD_CAPACITY: usize = MAX_DATAGRAM - 80;
+/// Bytes set aside for the signature and the fields of a packet around its messages.
+const PACKET_OVERHEAD: usize = 80;
+/// The bytes that the messages of a packet may take.
+pub const PAYLOAD_CAPACITY: usize = MAX_DATAGRAM - PACKET_OVERHEAD;
 
-/// What is known of a router, by those who heard it or heard of it.
+/// A peer's state in SWIM. Of two updates with the same incarnation and refutations, the one with the later
+/// state in this order wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum PeerState {
-    /// It answers, or says so itself.
+    /// It answers, or reports so itself.
     Alive,
-    /// It did not answer one who asked.
+    /// It did not answer a ping.
     Suspect,
-    /// Nobody has heard it in time.
+    /// Its suspicion was not refuted in time.
     Dead,
-    /// It has said that it goes.
+    /// It has reported that it shuts down.
     Left,
 }
 
-/// News of a router. What it says itself of a later life or a later turn of a life counts more.
+/// A gossip update on a peer's state. Updates of a later incarnation, or with more refutations, win.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembershipUpdate {
-    /// Of whom.
-    pub of: NodeId,
-    /// Its life.
-    pub life: u64,
-    /// Its turn in that life: it rises whenever the router has to contradict.
-    pub turn: u32,
-    /// What is said.
-    pub word: PeerState,
-    /// Who says so first.
-    pub by: NodeId,
+    /// The peer.
+    pub node: NodeId,
+    /// Its incarnation: a new one begins at each start of its process.
+    pub incarnation: u64,
+    /// How often the peer has refuted a suspicion in this incarnation. With `incarnation` this is SWIM's
+    /// incarnation number.
+    pub refutations: u32,
+    /// Its state.
+    pub state: PeerState,
+    /// The router that reported this first.
+    pub reporter: NodeId,
 }
 
-/// A message.
+/// A message between routers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// An answer is asked for.
-    Ping(u32),
-    /// The answer.
-    Ack(u32),
-    /// Another router is to be asked in the sender's place.
-    PingRequest(u32, NodeId),
-    /// It has answered.
-    IndirectAck(u32, NodeId),
-    /// News of routers.
+    /// SWIM's ping.
+    Ping {
+        /// Repeated by the acknowledgement.
+        number: u32,
+    },
+    /// SWIM's acknowledgement of a ping.
+    Ack {
+        /// The ping's number.
+        number: u32,
+    },
+    /// SWIM's ping-req: the receiver pings the target on the sender's behalf.
+    PingRequest {
+        /// Repeated by the indirect acknowledgement.
+        number: u32,
+        /// The router to ping.
+        target: NodeId,
+    },
+    /// The target of a ping-req has acknowledged the receiver's ping.
+    IndirectAck {
+        /// The ping-req's number.
+        number: u32,
+        /// The router that has answered.
+        target: NodeId,
+    },
+    /// Membership updates.
     Gossip(Vec<MembershipUpdate>),
-    /// The sender's life is an earlier one than this, which is known of it.
-    StaleIncarnation(u64),
-    /// A vote on a name's share is asked for: the name, the question's number, and for how many milliseconds.
-    /// Routers with other limits may want other spans.
-    VoteRequest(NodeId, u32, u32),
-    /// The vote is given.
-    VoteGranted(NodeId, u32),
-    /// It is not given, as this life of a router has it, if any.
-    VoteDenied(NodeId, Option<(NodeId, u64)>),
-    /// The sender no longer uses a name's share, nor any vote for it up to its question of this number.
-    LeaseReleased(NodeId, u32),
-    /// To the one who deals a limit's rights out.
-    Report(QuotaReport),
-    /// From that one.
-    Reply(QuotaReply),
-    /// Of what the sender has borrowed under a limit, it keeps no more than so many units: the question's
-    /// number, and the units. No answer is wanted.
-    LoanReturned(LimitKey, u32, u64),
+    /// The receiver's incarnation is an earlier one than this, which the sender knows of.
+    StaleIncarnation {
+        /// The latest incarnation of the receiver that is known.
+        latest: u64,
+    },
+    /// The sender requests a vote for the lease of a node's quotas.
+    VoteRequest {
+        /// The node that the quotas belong to.
+        owner: NodeId,
+        /// The request's number.
+        number: u32,
+        /// How long the vote is to be valid, in milliseconds. Routers with other limits request other spans.
+        span_ms: u32,
+    },
+    /// The vote is granted.
+    VoteGranted {
+        /// The node that the quotas belong to.
+        owner: NodeId,
+        /// The request's number.
+        number: u32,
+    },
+    /// The vote is denied.
+    VoteDenied {
+        /// The node that the quotas belong to.
+        owner: NodeId,
+        /// The router that has the vote, if any has.
+        granted_to: Option<NodeIncarnation>,
+    },
+    /// The sender no longer uses a node's quotas, nor any vote for them up to this request.
+    LeaseReleased {
+        /// The node that the quotas belong to.
+        owner: NodeId,
+        /// The number of the latest request that is given up.
+        number: u32,
+    },
+    /// To the coordinator of a limit.
+    QuotaReport(QuotaReport),
+    /// From the coordinator of a limit.
+    QuotaReply(QuotaReply),
+    /// The sender gives borrowed units back. No answer is expected.
+    LoanReturned {
+        /// The limit.
+        key: LimitKey,
+        /// The request by which the loan shrinks.
+        request: LoanRequest,
+    },
 }
 
-/// What a router needs and what it can spare.
+/// What a router needs of a limit, and what it can lend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaReport {
-    /// Of which limit.
+    /// The limit.
     pub key: LimitKey,
-    /// The question's number.
+    /// The request for a grant.
+    pub request: LoanRequest,
+    /// Units wanted in all by this loan.
+    pub demand: u64,
+    /// The answer to the coordinator's request for a deposit.
+    pub surplus: Option<SurplusOffer>,
+}
+
+/// Units that a router lends to the coordinator.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct SurplusOffer {
+    /// The number of the coordinator's request.
     pub number: u32,
-    /// Units kept of the loan before.
-    pub keep: u64,
-    /// Units wanted.
-    pub want: u64,
-    /// The answer to the other's question: its number, and units that can be spared.
-    pub spare: Option<(u32, u64)>,
+    /// Units lent.
+    pub units: u64,
 }
 
-/// What a router gets, and what it is asked for.
+/// What the coordinator grants, and what it requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaReply {
-    /// Of which limit.
+    /// The limit.
     pub key: LimitKey,
-    /// The question that is answered.
+    /// The number of the request that is answered.
     pub number: u32,
     /// Units lent.
-    pub units: u64,
-    /// The question for what can be spared: its number, and units kept of the loan before.
-    pub question: (u32, u64),
-    /// Units that each router with requests may have beyond what it wants.
-    pub cushion: u64,
+    pub granted: u64,
+    /// The coordinator's request for a deposit.
+    pub deposit_request: LoanRequest,
+    /// Units that each router with requests may have beyond its demand.
+    pub headroom: u64,
 }
 
-/// A packet.
+/// A packet from one router to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Packet {
-    /// Who sends it.
+    /// The sender.
     pub from: NodeId,
-    /// In which life.
-    pub life: u64,
-    /// To whom.
+    /// The sender's incarnation.
+    pub incarnation: u64,
+    /// The receiver.
     pub to: NodeId,
-    /// To which life of it; zero if that is not known.
-    pub to_life: u64,
-    /// Rises with each packet from this life to this router.
+    /// The receiver's incarnation; zero if the sender does not know it.
+    pub to_incarnation: u64,
+    /// Rises with each packet from this incarnation to this receiver.
     pub sequence: u64,
-    /// The sender's list of names, in short.
-    pub names: u32,
-    /// The sender's limits, in short.
-    pub limits: u32,
-    /// What it says.
+    /// The digest of the sender's roster.
+    pub roster_digest: u32,
+    /// The digest of the sender's limits.
+    pub limits_digest: u32,
+    /// The messages.
     pub messages: Vec<Message>,
 }
 
-/// What an operator asks, and what is answered: pages of lines.
+/// What an operator's command requests of a router, and the response: the status as pages of lines.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StatusMessage {
-    /// A page of the status, with a number that the answer repeats, and padding: an answer is never much
-    /// longer than its question.
+    /// Requests a page of the status.
     Request {
         /// Repeated by the response.
         id: u64,
         /// The page, counted from zero.
         page: u16,
-        /// Zeros that make the request as long as the longest response.
+        /// Zeros that make the request as long as the longest response, so that a forged sender address can't
+        /// be used to amplify traffic.
         padding: Vec<u8>,
     },
-    /// The number, the page, how many pages there are, and the page's lines.
+    /// A page of the status.
     Response {
         /// As in the request.
         id: u64,
         /// As in the request.
         page: u16,
-        /// How many pages there are.
+        /// The number of pages.
         pages: u16,
         /// The lines of the page.
         text: String,
     },
 }
 
-/// What a datagram holds.
+/// What a datagram carries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Talk between routers.
+    /// Messages between routers.
     Packet(Packet),
-    /// Talk with an operator.
+    /// A status request or response.
     Status(StatusMessage),
 }
 
-/// How many bytes a message takes.
+/// The bytes that a message takes in a packet.
 pub fn encoded_len(message: &Message) -> usize {
     postcard::to_allocvec(message).map_or(usize::MAX, |bytes| bytes.len())
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/fleet/src/roster.rs
@@ -0,0 +1,139 @@
+//! The roster: the routers of a fleet by the names that the settings give them.
+//!
+//! A router that is not on the roster is not in the fleet. Which of them are alive is for [`crate::swim`] to
+//! say.
+
+use crate::hash::{mix_bits, rendezvous_weight, stable_hash};
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+/// A router's id: the hash of its name, as it goes over the wire.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct NodeId(pub u64);
+
+impl NodeId {
+    /// The id of the router with this name.
+    pub fn of(name: &str) -> NodeId {
+        NodeId(stable_hash(name.as_bytes()))
+    }
+}
+
+/// A router of the roster.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Peer {
+    /// Its name.
+    pub name: String,
+    /// Its UDP address as seen from this router.
+    pub addr: SocketAddr,
+    /// Its zone, if the settings name one.
+    pub zone: Option<String>,
+}
+
+/// Why a list of routers is no roster.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum RosterError {
+    /// Two routers have the same id, by an equal name or by a collision of the hash.
+    #[error("routers {first:?} and {second:?} have the same id")]
+    DuplicateId {
+        /// The name of the one that comes first.
+        first: String,
+        /// The name of the other.
+        second: String,
+    },
+}
+
+/// The routers of a fleet, by id.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Roster {
+    peers: BTreeMap<NodeId, Peer>,
+    digest: u32,
+}
+
+/// Voters on the lease of each node's quotas, the node itself among them. Seven of them tolerate three
+/// failures.
+pub const VOTERS_PER_NODE: usize = 7;
+
+impl Roster {
+    /// A roster of these routers.
+    ///
+    /// # Errors
+    ///
+    /// [`RosterError::DuplicateId`] if two of them have the same id.
+    pub fn new(peers: Vec<Peer>) -> Result<Roster, RosterError> {
+        let mut by_id = BTreeMap::<NodeId, Peer>::new();
+        for peer in peers {
+            let id = NodeId::of(&peer.name);
+            if let Some(earlier) = by_id.get(&id) {
+                return Err(RosterError::DuplicateId { first: earlier.name.clone(), second: peer.name });
+            }
+            by_id.insert(id, peer);
+        }
+        // Addresses may differ from router to router; names may not.
+        let count = by_id.len() as u64;
+        let digest = by_id.keys().fold(count, |digest, id| mix_bits(digest ^ id.0)) as u32;
+        Ok(Roster { peers: by_id, digest })
+    }
+
+    /// A digest of the names. Rosters with different names have different digests, but for collisions.
+    pub fn digest(&self) -> u32 {
+        self.digest
+    }
+
+    /// The number of routers.
+    pub fn len(&self) -> usize {
+        self.peers.len()
+    }
+
+    /// Whether there are no routers.
+    pub fn is_empty(&self) -> bool {
+        self.peers.is_empty()
+    }
+
+    /// The ids of all routers, in rising order.
+    pub fn ids(&self) -> impl Iterator<Item = NodeId> + '_ {
+        self.peers.keys().copied()
+    }
+
+    /// The router with this id.
+    pub fn get(&self, id: NodeId) -> Option<&Peer> {
+        self.peers.get(&id)
+    }
+
+    /// Whether a router is on the roster.
+    pub fn contains(&self, id: NodeId) -> bool {
+        self.peers.contains_key(&id)
+    }
+
+    /// A router's name for logs and status output; its id in hexadecimal if it is not on the roster.
+    pub fn name(&self, id: NodeId) -> String {
+        self.peers.get(&id).map_or_else(|| format!("({:016x})", id.0), |peer| peer.name.clone())
+    }
+
+    /// The voters on the lease of a node's quotas: the node itself, and the others with the largest
+    /// rendezvous weight for it. Their number is odd, so that one of two halves always has a majority.
+    pub fn voters(&self, owner: NodeId) -> Vec<NodeId> {
+        let others = self.peers.len().saturating_sub(1);
+        let mut weighted: Vec<(u64, NodeId)> =
+            self.ids().filter(|id| *id != owner).map(|id| (rendezvous_weight(id, owner.0), id)).collect();
+        weighted.sort_unstable_by(|a, b| b.cmp(a));
+        let other_voters = (VOTERS_PER_NODE - 1).min(others / 2 * 2);
+        let chosen = weighted.into_iter().take(other_voters).map(|(_, id)| id);
+        std::iter::once(owner).chain(chosen).collect()
+    }
+
+    /// A node's quota of a number of units. Quotas differ by one unit at most and add up to `units`. Which
+    /// nodes get the odd units differs from key to key.
+    pub fn quota(&self, units: u64, owner: NodeId, key: u64) -> u64 {
+        let count = self.peers.len() as u64;
+        if count == 0 || !self.contains(owner) {
+            return 0;
+        }
+        let own_rank = (rendezvous_weight(owner, key), owner);
+        let before = self.ids().filter(|id| (rendezvous_weight(*id, key), *id) > own_rank).count() as u64;
+        units / count + u64::from(before < units % count)
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -1,19 +1,20 @@
-//! What operators are told of a router's fleet: pages of lines.
+//! The status exchange with the operators' command: lines of text, split into pages of a datagram each.
 
 use crate::packet::{Payload, StatusMessage, MAX_DATAGRAM, PAYLOAD_CAPACITY};
 
-/// Bytes of lines on a page.
-const PAGE: usize = PAYLOAD_CAPACITY - 40;
-
-/// The longest question; shorter ones get shorter answers.
+/// The bytes of lines on a page.
+const PAGE_LEN: usize = PAYLOAD_CAPACITY - 40;
+/// The most bytes that one character takes in UTF-8.
+const MAX_CHAR_LEN: usize = 4;
+/// The padding of a request. A response is never longer than the padding of its request.
 pub const PADDING: usize = MAX_DATAGRAM - 60;
 
-/// Lines, broken into pages.
-pub fn pages(lines: &[String]) -> Vec<String> {
+/// Splits lines into pages. Lines that are longer than a page are cut off.
+pub fn paginate(lines: &[String]) -> Vec<String> {
     let mut pages = vec![String::new()];
     for line in lines {
-        let line: String = line.chars().take(PAGE / 4).collect();
-        if pages.last().is_some_and(|p| p.len() + line.len() + 1 > PAGE) {
+        let line: String = line.chars().take(PAGE_LEN / MAX_CHAR_LEN).collect();
+        if pages.last().is_some_and(|page| page.len() + line.len() + 1 > PAGE_LEN) {
             pages.push(String::new());
         }
         if let Some(page) = pages.last_mut() {
@@ -24,20 +25,17 @@
     pages
 }
 
-/// The question for a page.
-pub fn request(number: u64, page: u16) -> Payload {
-    Payload::Status(StatusMessage::Request { id: number, page, padding: vec![0; PADDING] })
+/// The request for a page.
+pub fn request(id: u64, page: u16) -> Payload {
+    Payload::Status(StatusMessage::Request { id, page, padding: vec![0; PADDING] })
 }
 
-/// The answer to an operator's question; none to anything else, or to a page that is not there.
-pub fn answer(asked: &StatusMessage, lines: impl FnOnce() -> Vec<String>) -> Option<Payload> {
-    let StatusMessage::Request { id: number, page, padding } = asked else { return None };
-    let pages = pages(&lines());
+/// The response to a request; `None` to anything else, and for a page that does not exist.
+pub fn response(message: &StatusMessage, lines: impl FnOnce() -> Vec<String>) -> Option<Payload> {
+    let StatusMessage::Request { id, page, padding } = message else { return None };
+    let pages = paginate(&lines());
     let text = pages.get(usize::from(*page)).filter(|text| text.len() <= padding.len())?;
-    Some(Payload::Status(StatusMessage::Response {
-        id: *number,
-        page: *page,
-        pages: pages.len() as u16,
-        text: text.clone(),
-    }))
+    let response =
+        StatusMessage::Response { id: *id, page: *page, pages: pages.len() as u16, text: text.clone() };
+    Some(Payload::Status(response))
 }
--- a/crates/fleet/tests/limits.rs
+++ b/crates/fleet/tests/limits.rs
@@ -232,7 +232,7 @@
     let said = |part: &str| model.observations.log_lines.iter().filter(|l| l.text.contains(part)).count();
     assert!(said("n3 does not answer") > 0);
     assert_eq!(said("n3 is dead"), 0);
-    let alive = (0..12).all(|n| model.fleet(n).is_some_and(|f| f.swim().living().count() == 12));
+    let alive = (0..12).all(|n| model.fleet(n).is_some_and(|f| f.swim().alive().count() == 12));
     assert!(alive, "all are taken for alive again");
 }
 
@@ -290,7 +290,7 @@
 fn three_hundred_started_at_once_find_each_other() {
     let mut model = fleet(300, 12);
     model.run_until(s(10.0));
-    let alive = (0..300).map(|n| model.fleet(n).map_or(0, |f| f.swim().living().count()));
+    let alive = (0..300).map(|n| model.fleet(n).map_or(0, |f| f.swim().alive().count()));
     let least = alive.min().unwrap_or(0);
     assert!(least >= 299, "{least} of 300 are known alive somewhere");
     let per_router = model.observations.datagrams as f64 / 300.0 / 10.0;
@@ -421,18 +421,23 @@
         }
     }
     let counts = model.fleet(0).map(|f| f.counters().clone()).unwrap_or_default();
-    for why in [DropReason::Forged, DropReason::Version, DropReason::Malformed, DropReason::OtherLife] {
+    for why in [
+        DropReason::Forged,
+        DropReason::UnsupportedVersion,
+        DropReason::Malformed,
+        DropReason::OtherIncarnation,
+    ] {
         assert!(counts.dropped.get(&why).is_some_and(|n| *n > 10), "{why:?} in {counts:?}");
     }
     // All of it again to one that lives on: it has had them.
     recorded.iter().filter(|(to, _)| *to == 1).for_each(|(to, bytes)| model.inject(*to, bytes));
     let counts = model.fleet(1).map(|f| f.counters().clone()).unwrap_or_default();
-    assert!(counts.dropped.get(&DropReason::Repeated).is_some_and(|n| *n > 10), "{counts:?}");
+    assert!(counts.dropped.get(&DropReason::Replayed).is_some_and(|n| *n > 10), "{counts:?}");
     assert_eq!(before.iter().filter(|l| l.starts_with("share")).count(), 1);
     // What was meant for another.
     recorded.iter().filter(|(to, _)| *to == 2).for_each(|(_, bytes)| model.inject(1, bytes));
     let counts = model.fleet(1).map(|f| f.counters().clone()).unwrap_or_default();
-    assert!(counts.dropped.get(&DropReason::Stranger).is_some_and(|n| *n > 10), "{counts:?}");
+    assert!(counts.dropped.get(&DropReason::UnknownPeer).is_some_and(|n| *n > 10), "{counts:?}");
     model.run_until(s(20.0));
     assert_kept(&model);
 }
--- /dev/null
+++ b/crates/fleet/tests/model/leases.rs
@@ -0,0 +1,291 @@
+//! Leases on one node's quotas: no two routers have one at a time.
+
+use crate::{advance, timing, MIN_STATES, SPAN};
+use basalthill_fleet::lease::{LeaseClaim, NodeIncarnation, VoteRequest, Voter};
+use basalthill_fleet::NodeId;
+use basalthill_policy::api::Time;
+use stateright::{Checker, Model, Property};
+
+const ONE_LEASE_AT_A_TIME: &str = "one lease at a time";
+/// The routers: all vote, the first two also claim the lease.
+const ROUTERS: usize = 3;
+const CLAIMANTS: usize = 2;
+/// The router that only votes; it is the one that crashes.
+const VOTER_ONLY: usize = 2;
+/// The node whose quotas are claimed.
+const OWNER: NodeId = NodeId(1);
+
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+enum Message {
+    VoteRequest { claimant: usize, number: u32 },
+    VoteGranted { claimant: usize, voter: usize, number: u32 },
+    LeaseReleased { claimant: usize, number: u32 },
+}
+
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+struct Datagram {
+    to: usize,
+    message: Message,
+}
+
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct LeaseState {
+    clock_steps: u32,
+    clocks: [Time; ROUTERS],
+    voters: [Voter; ROUTERS],
+    claims: [LeaseClaim; CLAIMANTS],
+    /// The rounds of requests that each claimant has sent.
+    requests: [u32; CLAIMANTS],
+    crashes: u32,
+    network: Vec<Datagram>,
+}
+
+#[derive(Clone, Debug, PartialEq)]
+enum LeaseAction {
+    AdvanceClocks([usize; ROUTERS]),
+    Claim(usize),
+    Release(usize),
+    Deliver { index: usize, duplicate: bool },
+    Lose { index: usize },
+    Crash(usize),
+}
+
+struct LeaseModel {
+    max_clock_steps: u32,
+    max_requests: u32,
+    max_crashes: u32,
+    network_capacity: usize,
+    /// Leases may be released.
+    releases: bool,
+    /// A fault that the checker has to find.
+    fault: Fault,
+}
+
+#[derive(Clone, Copy, PartialEq)]
+enum Fault {
+    None,
+    /// A voter that restarts grants its vote at once.
+    NoQuarantine,
+    /// A release counts whenever it arrives.
+    LateRelease,
+}
+
+fn node(router: usize) -> NodeId {
+    NodeId(router as u64 + 1)
+}
+
+fn incarnation(claimant: usize) -> NodeIncarnation {
+    NodeIncarnation { node: node(claimant), incarnation: 1 }
+}
+
+fn vote_request(claimant: usize, number: u32) -> VoteRequest {
+    VoteRequest { candidate: incarnation(claimant), number, span: SPAN }
+}
+
+fn new_claim() -> LeaseClaim {
+    LeaseClaim::new((0..ROUTERS).map(node).collect())
+}
+
+impl LeaseState {
+    fn has_lease(&self, claimant: usize) -> bool {
+        self.claims[claimant].expires_at() > self.clocks[claimant]
+    }
+
+    fn send_to_others(&mut self, from: usize, message: &Message) {
+        for to in (0..ROUTERS).filter(|to| *to != from) {
+            self.network.push(Datagram { to, message: message.clone() });
+        }
+    }
+
+    fn request_vote(&mut self, voter: usize, claimant: usize, number: u32) -> bool {
+        let request = vote_request(claimant, number);
+        self.voters[voter].request_vote(self.clocks[voter], &timing(), OWNER, request).is_ok()
+    }
+}
+
+impl LeaseModel {
+    fn restarted_voter(&self, now: Time) -> Voter {
+        match self.fault {
+            Fault::NoQuarantine => Voter::default(),
+            _ => Voter::new(now, timing().lender_span(SPAN)),
+        }
+    }
+
+    fn advance_clocks(state: &mut LeaseState, rates: [usize; ROUTERS]) {
+        state.clock_steps += 1;
+        for (router, rate) in rates.into_iter().enumerate() {
+            state.clocks[router] = advance(state.clocks[router], rate);
+            state.voters[router].expire(state.clocks[router]);
+        }
+    }
+
+    fn claim(state: &mut LeaseState, claimant: usize) {
+        state.requests[claimant] += 1;
+        let number = state.requests[claimant];
+        state.claims[claimant].begin_round(state.clocks[claimant], number, SPAN);
+        if state.request_vote(claimant, claimant, number) {
+            state.claims[claimant].record_vote(node(claimant), number);
+        }
+        state.send_to_others(claimant, &Message::VoteRequest { claimant, number });
+    }
+
+    fn release(&self, state: &mut LeaseState, claimant: usize) {
+        let number = state.claims[claimant].number();
+        state.claims[claimant] = new_claim();
+        state.voters[claimant].release(OWNER, incarnation(claimant), number);
+        let number = if self.fault == Fault::LateRelease { u32::MAX } else { number };
+        state.send_to_others(claimant, &Message::LeaseReleased { claimant, number });
+    }
+
+    fn deliver(state: &mut LeaseState, Datagram { to, message }: Datagram) {
+        match message {
+            Message::VoteRequest { claimant, number } => {
+                if state.request_vote(to, claimant, number) {
+                    let message = Message::VoteGranted { claimant, voter: to, number };
+                    state.network.push(Datagram { to: claimant, message });
+                }
+            }
+            Message::LeaseReleased { claimant, number } => {
+                state.voters[to].release(OWNER, incarnation(claimant), number);
+            }
+            Message::VoteGranted { claimant, voter, number } => {
+                state.claims[claimant].record_vote(node(voter), number);
+            }
+        }
+    }
+}
+
+impl Model for LeaseModel {
+    type State = LeaseState;
+    type Action = LeaseAction;
+
+    fn init_states(&self) -> Vec<LeaseState> {
+        vec![LeaseState {
+            clock_steps: 0,
+            clocks: [Time::ms(1000); ROUTERS],
+            // They have run for long: none of them is quarantined.
+            voters: [(); ROUTERS].map(|()| Voter::default()),
+            claims: [(); CLAIMANTS].map(|()| new_claim()),
+            requests: [0; CLAIMANTS],
+            crashes: 0,
+            network: Vec::new(),
+        }]
+    }
+
+    fn actions(&self, state: &LeaseState, actions: &mut Vec<LeaseAction>) {
+        if state.clock_steps < self.max_clock_steps {
+            actions.extend([[0, 1, 1], [1, 0, 1], [1, 1, 0], [0, 0, 1]].map(LeaseAction::AdvanceClocks));
+        }
+        let can_send_to_others = state.network.len() + ROUTERS - 1 <= self.network_capacity;
+        for claimant in 0..CLAIMANTS {
+            if state.requests[claimant] < self.max_requests && can_send_to_others {
+                actions.push(LeaseAction::Claim(claimant));
+            }
+        }
+        for claimant in (0..CLAIMANTS).filter(|_| self.releases) {
+            if state.has_lease(claimant) && can_send_to_others {
+                actions.push(LeaseAction::Release(claimant));
+            }
+        }
+        for index in 0..state.network.len() {
+            actions.push(LeaseAction::Deliver { index, duplicate: false });
+            if state.network.len() < self.network_capacity {
+                actions.push(LeaseAction::Deliver { index, duplicate: true });
+            }
+            actions.push(LeaseAction::Lose { index });
+        }
+        if state.crashes < self.max_crashes {
+            actions.push(LeaseAction::Crash(VOTER_ONLY));
+        }
+    }
+
+    fn next_state(&self, last: &LeaseState, action: LeaseAction) -> Option<LeaseState> {
+        let mut state = last.clone();
+        match action {
+            LeaseAction::AdvanceClocks(rates) => Self::advance_clocks(&mut state, rates),
+            LeaseAction::Claim(claimant) => Self::claim(&mut state, claimant),
+            LeaseAction::Release(claimant) => self.release(&mut state, claimant),
+            LeaseAction::Deliver { index, duplicate } => {
+                let datagram = state.network.remove(index);
+                if duplicate {
+                    state.network.push(datagram.clone());
+                }
+                Self::deliver(&mut state, datagram);
+            }
+            LeaseAction::Lose { index } => {
+                state.network.remove(index);
+            }
+            LeaseAction::Crash(router) => {
+                state.crashes += 1;
+                state.voters[router] = self.restarted_voter(state.clocks[router]);
+            }
+        }
+        state.network.sort();
+        Some(state)
+    }
+
+    fn properties(&self) -> Vec<Property<Self>> {
+        vec![
+            Property::always(ONE_LEASE_AT_A_TIME, |_: &LeaseModel, state: &LeaseState| {
+                !(state.has_lease(0) && state.has_lease(1))
+            }),
+            Property::sometimes("the second has it after the first", |_: &LeaseModel, state: &LeaseState| {
+                state.has_lease(1) && state.requests[0] > 0
+            }),
+        ]
+    }
+}
+
+fn check_leases(max_clock_steps: u32, max_requests: u32, max_crashes: u32, releases: bool) {
+    let model = LeaseModel {
+        max_clock_steps,
+        max_requests,
+        max_crashes,
+        network_capacity: 2,
+        releases,
+        fault: Fault::None,
+    };
+    let checker = model.checker().threads(4).spawn_bfs().join();
+    println!("leases: {} states", checker.unique_state_count());
+    checker.assert_properties();
+    assert!(checker.unique_state_count() > MIN_STATES, "{} states", checker.unique_state_count());
+}
+
+#[test]
+fn one_router_has_the_lease_at_a_time() {
+    check_leases(4, 1, 0, false);
+}
+
+#[test]
+fn one_router_has_a_lease_at_a_time_that_is_released_and_claimed_again() {
+    check_leases(1, 2, 0, true);
+}
+
+#[test]
+#[ignore = "takes half a minute and some GiB; run it when crates/fleet/src/lease.rs changes"]
+fn one_router_has_the_lease_at_a_time_though_a_voter_crashes() {
+    check_leases(4, 1, 1, false);
+}
+
+fn is_detected(fault: Fault, releases: bool) -> bool {
+    let model = LeaseModel {
+        max_clock_steps: if releases { 1 } else { 3 },
+        max_requests: if releases { 2 } else { 1 },
+        max_crashes: 1,
+        network_capacity: 4,
+        releases,
+        fault,
+    };
+    let checker = model.checker().threads(4).spawn_bfs().join();
+    checker.discovery(ONE_LEASE_AT_A_TIME).is_some()
+}
+
+#[test]
+fn a_voter_that_restarts_without_quarantine_is_detected() {
+    assert!(is_detected(Fault::NoQuarantine, false));
+}
+
+#[test]
+fn a_release_that_counts_after_a_newer_request_is_detected() {
+    assert!(is_detected(Fault::LateRelease, true));
+}
