--- a/crates/router/tests/sessions.rs
+++ b/crates/router/tests/sessions.rs
@@ -1,4 +1,5 @@
-//! Sessions through real router processes that are killed and restarted, against a group with an oracle.
+//! Session consistency through real router processes that are killed and restarted, against a group of
+//! members that knows what each read must see.
 
 use basalthill_standin::client::{Answer, Client};
 use basalthill_standin::deployment::Deployment;
@@ -8,311 +9,346 @@
 use std::path::Path;
 use std::time::Duration;
 
-const KEYS: &str = "key 1 \"00112233445566778899aabbccddeeff\"";
+const KEY: &str = "key 1 \"00112233445566778899aabbccddeeff\"";
 
 fn folder() -> &'static Path {
     Path::new(env!("CARGO_TARGET_TMPDIR"))
 }
 
-/// A group of three and so many routers with our own settings, if any. Reads are wanted within two
-/// seconds: on a machine that is busy with other work members answer late, and none is to count as
-/// crowded for that.
-fn world(routers: usize, manner: GroupBehavior, own: Option<&str>) -> Deployment {
-    // Nor do replicas miss a read because they are woken late.
-    let behind = match manner.stale_reads {
+/// A group of three members and so many routers with local settings, if any. The latency objective is two
+/// seconds: members of a machine that is busy with other work answer late, and none must count as overloaded
+/// for that.
+fn start(routers: usize, behavior: GroupBehavior, settings: Option<&str>) -> Deployment {
+    // Nor must replicas miss a read because they are scheduled late.
+    let stale_reads = match behavior.stale_reads {
         StaleRead::Wait(_) => StaleRead::Wait(Duration::from_millis(600)),
         other => other,
     };
-    let manner = GroupBehavior { latency_objective_ms: 2000, stale_reads: behind, ..manner };
-    Deployment::start(Path::new(env!("CARGO_BIN_EXE_basalthill")), folder(), routers, manner, own).unwrap()
+    let behavior = GroupBehavior { latency_objective_ms: 2000, stale_reads, ..behavior };
+    let program = Path::new(env!("CARGO_BIN_EXE_basalthill"));
+    Deployment::start(program, folder(), routers, behavior, settings).unwrap()
 }
 
-fn load(way: ConnectionMode, reads: usize) -> SessionLoad {
-    SessionLoad { mode: way, sessions: 24, reads, status_every: 8, max_think_time_us: 8000, seed: 16 }
+fn load(mode: ConnectionMode, reads: usize) -> SessionLoad {
+    SessionLoad { mode, sessions: 24, reads, status_every: 8, max_think_time_us: 8000, seed: 16 }
 }
 
-fn own(floor: &str, more: &str) -> String {
-    format!("sessions floor={floor:?} {{\n{more}\n}}")
+/// Local settings with a `sessions` node.
+fn session_settings(floor: &str, children: &str) -> String {
+    format!("sessions floor={floor:?} {{\n{children}\n}}")
 }
 
-fn tokens(with: &str) -> String {
-    format!("tokens with={with:?} early=#true {{\n {KEYS} signs=#true\n }}")
+/// A `tokens` node with early tokens and a key that signs.
+fn token_settings(with: &str) -> String {
+    format!("tokens with={with:?} early=#true {{\n {KEY} signs=#true\n }}")
 }
 
-/// Floors leave reads to replicas: judged by the reads that were sent while the machine kept pace, by far the
-/// most where it is not overloaded. A member that says nothing for 250 ms is out of service for a second,
-/// whatever floors say.
-fn judge_share(tally: &SessionLoadReport, case: &str) {
-    let (reads, share) = tally.replica_fraction_without_stalls();
-    let all = tally.replica_fraction();
-    println!("{case}: {share} of {reads} reads at pace, {all} of all");
-    assert!(share > 0.8 || reads < 100, "{case}: {share} of {reads} reads at pace, {all} of all");
+fn write(id: u32, key: &str, value: &str, more: &str) -> String {
+    format!(
+        "INSERT INTO records (k, v) VALUES ('{key}', '{value}') RETURNING v \
+         /* id=w{id},c=write,t=acme,d=900,cluster=2{more} */"
+    )
+}
+
+fn read(id: u32, key: &str, more: &str) -> String {
+    format!("SELECT v FROM records WHERE k = '{key}' /* id=r{id},c=own,t=acme,d=900,cluster=2{more} */")
+}
+
+/// The token that a client received last, as a part of a statement's comment; nothing if it received none.
+fn token_of(client: &Client) -> String {
+    client.token.as_ref().map(|token| format!(",token={token}")).unwrap_or_default()
+}
+
+/// What a member answered to a statement.
+#[derive(Clone, Debug, PartialEq)]
+struct Served {
+    value: String,
+    by: ServedBy,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum ServedBy {
+    Primary,
+    Replica,
+}
+
+fn served_by_replica(value: &str) -> Served {
+    Served { value: value.into(), by: ServedBy::Replica }
+}
+
+/// Sends a statement and reads the answer, which must be a row.
+fn query(client: &mut Client, text: &str) -> Served {
+    let answer = client.query(text);
+    let Ok(Answer::Row(row)) = answer else { panic!("{answer:?}") };
+    let row = String::from_utf8(row).unwrap();
+    // Members annotate rows as `VALUE@SERIAL@ROLE`.
+    let parts: Vec<&str> = row.split('@').collect();
+    let by = match parts[2] {
+        "source" => ServedBy::Primary,
+        "copy" => ServedBy::Replica,
+        other => panic!("the role {other}"),
+    };
+    Served { value: parts[0].into(), by }
+}
+
+/// Floors leave reads to replicas: judged by the reads that were sent while the machine did not stall, nearly
+/// all of them where it is not overloaded. A member that does not answer for 250 ms is ejected for a second,
+/// whatever the floors.
+fn assert_served_by_replicas(report: &SessionLoadReport, case: &str) {
+    let (reads, fraction) = report.replica_fraction_without_stalls();
+    let all = report.replica_fraction();
+    println!("{case}: {fraction} of {reads} reads without stalls, {all} of all");
+    assert!(
+        fraction > 0.8 || reads < 100,
+        "{case}: {fraction} of {reads} reads without stalls, {all} of all"
+    );
     // Some are served by replicas on any machine.
     assert!(all > 0.2, "{case}: {all} of all");
 }
 
 #[test]
 fn sessions_see_their_writes_through_any_router_while_routers_are_killed() {
-    let ways = [
-        (own("connection", ""), ConnectionMode::OneAtATime),
-        (own("arrival", ""), ConnectionMode::Pooled),
-        (own("nothing", &tokens("writes")), ConnectionMode::PooledTokens),
+    let cases = [
+        (session_settings("connection", ""), ConnectionMode::OneAtATime),
+        (session_settings("arrival", ""), ConnectionMode::Pooled),
+        (session_settings("nothing", &token_settings("writes")), ConnectionMode::PooledTokens),
     ];
-    for (own, way) in ways {
-        let mut world = world(3, GroupBehavior::default(), Some(&own));
-        let tally = world.run_load(&load(way, 2500), 6, &[12, 3, 12, 40, 12]);
-        println!("{way:?}: {tally}");
-        assert_eq!(tally.stale, 0, "{way:?}: {:?}", tally.first_stale);
-        assert!(
-            tally.reads >= 2500 && tally.unknown > 0,
-            "{way:?}: {} reads, {} unknown",
-            tally.reads,
-            tally.unknown
-        );
-        judge_share(&tally, &format!("{way:?}"));
+    for (settings, mode) in cases {
+        let mut deployment = start(3, GroupBehavior::default(), Some(&settings));
+        let report = deployment.run_load(&load(mode, 2500), 6, &[12, 3, 12, 40, 12]);
+        println!("{mode:?}: {report}");
+        assert_eq!(report.stale, 0, "{mode:?}: {:?}", report.first_stale);
+        let (reads, unknown) = (report.reads, report.unknown);
+        assert!(reads >= 2500 && unknown > 0, "{mode:?}: {reads} reads, {unknown} unknown");
+        assert_served_by_replicas(&report, &format!("{mode:?}"));
     }
 }
 
 #[test]
-fn without_floors_the_same_load_finds_stale_reads() {
-    // Replicas are behind by more than a read takes to get there, also where the machine is busy.
-    let manner = GroupBehavior { lag_ms: 600, ..GroupBehavior::default() };
-    for own in [None, Some(own("nothing", ""))] {
-        let mut world = world(3, manner.clone(), own.as_deref());
-        let tally = world.run_load(&load(ConnectionMode::OneAtATime, 1000), 2, &[600]);
-        println!("no floors: {} of {} reads are stale", tally.stale, tally.reads);
-        assert!(tally.stale > 50, "the oracle finds them: {} of {}", tally.stale, tally.reads);
+fn the_same_load_finds_stale_reads_without_floors() {
+    // Replicas lag by more than a read takes to get there, also where the machine is busy.
+    let behavior = GroupBehavior { lag_ms: 600, ..GroupBehavior::default() };
+    for settings in [None, Some(session_settings("nothing", ""))] {
+        let mut deployment = start(3, behavior.clone(), settings.as_deref());
+        let report = deployment.run_load(&load(ConnectionMode::OneAtATime, 1000), 2, &[600]);
+        println!("no floors: {} of {} reads are stale", report.stale, report.reads);
+        assert!(report.stale > 50, "{} of {} reads are stale", report.stale, report.reads);
     }
-    // A floor that does not fit the way of connecting: accept times of pooled connections are old.
-    // They are older than the lag for most of the play.
-    let manner = GroupBehavior { lag_ms: 60, ..GroupBehavior::default() };
-    let mut world = world(3, manner, Some(&self::own("connection", "settle-ms 0")));
-    let tally = world.run_load(&load(ConnectionMode::Pooled, 4000), 0, &[60]);
-    println!("accept times of pooled connections: {} of {} reads are stale", tally.stale, tally.reads);
-    assert!(tally.stale > 10, "{} of {}", tally.stale, tally.reads);
-}
-
-fn write(id: u32, key: &str, value: &str, more: &str) -> String {
-    format!(
-        "INSERT INTO records (k, v) VALUES ('{key}', '{value}') RETURNING v \
-         /* id=w{id},c=write,t=acme,d=900,cluster=2{more} */"
-    )
-}
-
-fn read(id: u32, key: &str, more: &str) -> String {
-    format!("SELECT v FROM records WHERE k = '{key}' /* id=r{id},c=own,t=acme,d=900,cluster=2{more} */")
-}
-
-/// The value and the rank of a served read.
-fn served(answer: std::io::Result<Answer>) -> (String, String) {
-    let Ok(Answer::Row(value)) = answer else { panic!("{answer:?}") };
-    let value = String::from_utf8(value).unwrap();
-    let parts: Vec<&str> = value.split('@').collect();
-    (parts[0].into(), parts[2].into())
+    // A floor that is unsound for the way of connecting: pooled connections were accepted long ago, longer
+    // than the lag for most of the load.
+    let behavior = GroupBehavior { lag_ms: 60, ..GroupBehavior::default() };
+    let mut deployment = start(3, behavior, Some(&session_settings("connection", "settle-ms 0")));
+    let report = deployment.run_load(&load(ConnectionMode::Pooled, 4000), 0, &[60]);
+    println!("accept of pooled connections: {} of {} reads are stale", report.stale, report.reads);
+    assert!(report.stale > 10, "{} of {} reads are stale", report.stale, report.reads);
 }
 
 #[test]
-fn a_router_is_killed_between_the_commit_and_the_answer() {
-    // The answer takes long, the commit does not.
-    let slow = [Duration::from_millis(1), Duration::from_millis(400)];
-    let manner = GroupBehavior { write_delays: slow, ..GroupBehavior::default() };
-    for (own, brings) in [(own("connection", ""), false), (own("nothing", &tokens("writes")), true)] {
-        let mut world = world(2, manner.clone(), Some(&own));
-        let mut client = Client::connect(world.routers[0].addr).unwrap();
+fn a_write_is_seen_whose_router_is_killed_between_the_commit_and_the_answer() {
+    let commit_then_answer = [Duration::from_millis(1), Duration::from_millis(400)];
+    let behavior = GroupBehavior { write_delays: commit_then_answer, ..GroupBehavior::default() };
+    let cases = [
+        (session_settings("connection", ""), false),
+        (session_settings("nothing", &token_settings("writes")), true),
+    ];
+    for (settings, has_tokens) in cases {
+        let mut deployment = start(2, behavior.clone(), Some(&settings));
+        let mut client = Client::connect(deployment.routers[0].addr).unwrap();
         client.send(&write(1, "anne", "7", "")).unwrap();
-        // The early token comes ahead of any answer.
-        if brings {
+        // The early token arrives before any answer.
+        if has_tokens {
             while client.read_message().unwrap().kind != b'S' {}
         }
-        world.group.wait_for_commit("anne").unwrap();
-        world.routers[0].kill_and_restart().unwrap();
+        deployment.group.wait_for_commit("anne").unwrap();
+        deployment.routers[0].kill_and_restart().unwrap();
         assert!(client.is_closed(), "no answer");
+        let token = token_of(&client);
+        assert_eq!(!token.is_empty(), has_tokens);
         for n in [1, 0] {
-            let more = client.token.as_ref().map(|t| format!(",token={t}")).unwrap_or_default();
-            assert_eq!(more.is_empty(), !brings);
-            let mut other = Client::connect(world.routers[n].addr).unwrap();
-            assert_eq!(served(other.query(&read(n as u32, "anne", &more))), ("7".into(), "copy".into()));
+            let mut other = Client::connect(deployment.routers[n].addr).unwrap();
+            assert_eq!(query(&mut other, &read(n as u32, "anne", &token)), served_by_replica("7"));
         }
     }
 }
 
 #[test]
-fn a_write_that_commits_after_its_router_died_is_seen_once_it_has() {
-    let late = [Duration::from_millis(300), Duration::ZERO];
-    let mut world = world(
-        2,
-        GroupBehavior { write_delays: late, ..GroupBehavior::default() },
-        Some(&own("connection", "")),
-    );
-    let mut client = Client::connect(world.routers[0].addr).unwrap();
+fn a_write_that_commits_after_its_router_was_killed_is_seen_once_it_has_committed() {
+    let late_commit = [Duration::from_millis(300), Duration::ZERO];
+    let behavior = GroupBehavior { write_delays: late_commit, ..GroupBehavior::default() };
+    let mut deployment = start(2, behavior, Some(&session_settings("connection", "")));
+    let mut client = Client::connect(deployment.routers[0].addr).unwrap();
     client.send(&write(1, "anne", "7", "")).unwrap();
-    world.group.hosts[0].wait_for_statement("c=write").unwrap();
-    world.routers[0].kill_and_restart().unwrap();
-    // Connected before the commit, asked after it: accept alone would not cover it.
-    let mut other = Client::connect(world.routers[1].addr).unwrap();
-    assert_eq!(served(other.query(&read(1, "anne", ""))).0, "", "not there yet");
-    world.group.wait_for_commit("anne").unwrap();
-    assert_eq!(served(other.query(&read(2, "anne", ""))), ("7".into(), "copy".into()));
+    deployment.group.hosts[0].wait_for_statement("c=write").unwrap();
+    deployment.routers[0].kill_and_restart().unwrap();
+    // Connected before the commit and read after it: the moment of the accept alone would not cover it.
+    let mut other = Client::connect(deployment.routers[1].addr).unwrap();
+    assert_eq!(query(&mut other, &read(1, "anne", "")).value, "", "not committed yet");
+    deployment.group.wait_for_commit("anne").unwrap();
+    assert_eq!(query(&mut other, &read(2, "anne", "")), served_by_replica("7"));
 }
 
 #[test]
-fn a_restart_in_good_order_and_a_crash_with_and_without_a_snapshot() {
-    let path = write_unique_file(folder(), "book", "").unwrap();
+fn restarts_after_a_graceful_shutdown_and_after_a_crash_with_and_without_a_snapshot() {
+    let path = write_unique_file(folder(), "sessions", "").unwrap();
     std::fs::remove_file(&path).unwrap();
-    let own = own("router", &format!("snapshot {:?}\nlead-ms 0\nsettle-ms 0", path.to_str().unwrap()));
-    // Replicas a second behind: only sessions that need no more than they have may read there.
-    let manner = GroupBehavior { lag_ms: 900, stale_reads: StaleRead::Reject, ..GroupBehavior::default() };
-    let mut world = world(1, manner, Some(&own));
-    let ask = |world: &Deployment, text: &str| {
-        let mut client = Client::connect(world.routers[0].addr).unwrap();
-        served(client.query(text))
+    let children = format!("snapshot {:?}\nlead-ms 0\nsettle-ms 0", path.to_str().unwrap());
+    let settings = session_settings("router", &children);
+    // Replicas lag by a second: only sessions whose floors they have reached may read there.
+    let behavior = GroupBehavior { lag_ms: 900, stale_reads: StaleRead::Reject, ..GroupBehavior::default() };
+    let mut deployment = start(1, behavior, Some(&settings));
+    let query_once = |deployment: &Deployment, text: &str| {
+        let mut client = Client::connect(deployment.routers[0].addr).unwrap();
+        query(&mut client, text)
     };
-    assert!(world.routers[0].wait_for_log("none; the start is the floor").is_some());
-    let one = ask(&world, &write_row(1, "anne", "7"));
-    assert_eq!(one.0, "7");
-    assert_eq!(ask(&world, &read(1, "anne", "")).0, "7", "it sees its write, wherever");
+    assert!(deployment.routers[0].wait_for_log("none; the start is the floor").is_some());
+    assert_eq!(query_once(&deployment, &write(1, "anne", "7", "")).value, "7");
+    assert_eq!(query_once(&deployment, &read(1, "anne", "")).value, "7", "it sees its write, wherever");
     std::thread::sleep(Duration::from_millis(950)); // the replicas have it by now
-    world.routers[0].stop_and_restart().unwrap();
-    assert!(world.routers[0].wait_for_log("taken over").is_some());
-    assert!(!path.exists(), "it counts once");
-    assert_eq!(ask(&world, &read(2, "anne", "")), ("7".into(), "copy".into()), "the snapshot's floor");
-    assert_eq!(ask(&world, &read(3, "bert", "")).1, "copy", "one that has written nothing");
-    // A write, then a crash: nothing is left of the snapshot that lacked it.
-    assert_eq!(ask(&world, &write_row(2, "anne", "8")).0, "8");
-    world.routers[0].kill_and_restart().unwrap();
-    assert_eq!(ask(&world, &read(4, "anne", "")), ("8".into(), "source".into()), "the start is the floor");
-    // A snapshot that was put back by hand, from before the write, and torn: refused.
+    deployment.routers[0].stop_and_restart().unwrap();
+    assert!(deployment.routers[0].wait_for_log("taken over").is_some());
+    assert!(!path.exists(), "a snapshot is valid once");
+    let anne = query_once(&deployment, &read(2, "anne", ""));
+    assert_eq!(anne, served_by_replica("7"), "the snapshot's floor");
+    let bert = query_once(&deployment, &read(3, "bert", ""));
+    assert_eq!(bert.by, ServedBy::Replica, "a session that has written nothing");
+    // A write, then a crash: no snapshot is left that lacks it.
+    assert_eq!(query_once(&deployment, &write(2, "anne", "8", "")).value, "8");
+    deployment.routers[0].kill_and_restart().unwrap();
+    let from_primary = Served { value: "8".into(), by: ServedBy::Primary };
+    assert_eq!(query_once(&deployment, &read(4, "anne", "")), from_primary, "the start is the floor");
+    // An incomplete snapshot is rejected.
     std::fs::write(&path, b"bhsessn\n\0\x01").unwrap();
-    world.routers[0].kill_and_restart().unwrap();
-    assert!(world.routers[0].wait_for_log("is incomplete or corrupt").is_some());
-    assert_eq!(ask(&world, &read(5, "anne", "")).0, "8");
+    deployment.routers[0].kill_and_restart().unwrap();
+    assert!(deployment.routers[0].wait_for_log("is incomplete or corrupt").is_some());
+    assert_eq!(query_once(&deployment, &read(5, "anne", "")).value, "8");
 }
 
-/// What a router tells of its sessions as it stops.
-fn counts(router: &RouterProcess) -> String {
+/// The log line with a router's session counters, written as it stops.
+fn logged_counts(router: &RouterProcess) -> String {
     router.signal("TERM").unwrap();
     router.wait_for_log("stopped").unwrap();
     let log = router.log.lock();
-    log.iter().rev().find(|l| l.contains("sessions:")).cloned().unwrap_or_default()
+    log.iter().rev().find(|line| line.contains("sessions:")).cloned().unwrap_or_default()
 }
 
 #[test]
-fn clocks_apart_by_the_skew_and_by_more() {
-    // The members' clock is ahead: what a router takes for a floor by its own clock lies before their
-    // commits.
-    for (ahead_ms, said) in [(5, false), (60, true)] {
-        let manner = GroupBehavior { clock_ahead_ms: ahead_ms, ..GroupBehavior::default() };
-        // The lead covers how late a busy machine lets a router hear of positions.
-        let mut world = world(2, manner, Some(&own("connection", "skew-ms 5\nlead-ms 200")));
-        // Floors are raised once a router has heard of it; up to then only the configured skew is covered.
-        for (n, router) in world.routers.iter().enumerate() {
-            served(Client::connect(router.addr).unwrap().query(&write(n as u32, "first", "1", "")));
+fn no_read_is_stale_while_clocks_are_apart_by_the_skew_and_by_more() {
+    // The members' clock is ahead: a floor by the router's clock is before their commits.
+    for (clock_ahead_ms, is_past_skew) in [(5, false), (60, true)] {
+        let behavior = GroupBehavior { clock_ahead_ms, ..GroupBehavior::default() };
+        // The lead covers how late a busy machine lets a router receive positions.
+        let settings = session_settings("connection", "skew-ms 5\nlead-ms 200");
+        let mut deployment = start(2, behavior, Some(&settings));
+        // Floors are raised once a router has seen it; until then only the configured skew is covered.
+        for (n, router) in deployment.routers.iter().enumerate() {
+            let mut client = Client::connect(router.addr).unwrap();
+            query(&mut client, &write(n as u32, "first", "1", ""));
         }
-        let tally = world.run_load(&load(ConnectionMode::OneAtATime, 800), if said { 0 } else { 2 }, &[12]);
-        assert_eq!(tally.stale, 0, "{ahead_ms} ms: {:?}", tally.first_stale);
-        judge_share(&tally, &format!("{ahead_ms} ms"));
-        let counts = counts(&world.routers[0]);
-        assert_eq!(counts.contains("positions past the skew"), said, "{ahead_ms} ms: {counts}");
+        let kills = if is_past_skew { 0 } else { 2 };
+        let report = deployment.run_load(&load(ConnectionMode::OneAtATime, 800), kills, &[12]);
+        assert_eq!(report.stale, 0, "{clock_ahead_ms} ms: {:?}", report.first_stale);
+        assert_served_by_replicas(&report, &format!("{clock_ahead_ms} ms"));
+        let counts = logged_counts(&deployment.routers[0]);
+        assert_eq!(counts.contains("positions past the skew"), is_past_skew, "{clock_ahead_ms} ms: {counts}");
     }
 }
 
+/// Replaces a router's local settings, and waits for the line in its log that says what became of them.
+fn reload(deployment: &Deployment, settings: &str, expected: &str) {
+    let router = &deployment.routers[0];
+    let seen = router.log.lock().len();
+    std::fs::write(deployment.settings.as_ref().unwrap(), settings).unwrap();
+    router.signal("HUP").unwrap();
+    let find = |log: &[String]| log[seen..].iter().find(|line| line.contains("configuration:")).cloned();
+    let line = router.log.wait(|log| find(log));
+    assert!(line.as_ref().is_some_and(|line| line.contains(expected)), "{line:?}");
+}
+
 #[test]
-fn keys_are_rotated_while_tokens_of_the_old_one_are_out() {
+fn keys_are_rotated_while_clients_have_tokens_of_the_old_one() {
     let key = |n: u8, more: &str| format!("key {n} \"{}\" {more}\n", format!("{n:02x}").repeat(16));
-    let with = |keys: &str| own("nothing", &format!("tokens with=\"writes\" {{\n{keys} }}"));
-    let world = world(1, GroupBehavior::default(), Some(&with(&key(1, "signs=#true"))));
-    let (router, path) = (&world.routers[0], world.settings.as_ref().unwrap());
+    let settings = |keys: &str| session_settings("nothing", &format!("tokens with=\"writes\" {{\n{keys} }}"));
+    let deployment = start(1, GroupBehavior::default(), Some(&settings(&key(1, "signs=#true"))));
+    let router = &deployment.routers[0];
     let mut client = Client::connect(router.addr).unwrap();
-    served(client.query(&write(1, "anne", "7", "")));
-    let token = format!(",token={}", client.token.take().unwrap());
-    let reload = |text: &str, said: &str| {
-        let seen = router.log.lock().len();
-        std::fs::write(path, text).unwrap();
-        router.signal("HUP").unwrap();
-        let line = router.log.wait(|l| l[seen..].iter().find(|l| l.contains("configuration:")).cloned());
-        assert!(line.as_ref().is_some_and(|l| l.contains(said)), "{line:?}");
-    };
-    reload(&with(&(key(1, "") + &key(2, "signs=#true"))), "read again");
-    assert_eq!(served(client.query(&read(1, "anne", &token))), ("7".into(), "copy".into()));
-    served(client.query(&write(2, "anne", "8", &token)));
-    let newer = format!(",token={}", client.token.take().unwrap());
-    assert_ne!(token, newer);
-    reload(&with("key 1 \"00\""), "not taken over");
-    assert_eq!(served(client.query(&read(2, "anne", &newer))).0, "8", "an unsound file changes nothing");
-    reload(&with(&key(2, "signs=#true")), "read again");
-    assert_eq!(served(client.query(&read(3, "anne", &newer))).0, "8");
-    // What it says counts no longer, and it costs no more than a wait.
-    assert_eq!(served(client.query(&read(4, "anne", &token))), ("8".into(), "copy".into()));
-    let counts = counts(router);
+    query(&mut client, &write(1, "anne", "7", ""));
+    let old = token_of(&client);
+    reload(&deployment, &settings(&(key(1, "") + &key(2, "signs=#true"))), "read again");
+    assert_eq!(query(&mut client, &read(1, "anne", &old)), served_by_replica("7"));
+    query(&mut client, &write(2, "anne", "8", &old));
+    let new = token_of(&client);
+    assert_ne!(old, new);
+    reload(&deployment, &settings("key 1 \"00\""), "reload failed");
+    assert_eq!(query(&mut client, &read(2, "anne", &new)).value, "8", "an invalid file changes nothing");
+    reload(&deployment, &settings(&key(2, "signs=#true")), "read again");
+    assert_eq!(query(&mut client, &read(3, "anne", &new)).value, "8");
+    // The old token is no longer valid, which costs no more than a wait.
+    assert_eq!(query(&mut client, &read(4, "anne", &old)), served_by_replica("8"));
+    let counts = logged_counts(router);
     assert!(counts.contains("1 tokens of an unknown key") && counts.contains("3 by token"), "{counts}");
 }
 
 #[test]
-fn a_change_of_primary_leaves_tokens_and_floors_as_they_are() {
-    let mut world = world(2, GroupBehavior::default(), Some(&own("connection", &tokens("reads"))));
-    let mut client = Client::connect(world.routers[0].addr).unwrap();
-    served(client.query(&write(1, "anne", "7", "")));
-    let token = |client: &Client| format!(",token={}", client.token.as_ref().unwrap());
-    let before = token(&client);
-    // A write that the old primary has committed and nobody has been told of: the successor lacks it.
-    world.group.reconfigure(|m| m.write_delays[1] = Duration::from_millis(300));
+fn tokens_and_floors_stay_valid_over_a_failover_of_the_primary() {
+    let settings = session_settings("connection", &token_settings("reads"));
+    let mut deployment = start(2, GroupBehavior::default(), Some(&settings));
+    let mut client = Client::connect(deployment.routers[0].addr).unwrap();
+    query(&mut client, &write(1, "anne", "7", ""));
+    let before = token_of(&client);
+    // A write that the old primary has committed and not answered: its successor lacks it.
+    deployment.group.reconfigure(|behavior| behavior.write_delays[1] = Duration::from_millis(300));
     client.send(&write(2, "bert", "1", "")).unwrap();
-    world.group.wait_for_commit("bert").unwrap();
-    world.group.fail_over(1);
-    world.group.reconfigure(|m| m.write_delays[1] = Duration::ZERO);
-    world.publish_members(2);
-    let mut other = Client::connect(world.routers[1].addr).unwrap();
-    // Whoever the router takes for the primary by now.
-    assert_eq!(served(other.query(&read(1, "anne", &before))).0, "7");
-    let after = token(&other);
-    // The successor takes the next write, found by a miss at the old one if need be; its replicas follow.
-    assert_eq!(served(other.query(&write(3, "anne", "8", &after))).0, "8");
-    let newest = token(&other);
+    deployment.group.wait_for_commit("bert").unwrap();
+    deployment.group.fail_over(1);
+    deployment.group.reconfigure(|behavior| behavior.write_delays[1] = Duration::ZERO);
+    deployment.publish_members(2);
+    let mut other = Client::connect(deployment.routers[1].addr).unwrap();
+    // Whichever member the router takes for the primary by now.
+    assert_eq!(query(&mut other, &read(1, "anne", &before)).value, "7");
+    let after = token_of(&other);
+    // The successor serves the next write, after a miss at the old primary if need be; its replicas follow.
+    assert_eq!(query(&mut other, &write(3, "anne", "8", &after)).value, "8");
+    let newest = token_of(&other);
     for n in 0..2 {
-        let mut third = Client::connect(world.routers[n].addr).unwrap();
-        assert_eq!(served(third.query(&read(10 + n as u32, "anne", &newest))), ("8".into(), "copy".into()));
-        let lost = served(third.query(&read(20 + n as u32, "bert", "")));
-        assert_eq!(lost, (String::new(), "copy".into()), "what is gone holds nobody up");
+        let mut third = Client::connect(deployment.routers[n].addr).unwrap();
+        assert_eq!(query(&mut third, &read(10 + n as u32, "anne", &newest)), served_by_replica("8"));
+        let lost = query(&mut third, &read(20 + n as u32, "bert", ""));
+        assert_eq!(lost, served_by_replica(""), "a lost write delays nobody");
     }
-    let tally = world.run_load(&load(ConnectionMode::OneAtATime, 400), 1, &[12]);
-    assert_eq!(tally.stale, 0, "{:?}", tally.first_stale);
+    let report = deployment.run_load(&load(ConnectionMode::OneAtATime, 400), 1, &[12]);
+    assert_eq!(report.stale, 0, "{:?}", report.first_stale);
+}
+
+/// The statement with this part, as a host received it.
+fn received_statement(deployment: &Deployment, part: &str) -> String {
+    let of_host = |host: &basalthill_standin::host::Host| {
+        let received = host.seen.lock();
+        let statement = received.statements.iter().find(|statement| statement.text.contains(part));
+        statement.map(|statement| statement.text.clone())
+    };
+    deployment.group.hosts.iter().find_map(of_host).unwrap()
 }
 
 #[test]
-fn hosts_are_told_the_floor_in_place_of_the_clients_and_nothing_without_our_settings() {
+fn hosts_receive_the_routers_floor_in_place_of_the_clients_and_none_without_local_settings() {
     let cases = [
         (None, false, false),
-        (Some(own("platform", &tokens("writes"))), true, false),
-        (Some(own("nothing", &tokens("writes"))), true, true),
+        (Some(session_settings("platform", &token_settings("writes"))), true, false),
+        (Some(session_settings("nothing", &token_settings("writes"))), true, true),
     ];
-    for (own, token, ours) in cases {
-        let world = world(1, GroupBehavior::default(), own.as_deref());
-        let mut client = Client::connect(world.routers[0].addr).unwrap();
-        served(client.query(&write(1, "anne", "7", "")));
-        assert_eq!(client.token.is_some(), token, "handed out by our settings alone");
-        let text = read(2, "anne", ",after=12345");
-        served(client.query(&text));
-        let more = client.token.as_ref().map(|t| format!(",token={t}")).unwrap_or_default();
-        served(client.query(&read(3, "anne", &format!(",after=12345{more}"))));
-        let seen = |id: &str| {
-            world
-                .group
-                .hosts
-                .iter()
-                .find_map(|h| {
-                    h.seen.lock().statements.iter().find(|s| s.text.contains(id)).map(|s| s.text.clone())
-                })
-                .unwrap()
-        };
-        // The second read brings no token, the third one brings what it was handed.
-        for (id, told_anew) in [("id=r2", ours), ("id=r3", token)] {
-            let told = seen(id);
-            assert_eq!(told.contains(",after=12345"), !told_anew, "the latest of what is known: {told}");
-            assert_eq!(told.matches("after=").count(), 1, "{told}");
+    for (settings, has_tokens, replaces_after) in cases {
+        let deployment = start(1, GroupBehavior::default(), settings.as_deref());
+        let mut client = Client::connect(deployment.routers[0].addr).unwrap();
+        query(&mut client, &write(1, "anne", "7", ""));
+        assert_eq!(client.token.is_some(), has_tokens, "delivered by local settings alone");
+        query(&mut client, &read(2, "anne", ",after=12345"));
+        let more = format!(",after=12345{}", token_of(&client));
+        query(&mut client, &read(3, "anne", &more));
+        // The second statement carries no token, the third one carries the token received.
+        for (id, is_replaced) in [("id=r2", replaces_after), ("id=r3", has_tokens)] {
+            let text = received_statement(&deployment, id);
+            assert_eq!(text.contains(",after=12345"), !is_replaced, "the latest of what is known: {text}");
+            assert_eq!(text.matches("after=").count(), 1, "{text}");
         }
     }
 }
-
-fn write_row(id: u32, key: &str, value: &str) -> String {
-    write(id, key, value, "")
-}
