--- a/crates/extproc/tests/common/mod.rs
+++ b/crates/extproc/tests/common/mod.rs
@@ -3,6 +3,8 @@
 
 use basalthill_extproc::WriteId;
 use basalthill_policy::api::Time;
+use proptest::prelude::Rng;
+use proptest::test_runner::{RngAlgorithm, TestRng};
 
 /// A start of routers and clocks (Unix time).
 pub const START: Time = Time::ms(1_767_225_600_000);
@@ -13,19 +15,18 @@
     WriteId::new(ms << 80 | 7 << 76 | 2 << 62 | u128::from(n)).unwrap()
 }
 
-/// Numbers that look random and are the same in each run.
+/// Random numbers, the same in each run.
 pub struct Numbers {
-    state: u64,
+    random: TestRng,
 }
 
 impl Numbers {
-    pub fn with_seed(seed: u64) -> Numbers {
-        Numbers { state: seed }
+    pub fn with_seed(seed: u8) -> Numbers {
+        Numbers { random: TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]) }
     }
 
     /// The next number, below `limit`.
     pub fn below(&mut self, limit: u64) -> u64 {
-        self.state = self.state.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
-        (self.state >> 33) % limit
+        self.random.next_u64() % limit
     }
 }
--- a/crates/extproc/tests/coordinator.rs
+++ b/crates/extproc/tests/coordinator.rs
@@ -459,7 +459,7 @@
 #[test]
 fn no_write_is_decided_twice_whatever_proxies_do_and_across_restarts() {
     let mut proxies = UnrulyProxies::new();
-    for step in 0..40_000 {
+    for step in 0..50_000 {
         proxies.step(step);
     }
     let UnrulyProxies { members_assigned, retries, restarts, .. } = proxies;
--- a/crates/session/tests/floor_table.rs
+++ b/crates/session/tests/floor_table.rs
@@ -5,27 +5,23 @@
 use basalthill_policy::api::{GroupId, SessionKey, Time};
 use basalthill_session::{FloorTable, BUCKET_BYTES};
 use common::{DAY, GROUP, START};
+use proptest::prelude::Rng;
+use proptest::test_runner::{RngAlgorithm, TestRng};
 use std::collections::BTreeMap;
 
-/// Numbers that look random and are the same in each run.
-fn numbers(mut state: u64) -> impl Iterator<Item = u64> {
-    std::iter::repeat_with(move || {
-        state = state.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
-        state >> 33
-    })
-}
-
 #[test]
 fn eviction_raises_floors_and_never_lowers_one() {
     // Ten times more sessions than there are slots.
     let mut table = FloorTable::new(START, 16 * BUCKET_BYTES, 3);
     let mut written = BTreeMap::new();
     let mut evictions = 0;
-    for (n, random) in numbers(1).take(20_000).enumerate() {
+    let mut numbers = TestRng::from_seed(RngAlgorithm::ChaCha, &[1; 32]);
+    for n in 0..20_000 {
+        let random = numbers.next_u64();
         let group = GroupId((random % 3) as u32);
         let session = SessionKey(random % 1100);
         // Mostly later and later, and some as old as any.
-        let commit = START.plus(Time::ms(if n % 11 == 0 { random % 1000 } else { n as u64 }));
+        let commit = START.plus(Time::ms(if n % 11 == 0 { random % 1000 } else { n }));
         table.raise(group, session, commit);
         let last = written.entry((group, session)).or_insert(commit);
         *last = commit.max(*last);
