--- a/crates/extproc/tests/lease_table.rs
+++ b/crates/extproc/tests/lease_table.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn each_way_to_end_a_lease_has_one_status_and_proves_what_the_design_says() {
+fn each_way_to_end_a_lease_has_one_status_and_proves_what_the_design_note_states() {
     let outcomes = [
         (LeaseOutcome::Served, Status::Ok, false),
         (LeaseOutcome::Misdirected, Status::Misdirected, true),
--- a/crates/session/tests/token.rs
+++ b/crates/session/tests/token.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn groups_beyond_the_maximum_share_a_floor_that_is_never_lower() {
+fn groups_beyond_the_maximum_get_one_common_floor_that_is_never_lower() {
     let floor = |n: u64| before_now(100 * n);
     let all: Vec<(u32, Time)> = (0..40).map(|n| (n as u32, floor((n * 7) % 40))).collect();
     let text = issue(&keys(1, &[]), NOW, ANNE, &floors(&all));
