--- a/crates/client/src/core.rs
+++ b/crates/client/src/core.rs
@@ -2,10 +2,10 @@
 //! and the same inputs always give the same effects.
 
 use crate::request::{
-    of_the_statement, Config, Idempotency, Invalid, Priority, Report, Request, RequestOutcome, TryEnd,
-    TryRecord, Written,
+    is_statement_error, AttemptOutcome, AttemptRecord, Config, Idempotency, InvalidRequest, Priority,
+    Request, RequestOutcome, RequestReport, WriteProgress,
 };
-use crate::wire::{query, startup, Said, Side};
+use crate::wire::{query, startup, MessageDecoder, ServerMessage};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -16,28 +16,28 @@
 
 /// A connection of this client; never used again after its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ConnId(pub u64);
+pub struct ConnectionId(pub u64);
 
 /// What is to be done.
 #[derive(Debug)]
 pub enum Action {
     /// Open a connection; its end, or its coming up, is told.
-    Connect(ConnId, SocketAddr),
+    Connect(ConnectionId, SocketAddr),
     /// Write bytes. No byte may be written after the time given, if one is.
-    Write(ConnId, Vec<u8>, Option<Instant>),
+    Write(ConnectionId, Vec<u8>, Option<Instant>),
     /// Close a connection. Nothing more is told of it.
-    Close(ConnId),
+    Close(ConnectionId),
     /// A request has ended.
-    Done(RequestId, Report),
+    Done(RequestId, RequestReport),
 }
 
 /// How a connection came to its end by itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lost {
+pub enum DisconnectReason {
     /// Nobody listens there.
-    Refused,
+    NotListening,
     /// Any other way.
-    Broken,
+    Other,
 }
 
 /// Shortest wait after a refusal without a time to come back, or after a failure.
@@ -61,7 +61,7 @@
 const SLACK: f64 = 0.5;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Breaker {
+enum CircuitBreaker {
     Closed,
     /// Out of service until then; one connection is its probe after that.
     Open(Instant),
@@ -74,59 +74,59 @@
     conns: usize,
     failures: u32,
     ejections: u32,
-    breaker: Breaker,
+    breaker: CircuitBreaker,
     /// It was full: no new connection before this.
     rest: Option<Instant>,
 }
 
 #[derive(Debug)]
-enum Stage {
+enum ConnectionState {
     Connecting,
     /// Connected, and the router's welcome has not come.
     Starting,
     Idle,
-    Busy(Talk),
+    Busy(Exchange),
 }
 
 /// A statement on its way, and what came of it so far.
 #[derive(Debug)]
-struct Talk {
+struct Exchange {
     request: RequestId,
     left: usize,
     total: usize,
     row: Option<Option<Vec<u8>>>,
     whole: bool,
-    error: Option<TryEnd>,
-    invalid: Option<Invalid>,
+    error: Option<AttemptOutcome>,
+    invalid: Option<InvalidRequest>,
     /// Anything that counts as an answer has come.
     begun: bool,
 }
 
-impl Talk {
-    fn written(&self) -> Written {
+impl Exchange {
+    fn written(&self) -> WriteProgress {
         match self.left {
-            0 => Written::All,
-            left if left == self.total => Written::Nothing,
-            _ => Written::Part,
+            0 => WriteProgress::Complete,
+            left if left == self.total => WriteProgress::Unsent,
+            _ => WriteProgress::Partial,
         }
     }
 }
 
 #[derive(Debug)]
-struct Conn {
+struct Connection {
     router: usize,
-    stage: Stage,
-    side: Side,
+    stage: ConnectionState,
+    side: MessageDecoder,
     expires: Instant,
     timer: Option<Instant>,
 }
 
 #[derive(Debug)]
-struct Job {
+struct PendingRequest {
     request: Request,
     begun: Instant,
-    conn: Option<ConnId>,
-    tries: Vec<TryRecord>,
+    conn: Option<ConnectionId>,
+    tries: Vec<AttemptRecord>,
     /// When the first try began that may have run.
     doubt: Option<Instant>,
     ready_at: Instant,
@@ -136,7 +136,7 @@
 
 /// What a client has counted, since it began.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct Counters {
     /// Requests taken.
     pub requests: u64,
     /// Tries begun.
@@ -155,11 +155,11 @@
     config: Config,
     random: u64,
     routers: Vec<Router>,
-    conns: BTreeMap<ConnId, Conn>,
-    idle: BTreeSet<ConnId>,
-    timers: BTreeSet<(Instant, ConnId)>,
+    conns: BTreeMap<ConnectionId, Connection>,
+    idle: BTreeSet<ConnectionId>,
+    timers: BTreeSet<(Instant, ConnectionId)>,
     pending: usize,
-    jobs: BTreeMap<RequestId, Job>,
+    jobs: BTreeMap<RequestId, PendingRequest>,
     ready: BTreeSet<RequestId>,
     later: BTreeSet<(Instant, RequestId)>,
     deadlines: BTreeSet<(Instant, RequestId)>,
@@ -171,7 +171,7 @@
     gate: Option<Instant>,
     full: u32,
     next: u64,
-    counts: Counts,
+    counts: Counters,
     out: VecDeque<Action>,
     /// The latest time told.
     now: Option<Instant>,
@@ -186,13 +186,13 @@
             conns: 0,
             failures: 0,
             ejections: 0,
-            breaker: Breaker::Closed,
+            breaker: CircuitBreaker::Closed,
             rest: None,
         };
         Core {
             random: config.seed,
             routers: config.routers.iter().map(router).collect(),
-            store: config.retry_store,
+            store: config.retry_budget_capacity,
             config,
             conns: BTreeMap::new(),
             idle: BTreeSet::new(),
@@ -207,19 +207,19 @@
             gate: None,
             full: 0,
             next: 0,
-            counts: Counts::default(),
+            counts: Counters::default(),
             out: VecDeque::new(),
             now: None,
         }
     }
 
     /// The next thing to be done.
-    pub fn action(&mut self) -> Option<Action> {
+    pub fn poll_action(&mut self) -> Option<Action> {
         self.out.pop_front()
     }
 
     /// What has been counted.
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> Counters {
         self.counts
     }
 
@@ -229,9 +229,9 @@
         (self.jobs.len().max(waiting).max(self.deadlines.len()), self.conns.len(), self.timers.len())
     }
 
-    /// When [`Core::tick`] is due next.
-    pub fn next_due(&self) -> Option<Instant> {
-        let first = |set: &BTreeSet<(Instant, ConnId)>| set.first().map(|t| t.0);
+    /// When [`Core::handle_timeout`] is due next.
+    pub fn next_timeout(&self) -> Option<Instant> {
+        let first = |set: &BTreeSet<(Instant, ConnectionId)>| set.first().map(|t| t.0);
         // What has passed and had nothing to begin is due with the next event, not with time.
         let ahead = |at: &Instant| self.now.is_none_or(|now| *at > now);
         let waits = [
@@ -256,7 +256,7 @@
         let id = RequestId(self.next);
         self.counts.requests += 1;
         if let Some(fault) = request.fault() {
-            let report = Report {
+            let report = RequestReport {
                 outcome: RequestOutcome::Invalid(fault),
                 attempts: Vec::new(),
                 elapsed: Duration::ZERO,
@@ -264,10 +264,10 @@
             self.out.push_back(Action::Done(id, report));
             return id;
         }
-        self.store = (self.store + self.config.retry_share).min(self.config.retry_store);
+        self.store = (self.store + self.config.retry_ratio).min(self.config.retry_budget_capacity);
         self.deadlines.insert((request.deadline, id));
         let (tries, brought) = (Vec::new(), Vec::new());
-        let job = Job {
+        let job = PendingRequest {
             request,
             begun: now,
             conn: None,
@@ -284,16 +284,17 @@
     }
 
     /// The caller waits no longer for a request.
-    pub fn give_up(&mut self, now: Instant, id: RequestId) {
+    pub fn cancel(&mut self, now: Instant, id: RequestId) {
         self.drop_try(now, id);
         self.forget(id);
         self.pump(now);
     }
 
     /// A connection is up.
-    pub fn connected(&mut self, now: Instant, id: ConnId) {
-        if let Some(conn) = self.conns.get_mut(&id).filter(|c| matches!(c.stage, Stage::Connecting)) {
-            conn.stage = Stage::Starting;
+    pub fn handle_connected(&mut self, now: Instant, id: ConnectionId) {
+        if let Some(conn) = self.conns.get_mut(&id).filter(|c| matches!(c.stage, ConnectionState::Connecting))
+        {
+            conn.stage = ConnectionState::Starting;
             self.out.push_back(Action::Write(id, startup(), None));
         }
         self.pump(now);
@@ -301,14 +302,14 @@
 
     /// So many more bytes of the statement were handed to the system. What a connection writes before its
     /// first statement does not count.
-    pub fn wrote(&mut self, id: ConnId, bytes: usize) {
-        if let Some(Conn { stage: Stage::Busy(talk), .. }) = self.conns.get_mut(&id) {
-            talk.left = talk.left.saturating_sub(bytes);
+    pub fn handle_written(&mut self, id: ConnectionId, bytes: usize) {
+        if let Some(Connection { stage: ConnectionState::Busy(exchange), .. }) = self.conns.get_mut(&id) {
+            exchange.left = exchange.left.saturating_sub(bytes);
         }
     }
 
     /// Bytes have come.
-    pub fn received(&mut self, now: Instant, id: ConnId, bytes: &[u8]) {
+    pub fn handle_received(&mut self, now: Instant, id: ConnectionId, bytes: &[u8]) {
         self.expire(now);
         if let Some(conn) = self.conns.get_mut(&id) {
             conn.side.feed(bytes);
@@ -324,24 +325,26 @@
     }
 
     /// A connection has ended, or has never come up.
-    pub fn lost(&mut self, now: Instant, id: ConnId, how: Lost) {
+    pub fn handle_disconnected(&mut self, now: Instant, id: ConnectionId, how: DisconnectReason) {
         self.expire(now);
         if let Some(conn) = self.remove(id) {
             match conn.stage {
-                Stage::Connecting | Stage::Starting => self.failed(now, conn.router, how == Lost::Refused),
-                Stage::Idle => self.lost = true,
-                Stage::Busy(talk) => {
+                ConnectionState::Connecting | ConnectionState::Starting => {
+                    self.failed(now, conn.router, how == DisconnectReason::NotListening)
+                }
+                ConnectionState::Idle => self.lost = true,
+                ConnectionState::Busy(exchange) => {
                     self.lost = true;
-                    let served = talk.whole && talk.error.is_none();
-                    let end = match (served, talk.error.clone()) {
-                        (true, _) => TryEnd::Served,
+                    let served = exchange.whole && exchange.error.is_none();
+                    let end = match (served, exchange.error.clone()) {
+                        (true, _) => AttemptOutcome::Served,
                         (false, Some(error)) => error,
-                        (false, None) => TryEnd::Closed(talk.written()),
+                        (false, None) => AttemptOutcome::Closed(exchange.written()),
                     };
-                    if matches!(end, TryEnd::Closed(_)) {
+                    if matches!(end, AttemptOutcome::Closed(_)) {
                         self.failed(now, conn.router, false);
                     }
-                    self.ended(now, talk, end);
+                    self.ended(now, exchange, end);
                 }
             }
         }
@@ -349,12 +352,12 @@
     }
 
     /// Time has passed.
-    pub fn tick(&mut self, now: Instant) {
+    pub fn handle_timeout(&mut self, now: Instant) {
         self.pump(now);
     }
 
     /// Ends everything: what is out gets the end that can be told of it.
-    pub fn stop(&mut self, now: Instant) {
+    pub fn shut_down(&mut self, now: Instant) {
         let all: Vec<RequestId> = self.jobs.keys().copied().collect();
         for id in all {
             let may_have_run = self.drop_try(now, id);
@@ -364,7 +367,7 @@
                 if may_have_run { RequestOutcome::MayHaveRun } else { RequestOutcome::Stopped },
             );
         }
-        let conns: Vec<ConnId> = self.conns.keys().copied().collect();
+        let conns: Vec<ConnectionId> = self.conns.keys().copied().collect();
         conns.into_iter().for_each(|id| self.close(id));
     }
 
@@ -379,7 +382,7 @@
         ((z ^ (z >> 31)) >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    fn set_timer(&mut self, id: ConnId, at: Option<Instant>) {
+    fn set_timer(&mut self, id: ConnectionId, at: Option<Instant>) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
         if let Some(old) = std::mem::replace(&mut conn.timer, at) {
             self.timers.remove(&(old, id));
@@ -388,21 +391,21 @@
     }
 
     /// Takes a connection off the books.
-    fn remove(&mut self, id: ConnId) -> Option<Conn> {
+    fn remove(&mut self, id: ConnectionId) -> Option<Connection> {
         self.set_timer(id, None);
         let conn = self.conns.remove(&id)?;
         self.idle.remove(&id);
         let router = &mut self.routers[conn.router];
         router.conns -= 1;
         match conn.stage {
-            Stage::Connecting | Stage::Starting => self.pending -= 1,
-            Stage::Busy(_) => router.out -= 1,
-            Stage::Idle => {}
+            ConnectionState::Connecting | ConnectionState::Starting => self.pending -= 1,
+            ConnectionState::Busy(_) => router.out -= 1,
+            ConnectionState::Idle => {}
         }
         Some(conn)
     }
 
-    fn close(&mut self, id: ConnId) {
+    fn close(&mut self, id: ConnectionId) {
         if self.remove(id).is_some() {
             self.out.push_back(Action::Close(id));
         }
@@ -414,11 +417,11 @@
         let draw = 0.5 + self.dice();
         let r = &mut self.routers[router];
         r.failures += 1;
-        let probe = matches!(r.breaker, Breaker::Open(_));
+        let probe = matches!(r.breaker, CircuitBreaker::Open(_));
         // Nobody listens there: it is not up. A probe's failure counts at once, too.
         if refused || probe || r.failures >= FAILURES {
-            let cooldown = self.config.cooldown * (1 << r.ejections.min(DOUBLINGS));
-            r.breaker = Breaker::Open(now + cooldown.mul_f64(draw));
+            let cooldown = self.config.ejection_cooldown * (1 << r.ejections.min(DOUBLINGS));
+            r.breaker = CircuitBreaker::Open(now + cooldown.mul_f64(draw));
             r.ejections += 1;
             self.counts.ejections += 1;
         }
@@ -426,12 +429,17 @@
 
     fn open(&mut self, now: Instant, router: usize) {
         self.next += 1;
-        let id = ConnId(self.next);
-        let age = self.config.age.mul_f64(0.5 + self.dice());
-        let conn =
-            Conn { router, stage: Stage::Connecting, side: Side::default(), expires: now + age, timer: None };
+        let id = ConnectionId(self.next);
+        let age = self.config.connection_lifetime.mul_f64(0.5 + self.dice());
+        let conn = Connection {
+            router,
+            stage: ConnectionState::Connecting,
+            side: MessageDecoder::default(),
+            expires: now + age,
+            timer: None,
+        };
         self.conns.insert(id, conn);
-        self.set_timer(id, Some(now + self.config.connect_within));
+        self.set_timer(id, Some(now + self.config.connect_timeout));
         self.routers[router].conns += 1;
         self.pending += 1;
         self.counts.connects += 1;
@@ -447,8 +455,8 @@
             let r = &self.routers[n];
             let open = r.rest.is_none_or(|at| at <= now) && r.conns < self.config.max_connections_per_router;
             let probing = match r.breaker {
-                Breaker::Closed => false,
-                Breaker::Open(until) => until > now || r.conns > 0,
+                CircuitBreaker::Closed => false,
+                CircuitBreaker::Open(until) => until > now || r.conns > 0,
             };
             if open && !probing && best.is_none_or(|b| (r.conns, draw) < (b.0, b.1)) {
                 best = Some((r.conns, draw, n));
@@ -457,35 +465,35 @@
         best.map(|b| b.2)
     }
 
-    fn unreadable(&mut self, now: Instant, id: ConnId) {
+    fn unreadable(&mut self, now: Instant, id: ConnectionId) {
         let Some(conn) = self.remove(id) else { return };
         self.out.push_back(Action::Close(id));
         match conn.stage {
-            Stage::Busy(talk) => self.ended(now, talk, TryEnd::Unreadable),
-            Stage::Idle => self.lost = true,
-            Stage::Connecting | Stage::Starting => self.failed(now, conn.router, false),
+            ConnectionState::Busy(exchange) => self.ended(now, exchange, AttemptOutcome::MalformedResponse),
+            ConnectionState::Idle => self.lost = true,
+            ConnectionState::Connecting | ConnectionState::Starting => self.failed(now, conn.router, false),
         }
     }
 
-    fn said(&mut self, now: Instant, id: ConnId, said: Said) {
+    fn said(&mut self, now: Instant, id: ConnectionId, said: ServerMessage) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
         let router = conn.router;
         match (&mut conn.stage, said) {
-            (Stage::Connecting, _) => self.unreadable(now, id),
-            (Stage::Starting, Said::Ready) => {
-                conn.stage = Stage::Idle;
+            (ConnectionState::Connecting, _) => self.unreadable(now, id),
+            (ConnectionState::Starting, ServerMessage::Ready) => {
+                conn.stage = ConnectionState::Idle;
                 self.pending -= 1;
                 let r = &mut self.routers[router];
-                (r.breaker, r.failures, r.ejections, r.rest) = (Breaker::Closed, 0, 0, None);
+                (r.breaker, r.failures, r.ejections, r.rest) = (CircuitBreaker::Closed, 0, 0, None);
                 (self.full, self.lost, self.gate) = (0, false, None);
                 self.rest(now, id);
             }
-            (Stage::Starting, Said::Error { code, .. }) => {
+            (ConnectionState::Starting, ServerMessage::Error { code, .. }) => {
                 // Full, or on its way out: it is told apart from one that is not there.
                 self.close(id);
                 if code == "53300" || code == "57P03" {
                     self.full = (self.full + 1).min(FULL_DOUBLINGS);
-                    let span = self.config.spread * (1 << self.full);
+                    let span = self.config.reconnect_spread * (1 << self.full);
                     let wait = span.mul_f64(self.dice());
                     self.routers[router].rest = Some(now + wait);
                     self.lost = true;
@@ -493,73 +501,86 @@
                     self.failed(now, router, false);
                 }
             }
-            (Stage::Starting, _) => {}
-            (Stage::Idle, Said::Token(_)) => {}
+            (ConnectionState::Starting, _) => {}
+            (ConnectionState::Idle, ServerMessage::Token(_)) => {}
             // Between two requests nothing is due; a farewell, most likely.
-            (Stage::Idle, _) => {
+            (ConnectionState::Idle, _) => {
                 self.close(id);
                 self.lost = true;
             }
-            (Stage::Busy(talk), Said::Description) => talk.begun = true,
-            (Stage::Busy(talk), Said::Token(token)) => {
+            (ConnectionState::Busy(exchange), ServerMessage::Description) => exchange.begun = true,
+            (ConnectionState::Busy(exchange), ServerMessage::Token(token)) => {
                 // An early one comes as the statement goes out: it was read.
-                talk.begun = true;
-                let job = self.jobs.get_mut(&talk.request);
+                exchange.begun = true;
+                let job = self.jobs.get_mut(&exchange.request);
                 if let Some((job, session)) = job.and_then(|j| j.request.session.clone().map(|s| (j, s))) {
                     session.token(&mut job.brought, token);
                 }
             }
-            (Stage::Busy(talk), Said::Row(value)) if talk.row.is_none() && !talk.whole => {
-                (talk.row, talk.begun) = (Some(value), true);
+            (ConnectionState::Busy(exchange), ServerMessage::Row(value))
+                if exchange.row.is_none() && !exchange.whole =>
+            {
+                (exchange.row, exchange.begun) = (Some(value), true);
             }
-            (Stage::Busy(talk), Said::Complete) if talk.row.is_some() && !talk.whole => talk.whole = true,
-            (Stage::Busy(talk), Said::Error { fatal, code, message, detail }) if talk.error.is_none() => {
+            (ConnectionState::Busy(exchange), ServerMessage::Complete)
+                if exchange.row.is_some() && !exchange.whole =>
+            {
+                exchange.whole = true
+            }
+            (ConnectionState::Busy(exchange), ServerMessage::Error { fatal, code, message, detail })
+                if exchange.error.is_none() =>
+            {
                 let after = || detail.and_then(|d| d.trim().parse().ok()).map(Duration::from_millis);
-                talk.error = Some(match code.as_str() {
-                    "53300" | "57P03" => TryEnd::Refused(after()),
+                exchange.error = Some(match code.as_str() {
+                    "53300" | "57P03" => AttemptOutcome::Rejected(after()),
                     // Ahead of all else it proves that the statement was not read.
-                    "57P01" if fatal && !talk.begun => TryEnd::Farewell,
-                    _ => TryEnd::Error(code.clone()),
+                    "57P01" if fatal && !exchange.begun => AttemptOutcome::CloseNotice,
+                    _ => AttemptOutcome::Error(code.clone()),
                 });
-                if of_the_statement(&code) {
-                    talk.invalid = Some(Invalid { code, message });
+                if is_statement_error(&code) {
+                    exchange.invalid = Some(InvalidRequest { code, message });
                 }
-                talk.begun = true;
+                exchange.begun = true;
                 if fatal {
                     self.over(now, id, true);
                 }
             }
-            (Stage::Busy(talk), Said::Ready) if talk.whole || talk.error.is_some() => {
+            (ConnectionState::Busy(exchange), ServerMessage::Ready)
+                if exchange.whole || exchange.error.is_some() =>
+            {
                 self.over(now, id, false)
             }
-            (Stage::Busy(_), _) => self.unreadable(now, id),
+            (ConnectionState::Busy(_), _) => self.unreadable(now, id),
         }
     }
 
     /// An answer is whole.
-    fn over(&mut self, now: Instant, id: ConnId, fatal: bool) {
+    fn over(&mut self, now: Instant, id: ConnectionId, fatal: bool) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
         let router = conn.router;
-        let Stage::Busy(talk) = std::mem::replace(&mut conn.stage, Stage::Idle) else { return };
+        let ConnectionState::Busy(exchange) = std::mem::replace(&mut conn.stage, ConnectionState::Idle)
+        else {
+            return;
+        };
         self.routers[router].out -= 1;
         self.routers[router].failures = 0;
-        let end = talk.error.clone().unwrap_or(TryEnd::Served);
+        let end = exchange.error.clone().unwrap_or(AttemptOutcome::Served);
         // An answer to half a statement is about something else.
-        if fatal || talk.written() != Written::All {
+        if fatal || exchange.written() != WriteProgress::Complete {
             self.close(id);
         } else {
             self.rest(now, id);
         }
-        self.ended(now, talk, end);
+        self.ended(now, exchange, end);
     }
 
     /// A connection falls idle, unless its time has come.
-    fn rest(&mut self, now: Instant, id: ConnId) {
+    fn rest(&mut self, now: Instant, id: ConnectionId) {
         match self.conns.get(&id).is_some_and(|c| c.expires <= now) {
             true => self.close(id),
             false => {
                 self.idle.insert(id);
-                self.set_timer(id, Some(now + self.config.idle));
+                self.set_timer(id, Some(now + self.config.idle_timeout));
             }
         }
     }
@@ -570,10 +591,10 @@
     fn drop_try(&mut self, now: Instant, id: RequestId) -> bool {
         let Some(job) = self.jobs.get_mut(&id) else { return false };
         let conn = job.conn.take().and_then(|c| self.remove(c).map(|conn| (c, conn)));
-        if let Some((conn_id, Conn { router, stage: Stage::Busy(talk), .. })) = conn {
+        if let Some((conn_id, Connection { router, stage: ConnectionState::Busy(exchange), .. })) = conn {
             // An answer that comes late must not meet the next request.
             self.out.push_back(Action::Close(conn_id));
-            let end = TryEnd::GivenUp(talk.written());
+            let end = AttemptOutcome::Abandoned(exchange.written());
             self.note(now, id, router, end);
         }
         self.jobs
@@ -582,13 +603,13 @@
     }
 
     /// Notes how the last try ended.
-    fn note(&mut self, now: Instant, id: RequestId, router: usize, end: TryEnd) {
+    fn note(&mut self, now: Instant, id: RequestId, router: usize, end: AttemptOutcome) {
         let addr = self.routers[router].addr;
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let Some(last) = job.tries.last_mut().filter(|t| t.router == addr) else { return };
         last.took = now.saturating_duration_since(last.began);
         let began = last.began;
-        let doubtful = !end.proves_unrun() && end != TryEnd::Served;
+        let doubtful = !end.proves_not_run() && end != AttemptOutcome::Served;
         last.end = end;
         if doubtful && job.doubt.is_none() {
             job.doubt = Some(began);
@@ -601,7 +622,7 @@
         }
     }
 
-    fn forget(&mut self, id: RequestId) -> Option<Job> {
+    fn forget(&mut self, id: RequestId) -> Option<PendingRequest> {
         let job = self.jobs.remove(&id)?;
         self.ready.remove(&id);
         self.later.remove(&(job.ready_at, id));
@@ -615,7 +636,8 @@
     fn finish(&mut self, now: Instant, id: RequestId, end: RequestOutcome) {
         let Some(job) = self.forget(id) else { return };
         let took = now.saturating_duration_since(job.begun);
-        self.out.push_back(Action::Done(id, Report { outcome: end, attempts: job.tries, elapsed: took }));
+        self.out
+            .push_back(Action::Done(id, RequestReport { outcome: end, attempts: job.tries, elapsed: took }));
     }
 
     /// Ends all that is past its deadline, before anything else is done.
@@ -625,7 +647,7 @@
             self.finish(
                 now,
                 id,
-                if may_have_run { RequestOutcome::MayHaveRun } else { RequestOutcome::Late },
+                if may_have_run { RequestOutcome::MayHaveRun } else { RequestOutcome::DeadlineExceeded },
             );
         }
     }
@@ -638,20 +660,20 @@
 
     /// A try has ended by itself: the request is done, or goes on if its idempotency, its time and the budget
     /// allow.
-    fn ended(&mut self, now: Instant, talk: Talk, end: TryEnd) {
-        let id = talk.request;
+    fn ended(&mut self, now: Instant, exchange: Exchange, end: AttemptOutcome) {
+        let id = exchange.request;
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.conn = None;
         let addr = job.tries.last().map(|t| t.router);
         let router = self.routers.iter().position(|r| Some(r.addr) == addr).unwrap_or(0);
         self.note(now, id, router, end.clone());
         let Some(job) = self.jobs.get(&id) else { return };
-        if end == TryEnd::Served {
+        if end == AttemptOutcome::Served {
             let (class, took) = (job.request.class.clone(), job.tries.last().map(|t| t.took));
             self.learn(class, took.unwrap_or_default());
-            return self.finish(now, id, RequestOutcome::Served(talk.row.flatten()));
+            return self.finish(now, id, RequestOutcome::Served(exchange.row.flatten()));
         }
-        if let Some(invalid) = talk.invalid {
+        if let Some(invalid) = exchange.invalid {
             return self.finish(now, id, RequestOutcome::Invalid(invalid));
         }
         let (idempotency, priority, deadline) =
@@ -659,8 +681,8 @@
         let (doubt, tries, least) = (job.doubt, job.tries.len() as u32, self.least(&job.request.class));
         let given_up = match &end {
             _ if idempotency != Idempotency::Idempotent && doubt.is_some() => RequestOutcome::MayHaveRun,
-            TryEnd::Refused(after) => RequestOutcome::Refused(*after),
-            _ if doubt.is_none() => RequestOutcome::Refused(None),
+            AttemptOutcome::Rejected(after) => RequestOutcome::Rejected(*after),
+            _ if doubt.is_none() => RequestOutcome::Rejected(None),
             _ => RequestOutcome::Failed,
         };
         if idempotency == Idempotency::NonIdempotent && doubt.is_some() {
@@ -668,13 +690,15 @@
         }
         let draw = self.dice();
         let wait = match &end {
-            TryEnd::Refused(after) => after.unwrap_or_default().max(REST).mul_f64(1.0 + JITTER * draw),
-            _ if end.seen() => (REST * (1 << tries.min(4))).mul_f64(0.5 + draw),
+            AttemptOutcome::Rejected(after) => {
+                after.unwrap_or_default().max(REST).mul_f64(1.0 + JITTER * draw)
+            }
+            _ if end.may_have_reached_router() => (REST * (1 << tries.min(4))).mul_f64(0.5 + draw),
             _ => Duration::ZERO,
         };
         // Far enough off to pass no deadline, and near enough to be a time at all.
         let ready_at = now + wait.min(Duration::from_secs(86_400));
-        if ready_at + least >= deadline || (end.seen() && !self.spend(priority)) {
+        if ready_at + least >= deadline || (end.may_have_reached_router() && !self.spend(priority)) {
             return self.finish(now, id, given_up);
         }
         if let Some(job) = self.jobs.get_mut(&id) {
@@ -694,7 +718,11 @@
             Priority::High => 0.0,
         };
         // A store too small for shares is there for all.
-        let kept = if self.config.retry_store < 4.0 { 0.0 } else { kept * self.config.retry_store };
+        let kept = if self.config.retry_budget_capacity < 4.0 {
+            0.0
+        } else {
+            kept * self.config.retry_budget_capacity
+        };
         let allowed = self.store - 1.0 >= kept;
         match allowed {
             true => self.store -= 1.0,
@@ -720,7 +748,7 @@
             self.timers.remove(&(at, id));
             let Some(conn) = self.conns.get_mut(&id) else { continue };
             conn.timer = None;
-            let (router, idle) = (conn.router, matches!(conn.stage, Stage::Idle));
+            let (router, idle) = (conn.router, matches!(conn.stage, ConnectionState::Idle));
             self.close(id);
             if !idle {
                 self.failed(now, router, false);
@@ -746,11 +774,12 @@
         if now + self.least(&job.request.class) >= deadline {
             let end = match job.request.idempotency != Idempotency::Idempotent && job.doubt.is_some() {
                 true => RequestOutcome::MayHaveRun,
-                false => RequestOutcome::Late,
+                false => RequestOutcome::DeadlineExceeded,
             };
             return self.finish(now, id, end);
         }
-        let out = |conn: &ConnId| self.conns.get(conn).map_or(usize::MAX, |c| self.routers[c.router].out);
+        let out =
+            |conn: &ConnectionId| self.conns.get(conn).map_or(usize::MAX, |c| self.routers[c.router].out);
         // Of one router, the connection used last: the others can go.
         let Some(conn_id) = self.idle.iter().rev().copied().min_by_key(out) else { return };
         let Some(job) = self.jobs.get_mut(&id) else { return };
@@ -775,7 +804,7 @@
         let Some(conn) = self.conns.get_mut(&conn_id) else { return };
         let router = conn.router;
         let total = bytes.len();
-        conn.stage = Stage::Busy(Talk {
+        conn.stage = ConnectionState::Busy(Exchange {
             request: id,
             left: total,
             total,
@@ -788,8 +817,8 @@
         self.routers[router].out += 1;
         self.counts.tries += 1;
         job.conn = Some(conn_id);
-        let (addr, end) = (self.routers[router].addr, TryEnd::GivenUp(Written::Nothing));
-        job.tries.push(TryRecord { router: addr, began: now, took: Duration::ZERO, end });
+        let (addr, end) = (self.routers[router].addr, AttemptOutcome::Abandoned(WriteProgress::Unsent));
+        job.tries.push(AttemptRecord { router: addr, began: now, took: Duration::ZERO, end });
         self.ready.remove(&id);
         self.out.push_back(Action::Write(conn_id, bytes, Some(deadline)));
     }
@@ -803,7 +832,7 @@
         }
         if std::mem::take(&mut self.lost) && self.gate.is_none_or(|at| at <= now) {
             // Nobody knows how many others have lost the same router: all spread over the slack they have.
-            let span = (self.config.spread * (1 << self.full)).min(left.mul_f64(SLACK));
+            let span = (self.config.reconnect_spread * (1 << self.full)).min(left.mul_f64(SLACK));
             let wait = span.mul_f64(self.dice());
             self.gate = Some(now + wait);
         }
@@ -821,7 +850,7 @@
     /// When it may be asked for a connection again, if it may not now.
     fn opens(&self) -> Option<Instant> {
         match self.breaker {
-            Breaker::Open(until) if self.conns == 0 => Some(until.max(self.rest.unwrap_or(until))),
+            CircuitBreaker::Open(until) if self.conns == 0 => Some(until.max(self.rest.unwrap_or(until))),
             _ => self.rest,
         }
     }
--- a/crates/client/src/driver.rs
+++ b/crates/client/src/driver.rs
@@ -1,7 +1,7 @@
 //! The driver: sockets, timers and the hand-over from callers, on a thread of its own.
 
-use crate::core::{Action, ConnId, Core, Counts, Lost, RequestId};
-use crate::request::{Config, Report, Request, RequestOutcome};
+use crate::core::{Action, ConnectionId, Core, Counters, DisconnectReason, RequestId};
+use crate::request::{Config, Request, RequestOutcome, RequestReport};
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer};
@@ -23,9 +23,9 @@
 /// What callers hand over.
 enum Ask {
     Client(u64, Config),
-    Request(u64, u64, Request, Sender<Report>),
+    Request(u64, u64, Request, Sender<RequestReport>),
     GiveUp(u64, u64),
-    Counts(u64, Sender<(Counts, (usize, usize, usize))>),
+    Counts(u64, Sender<(Counters, (usize, usize, usize))>),
     Gone(u64),
 }
 
@@ -74,7 +74,7 @@
 struct Asked {
     client: Client,
     number: u64,
-    answer: Pin<Box<Receiver<Report>>>,
+    answer: Pin<Box<Receiver<RequestReport>>>,
     over: bool,
 }
 
@@ -87,14 +87,14 @@
 }
 
 impl Future for Asked {
-    type Output = Report;
+    type Output = RequestReport;
 
-    fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Report> {
+    fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<RequestReport> {
         use futures_lite::Stream;
         let polled = self.answer.as_mut().poll_next(cx);
         polled.map(|report| {
             self.over = true;
-            report.unwrap_or(Report {
+            report.unwrap_or(RequestReport {
                 outcome: RequestOutcome::Stopped,
                 attempts: Vec::new(),
                 elapsed: Duration::ZERO,
@@ -110,7 +110,7 @@
     }
 
     /// Asks, and hears by the request's deadline. Dropping the future gives the request up.
-    pub fn execute(&self, request: Request) -> impl Future<Output = Report> + Send + 'static {
+    pub fn execute(&self, request: Request) -> impl Future<Output = RequestReport> + Send + 'static {
         let span = tracing::debug_span!("request", class = %request.class, group = request.group);
         let (done, answer) = async_channel::bounded(1);
         let runtime = &self.0.runtime.0;
@@ -127,12 +127,12 @@
     }
 
     /// Asks, and blocks this thread until the request has ended.
-    pub fn execute_blocking(&self, request: Request) -> Report {
+    pub fn execute_blocking(&self, request: Request) -> RequestReport {
         future::block_on(self.execute(request))
     }
 
     /// What the client has counted so far; nothing if its thread is gone.
-    pub async fn counts(&self) -> Counts {
+    pub async fn counts(&self) -> Counters {
         self.look().await.0
     }
 
@@ -142,7 +142,7 @@
         self.look().await.1
     }
 
-    async fn look(&self) -> (Counts, (usize, usize, usize)) {
+    async fn look(&self) -> (Counters, (usize, usize, usize)) {
         let (done, counts) = async_channel::bounded(1);
         let _ = self.0.runtime.0.asks.try_send(Ask::Counts(self.0.number, done));
         counts.recv().await.unwrap_or_default()
@@ -153,9 +153,9 @@
 struct Driven {
     core: RefCell<Core>,
     executor: Rc<LocalExecutor<'static>>,
-    conns: RefCell<BTreeMap<ConnId, Rc<Wire>>>,
+    conns: RefCell<BTreeMap<ConnectionId, Rc<Wire>>>,
     /// Callers by request, and requests by the callers' numbers.
-    callers: RefCell<BTreeMap<RequestId, (u64, Sender<Report>)>>,
+    callers: RefCell<BTreeMap<RequestId, (u64, Sender<RequestReport>)>>,
     numbers: RefCell<BTreeMap<u64, RequestId>>,
     rearm: RefCell<Option<Waker>>,
     armed: Cell<Option<Instant>>,
@@ -206,7 +206,7 @@
                     let id = driven.numbers.borrow_mut().remove(&number);
                     if let Some(id) = id {
                         driven.callers.borrow_mut().remove(&id);
-                        driven.core.borrow_mut().give_up(Instant::now(), id);
+                        driven.core.borrow_mut().cancel(Instant::now(), id);
                     }
                     driven.carry_out();
                 }
@@ -218,7 +218,7 @@
                 }
                 Ask::Gone(client) => {
                     if let Some((driven, timers)) = clients.remove(&client) {
-                        driven.core.borrow_mut().stop(Instant::now());
+                        driven.core.borrow_mut().shut_down(Instant::now());
                         driven.carry_out();
                         drop(timers);
                     }
@@ -235,7 +235,7 @@
 
 impl Driven {
     /// Closes a connection's socket. Its task may be the one that runs just now: it finds out by itself.
-    fn let_go(&self, id: ConnId) {
+    fn let_go(&self, id: ConnectionId) {
         let Some(wire) = self.conns.borrow_mut().remove(&id) else { return };
         if let Some(stream) = wire.stream.borrow_mut().take() {
             let _ = stream.get_ref().shutdown(std::net::Shutdown::Both);
@@ -250,7 +250,7 @@
     /// Does what the core asks for.
     fn carry_out(self: &Rc<Driven>) {
         loop {
-            let Some(action) = self.core.borrow_mut().action() else { break };
+            let Some(action) = self.core.borrow_mut().poll_action() else { break };
             match action {
                 Action::Connect(id, addr) => {
                     metrics::counter!("basalthill_client_connects_total").increment(1);
@@ -272,14 +272,18 @@
                         wire.stream.borrow().as_ref().is_none_or(|s| until.is_none() || silent(s.get_ref()));
                     if !quiet {
                         self.let_go(id);
-                        self.core.borrow_mut().lost(Instant::now(), id, Lost::Broken);
+                        self.core.borrow_mut().handle_disconnected(
+                            Instant::now(),
+                            id,
+                            DisconnectReason::Other,
+                        );
                         continue;
                     }
                     wire.out.borrow_mut().push_back(Pending { bytes, at: 0, until });
                     // Mostly the system takes it at once; the connection's task writes the rest.
                     if let Some(stream) = wire.stream.borrow().as_ref() {
                         let n = flush(stream.get_ref(), &wire.out).unwrap_or(0);
-                        self.core.borrow_mut().wrote(id, n);
+                        self.core.borrow_mut().handle_written(id, n);
                     }
                     if !wire.out.borrow().is_empty() {
                         wake(&wire.more);
@@ -297,7 +301,7 @@
                 }
             }
         }
-        let due = self.core.borrow().next_due();
+        let due = self.core.borrow().next_timeout();
         if due.is_some() && (self.armed.get().is_none() || due < self.armed.get()) {
             wake(&self.rearm);
         }
@@ -316,11 +320,11 @@
 }
 
 /// Counters on whatever recorder the program has installed.
-fn count(report: &Report) {
+fn count(report: &RequestReport) {
     let end = match &report.outcome {
         RequestOutcome::Served(_) => "served",
-        RequestOutcome::Refused(_) => "refused",
-        RequestOutcome::Late => "late",
+        RequestOutcome::Rejected(_) => "refused",
+        RequestOutcome::DeadlineExceeded => "late",
         RequestOutcome::Failed => "failed",
         RequestOutcome::MayHaveRun => "may_have_run",
         RequestOutcome::Invalid(_) => "invalid",
@@ -359,11 +363,15 @@
 }
 
 /// One connection, from its opening to its end.
-async fn connection(driven: Rc<Driven>, wire: Rc<Wire>, id: ConnId, addr: SocketAddr) {
+async fn connection(driven: Rc<Driven>, wire: Rc<Wire>, id: ConnectionId, addr: SocketAddr) {
     let stream = match Async::<TcpStream>::connect(addr).await {
         Ok(stream) => Rc::new(stream),
         Err(e) => {
-            let how = if e.kind() == ErrorKind::ConnectionRefused { Lost::Refused } else { Lost::Broken };
+            let how = if e.kind() == ErrorKind::ConnectionRefused {
+                DisconnectReason::NotListening
+            } else {
+                DisconnectReason::Other
+            };
             return ended(&driven, id, how);
         }
     };
@@ -372,7 +380,7 @@
         return; // closed meanwhile
     }
     *wire.stream.borrow_mut() = Some(Rc::clone(&stream));
-    driven.core.borrow_mut().connected(Instant::now(), id);
+    driven.core.borrow_mut().handle_connected(Instant::now(), id);
     driven.carry_out();
     let mut bytes = vec![0; READ_AT_ONCE];
     loop {
@@ -395,37 +403,37 @@
         match future::or(read, write).await {
             _ if wire.stream.borrow().is_none() => return, // closed by the core
             Some(Ok(n)) if n > 0 => {
-                driven.core.borrow_mut().received(Instant::now(), id, &bytes[..n]);
+                driven.core.borrow_mut().handle_received(Instant::now(), id, &bytes[..n]);
                 driven.carry_out();
             }
-            Some(_) => return ended(&driven, id, Lost::Broken),
+            Some(_) => return ended(&driven, id, DisconnectReason::Other),
             None => {
                 let n = flush(stream.get_ref(), &wire.out).unwrap_or(0);
-                driven.core.borrow_mut().wrote(id, n);
+                driven.core.borrow_mut().handle_written(id, n);
             }
         }
     }
 }
 
 /// A connection's end, told by its own task.
-fn ended(driven: &Rc<Driven>, id: ConnId, how: Lost) {
+fn ended(driven: &Rc<Driven>, id: ConnectionId, how: DisconnectReason) {
     if let Some(wire) = driven.conns.borrow_mut().remove(&id) {
         if let Some(task) = wire.task.borrow_mut().take() {
             task.detach();
         }
         wire.stream.borrow_mut().take();
     }
-    driven.core.borrow_mut().lost(Instant::now(), id, how);
+    driven.core.borrow_mut().handle_disconnected(Instant::now(), id, how);
     driven.carry_out();
 }
 
 /// Lets the core's time pass.
 async fn timers(driven: Rc<Driven>) {
     loop {
-        let due = driven.core.borrow().next_due();
+        let due = driven.core.borrow().next_timeout();
         driven.armed.set(due);
         let again = future::poll_fn(|cx| {
-            let next = driven.core.borrow().next_due();
+            let next = driven.core.borrow().next_timeout();
             if next.is_some() && (due.is_none() || next < due) {
                 return Poll::Ready(());
             }
@@ -439,8 +447,8 @@
             }
         };
         future::or(sleep, again).await;
-        if driven.core.borrow().next_due().is_some_and(|due| due <= Instant::now()) {
-            driven.core.borrow_mut().tick(Instant::now());
+        if driven.core.borrow().next_timeout().is_some_and(|due| due <= Instant::now()) {
+            driven.core.borrow_mut().handle_timeout(Instant::now());
             driven.carry_out();
             // A due time in the past must not keep the thread to itself.
             future::yield_now().await;
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -10,7 +10,7 @@
 //! let write = Request::write("log-write", 1, "s1", b"hello").tenant("demo").timeout(deadline);
 //! match client.execute_blocking(write).outcome {
 //!     RequestOutcome::Served(value) => println!("stored {value:?}"),
-//!     RequestOutcome::Refused(after) => println!("not done; worth another try after {after:?}"),
+//!     RequestOutcome::Rejected(after) => println!("not done; worth another try after {after:?}"),
 //!     RequestOutcome::MayHaveRun => println!("unknown: read before you write again"),
 //!     other => println!("not done: {other:?}"),
 //! }
@@ -27,6 +27,7 @@
 
 pub use driver::{Client, Runtime};
 pub use request::{
-    Config, Idempotency, Invalid, Priority, Report, Request, RequestOutcome, TryEnd, TryRecord, What, Written,
+    AttemptOutcome, AttemptRecord, Config, Idempotency, InvalidRequest, Operation, Priority, Request,
+    RequestOutcome, RequestReport, WriteProgress,
 };
-pub use session::{BadSession, Session};
+pub use session::{InvalidSession, Session};
--- a/crates/client/src/request.rs
+++ b/crates/client/src/request.rs
@@ -13,19 +13,19 @@
     /// Connections to each router at most.
     pub max_connections_per_router: usize,
     /// What a first try earns, as a share of a further one.
-    pub retry_share: f64,
+    pub retry_ratio: f64,
     /// Most further tries in store.
-    pub retry_store: f64,
+    pub retry_budget_capacity: f64,
     /// Reconnects spread over this at most, and over half of what the next request has left.
-    pub spread: Duration,
+    pub reconnect_spread: Duration,
     /// A connection that has asked nothing for this long is closed; routers close theirs after two seconds.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// A connection ends after about this, so that load finds routers that have come back.
-    pub age: Duration,
+    pub connection_lifetime: Duration,
     /// A connection that is not up within this has failed.
-    pub connect_within: Duration,
+    pub connect_timeout: Duration,
     /// The first cooldown of a router that has failed.
-    pub cooldown: Duration,
+    pub ejection_cooldown: Duration,
     /// For random numbers: two clients of one seed draw alike.
     pub seed: u64,
 }
@@ -37,13 +37,13 @@
         Config {
             routers: routers.into(),
             max_connections_per_router: 32,
-            retry_share: 0.1,
-            retry_store: 10.0,
-            spread: Duration::from_secs(1),
-            idle: Duration::from_millis(1500),
-            age: Duration::from_secs(60),
-            connect_within: Duration::from_secs(1),
-            cooldown: Duration::from_secs(1),
+            retry_ratio: 0.1,
+            retry_budget_capacity: 10.0,
+            reconnect_spread: Duration::from_secs(1),
+            idle_timeout: Duration::from_millis(1500),
+            connection_lifetime: Duration::from_secs(60),
+            connect_timeout: Duration::from_secs(1),
+            ejection_cooldown: Duration::from_secs(1),
             seed: now.as_nanos() as u64 ^ (u64::from(std::process::id()) << 40),
         }
     }
@@ -74,7 +74,7 @@
 
 /// What is asked.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum Operation {
     /// The value under the key.
     Read,
     /// This value under the key.
@@ -93,7 +93,7 @@
     /// Its key.
     pub key: String,
     /// What is asked.
-    pub what: What,
+    pub operation: Operation,
     /// The caller hears by then, whatever happens.
     pub deadline: Instant,
     /// What a repeat does.
@@ -112,7 +112,7 @@
             group,
             tenant: String::new(),
             key: key.into(),
-            what: What::Read,
+            operation: Operation::Read,
             deadline: Instant::now() + Duration::from_secs(1),
             idempotency: Idempotency::Idempotent,
             priority: Priority::Normal,
@@ -122,8 +122,8 @@
 
     /// A write, never to run twice, with a deadline one second from now.
     pub fn write(class: &str, group: u32, key: &str, value: &[u8]) -> Request {
-        let (what, idempotency) = (What::Write(value.into()), Idempotency::NonIdempotent);
-        Request { what, idempotency, ..Request::read(class, group, key) }
+        let (operation, idempotency) = (Operation::Write(value.into()), Idempotency::NonIdempotent);
+        Request { operation, idempotency, ..Request::read(class, group, key) }
     }
 
     /// For a tenant.
@@ -157,20 +157,20 @@
     }
 
     /// What is wrong with it before anything is sent.
-    pub(crate) fn fault(&self) -> Option<Invalid> {
+    pub(crate) fn fault(&self) -> Option<InvalidRequest> {
         let plain = |text: &str| {
             text.bytes().all(|b| b.is_ascii_graphic() && !matches!(b, b',' | b'=' | b'*' | b'/'))
         };
         let names = [("class", &self.class, false), ("tenant", &self.tenant, true)];
         let bad = names.into_iter().find(|(_, text, empty)| !plain(text) || (text.is_empty() && !empty));
         if let Some((name, text, _)) = bad {
-            return Some(Invalid::here(format!("{name} {text:?} can't stand in a comment")));
+            return Some(InvalidRequest::here(format!("{name} {text:?} can't stand in a comment")));
         }
         if self.key.bytes().any(|b| b == 0) {
-            return Some(Invalid::here("a key must not hold a zero byte".into()));
+            return Some(InvalidRequest::here("a key must not hold a zero byte".into()));
         }
-        let long = matches!(&self.what, What::Write(value) if value.len() > LONGEST_VALUE);
-        long.then(|| Invalid::here(format!("a value has {LONGEST_VALUE} bytes at most")))
+        let long = matches!(&self.operation, Operation::Write(value) if value.len() > LONGEST_VALUE);
+        long.then(|| InvalidRequest::here(format!("a value has {LONGEST_VALUE} bytes at most")))
     }
 }
 
@@ -179,26 +179,26 @@
 
 /// Why a request is none that routers or hosts take. It has not run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Invalid {
+pub struct InvalidRequest {
     /// The SQLSTATE, 22023 if nothing was sent.
     pub code: String,
     /// For people.
     pub message: String,
 }
 
-impl Invalid {
-    fn here(message: String) -> Invalid {
-        Invalid { code: "22023".into(), message }
+impl InvalidRequest {
+    fn here(message: String) -> InvalidRequest {
+        InvalidRequest { code: "22023".into(), message }
     }
 }
 
-impl fmt::Display for Invalid {
+impl fmt::Display for InvalidRequest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}", self.code, self.message)
     }
 }
 
-impl std::error::Error for Invalid {}
+impl std::error::Error for InvalidRequest {}
 
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -207,76 +207,78 @@
     /// The value; none if it is null.
     Served(Option<Vec<u8>>),
     /// Turned away, and nothing has run. Worth asking again, not sooner than after this if it is told.
-    Refused(Option<Duration>),
+    Rejected(Option<Duration>),
     /// Its time is over, or what is left is too short for an answer. Nothing has run, or a repeat does no
     /// harm.
-    Late,
+    DeadlineExceeded,
     /// It failed, and a repeat does no harm.
     Failed,
     /// Nobody knows whether it has run, or it may yet run. Never ask again without having looked.
     MayHaveRun,
     /// It is no request that can be served; nothing has run.
-    Invalid(Invalid),
+    Invalid(InvalidRequest),
     /// The client has been stopped before anything was sent.
     Stopped,
 }
 
 /// How much of a statement was handed to the system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Written {
+pub enum WriteProgress {
     /// Nothing.
-    Nothing,
+    Unsent,
     /// A part: no router takes it.
-    Part,
+    Partial,
     /// All of it.
-    All,
+    Complete,
 }
 
 /// How one try ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum TryEnd {
+pub enum AttemptOutcome {
     /// Served.
     Served,
     /// Refused, with the time to come back if it was told.
-    Refused(Option<Duration>),
+    Rejected(Option<Duration>),
     /// Any other error, by its SQLSTATE.
     Error(String),
     /// The router said that it closes the connection and has read nothing more.
-    Farewell,
+    CloseNotice,
     /// The connection ended.
-    Closed(Written),
+    Closed(WriteProgress),
     /// What came can't be read.
-    Unreadable,
+    MalformedResponse,
     /// Given up: at the deadline, or by the caller.
-    GivenUp(Written),
+    Abandoned(WriteProgress),
 }
 
-impl TryEnd {
+impl AttemptOutcome {
     /// Whether it proves that nothing ran, and nothing will.
-    pub fn proves_unrun(&self) -> bool {
+    pub fn proves_not_run(&self) -> bool {
         match self {
-            TryEnd::Refused(_) | TryEnd::Farewell => true,
-            TryEnd::Closed(written) | TryEnd::GivenUp(written) => *written != Written::All,
-            TryEnd::Error(code) => of_the_statement(code),
-            TryEnd::Served | TryEnd::Unreadable => false,
+            AttemptOutcome::Rejected(_) | AttemptOutcome::CloseNotice => true,
+            AttemptOutcome::Closed(written) | AttemptOutcome::Abandoned(written) => {
+                *written != WriteProgress::Complete
+            }
+            AttemptOutcome::Error(code) => is_statement_error(code),
+            AttemptOutcome::Served | AttemptOutcome::MalformedResponse => false,
         }
     }
 
     /// Whether a router may have seen it.
-    pub(crate) fn seen(&self) -> bool {
-        !matches!(self, TryEnd::Closed(w) | TryEnd::GivenUp(w) if *w != Written::All)
-            && *self != TryEnd::Farewell
+    pub(crate) fn may_have_reached_router(&self) -> bool {
+        !matches!(self, AttemptOutcome::Closed(w) | AttemptOutcome::Abandoned(w) if *w != WriteProgress::Complete)
+            && *self != AttemptOutcome::CloseNotice
     }
 }
 
 /// Whether an error lies in the statement: it is as wrong anywhere else, and has not run.
-pub(crate) fn of_the_statement(code: &str) -> bool {
+pub(crate) fn is_statement_error(code: &str) -> bool {
     code.starts_with("08P") || code.starts_with("22") || code.starts_with("42") || code.starts_with("0A")
 }
 
 /// One try, for the record.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TryRecord {
+pub struct AttemptRecord {
     /// Its router.
     pub router: SocketAddr,
     /// When it began.
@@ -284,16 +286,16 @@
     /// How long it took.
     pub took: Duration,
     /// How it ended.
-    pub end: TryEnd,
+    pub end: AttemptOutcome,
 }
 
 /// How a request ended, and why.
 #[derive(Clone, Debug)]
-pub struct Report {
+pub struct RequestReport {
     /// Its end.
     pub outcome: RequestOutcome,
     /// Its tries, in order.
-    pub attempts: Vec<TryRecord>,
+    pub attempts: Vec<AttemptRecord>,
     /// How long it took in all.
     pub elapsed: Duration,
 }
--- a/crates/client/src/session.rs
+++ b/crates/client/src/session.rs
@@ -21,15 +21,15 @@
 
 /// Bytes that are no session of this library.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BadSession;
+pub struct InvalidSession;
 
-impl fmt::Display for BadSession {
+impl fmt::Display for InvalidSession {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("not a session that this library has written")
     }
 }
 
-impl std::error::Error for BadSession {}
+impl std::error::Error for InvalidSession {}
 
 fn plain(text: &str) -> bool {
     text.bytes().all(|b| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.' | b':' | b'@'))
@@ -38,14 +38,14 @@
 impl Session {
     /// A new session; its name may hold letters, digits and any of `-_.:@`. An empty name means that the key
     /// of each request names it.
-    pub fn new(name: &str) -> Result<Session, BadSession> {
+    pub fn new(name: &str) -> Result<Session, InvalidSession> {
         Session::with(name, Vec::new())
     }
 
-    fn with(name: &str, tokens: Vec<String>) -> Result<Session, BadSession> {
+    fn with(name: &str, tokens: Vec<String>) -> Result<Session, InvalidSession> {
         let sound = plain(name) && tokens.len() <= AT_ONCE && tokens.iter().all(|t| plain(t));
         let state = State { name: name.into(), tokens, out: 0 };
-        sound.then(|| Session(Arc::new(Mutex::new(state)))).ok_or(BadSession)
+        sound.then(|| Session(Arc::new(Mutex::new(state)))).ok_or(InvalidSession)
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -69,17 +69,17 @@
     }
 
     /// Goes on with an exported session.
-    pub fn import(bytes: &[u8]) -> Result<Session, BadSession> {
-        let Some((&VERSION, mut rest)) = bytes.split_first() else { return Err(BadSession) };
+    pub fn import(bytes: &[u8]) -> Result<Session, InvalidSession> {
+        let Some((&VERSION, mut rest)) = bytes.split_first() else { return Err(InvalidSession) };
         let mut texts = Vec::new();
         while let Some((head, after)) = rest.split_first_chunk::<2>() {
             let len = usize::from(u16::from_be_bytes(*head));
-            let (text, next) = after.split_at_checked(len).ok_or(BadSession)?;
-            texts.push(String::from_utf8(text.to_vec()).map_err(|_| BadSession)?);
+            let (text, next) = after.split_at_checked(len).ok_or(InvalidSession)?;
+            texts.push(String::from_utf8(text.to_vec()).map_err(|_| InvalidSession)?);
             rest = next;
         }
         if !rest.is_empty() || texts.is_empty() {
-            return Err(BadSession);
+            return Err(InvalidSession);
         }
         let name = texts.remove(0);
         Session::with(&name, texts)
--- a/crates/client/src/wire.rs
+++ b/crates/client/src/wire.rs
@@ -1,6 +1,6 @@
 //! The protocol's client side for one connection: bytes in, answers out; and the statements' text.
 
-use crate::request::{Request, What};
+use crate::request::{Operation, Request};
 use basalthill_wire::{
     error_fields, put_cstring, put_message, read_cstring, MessageBuffer, MessageHeader, ProtocolError,
 };
@@ -10,7 +10,7 @@
 
 /// What a router has said.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Said {
+pub enum ServerMessage {
     /// ReadyForQuery.
     Ready,
     /// A session's token.
@@ -27,18 +27,18 @@
 
 /// Bytes of one connection, up to messages.
 #[derive(Debug, Default)]
-pub struct Side {
+pub struct MessageDecoder {
     inbox: MessageBuffer,
 }
 
-impl Side {
+impl MessageDecoder {
     /// Takes bytes in.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.inbox.extend(bytes);
     }
 
     /// The next thing said that matters.
-    pub fn take(&mut self) -> Result<Option<Said>, ProtocolError> {
+    pub fn take(&mut self) -> Result<Option<ServerMessage>, ProtocolError> {
         loop {
             let Some(MessageHeader { kind, body_len: len }) = self.inbox.message_header(LONGEST)? else {
                 return Ok(None);
@@ -46,25 +46,25 @@
             let body = &self.inbox.unread()[5..5 + len];
             let wrong = || ProtocolError::UnreadableMessage(kind);
             let said = match kind {
-                b'Z' if len == 1 => Some(Said::Ready),
+                b'Z' if len == 1 => Some(ServerMessage::Ready),
                 b'S' => {
                     let pair =
                         read_cstring(body).and_then(|(name, rest)| Some((name, read_cstring(rest)?.0)));
                     let (name, value) = pair.ok_or_else(wrong)?;
-                    let token = || Said::Token(String::from_utf8_lossy(value).into_owned());
+                    let token = || ServerMessage::Token(String::from_utf8_lossy(value).into_owned());
                     (name == b"session_token").then(token)
                 }
-                b'D' => Some(Said::Row(row(body).ok_or_else(wrong)?)),
-                b'C' => Some(Said::Complete),
+                b'D' => Some(ServerMessage::Row(row(body).ok_or_else(wrong)?)),
+                b'C' => Some(ServerMessage::Complete),
                 b'E' => {
                     let field = |name| error_fields(body).find(|f| f.0 == name).map(|f| f.1);
                     let word = |name| field(name).map(|v| String::from_utf8_lossy(v).into_owned());
                     let fatal = field(b'V').or(field(b'S')).is_some_and(|s| s != b"ERROR");
                     let (code, message) = (word(b'C').unwrap_or_default(), word(b'M').unwrap_or_default());
-                    Some(Said::Error { fatal, code, message, detail: word(b'D') })
+                    Some(ServerMessage::Error { fatal, code, message, detail: word(b'D') })
                 }
                 b'R' if body == [0; 4] => None,
-                b'T' => Some(Said::Description),
+                b'T' => Some(ServerMessage::Description),
                 b'K' | b'N' | b'A' | b'I' | b'v' => None,
                 _ => return Err(wrong()),
             };
@@ -105,9 +105,9 @@
     let mut out = Vec::with_capacity(256);
     put_message(&mut out, b'Q', |out| {
         let key = request.key.replace('\'', "''");
-        match &request.what {
-            What::Read => out.extend(format!("SELECT v FROM records WHERE k = '{key}'").bytes()),
-            What::Write(value) => {
+        match &request.operation {
+            Operation::Read => out.extend(format!("SELECT v FROM records WHERE k = '{key}'").bytes()),
+            Operation::Write(value) => {
                 out.extend(format!("INSERT INTO records (k, v) VALUES ('{key}', '\\x").bytes());
                 const DIGITS: &[u8; 16] = b"0123456789abcdef";
                 let digits = |b: &u8| [DIGITS[usize::from(b >> 4)], DIGITS[usize::from(b & 15)]];
--- a/crates/client/tests/core.rs
+++ b/crates/client/tests/core.rs
@@ -1,8 +1,9 @@
 //! The core: its rules, case by case, and in a world of routers that do whatever they like.
 
-use basalthill_client::core::{Action, ConnId, Core, Lost, RequestId};
+use basalthill_client::core::{Action, ConnectionId, Core, DisconnectReason, RequestId};
 use basalthill_client::{
-    Config, Idempotency, Priority, Report, Request, RequestOutcome, Session, TryEnd, Written,
+    AttemptOutcome, Config, Idempotency, Priority, Request, RequestOutcome, RequestReport, Session,
+    WriteProgress,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -20,19 +21,19 @@
 }
 
 /// A core with a hand on everything that happens to it.
-struct Bench {
+struct Harness {
     core: Core,
     now: Instant,
-    conns: BTreeMap<ConnId, SocketAddr>,
-    written: BTreeMap<ConnId, Vec<u8>>,
-    done: BTreeMap<RequestId, Report>,
+    conns: BTreeMap<ConnectionId, SocketAddr>,
+    written: BTreeMap<ConnectionId, Vec<u8>>,
+    done: BTreeMap<RequestId, RequestReport>,
     /// Statements handed over, with their connection and time.
-    sent: Vec<(ConnId, Instant, String)>,
+    sent: Vec<(ConnectionId, Instant, String)>,
 }
 
-impl Bench {
-    fn new(config: Config) -> Bench {
-        Bench {
+impl Harness {
+    fn new(config: Config) -> Harness {
+        Harness {
             core: Core::new(config),
             now: Instant::now(),
             conns: BTreeMap::new(),
@@ -44,7 +45,7 @@
 
     /// Takes the actions in. Whole writes are told as done if `whole`.
     fn act(&mut self, whole: bool) {
-        while let Some(action) = self.core.action() {
+        while let Some(action) = self.core.poll_action() {
             match action {
                 Action::Connect(id, addr) => drop(self.conns.insert(id, addr)),
                 Action::Write(id, bytes, until) => {
@@ -53,7 +54,7 @@
                         let text = String::from_utf8_lossy(&bytes[5..bytes.len() - 1]).into_owned();
                         self.sent.push((id, self.now, text));
                         if whole {
-                            self.core.wrote(id, bytes.len());
+                            self.core.handle_written(id, bytes.len());
                         }
                     }
                     self.written.insert(id, bytes);
@@ -67,7 +68,7 @@
     }
 
     /// Waits for a connection that the core opens, and has it come up.
-    fn up(&mut self) -> ConnId {
+    fn up(&mut self) -> ConnectionId {
         self.act(true);
         let from = self.now;
         while !self.conns.keys().any(|c| !self.written.contains_key(c)) {
@@ -75,13 +76,13 @@
             self.pass(1);
         }
         let id = *self.conns.keys().find(|c| !self.written.contains_key(c)).unwrap();
-        self.core.connected(self.now, id);
+        self.core.handle_connected(self.now, id);
         self.hear(id, READY);
         id
     }
 
-    fn hear(&mut self, id: ConnId, bytes: &[u8]) {
-        self.core.received(self.now, id, bytes);
+    fn hear(&mut self, id: ConnectionId, bytes: &[u8]) {
+        self.core.handle_received(self.now, id, bytes);
         self.act(true);
     }
 
@@ -95,9 +96,9 @@
     /// Lets time pass, with the core's own times.
     fn pass(&mut self, ms: u32) {
         let until = self.now + ms * MS;
-        while let Some(due) = self.core.next_due().filter(|due| *due <= until) {
+        while let Some(due) = self.core.next_timeout().filter(|due| *due <= until) {
             self.now = self.now.max(due);
-            self.core.tick(self.now);
+            self.core.handle_timeout(self.now);
             self.act(true);
         }
         self.now = until;
@@ -130,9 +131,9 @@
 }
 
 #[test]
-fn a_connection_that_ends_at_each_byte_of_a_statement_and_what_that_proves() {
+fn lost_connection_is_uncertain_only_after_the_last_byte_was_written() {
     let total = {
-        let mut b = Bench::new(config(1));
+        let mut b = Harness::new(config(1));
         b.ask(Idempotency::NonIdempotent, 900);
         let conn = b.up();
         b.written[&conn].len()
@@ -140,26 +141,26 @@
     for written in 0..=total {
         for idempotency in [Idempotency::NonIdempotent, Idempotency::Idempotent, Idempotency::Keyed(500 * MS)]
         {
-            let mut b = Bench::new(config(1));
+            let mut b = Harness::new(config(1));
             let id = b.core.submit(
                 b.now,
                 Request::write("w", 1, "k", b"v").idempotency(idempotency).deadline(b.now + 900 * MS),
             );
             b.act(false);
             let conn = *b.conns.keys().next().unwrap();
-            b.core.connected(b.now, conn);
+            b.core.handle_connected(b.now, conn);
             b.act(false);
-            b.core.received(b.now, conn, READY);
+            b.core.handle_received(b.now, conn, READY);
             b.act(false);
-            b.core.wrote(conn, written);
-            b.core.lost(b.now, conn, Lost::Broken);
+            b.core.handle_written(conn, written);
+            b.core.handle_disconnected(b.now, conn, DisconnectReason::Other);
             b.conns.remove(&conn);
             b.act(true);
             let unrun = written < total;
             if idempotency == Idempotency::NonIdempotent && !unrun {
                 assert_eq!(b.end(id), Some(&RequestOutcome::MayHaveRun), "all of {total} bytes");
                 let tries = &b.done[&id].attempts;
-                assert_eq!(tries[0].end, TryEnd::Closed(Written::All));
+                assert_eq!(tries[0].end, AttemptOutcome::Closed(WriteProgress::Complete));
                 continue;
             }
             assert_eq!(b.end(id), None, "{written} of {total} bytes: it goes on");
@@ -171,7 +172,7 @@
 }
 
 #[test]
-fn a_write_that_may_have_run_is_never_sent_again_and_a_refused_one_is() {
+fn non_idempotent_write_is_retried_only_if_proved_not_to_have_run() {
     let cases: [(&str, Vec<u8>, bool); 6] = [
         ("refused", error("ERROR", "53300", Some("50")), true),
         ("refused on the way out", error("ERROR", "57P03", None), true),
@@ -181,12 +182,12 @@
         ("half an answer", row(b"v")[..9].to_vec(), false),
     ];
     for (what, answer, again) in cases {
-        let mut b = Bench::new(config(1));
+        let mut b = Harness::new(config(1));
         let id = b.ask(Idempotency::NonIdempotent, 2000);
         let conn = b.up();
         b.hear(conn, &answer);
         if what == "half an answer" {
-            b.core.lost(b.now, conn, Lost::Broken);
+            b.core.handle_disconnected(b.now, conn, DisconnectReason::Other);
             b.act(true);
         }
         assert_eq!(b.end(id).is_none(), again, "{what}: {:?}", b.end(id));
@@ -209,7 +210,7 @@
     let whole_row = row(b"v")[..19].to_vec();
     let token = message(b'S', b"session_token\0x\0");
     for before in [description, whole_row, token] {
-        let mut b = Bench::new(config(1));
+        let mut b = Harness::new(config(1));
         let id = b.ask(Idempotency::NonIdempotent, 2000);
         let conn = b.up();
         b.hear(conn, &[before.clone(), error("FATAL", "57P01", None)].concat());
@@ -218,7 +219,7 @@
 }
 
 #[test]
-fn the_time_to_come_back_is_kept_to_and_never_past_the_deadline() {
+fn retry_waits_for_retry_after_and_never_past_the_deadline() {
     // What is told, the earliest and the latest next try; none where the caller is told at once.
     let cases = [
         (Some("100"), Some((100, 151))),
@@ -232,7 +233,7 @@
     ];
     for (detail, wait) in cases {
         for seed in 0..20 {
-            let mut b = Bench::new(Config { seed, ..config(1) });
+            let mut b = Harness::new(Config { seed, ..config(1) });
             let id = b.ask(Idempotency::NonIdempotent, 900);
             let conn = b.up();
             let refused = b.now;
@@ -241,7 +242,7 @@
                 let told = detail.and_then(|d| d.parse().ok()).map(Duration::from_millis);
                 assert_eq!(
                     b.end(id),
-                    Some(&RequestOutcome::Refused(told)),
+                    Some(&RequestOutcome::Rejected(told)),
                     "{detail:?}: the caller is told now"
                 );
                 continue;
@@ -257,22 +258,22 @@
 }
 
 #[test]
-fn a_deadline_that_passes_anywhere_is_told_on_time_and_ends_what_is_out() {
-    let late = |b: &mut Bench, id| {
+fn deadline_completes_the_request_and_closes_its_connection() {
+    let late = |b: &mut Harness, id| {
         b.pass(900);
         b.end(id).cloned()
     };
     // Waiting for a connection.
-    let mut b = Bench::new(config(1));
+    let mut b = Harness::new(config(1));
     let id = b.ask(Idempotency::NonIdempotent, 900);
-    assert_eq!(late(&mut b, id), Some(RequestOutcome::Late));
+    assert_eq!(late(&mut b, id), Some(RequestOutcome::DeadlineExceeded));
     // With all written, and in the middle of an answer.
     for part in [&b""[..], &row(b"v")[..20]] {
         for (idempotency, end) in [
             (Idempotency::NonIdempotent, RequestOutcome::MayHaveRun),
-            (Idempotency::Idempotent, RequestOutcome::Late),
+            (Idempotency::Idempotent, RequestOutcome::DeadlineExceeded),
         ] {
-            let mut b = Bench::new(config(1));
+            let mut b = Harness::new(config(1));
             let id = b.ask(idempotency, 900);
             let conn = b.up();
             b.hear(conn, part);
@@ -285,38 +286,38 @@
         }
     }
     // In a queue behind others, for the only connection.
-    let mut b = Bench::new(Config { max_connections_per_router: 1, ..config(1) });
+    let mut b = Harness::new(Config { max_connections_per_router: 1, ..config(1) });
     b.ask(Idempotency::Idempotent, 5000);
     b.up();
     let id = b.ask(Idempotency::NonIdempotent, 900);
-    assert_eq!(late(&mut b, id), Some(RequestOutcome::Late));
+    assert_eq!(late(&mut b, id), Some(RequestOutcome::DeadlineExceeded));
     // Between two tries: the connection goes as well, and no other comes up.
-    let mut b = Bench::new(config(1));
+    let mut b = Harness::new(config(1));
     let id = b.ask(Idempotency::NonIdempotent, 900);
     let conn = b.up();
     b.pass(500);
     b.hear(conn, &error("FATAL", "53300", Some("100")));
-    assert_eq!(late(&mut b, id), Some(RequestOutcome::Late));
+    assert_eq!(late(&mut b, id), Some(RequestOutcome::DeadlineExceeded));
     assert_eq!(b.sent.len(), 1);
 }
 
 #[test]
-fn after_a_clock_that_stood_still_nothing_late_is_written() {
-    let mut b = Bench::new(config(1));
+fn nothing_is_written_past_a_deadline_after_a_clock_pause() {
+    let mut b = Harness::new(config(1));
     let ids: Vec<_> = (0..3).map(|_| b.ask(Idempotency::NonIdempotent, 500)).collect();
     let conn = *b.conns.keys().next().unwrap();
     // The connection came up long ago, and is only heard of now.
     b.now += 1000 * MS;
-    b.core.connected(b.now, conn);
-    b.core.received(b.now, conn, READY);
+    b.core.handle_connected(b.now, conn);
+    b.core.handle_received(b.now, conn, READY);
     b.act(true);
     assert!(b.sent.is_empty());
-    assert!(ids.iter().all(|id| b.end(*id) == Some(&RequestOutcome::Late)));
+    assert!(ids.iter().all(|id| b.end(*id) == Some(&RequestOutcome::DeadlineExceeded)));
 }
 
 #[test]
-fn no_try_begins_that_can_not_be_answered() {
-    let mut b = Bench::new(config(1));
+fn no_attempt_starts_without_time_for_a_response() {
+    let mut b = Harness::new(config(1));
     b.ask(Idempotency::Idempotent, 5000);
     let conn = b.up();
     for _ in 0..30 {
@@ -327,17 +328,17 @@
     b.hear(conn, &row(b"v"));
     let sent = b.sent.len();
     let short = b.ask(Idempotency::Idempotent, 60);
-    assert_eq!(b.end(short), Some(&RequestOutcome::Late), "answers take 100 ms");
+    assert_eq!(b.end(short), Some(&RequestOutcome::DeadlineExceeded), "answers take 100 ms");
     assert_eq!(b.sent.len(), sent);
     let enough = b.ask(Idempotency::Idempotent, 150);
     assert_eq!(b.end(enough), None);
 }
 
 #[test]
-fn further_tries_stay_within_the_budget_and_the_lowest_stop_first() {
+fn retries_stay_within_the_budget_and_use_it() {
     // All refuse: a tier in overload.
     let played = |priority| {
-        let mut b = Bench::new(Config { max_connections_per_router: 1, ..config(1) });
+        let mut b = Harness::new(Config { max_connections_per_router: 1, ..config(1) });
         let mut first = 0;
         for _ in 0..500 {
             let request = Request::read("r", 1, "k").priority(priority).deadline(b.now + 5000 * MS);
@@ -362,8 +363,8 @@
         assert!(further >= 50, "{priority:?}: what is earned is spent: {further}");
     }
     // One store: the low ones leave the rest to the high ones.
-    let mut b = Bench::new(config(1));
-    let mut refused = |b: &mut Bench, priority| {
+    let mut b = Harness::new(config(1));
+    let mut refused = |b: &mut Harness, priority| {
         let id =
             b.core.submit(b.now, Request::read("r", 1, "k").priority(priority).deadline(b.now + 900 * MS));
         b.act(true);
@@ -373,11 +374,11 @@
         let conn = b.sent.last().unwrap().0;
         b.hear(conn, &error("ERROR", "53300", Some("1")));
         let ended = b.end(id).is_some();
-        b.core.give_up(b.now, id);
+        b.core.cancel(b.now, id);
         b.act(true);
         ended
     };
-    let spent = |b: &mut Bench, refused: &mut dyn FnMut(&mut Bench, Priority) -> bool, priority| {
+    let spent = |b: &mut Harness, refused: &mut dyn FnMut(&mut Harness, Priority) -> bool, priority| {
         (0..30).take_while(|_| !refused(b, priority)).count()
     };
     let (low, normal) =
@@ -387,12 +388,12 @@
 }
 
 #[test]
-fn a_router_that_refuses_connections_is_left_until_one_probe_finds_it() {
-    let mut b = Bench::new(config(2));
+fn ejected_router_gets_one_probe_after_its_cooldown() {
+    let mut b = Harness::new(config(2));
     // The first connection is refused wherever it goes.
     b.ask(Idempotency::Idempotent, 9000);
     let (dead_conn, dead) = b.conns.iter().next().map(|(c, a)| (*c, *a)).unwrap();
-    b.core.lost(b.now, dead_conn, Lost::Refused);
+    b.core.handle_disconnected(b.now, dead_conn, DisconnectReason::NotListening);
     b.conns.remove(&dead_conn);
     b.act(true);
     let conn = b.up();
@@ -408,8 +409,8 @@
 }
 
 #[test]
-fn refusals_are_no_failures_of_their_router_and_full_ones_slow_reconnects_down() {
-    let mut b = Bench::new(config(1));
+fn rejected_requests_do_not_eject_their_router() {
+    let mut b = Harness::new(config(1));
     for _ in 0..20 {
         let id = b.ask(Idempotency::NonIdempotent, 900);
         if b.sent.is_empty() {
@@ -417,19 +418,19 @@
         }
         let conn = b.sent.last().unwrap().0;
         b.hear(conn, &error("ERROR", "53300", Some("5000")));
-        assert_eq!(b.end(id), Some(&RequestOutcome::Refused(Some(5000 * MS))));
+        assert_eq!(b.end(id), Some(&RequestOutcome::Rejected(Some(5000 * MS))));
     }
     assert_eq!((b.core.counts().ejections, b.core.counts().connects), (0, 1));
     // 53300 to the startup: the span of the next draw doubles each time.
     let mut waits = Vec::new();
     for seed in 0..200 {
-        let mut b = Bench::new(Config { seed, ..config(1) });
+        let mut b = Harness::new(Config { seed, ..config(1) });
         b.ask(Idempotency::Idempotent, 60_000);
         let mut total = Duration::ZERO;
         for _ in 0..3 {
             let conn = *b.conns.keys().next().unwrap();
-            b.core.connected(b.now, conn);
-            b.core.received(b.now, conn, &error("FATAL", "53300", None));
+            b.core.handle_connected(b.now, conn);
+            b.core.handle_received(b.now, conn, &error("FATAL", "53300", None));
             b.act(true);
             let from = b.now;
             while b.conns.is_empty() {
@@ -444,15 +445,15 @@
 }
 
 #[test]
-fn clients_that_lose_one_router_come_to_the_others_spread_over_their_slack() {
+fn reconnects_after_a_lost_connection_spread_over_the_slack() {
     let mut at = Vec::new();
     for seed in 0..400 {
-        let mut b = Bench::new(Config { seed: seed * 7919, ..config(4) });
+        let mut b = Harness::new(Config { seed: seed * 7919, ..config(4) });
         let id = b.ask(Idempotency::Idempotent, 5000);
         let conn = b.up();
         b.hear(conn, &row(b"v"));
         assert!(b.end(id).is_some());
-        b.core.lost(b.now, conn, Lost::Broken);
+        b.core.handle_disconnected(b.now, conn, DisconnectReason::Other);
         b.conns.remove(&conn);
         let from = b.now;
         b.ask(Idempotency::Idempotent, 900);
@@ -471,10 +472,10 @@
 }
 
 #[test]
-fn a_sessions_tokens_go_with_its_requests_and_each_answer_covers_what_was_brought() {
+fn session_tokens_are_sent_along_and_replaced_by_each_response() {
     let session = Session::new("anne").unwrap();
-    let mut b = Bench::new(Config { max_connections_per_router: 64, ..config(1) });
-    let ask = |b: &mut Bench| {
+    let mut b = Harness::new(Config { max_connections_per_router: 64, ..config(1) });
+    let ask = |b: &mut Harness| {
         let request = Request::write("w", 1, "k", b"v").session(&session).deadline(b.now + 9000 * MS);
         b.core.submit(b.now, request);
         b.act(true);
@@ -493,9 +494,9 @@
         ask(&mut b);
     }
     loop {
-        let up: Vec<ConnId> = b.conns.keys().copied().collect();
+        let up: Vec<ConnectionId> = b.conns.keys().copied().collect();
         for conn in up {
-            b.core.connected(b.now, conn);
+            b.core.handle_connected(b.now, conn);
             if !b.sent.iter().any(|s| s.0 == conn) {
                 b.hear(conn, READY);
             }
@@ -527,8 +528,8 @@
 }
 
 #[test]
-fn what_can_not_be_asked_is_told_and_never_sent() {
-    let mut b = Bench::new(config(1));
+fn invalid_requests_are_completed_without_being_sent() {
+    let mut b = Harness::new(config(1));
     let wrong = [
         Request::read("a,b", 1, "k"),
         Request::read("", 1, "k"),
@@ -563,10 +564,10 @@
 }
 
 enum Event {
-    Up(ConnId),
-    Lost(ConnId, Lost),
-    Bytes(ConnId, Vec<u8>),
-    Wrote(ConnId, usize, Vec<u8>),
+    Up(ConnectionId),
+    Lost(ConnectionId, DisconnectReason),
+    Bytes(ConnectionId, Vec<u8>),
+    Wrote(ConnectionId, usize, Vec<u8>),
 }
 
 #[derive(Default)]
@@ -586,7 +587,7 @@
     dice: Dice,
     events: BTreeMap<(Instant, u64), Event>,
     count: u64,
-    open: BTreeSet<ConnId>,
+    open: BTreeSet<ConnectionId>,
     seen: BTreeMap<String, Seen>,
     by_id: BTreeMap<RequestId, String>,
     ids: BTreeSet<String>,
@@ -603,12 +604,12 @@
     }
 
     fn act(&mut self) {
-        while let Some(action) = self.core.action() {
+        while let Some(action) = self.core.poll_action() {
             match action {
                 Action::Connect(id, _) => {
                     self.open.insert(id);
                     match self.dice.below(10) {
-                        0 => self.later(1, Event::Lost(id, Lost::Refused)),
+                        0 => self.later(1, Event::Lost(id, DisconnectReason::NotListening)),
                         1 => {} // never comes up
                         _ => {
                             let ms = self.dice.below(5);
@@ -620,7 +621,7 @@
                     let said = match self.dice.below(12) {
                         0 => error("FATAL", "53300", None),
                         1 => b"what?".to_vec(),
-                        2 => return self.later(3, Event::Lost(id, Lost::Broken)),
+                        2 => return self.later(3, Event::Lost(id, DisconnectReason::Other)),
                         _ => READY.to_vec(),
                     };
                     assert_eq!(usize::from(bytes[3]), bytes.len(), "the startup");
@@ -634,7 +635,7 @@
                     let some = self.dice.below(bytes.len() as u64 * 2) as usize;
                     let (first, rest) = bytes.split_at(some.min(bytes.len()));
                     let rest_len = rest.len();
-                    self.core.wrote(id, first.len());
+                    self.core.handle_written(id, first.len());
                     if rest_len == 0 {
                         self.came(id, &bytes);
                     } else if self.dice.below(3) > 0 {
@@ -642,7 +643,7 @@
                         self.later(ms, Event::Wrote(id, rest_len, bytes));
                     } else {
                         let ms = self.dice.below(400);
-                        self.later(ms, Event::Lost(id, Lost::Broken));
+                        self.later(ms, Event::Lost(id, DisconnectReason::Other));
                     }
                 }
                 Action::Close(id) => assert!(self.open.remove(&id), "closed once"),
@@ -658,10 +659,10 @@
                         RequestOutcome::Served(value) => {
                             assert_eq!(value.as_deref(), Some(key.as_bytes()), "its own answer")
                         }
-                        RequestOutcome::Refused(_) => {
+                        RequestOutcome::Rejected(_) => {
                             assert!(!doubt || seen.idempotency == Some(Idempotency::Idempotent), "{key}")
                         }
-                        RequestOutcome::Late | RequestOutcome::Failed => {
+                        RequestOutcome::DeadlineExceeded | RequestOutcome::Failed => {
                             assert!(!doubt || seen.idempotency == Some(Idempotency::Idempotent), "{key}")
                         }
                         // What a router has refused may not have been heard of: it has had the statement,
@@ -680,7 +681,7 @@
     }
 
     /// A statement has come whole at a router.
-    fn came(&mut self, conn: ConnId, bytes: &[u8]) {
+    fn came(&mut self, conn: ConnectionId, bytes: &[u8]) {
         let text = String::from_utf8_lossy(bytes).into_owned();
         let key = text.split('\'').nth(1).unwrap().to_string();
         let id = text.split("id=").nth(1).unwrap()[..16].to_string();
@@ -719,7 +720,7 @@
             seen.not_before = Some(now + Duration::from_millis(wait));
         }
         if broken {
-            return self.later(delay, Event::Lost(conn, Lost::Broken));
+            return self.later(delay, Event::Lost(conn, DisconnectReason::Other));
         }
         // In pieces, as networks do.
         let cut = self.dice.below(answer.len() as u64 + 1) as usize;
@@ -729,15 +730,17 @@
 
     fn event(&mut self, event: Event) {
         match event {
-            Event::Up(id) => self.core.connected(self.now, id),
-            Event::Lost(id, how) if self.open.remove(&id) => self.core.lost(self.now, id, how),
-            Event::Bytes(id, bytes) if self.open.contains(&id) => self.core.received(self.now, id, &bytes),
+            Event::Up(id) => self.core.handle_connected(self.now, id),
+            Event::Lost(id, how) if self.open.remove(&id) => self.core.handle_disconnected(self.now, id, how),
+            Event::Bytes(id, bytes) if self.open.contains(&id) => {
+                self.core.handle_received(self.now, id, &bytes)
+            }
             Event::Wrote(id, n, bytes) if self.open.contains(&id) => {
                 // The driver asks the time before it writes.
                 let text = String::from_utf8_lossy(&bytes).into_owned();
                 let key = text.split('\'').nth(1).unwrap();
                 if self.now < self.seen[key].deadline.unwrap() {
-                    self.core.wrote(id, n);
+                    self.core.handle_written(id, n);
                     self.came(id, &bytes);
                 }
             }
@@ -747,7 +750,13 @@
 }
 
 fn play(seed: u64) -> (u64, u64) {
-    let config = Config { seed, max_connections_per_router: 3, idle: 300 * MS, age: 700 * MS, ..config(3) };
+    let config = Config {
+        seed,
+        max_connections_per_router: 3,
+        idle_timeout: 300 * MS,
+        connection_lifetime: 700 * MS,
+        ..config(3)
+    };
     let mut w = World {
         core: Core::new(config),
         now: Instant::now(),
@@ -768,7 +777,7 @@
     loop {
         let event = w.events.keys().next().map(|k| k.0);
         let asks = (ask_at < end).then_some(ask_at);
-        let next = [event, asks, w.core.next_due()].into_iter().flatten().min();
+        let next = [event, asks, w.core.next_timeout()].into_iter().flatten().min();
         let Some(next) = next else { break };
         // Now and then the clock stands still for a while.
         let stands = if w.dice.below(400) == 0 { w.dice.below(1000) } else { 0 };
@@ -782,7 +791,7 @@
                 .for_each(|s| s.deadline = s.deadline.map(|d| d.max(until)));
             w.now = until;
             // A deadline that has passed meanwhile is told before anything else.
-            w.core.tick(w.now);
+            w.core.handle_timeout(w.now);
             w.act();
             continue;
         }
@@ -811,18 +820,18 @@
                 if !std::mem::replace(&mut seen.gone, true) {
                     dropped += 1;
                 }
-                w.core.give_up(w.now, of);
+                w.core.cancel(w.now, of);
             }
         } else if w.events.keys().next().is_some_and(|k| k.0 == next) {
             let (_, event) = w.events.pop_first().unwrap();
             w.event(event);
         } else {
-            w.core.tick(w.now);
+            w.core.handle_timeout(w.now);
         }
         w.act();
         // Time that stands still at a due time is a loop that never ends.
         assert!(
-            w.core.next_due().is_none_or(|due| due > w.now || w.core.next_due() > Some(w.now)),
+            w.core.next_timeout().is_none_or(|due| due > w.now || w.core.next_timeout() > Some(w.now)),
             "seed {seed}"
         );
     }
@@ -833,7 +842,7 @@
 }
 
 #[test]
-fn whatever_routers_do_the_rules_hold_and_nothing_is_left_over() {
+fn core_keeps_its_invariants_whatever_routers_do() {
     let (mut firsts, mut further) = (0, 0);
     for seed in 0..300 {
         let played = play(seed);
--- a/crates/router/src/program/ask.rs
+++ b/crates/router/src/program/ask.rs
@@ -1,6 +1,6 @@
 //! `basalthill ask`: the client library on the command line.
 
-use basalthill_client::{Client, Config, Idempotency, Report, Request, RequestOutcome, Session};
+use basalthill_client::{Client, Config, Idempotency, Request, RequestOutcome, RequestReport, Session};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -43,16 +43,16 @@
 /// Asks, and says what came of it.
 pub fn run(options: Options) -> ExitCode {
     match asked(options) {
-        Ok(Report { outcome: end, attempts: tries, elapsed: took }) => {
+        Ok(RequestReport { outcome: end, attempts: tries, elapsed: took }) => {
             let ms = took.as_millis();
             let said = match &end {
                 RequestOutcome::Served(Some(value)) => format!("served: {}", String::from_utf8_lossy(value)),
                 RequestOutcome::Served(None) => "served: null".into(),
-                RequestOutcome::Refused(None) => "refused; trying again does no harm".into(),
-                RequestOutcome::Refused(Some(after)) => {
+                RequestOutcome::Rejected(None) => "refused; trying again does no harm".into(),
+                RequestOutcome::Rejected(Some(after)) => {
                     format!("refused; come back in {} ms", after.as_millis())
                 }
-                RequestOutcome::Late => "too late; nothing has run".into(),
+                RequestOutcome::DeadlineExceeded => "too late; nothing has run".into(),
                 RequestOutcome::Failed => "failed; trying again does no harm".into(),
                 RequestOutcome::MayHaveRun => "it may have run, or may yet: look before you ask again".into(),
                 RequestOutcome::Invalid(invalid) => format!("invalid: {invalid}"),
@@ -76,7 +76,7 @@
     }
 }
 
-fn asked(options: Options) -> Result<Report, Box<dyn std::error::Error>> {
+fn asked(options: Options) -> Result<RequestReport, Box<dyn std::error::Error>> {
     let Options { router, class, group, tenant, within_ms, keyed_ms, session: path, key, value } = options;
     let session = match path.as_ref().filter(|p| p.exists()) {
         Some(path) => Some(Session::import(&std::fs::read(path)?)?),
--- a/crates/router/tests/client.rs
+++ b/crates/router/tests/client.rs
@@ -1,6 +1,8 @@
 //! The client library against the program itself: killed routers, lost answers, requests dropped at random.
 
-use basalthill_client::{Client, Config, Idempotency, Request, RequestOutcome, Runtime, Session, TryEnd};
+use basalthill_client::{
+    AttemptOutcome, Client, Config, Idempotency, Request, RequestOutcome, Runtime, Session,
+};
 use basalthill_standin::deployment::Deployment;
 use basalthill_standin::group::GroupBehavior;
 use futures_lite::future::{self, block_on};
@@ -34,7 +36,7 @@
 }
 
 #[test]
-fn a_request_is_served_with_what_its_session_has_written() {
+fn session_reads_its_own_writes_through_any_router() {
     let world = world(2, GroupBehavior { lag_ms: 300, ..GroupBehavior::default() });
     let client = Client::start(Config::new(addrs(&world))).unwrap();
     let session = Session::new("anne").unwrap();
@@ -54,7 +56,7 @@
 }
 
 #[test]
-fn no_write_runs_twice_and_what_is_told_of_it_is_true_while_routers_die() {
+fn no_write_runs_twice_and_outcomes_are_true_while_routers_restart() {
     let slow = [3 * MS, 3 * MS];
     let mut world = world(3, GroupBehavior { write_delays: slow, ..GroupBehavior::default() });
     let runtime = Runtime::start().unwrap();
@@ -115,7 +117,7 @@
 }
 
 #[test]
-fn thousands_in_flight_dropped_at_random_leave_nothing_behind() {
+fn cancelled_requests_leave_no_state_behind() {
     let world = world(2, GroupBehavior { read_delay: 5 * MS, ..GroupBehavior::default() });
     let client =
         Client::start(Config { max_connections_per_router: 64, ..Config::new(addrs(&world)) }).unwrap();
@@ -157,7 +159,7 @@
 }
 
 #[test]
-fn the_caller_hears_by_the_deadline_whatever_the_routers_do() {
+fn outcome_arrives_by_the_deadline_whatever_the_routers_do() {
     // A member that does not answer in time, a router that nobody reaches, a port where nobody listens.
     let world = world(1, GroupBehavior { read_delay: 2000 * MS, ..GroupBehavior::default() });
     let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -182,7 +184,7 @@
 }
 
 #[test]
-fn a_farewell_proves_that_a_write_was_not_read() {
+fn close_notice_proves_that_a_write_was_not_read() {
     // A router that closes each connection after one answer, as one that drains does: said, and not said.
     use std::io::{Read, Write};
     for farewell in [true, false] {
@@ -212,7 +214,7 @@
         match farewell {
             true => {
                 assert_eq!(report.outcome, RequestOutcome::Served(Some(b"v".to_vec())), "{report:?}");
-                assert_eq!(report.attempts[0].end, TryEnd::Farewell);
+                assert_eq!(report.attempts[0].end, AttemptOutcome::CloseNotice);
             }
             false => assert_eq!(report.outcome, RequestOutcome::MayHaveRun, "{report:?}"),
         }
@@ -220,7 +222,7 @@
 }
 
 #[test]
-fn the_program_says_farewell_between_two_requests_where_it_is_told_to() {
+fn router_sends_close_notice_between_requests_where_enabled() {
     use basalthill_standin::client::Client as Raw;
     let world = world(1, GroupBehavior::default());
     let mut raw = Raw::connect(world.routers[0].addr).unwrap();
