--- a/crates/client/src/core.rs
+++ b/crates/client/src/core.rs
@@ -153,7 +153,7 @@
 #[derive(Debug)]
 pub struct Core {
     config: Config,
-    random: u64,
+    rng: fastrand::Rng,
     routers: Vec<Router>,
     conns: BTreeMap<ConnectionId, Connection>,
     idle: BTreeSet<ConnectionId>,
@@ -190,7 +190,7 @@
             rest: None,
         };
         Core {
-            random: config.seed,
+            rng: fastrand::Rng::with_seed(config.seed),
             routers: config.routers.iter().map(router).collect(),
             store: config.retry_budget_capacity,
             config,
@@ -373,15 +373,6 @@
 
     // ---- Connections ----
 
-    fn dice(&mut self) -> f64 {
-        // splitmix64
-        self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut z = self.random;
-        z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        ((z ^ (z >> 31)) >> 11) as f64 / (1u64 << 53) as f64
-    }
-
     fn set_timer(&mut self, id: ConnectionId, at: Option<Instant>) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
         if let Some(old) = std::mem::replace(&mut conn.timer, at) {
@@ -414,7 +405,7 @@
     /// A transport failure at a router.
     fn failed(&mut self, now: Instant, router: usize, refused: bool) {
         self.lost = true;
-        let draw = 0.5 + self.dice();
+        let draw = 0.5 + self.rng.f64();
         let r = &mut self.routers[router];
         r.failures += 1;
         let probe = matches!(r.breaker, CircuitBreaker::Open(_));
@@ -430,7 +421,7 @@
     fn open(&mut self, now: Instant, router: usize) {
         self.next += 1;
         let id = ConnectionId(self.next);
-        let age = self.config.connection_lifetime.mul_f64(0.5 + self.dice());
+        let age = self.config.connection_lifetime.mul_f64(0.5 + self.rng.f64());
         let conn = Connection {
             router,
             stage: ConnectionState::Connecting,
@@ -451,7 +442,7 @@
     fn router(&mut self, now: Instant) -> Option<usize> {
         let mut best: Option<(usize, f64, usize)> = None;
         for n in 0..self.routers.len() {
-            let draw = self.dice();
+            let draw = self.rng.f64();
             let r = &self.routers[n];
             let open = r.rest.is_none_or(|at| at <= now) && r.conns < self.config.max_connections_per_router;
             let probing = match r.breaker {
@@ -494,7 +485,7 @@
                 if code == "53300" || code == "57P03" {
                     self.full = (self.full + 1).min(FULL_DOUBLINGS);
                     let span = self.config.reconnect_spread * (1 << self.full);
-                    let wait = span.mul_f64(self.dice());
+                    let wait = span.mul_f64(self.rng.f64());
                     self.routers[router].rest = Some(now + wait);
                     self.lost = true;
                 } else {
@@ -688,7 +679,7 @@
         if idempotency == Idempotency::NonIdempotent && doubt.is_some() {
             return self.finish(now, id, RequestOutcome::MayHaveRun);
         }
-        let draw = self.dice();
+        let draw = self.rng.f64();
         let wait = match &end {
             AttemptOutcome::Rejected(after) => {
                 after.unwrap_or_default().max(REST).mul_f64(1.0 + JITTER * draw)
@@ -794,7 +785,7 @@
             (name, tokens) = (session.name(), held);
         }
         job.brought = tokens.clone();
-        let random = (self.dice() * (1u64 << 53) as f64) as u64;
+        let random = self.rng.u64(..1 << 53);
         let wire_id = (random << 11) ^ self.next ^ (self.counts.tries << 3);
         self.idle.remove(&conn_id);
         self.set_timer(conn_id, None);
@@ -833,7 +824,7 @@
         if std::mem::take(&mut self.lost) && self.gate.is_none_or(|at| at <= now) {
             // Nobody knows how many others have lost the same router: all spread over the slack they have.
             let span = (self.config.reconnect_spread * (1 << self.full)).min(left.mul_f64(SLACK));
-            let wait = span.mul_f64(self.dice());
+            let wait = span.mul_f64(self.rng.f64());
             self.gate = Some(now + wait);
         }
         if self.gate.is_some_and(|at| at > now) {
--- a/crates/client/tests/core.rs
+++ b/crates/client/tests/core.rs
@@ -554,15 +554,6 @@
 
 // ---- A world of routers that do whatever they like ----
 
-struct Dice(u64);
-
-impl Dice {
-    fn below(&mut self, n: u64) -> u64 {
-        self.0 = self.0.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
-        (self.0 >> 33) % n.max(1)
-    }
-}
-
 enum Event {
     Up(ConnectionId),
     Lost(ConnectionId, DisconnectReason),
@@ -584,7 +575,7 @@
 struct World {
     core: Core,
     now: Instant,
-    dice: Dice,
+    rng: fastrand::Rng,
     events: BTreeMap<(Instant, u64), Event>,
     count: u64,
     open: BTreeSet<ConnectionId>,
@@ -608,17 +599,17 @@
             match action {
                 Action::Connect(id, _) => {
                     self.open.insert(id);
-                    match self.dice.below(10) {
+                    match self.rng.u64(..10) {
                         0 => self.later(1, Event::Lost(id, DisconnectReason::NotListening)),
                         1 => {} // never comes up
                         _ => {
-                            let ms = self.dice.below(5);
+                            let ms = self.rng.u64(..5);
                             self.later(ms, Event::Up(id));
                         }
                     }
                 }
                 Action::Write(id, bytes, None) => {
-                    let said = match self.dice.below(12) {
+                    let said = match self.rng.u64(..12) {
                         0 => error("FATAL", "53300", None),
                         1 => b"what?".to_vec(),
                         2 => return self.later(3, Event::Lost(id, DisconnectReason::Other)),
@@ -632,17 +623,17 @@
                     let text = String::from_utf8_lossy(&bytes);
                     let left = text.split(",d=").nth(1).and_then(|t| t.split(',').next()).unwrap();
                     assert!(left.parse::<u128>().unwrap() <= (until - self.now).as_millis(), "{text}");
-                    let some = self.dice.below(bytes.len() as u64 * 2) as usize;
+                    let some = self.rng.u64(..bytes.len() as u64 * 2) as usize;
                     let (first, rest) = bytes.split_at(some.min(bytes.len()));
                     let rest_len = rest.len();
                     self.core.handle_written(id, first.len());
                     if rest_len == 0 {
                         self.came(id, &bytes);
-                    } else if self.dice.below(3) > 0 {
-                        let ms = self.dice.below(30);
+                    } else if self.rng.u64(..3) > 0 {
+                        let ms = self.rng.u64(..30);
                         self.later(ms, Event::Wrote(id, rest_len, bytes));
                     } else {
-                        let ms = self.dice.below(400);
+                        let ms = self.rng.u64(..400);
                         self.later(ms, Event::Lost(id, DisconnectReason::Other));
                     }
                 }
@@ -700,7 +691,7 @@
             }
         }
         let now = self.now;
-        let (answer, unrun, wait) = match self.dice.below(14) {
+        let (answer, unrun, wait) = match self.rng.u64(..14) {
             0 => (error("ERROR", "53300", Some("40")), true, 40),
             1 => (error("ERROR", "53300", None), true, 0),
             2 => (error("ERROR", "57P03", Some("3000")), true, 3000),
@@ -711,8 +702,8 @@
             7 => (Vec::new(), false, 0),
             _ => (row(key.as_bytes()), false, 0),
         };
-        let broken = self.dice.below(8) == 0;
-        let delay = self.dice.below(40);
+        let broken = self.rng.u64(..8) == 0;
+        let delay = self.rng.u64(..40);
         let seen = self.seen.get_mut(&key).unwrap();
         // What the client has heard by then proves it; until then it may run.
         seen.whole.push((now, unrun && !broken));
@@ -723,7 +714,7 @@
             return self.later(delay, Event::Lost(conn, DisconnectReason::Other));
         }
         // In pieces, as networks do.
-        let cut = self.dice.below(answer.len() as u64 + 1) as usize;
+        let cut = self.rng.u64(..answer.len() as u64 + 1) as usize;
         self.later(delay, Event::Bytes(conn, answer[..cut].to_vec()));
         self.later(delay + 1, Event::Bytes(conn, answer[cut..].to_vec()));
     }
@@ -760,7 +751,7 @@
     let mut w = World {
         core: Core::new(config),
         now: Instant::now(),
-        dice: Dice(seed),
+        rng: fastrand::Rng::with_seed(seed),
         events: BTreeMap::new(),
         count: 0,
         open: BTreeSet::new(),
@@ -780,7 +771,7 @@
         let next = [event, asks, w.core.next_timeout()].into_iter().flatten().min();
         let Some(next) = next else { break };
         // Now and then the clock stands still for a while.
-        let stands = if w.dice.below(400) == 0 { w.dice.below(1000) } else { 0 };
+        let stands = if w.rng.u64(..400) == 0 { w.rng.u64(..1000) } else { 0 };
         let came = w.now.max(next);
         if stands > 0 {
             // What is due meanwhile is due at once afterwards; ends may be told late by then.
@@ -800,9 +791,9 @@
             let key = format!("k{asked}");
             let idempotency =
                 [Idempotency::Idempotent, Idempotency::NonIdempotent, Idempotency::Keyed(200 * MS)]
-                    [w.dice.below(3) as usize];
-            let deadline = w.now + Duration::from_millis(w.dice.below(900));
-            let priority = [Priority::Low, Priority::Normal, Priority::High][w.dice.below(3) as usize];
+                    [w.rng.u64(..3) as usize];
+            let deadline = w.now + Duration::from_millis(w.rng.u64(..900));
+            let priority = [Priority::Low, Priority::Normal, Priority::High][w.rng.u64(..3) as usize];
             w.seen.insert(
                 key.clone(),
                 Seen { idempotency: Some(idempotency), deadline: Some(deadline), ..Seen::default() },
@@ -813,9 +804,9 @@
             let id = w.core.submit(w.now, request);
             w.by_id.insert(id, key);
             w.act();
-            ask_at += Duration::from_millis(w.dice.below(30));
-            if w.dice.below(12) == 0 {
-                let of = *w.by_id.keys().nth(w.dice.below(w.by_id.len() as u64) as usize).unwrap();
+            ask_at += Duration::from_millis(w.rng.u64(..30));
+            if w.rng.u64(..12) == 0 {
+                let of = *w.by_id.keys().nth(w.rng.u64(..w.by_id.len() as u64) as usize).unwrap();
                 let seen = w.seen.get_mut(&w.by_id[&of]).unwrap();
                 if !std::mem::replace(&mut seen.gone, true) {
                     dropped += 1;
