--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,33 +1,39 @@
-//! Client of basalthill's routers. Deadlines are kept over all tries, writes never run twice, refusals are
-//! honoured, retries stay within a budget, and reconnects spread.
+//! Client library for basalthill's routers.
+//!
+//! It keeps a request's deadline over all its attempts, never runs a non-idempotent request twice, honours
+//! Retry-After times, keeps retries within a budget, and spreads reconnects.
 //!
 //! ```no_run
-//! use basalthill_client::{Client, Config, RequestOutcome, Request};
+//! use basalthill_client::{Client, Config, Request, RequestOutcome};
 //! use std::time::Duration;
 //!
 //! let client = Client::start(Config::new(["127.0.0.1:6432".parse()?]))?;
-//! let deadline = Duration::from_millis(900);
-//! let write = Request::write("log-write", 1, "s1", b"hello").tenant("demo").timeout(deadline);
+//! let timeout = Duration::from_millis(900);
+//! let write = Request::write("log-write", 1, "s1", b"hello").tenant("demo").timeout(timeout);
 //! match client.execute_blocking(write).outcome {
 //!     RequestOutcome::Served(value) => println!("stored {value:?}"),
-//!     RequestOutcome::Rejected(after) => println!("not done; worth another try after {after:?}"),
+//!     RequestOutcome::Rejected(retry_after) => println!("not run; retry after {retry_after:?}"),
 //!     RequestOutcome::MayHaveRun => println!("unknown: read before you write again"),
-//!     other => println!("not done: {other:?}"),
+//!     other => println!("not run: {other:?}"),
 //! }
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 //!
-//! [`core`] decides and does no I/O; [`Client`] drives it on a thread of its own. `docs/design/client.md`
-//! argues the choices, `docs/operate/client.md` is for a gateway's author.
+//! [`core`] is the state machine and does no I/O; [`Client`] is a handle to a thread that drives it.
+//! `docs/design/client.md` gives the reasons for the choices made, `docs/operate/client.md` is the guide for
+//! authors of gateways.
+
+mod client;
+mod config;
 pub mod core;
 mod driver;
+mod outcome;
+mod protocol;
 mod request;
 mod session;
-mod wire;
 
-pub use driver::{Client, Runtime};
-pub use request::{
-    AttemptOutcome, AttemptRecord, Config, Idempotency, InvalidRequest, Operation, Priority, Request,
-    RequestOutcome, RequestReport, WriteProgress,
-};
+pub use client::{Client, Runtime};
+pub use config::Config;
+pub use outcome::{AttemptOutcome, AttemptRecord, RequestOutcome, RequestReport, WriteProgress};
+pub use request::{Idempotency, InvalidRequest, Operation, Priority, Request, MAX_VALUE_BYTES};
 pub use session::{InvalidSession, Session};
--- /dev/null
+++ b/crates/client/src/protocol.rs
@@ -0,0 +1,245 @@
+//! The client's side of PostgreSQL's protocol version 3: encodes the startup message and the statements, and
+//! decodes the messages of a router.
+
+use crate::request::{Operation, Request};
+use crate::session::SessionContext;
+use basalthill_wire::{
+    error_fields, put_cstring, put_message, read_cstring, MessageBuffer, MessageHeader, ProtocolError,
+};
+
+/// Upper limit of a message's body, in bytes: a value of 64 KiB in text form, which is twice as long, and its
+/// head.
+const MAX_MESSAGE_BYTES: usize = 160 * 1024;
+/// Length of a message's type and length fields, in bytes.
+const MESSAGE_HEAD_BYTES: usize = 5;
+/// Protocol version 3.0, as the startup message gives it.
+const PROTOCOL_VERSION: u32 = 0x0003_0000;
+/// Parameters of the startup message: names, each followed by its value.
+const STARTUP_PARAMETERS: [&str; 4] = ["user", "svc", "database", "main"];
+/// Body of an Authentication message that asks for no password.
+const AUTHENTICATION_OK: [u8; 4] = [0; 4];
+/// The parameter whose status messages carry a session's tokens.
+const SESSION_TOKEN_PARAMETER: &[u8] = b"session_token";
+/// Severity of an ErrorResponse after which the connection stays open.
+const SEVERITY_ERROR: &[u8] = b"ERROR";
+/// Initial capacity of a statement's buffer, in bytes: enough for reads and for writes of short values.
+const STATEMENT_CAPACITY: usize = 256;
+
+/// SQLSTATE `too_many_connections`: the router sheds load.
+const TOO_MANY_CONNECTIONS: &str = "53300";
+/// SQLSTATE `cannot_connect_now`: the router is starting or shutting down.
+const CANNOT_CONNECT_NOW: &str = "57P03";
+/// SQLSTATE `admin_shutdown`: the router closes this connection.
+pub(crate) const ADMIN_SHUTDOWN: &str = "57P01";
+
+/// Whether a SQLSTATE means that the router rejected what was sent, without having run any of it.
+pub(crate) fn is_rejection(code: &str) -> bool {
+    code == TOO_MANY_CONNECTIONS || code == CANNOT_CONNECT_NOW
+}
+
+/// A message from a router that bears on a request or on its connection's state.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) enum ServerMessage {
+    /// ReadyForQuery.
+    ReadyForQuery,
+    /// ParameterStatus with a session's token.
+    SessionToken(String),
+    /// RowDescription.
+    RowDescription,
+    /// DataRow with one column.
+    DataRow(ColumnValue),
+    /// CommandComplete.
+    CommandComplete,
+    /// ErrorResponse.
+    Error(ServerError),
+}
+
+/// The value of a row's only column; `None` if it is null.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) struct ColumnValue(pub(crate) Option<Vec<u8>>);
+
+/// The fields of an ErrorResponse.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) struct ServerError {
+    /// Whether the router closes the connection after it.
+    pub(crate) is_fatal: bool,
+    /// The SQLSTATE.
+    pub(crate) code: String,
+    /// The message for people.
+    pub(crate) message: String,
+    /// The detail, if there is one; a Retry-After time in milliseconds in rejections.
+    pub(crate) detail: Option<String>,
+}
+
+/// Turns the bytes of one connection into messages.
+#[derive(Debug, Default)]
+pub(crate) struct MessageDecoder {
+    buffer: MessageBuffer,
+}
+
+impl MessageDecoder {
+    /// Appends received bytes.
+    pub(crate) fn feed(&mut self, bytes: &[u8]) {
+        self.buffer.extend(bytes);
+    }
+
+    /// The next message that matters to the client; `None` until more bytes are received.
+    ///
+    /// # Errors
+    ///
+    /// If the bytes are no message that a router may send.
+    pub(crate) fn next_message(&mut self) -> Result<Option<ServerMessage>, ProtocolError> {
+        loop {
+            let Some(MessageHeader { kind, body_len }) = self.buffer.message_header(MAX_MESSAGE_BYTES)?
+            else {
+                return Ok(None);
+            };
+            let end = MESSAGE_HEAD_BYTES + body_len;
+            let message = decode(kind, &self.buffer.unread()[MESSAGE_HEAD_BYTES..end])?;
+            self.buffer.consume(end);
+            if message.is_some() {
+                return Ok(message);
+            }
+        }
+    }
+}
+
+/// Decodes a message by its type; `None` if it doesn't matter to the client.
+fn decode(kind: u8, body: &[u8]) -> Result<Option<ServerMessage>, ProtocolError> {
+    let malformed = || ProtocolError::UnreadableMessage(kind);
+    let message = match kind {
+        b'Z' if body.len() == 1 => ServerMessage::ReadyForQuery,
+        b'S' => {
+            let status = decode_parameter_status(body).ok_or_else(malformed)?;
+            if status.name != SESSION_TOKEN_PARAMETER {
+                return Ok(None);
+            }
+            ServerMessage::SessionToken(String::from_utf8_lossy(status.value).into_owned())
+        }
+        b'D' => ServerMessage::DataRow(decode_row(body).ok_or_else(malformed)?),
+        b'C' => ServerMessage::CommandComplete,
+        b'E' => ServerMessage::Error(decode_error(body)),
+        b'T' => ServerMessage::RowDescription,
+        b'R' if body == AUTHENTICATION_OK => return Ok(None),
+        b'K' | b'N' | b'A' | b'I' | b'v' => return Ok(None),
+        _ => return Err(malformed()),
+    };
+    Ok(Some(message))
+}
+
+/// The fields of a ParameterStatus message.
+struct ParameterStatus<'a> {
+    name: &'a [u8],
+    value: &'a [u8],
+}
+
+fn decode_parameter_status(body: &[u8]) -> Option<ParameterStatus<'_>> {
+    let (name, rest) = read_cstring(body)?;
+    let (value, _) = read_cstring(rest)?;
+    Some(ParameterStatus { name, value })
+}
+
+/// Decodes a row of one column: a count of 1, the value's length or -1 for null, the value.
+fn decode_row(body: &[u8]) -> Option<ColumnValue> {
+    let (&[0, 1, a, b, c, d], value) = body.split_first_chunk::<6>()? else { return None };
+    match i32::from_be_bytes([a, b, c, d]) {
+        -1 => value.is_empty().then_some(ColumnValue(None)),
+        length => {
+            let is_complete = usize::try_from(length) == Ok(value.len());
+            is_complete.then(|| ColumnValue(Some(value.to_vec())))
+        }
+    }
+}
+
+fn decode_error(body: &[u8]) -> ServerError {
+    let field = |name: u8| error_fields(body).find(|field| field.0 == name).map(|field| field.1);
+    let text_of = |name: u8| field(name).map(|value| String::from_utf8_lossy(value).into_owned());
+    let severity = field(b'V').or(field(b'S'));
+    ServerError {
+        is_fatal: severity.is_some_and(|severity| severity != SEVERITY_ERROR),
+        code: text_of(b'C').unwrap_or_default(),
+        message: text_of(b'M').unwrap_or_default(),
+        detail: text_of(b'D'),
+    }
+}
+
+/// Encodes the startup message.
+pub(crate) fn encode_startup() -> Vec<u8> {
+    let mut body = PROTOCOL_VERSION.to_be_bytes().to_vec();
+    for parameter in STARTUP_PARAMETERS {
+        put_cstring(&mut body, parameter);
+    }
+    body.push(0);
+    let length = (body.len() + 4) as u32;
+    [&length.to_be_bytes()[..], &body].concat()
+}
+
+/// The statement of one attempt.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Statement<'a> {
+    /// The request.
+    pub(crate) request: &'a Request,
+    /// The attempt's id.
+    pub(crate) attempt_id: u64,
+    /// Time left until the deadline, in milliseconds.
+    pub(crate) remaining_ms: u64,
+    /// Whether there was an earlier attempt.
+    pub(crate) is_retry: bool,
+    /// The session that the request belongs to; empty if to none.
+    pub(crate) session: &'a SessionContext,
+}
+
+impl Statement<'_> {
+    /// Encodes a Query message: the SQL and, in a comment, what routers need to know.
+    pub(crate) fn encode(&self) -> Vec<u8> {
+        let mut message = Vec::with_capacity(STATEMENT_CAPACITY);
+        put_message(&mut message, b'Q', |out| {
+            self.put_sql(out);
+            self.put_comment(out);
+            out.push(0);
+        });
+        message
+    }
+
+    fn put_sql(&self, out: &mut Vec<u8>) {
+        let key = self.request.key.replace('\'', "''");
+        match &self.request.operation {
+            Operation::Read => {
+                out.extend(format!("SELECT v FROM records WHERE k = '{key}'").bytes());
+            }
+            Operation::Write(value) => {
+                out.extend(format!("INSERT INTO records (k, v) VALUES ('{key}', '\\x").bytes());
+                put_hex(out, value);
+                out.extend(b"') RETURNING v");
+            }
+        }
+    }
+
+    fn put_comment(&self, out: &mut Vec<u8>) {
+        let Request { class, tenant, group, .. } = self.request;
+        let Statement { attempt_id, remaining_ms, .. } = self;
+        let fields =
+            format!(" /* id={attempt_id:016x},c={class},t={tenant},d={remaining_ms},cluster={group}");
+        out.extend(fields.bytes());
+        if self.is_retry {
+            out.extend(b",r=1");
+        }
+        if !self.session.name.is_empty() {
+            out.extend(format!(",session={}", self.session.name).bytes());
+        }
+        for token in &self.session.tokens {
+            out.extend(format!(",token={token}").bytes());
+        }
+        out.extend(b" */");
+    }
+}
+
+/// Appends bytes as hexadecimal digits.
+fn put_hex(out: &mut Vec<u8>, bytes: &[u8]) {
+    const DIGITS: &[u8; 16] = b"0123456789abcdef";
+    out.reserve(2 * bytes.len());
+    for byte in bytes {
+        out.push(DIGITS[usize::from(byte >> 4)]);
+        out.push(DIGITS[usize::from(byte & 0x0f)]);
+    }
+}
--- a/crates/client/src/session.rs
+++ b/crates/client/src/session.rs
@@ -1,14 +1,15 @@
-//! A session's tokens, kept and given back by themselves.
+//! Sessions: the tokens that routers hand out, stored and sent along with the session's next requests.
 
-use std::fmt;
-use std::sync::{Arc, Mutex, MutexGuard};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// So many requests of a session are out at a time: each answer's token replaces those that its request
-/// brought, so there are never more tokens than this to bring.
-pub(crate) const AT_ONCE: usize = 8;
-const VERSION: u8 = 1;
+/// Upper limit of a session's requests in flight. Each response's token replaces those that its request sent
+/// along, so this bounds the number of tokens, too.
+pub(crate) const MAX_IN_FLIGHT: usize = 8;
 
-/// A session: its name, and what its routers have handed out. Clones are the same session.
+/// First byte of an exported session: the version of its format.
+const EXPORT_VERSION: u8 = 1;
+
+/// A session: its name and its tokens. Clones are the same session.
 #[derive(Clone, Debug)]
 pub struct Session(Arc<Mutex<State>>);
 
@@ -16,106 +17,146 @@
 struct State {
     name: String,
     tokens: Vec<String>,
-    out: usize,
+    in_flight: usize,
 }
 
-/// Bytes that are no session of this library.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct InvalidSession;
-
-impl fmt::Display for InvalidSession {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("not a session that this library has written")
-    }
+/// What a request of a session sends along.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub(crate) struct SessionContext {
+    /// The session's name; empty if the request's key names it.
+    pub(crate) name: String,
+    /// The tokens to send along.
+    pub(crate) tokens: Vec<String>,
 }
 
-impl std::error::Error for InvalidSession {}
-
-fn plain(text: &str) -> bool {
-    text.bytes().all(|b| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.' | b':' | b'@'))
+/// Why a name or an exported session can't be used.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum InvalidSession {
+    /// The name has characters other than letters, digits and `-_.:@`.
+    #[error("session name {0:?} has characters other than letters, digits and any of -_.:@")]
+    Name(String),
+    /// A token has characters other than letters, digits and `-_.:@`.
+    #[error("session token {0:?} has characters other than letters, digits and any of -_.:@")]
+    Token(String),
+    /// There are more tokens than a session can have.
+    #[error("a session of {0} tokens; {max} at most", max = MAX_IN_FLIGHT)]
+    TooManyTokens(usize),
+    /// The bytes begin with another version of the format, or are empty.
+    #[error("not an exported session of version {version}", version = EXPORT_VERSION)]
+    Version,
+    /// The bytes end in the middle of a text, or before the name.
+    #[error("an exported session that is cut off")]
+    Truncated,
+    /// A text is not UTF-8.
+    #[error("an exported session with a text that is not UTF-8")]
+    Encoding(#[from] std::string::FromUtf8Error),
 }
 
 impl Session {
-    /// A new session; its name may hold letters, digits and any of `-_.:@`. An empty name means that the key
-    /// of each request names it.
+    /// A new session. Its name can have letters, digits and any of `-_.:@`; with an empty name, the key of
+    /// each request names the session.
+    ///
+    /// # Errors
+    ///
+    /// [`InvalidSession::Name`] if the name has any other character.
     pub fn new(name: &str) -> Result<Session, InvalidSession> {
-        Session::with(name, Vec::new())
+        Session::with_tokens(name, Vec::new())
     }
 
-    fn with(name: &str, tokens: Vec<String>) -> Result<Session, InvalidSession> {
-        let sound = plain(name) && tokens.len() <= AT_ONCE && tokens.iter().all(|t| plain(t));
-        let state = State { name: name.into(), tokens, out: 0 };
-        sound.then(|| Session(Arc::new(Mutex::new(state)))).ok_or(InvalidSession)
+    fn with_tokens(name: &str, tokens: Vec<String>) -> Result<Session, InvalidSession> {
+        if !is_valid_text(name) {
+            return Err(InvalidSession::Name(name.into()));
+        }
+        if tokens.len() > MAX_IN_FLIGHT {
+            return Err(InvalidSession::TooManyTokens(tokens.len()));
+        }
+        if let Some(token) = tokens.iter().find(|token| !is_valid_text(token)) {
+            return Err(InvalidSession::Token(token.clone()));
+        }
+        let state = State { name: name.into(), tokens, in_flight: 0 };
+        Ok(Session(Arc::new(Mutex::new(state))))
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        self.0.lock().unwrap_or_else(|e| e.into_inner())
+        self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Its name.
+    /// The session's name.
     pub fn name(&self) -> String {
         self.state().name.clone()
     }
 
-    /// What another process needs to go on with it. Requests that are still out are not in it.
+    /// The bytes that another process needs to continue the session with [`Session::import`]. Requests in
+    /// flight are not covered.
     pub fn export(&self) -> Vec<u8> {
         let state = self.state();
-        let mut out = vec![VERSION];
+        let mut bytes = vec![EXPORT_VERSION];
         for text in std::iter::once(&state.name).chain(&state.tokens) {
-            out.extend((text.len() as u16).to_be_bytes());
-            out.extend(text.as_bytes());
+            bytes.extend((text.len() as u16).to_be_bytes());
+            bytes.extend(text.as_bytes());
         }
-        out
+        bytes
     }
 
-    /// Goes on with an exported session.
+    /// Continues an exported session.
+    ///
+    /// # Errors
+    ///
+    /// If the bytes are not the complete result of [`Session::export`].
     pub fn import(bytes: &[u8]) -> Result<Session, InvalidSession> {
-        let Some((&VERSION, mut rest)) = bytes.split_first() else { return Err(InvalidSession) };
+        let Some((&EXPORT_VERSION, mut rest)) = bytes.split_first() else {
+            return Err(InvalidSession::Version);
+        };
         let mut texts = Vec::new();
-        while let Some((head, after)) = rest.split_first_chunk::<2>() {
-            let len = usize::from(u16::from_be_bytes(*head));
-            let (text, next) = after.split_at_checked(len).ok_or(InvalidSession)?;
-            texts.push(String::from_utf8(text.to_vec()).map_err(|_| InvalidSession)?);
+        while let Some((length, after_length)) = rest.split_first_chunk::<2>() {
+            let length = usize::from(u16::from_be_bytes(*length));
+            let (text, next) = after_length.split_at_checked(length).ok_or(InvalidSession::Truncated)?;
+            texts.push(String::from_utf8(text.to_vec())?);
             rest = next;
         }
         if !rest.is_empty() || texts.is_empty() {
-            return Err(InvalidSession);
+            return Err(InvalidSession::Truncated);
         }
         let name = texts.remove(0);
-        Session::with(&name, texts)
+        Session::with_tokens(&name, texts)
     }
 
-    /// A request is about to go out: its tokens, or none while too many are out.
-    pub(crate) fn begin(&self) -> Option<Vec<String>> {
+    /// Takes one of the session's places for requests in flight; `None` while there is none.
+    pub(crate) fn start_request(&self) -> Option<SessionContext> {
         let mut state = self.state();
-        if state.out >= AT_ONCE {
+        if state.in_flight >= MAX_IN_FLIGHT {
             return None;
         }
-        state.out += 1;
-        Some(state.tokens.clone())
+        state.in_flight += 1;
+        Some(SessionContext { name: state.name.clone(), tokens: state.tokens.clone() })
     }
 
-    /// A token came for a request that brought these: it covers them.
-    pub(crate) fn token(&self, brought: &mut Vec<String>, token: String) {
-        if !plain(&token) {
+    /// Stores a token received by a request that had sent along the tokens in `sent`: it covers and replaces
+    /// them. The request's next token then covers this one.
+    pub(crate) fn store_token(&self, sent: &mut Vec<String>, token: String) {
+        if !is_valid_text(&token) {
             return;
         }
         let mut state = self.state();
-        state.tokens.retain(|t| !brought.contains(t));
+        state.tokens.retain(|stored| !sent.contains(stored));
         state.tokens.push(token.clone());
-        // The next one for the same request covers this one too.
-        *brought = vec![token];
+        *sent = vec![token];
     }
 
-    /// A request has ended.
-    pub(crate) fn end(&self) {
+    /// Returns a request's place.
+    pub(crate) fn finish_request(&self) {
         let mut state = self.state();
-        state.out = state.out.saturating_sub(1);
+        state.in_flight = state.in_flight.saturating_sub(1);
     }
 
-    /// Tokens held, for tests.
+    /// The stored tokens, for tests.
     #[doc(hidden)]
     pub fn tokens(&self) -> Vec<String> {
         self.state().tokens.clone()
     }
 }
+
+/// Whether a name or token can be a value in the statement's comment.
+fn is_valid_text(text: &str) -> bool {
+    text.bytes().all(|byte| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.' | b':' | b'@'))
+}
--- /dev/null
+++ b/crates/client/tests/core/retries.rs
@@ -0,0 +1,111 @@
+//! When retries are made, and how many.
+
+use crate::harness::{config, Harness, MS};
+use crate::messages::error;
+use basalthill_client::{Config, Idempotency, Priority, Request, RequestOutcome};
+use std::time::Duration;
+
+/// The earliest and the latest time of a retry after a rejection, in milliseconds.
+struct RetryWindow {
+    earliest_ms: u32,
+    latest_ms: u32,
+}
+
+#[test]
+fn retry_waits_for_retry_after_and_never_past_the_deadline() {
+    let window = |earliest_ms, latest_ms| Some(RetryWindow { earliest_ms, latest_ms });
+    // The rejection's detail, and when the retry comes; none if the request is completed at once.
+    let cases = [
+        (Some("100"), window(100, 151)),
+        (Some("0"), window(20, 31)),
+        (None, window(20, 31)),
+        (Some("not a number"), window(20, 31)),
+        (Some("899"), None),
+        (Some("5000"), None),
+        (Some("18446744073709551615"), None),
+        (Some("99999999999999999999999"), window(20, 31)),
+    ];
+    for (detail, window) in cases {
+        for seed in 0..20 {
+            let mut harness = Harness::new(Config { seed, ..config(1) });
+            let id = harness.submit_write(Idempotency::NonIdempotent, 900);
+            let connection = harness.accept_connection();
+            let rejected_at = harness.now;
+            harness.receive(connection, &error("53300", detail));
+            let Some(RetryWindow { earliest_ms, latest_ms }) = window else {
+                let retry_after = detail.and_then(|d| d.parse().ok()).map(Duration::from_millis);
+                let outcome = harness.outcome(id);
+                assert_eq!(outcome, Some(&RequestOutcome::Rejected(retry_after)), "{detail:?}: at once");
+                continue;
+            };
+            harness.advance(earliest_ms - 1);
+            assert_eq!(harness.sent.len(), 1, "{detail:?}: never sooner");
+            harness.advance(latest_ms - earliest_ms + 1);
+            assert_eq!(harness.sent.len(), 2, "{detail:?}");
+            let waited = harness.sent[1].sent_at - rejected_at;
+            assert!(waited >= earliest_ms * MS && waited <= latest_ms * MS, "{detail:?}: {waited:?}");
+        }
+    }
+}
+
+/// First attempts and retries.
+#[derive(Debug)]
+struct AttemptCounts {
+    first: u64,
+    retries: u64,
+}
+
+/// Sends 500 requests to a router that rejects every attempt, one request after the other.
+fn overload(priority: Priority) -> AttemptCounts {
+    let mut harness = Harness::new(Config { max_connections_per_router: 1, ..config(1) });
+    let mut first = 0;
+    for _ in 0..500 {
+        let request = Request::read("r", 1, "k").priority(priority);
+        let id = harness.submit(request.deadline(harness.now + 5000 * MS));
+        first += 1;
+        while harness.outcome(id).is_none() {
+            if harness.sent.is_empty() {
+                harness.accept_connection();
+                continue;
+            }
+            harness.receive(harness.last_used_connection(), &error("53300", Some("5")));
+            harness.advance(40);
+        }
+    }
+    AttemptCounts { first, retries: harness.core.counters().attempts - first }
+}
+
+#[test]
+fn retries_stay_within_the_budget_and_use_it() {
+    for priority in [Priority::Low, Priority::Normal, Priority::High] {
+        let counts = overload(priority);
+        assert!(counts.retries as f64 <= 0.1 * counts.first as f64 + 10.0, "{priority:?}: {counts:?}");
+        assert!(counts.retries >= 50, "{priority:?}: what is earned is used: {counts:?}");
+    }
+}
+
+/// How many requests of this priority are retried after a rejection, until the first that is not.
+fn retried_requests(harness: &mut Harness, priority: Priority) -> usize {
+    let is_retried = |harness: &mut Harness| {
+        let request = Request::read("r", 1, "k").priority(priority);
+        let id = harness.submit(request.deadline(harness.now + 900 * MS));
+        if harness.sent.is_empty() {
+            harness.accept_connection();
+        }
+        harness.receive(harness.last_used_connection(), &error("53300", Some("1")));
+        let is_retried = harness.outcome(id).is_none();
+        harness.core.cancel(harness.now, id);
+        harness.perform_actions();
+        is_retried
+    };
+    (0..30).take_while(|_| is_retried(harness)).count()
+}
+
+#[test]
+fn lower_priorities_leave_retry_budget_to_higher_ones() {
+    let mut harness = Harness::new(config(1));
+    let low = retried_requests(&mut harness, Priority::Low);
+    let normal = retried_requests(&mut harness, Priority::Normal);
+    let high = retried_requests(&mut harness, Priority::High);
+    assert!(low >= 2 && normal >= 2 && high >= 4, "{low}, {normal}, {high}");
+}
--- /dev/null
+++ b/crates/client/tests/core/validation.rs
@@ -0,0 +1,38 @@
+//! Requests that no router can serve.
+
+use crate::harness::{config, Harness, MS};
+use crate::messages::error;
+use basalthill_client::core::TableSizes;
+use basalthill_client::{Request, RequestOutcome};
+
+#[test]
+fn invalid_requests_are_completed_without_being_sent() {
+    let mut harness = Harness::new(config(1));
+    let invalid = [
+        Request::read("a,b", 1, "k"),
+        Request::read("", 1, "k"),
+        Request::read("a */ b", 1, "k"),
+        Request::read("a", 1, "k\0"),
+        Request::read("a", 1, "k").tenant("x=y"),
+        Request::write("a", 1, "k", &[0; 70_000]),
+    ];
+    for request in invalid {
+        let id = harness.submit(request);
+        assert!(matches!(harness.outcome(id), Some(RequestOutcome::Invalid(_))));
+    }
+    assert!(harness.connections.is_empty());
+    assert_eq!(harness.core.table_sizes(), TableSizes::default());
+}
+
+#[test]
+fn quotes_in_a_key_stay_in_its_literal_and_statement_errors_are_not_retried() {
+    let mut harness = Harness::new(config(1));
+    let request = Request::read("a", 1, "o'x' /* id=7 */");
+    let id = harness.submit(request.deadline(harness.now + 900 * MS));
+    let connection = harness.accept_connection();
+    let statement = &harness.sent[0].text;
+    assert!(statement.starts_with("SELECT v FROM records WHERE k = 'o''x'' /* id=7 */' /* id="));
+    harness.receive(connection, &error("22023", None));
+    let outcome = harness.outcome(id);
+    assert!(matches!(outcome, Some(RequestOutcome::Invalid(invalid)) if invalid.code() == "22023"));
+}
--- a/crates/router/src/program/ask.rs
+++ b/crates/router/src/program/ask.rs
@@ -1,101 +1,154 @@
-//! `basalthill ask`: the client library on the command line.
+//! `basalthill query` (earlier `ask`): one request by the client library, on the command line.
 
-use basalthill_client::{Client, Config, Idempotency, Request, RequestOutcome, RequestReport, Session};
+use basalthill_client::{
+    AttemptRecord, Client, Config, Idempotency, InvalidSession, Request, RequestOutcome, RequestReport,
+    Session,
+};
+use std::io;
 use std::net::SocketAddr;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// What to ask, and of whom.
+/// Exit code if the request could not be sent, or its session could not be read or stored.
+const EXIT_NOT_SENT: u8 = 2;
+/// Exit code of a request that may have run.
+const EXIT_MAY_HAVE_RUN: u8 = 3;
+
+/// The request, and the routers that it is sent to.
 #[derive(clap::Args)]
 pub struct Options {
-    /// A router; may be given several times.
-    #[arg(long, env = "BALANCER_LISTEN", required = true)]
-    router: Vec<SocketAddr>,
-    /// The class.
+    /// A router's address; may be given several times.
+    #[arg(long = "router", value_name = "ROUTER", env = "BALANCER_LISTEN", required = true)]
+    routers: Vec<SocketAddr>,
+    /// The request's class.
     #[arg(long)]
     class: String,
-    /// The group.
+    /// The group of databases.
     #[arg(long)]
     group: u32,
     /// The tenant.
     #[arg(long, default_value = "")]
     tenant: String,
     /// The deadline, in milliseconds from now.
-    #[arg(long, default_value_t = 900)]
-    within_ms: u64,
-    /// A write's repeats are dropped by its group for this long, in milliseconds; without it a write must
-    /// never run twice.
-    #[arg(long)]
-    keyed_ms: Option<u64>,
-    /// A file that keeps the session over calls; it is made if it is not there.
-    #[arg(long)]
-    session: Option<PathBuf>,
-    /// The key.
+    #[arg(long = "within-ms", value_name = "WITHIN_MS", default_value_t = 900)]
+    timeout_ms: u64,
+    /// A write's key is an idempotency key, whose repeats the group drops for this long, in milliseconds;
+    /// without it a write must never run twice.
+    #[arg(long = "keyed-ms", value_name = "KEYED_MS")]
+    idempotency_window_ms: Option<u64>,
+    /// A file that stores the session between calls; it is created if it does not exist.
+    #[arg(long = "session", value_name = "SESSION")]
+    session_file: Option<PathBuf>,
+    /// The key to read or write.
     key: String,
     /// The value to write; without it the key is read.
     value: Option<String>,
 }
 
-/// It may have run.
-const MAY_HAVE_RUN: u8 = 3;
+/// Why no request was made, or its session was not stored.
+#[derive(Debug, thiserror::Error)]
+enum QueryError {
+    #[error("read session {}: {source}", path.display())]
+    ReadSession { path: PathBuf, source: io::Error },
+    #[error("session {}: {source}", path.display())]
+    InvalidSession { path: PathBuf, source: InvalidSession },
+    #[error("write session {}: {source}", path.display())]
+    WriteSession { path: PathBuf, source: io::Error },
+    #[error("start the client: {0}")]
+    StartClient(io::Error),
+}
 
-/// Asks, and says what came of it.
+/// Sends one request and prints its outcome.
 pub fn run(options: Options) -> ExitCode {
-    match asked(options) {
-        Ok(RequestReport { outcome: end, attempts: tries, elapsed: took }) => {
-            let ms = took.as_millis();
-            let said = match &end {
-                RequestOutcome::Served(Some(value)) => format!("served: {}", String::from_utf8_lossy(value)),
-                RequestOutcome::Served(None) => "served: null".into(),
-                RequestOutcome::Rejected(None) => "refused; trying again does no harm".into(),
-                RequestOutcome::Rejected(Some(after)) => {
-                    format!("refused; come back in {} ms", after.as_millis())
-                }
-                RequestOutcome::DeadlineExceeded => "too late; nothing has run".into(),
-                RequestOutcome::Failed => "failed; trying again does no harm".into(),
-                RequestOutcome::MayHaveRun => "it may have run, or may yet: look before you ask again".into(),
-                RequestOutcome::Invalid(invalid) => format!("invalid: {invalid}"),
-                RequestOutcome::Stopped => "not asked".into(),
-            };
-            println!("{said}");
-            if !matches!(end, RequestOutcome::Served(_)) || tries.len() > 1 {
-                let tries: Vec<String> = tries.iter().map(|t| format!("{} {:?}", t.router, t.end)).collect();
-                eprintln!("{ms} ms, {} tries: {}", tries.len(), tries.join(", "));
-            }
-            match end {
-                RequestOutcome::Served(_) => ExitCode::SUCCESS,
-                RequestOutcome::MayHaveRun => ExitCode::from(MAY_HAVE_RUN),
-                _ => ExitCode::FAILURE,
-            }
+    match execute(options) {
+        Ok(report) => {
+            print_report(&report);
+            exit_code(&report.outcome)
         }
         Err(e) => {
             eprintln!("basalthill: {e}");
-            ExitCode::from(super::BAD_CONFIGURATION)
+            ExitCode::from(EXIT_NOT_SENT)
         }
     }
 }
 
-fn asked(options: Options) -> Result<RequestReport, Box<dyn std::error::Error>> {
-    let Options { router, class, group, tenant, within_ms, keyed_ms, session: path, key, value } = options;
-    let session = match path.as_ref().filter(|p| p.exists()) {
-        Some(path) => Some(Session::import(&std::fs::read(path)?)?),
-        None => path.as_ref().map(|_| Session::new("")).transpose()?,
+fn execute(options: Options) -> Result<RequestReport, QueryError> {
+    let session = options.session_file.as_deref().map(load_session).transpose()?;
+    let request = request(&options, session.as_ref());
+    let client = Client::start(Config::new(options.routers)).map_err(QueryError::StartClient)?;
+    let report = client.execute_blocking(request);
+    if let (Some(path), Some(session)) = (options.session_file, session) {
+        let written = std::fs::write(&path, session.export());
+        written.map_err(|source| QueryError::WriteSession { path, source })?;
+    }
+    Ok(report)
+}
+
+/// The session in a file; a new one if there is no file. The name is empty: the key names the session.
+fn load_session(path: &Path) -> Result<Session, QueryError> {
+    let path = path.to_path_buf();
+    let session = if path.exists() {
+        match std::fs::read(&path) {
+            Ok(bytes) => Session::import(&bytes),
+            Err(source) => return Err(QueryError::ReadSession { path, source }),
+        }
+    } else {
+        Session::new("")
     };
-    let request = match &value {
-        Some(value) => Request::write(&class, group, &key, value.as_bytes()),
-        None => Request::read(&class, group, &key),
+    session.map_err(|source| QueryError::InvalidSession { path, source })
+}
+
+fn request(options: &Options, session: Option<&Session>) -> Request {
+    let Options { class, group, key, .. } = options;
+    let mut request = match &options.value {
+        Some(value) => Request::write(class, *group, key, value.as_bytes()),
+        None => Request::read(class, *group, key),
     };
-    let mut request = request.tenant(&tenant).timeout(Duration::from_millis(within_ms));
-    if let Some(ms) = keyed_ms {
-        request = request.idempotency(Idempotency::Keyed(Duration::from_millis(ms)));
+    request = request.tenant(&options.tenant).timeout(Duration::from_millis(options.timeout_ms));
+    if let Some(window_ms) = options.idempotency_window_ms {
+        request = request.idempotency(Idempotency::Keyed(Duration::from_millis(window_ms)));
     }
-    if let Some(session) = &session {
+    if let Some(session) = session {
         request = request.session(session);
     }
-    let report = Client::start(Config::new(router))?.execute_blocking(request);
-    if let (Some(path), Some(session)) = (path, session) {
-        std::fs::write(path, session.export())?;
+    request
+}
+
+/// Prints the outcome on standard output, and the attempts on standard error if there is more to know.
+fn print_report(report: &RequestReport) {
+    println!("{}", describe(&report.outcome));
+    let is_served = matches!(report.outcome, RequestOutcome::Served(_));
+    if is_served && report.attempts.len() <= 1 {
+        return;
+    }
+    let attempt = |attempt: &AttemptRecord| format!("{} {:?}", attempt.router, attempt.outcome);
+    let attempts: Vec<String> = report.attempts.iter().map(attempt).collect();
+    let elapsed_ms = report.elapsed.as_millis();
+    eprintln!("{elapsed_ms} ms, {} tries: {}", attempts.len(), attempts.join(", "));
+}
+
+/// The line on standard output; its wording is an interface to scripts.
+fn describe(outcome: &RequestOutcome) -> String {
+    match outcome {
+        RequestOutcome::Served(Some(value)) => format!("served: {}", String::from_utf8_lossy(value)),
+        RequestOutcome::Served(None) => "served: null".into(),
+        RequestOutcome::Rejected(None) => "refused; trying again does no harm".into(),
+        RequestOutcome::Rejected(Some(retry_after)) => {
+            format!("refused; come back in {} ms", retry_after.as_millis())
+        }
+        RequestOutcome::DeadlineExceeded => "too late; nothing has run".into(),
+        RequestOutcome::Failed => "failed; trying again does no harm".into(),
+        RequestOutcome::MayHaveRun => "it may have run, or may yet: look before you ask again".into(),
+        RequestOutcome::Invalid(invalid) => format!("invalid: {invalid}"),
+        RequestOutcome::Stopped => "not asked".into(),
+    }
+}
+
+fn exit_code(outcome: &RequestOutcome) -> ExitCode {
+    match outcome {
+        RequestOutcome::Served(_) => ExitCode::SUCCESS,
+        RequestOutcome::MayHaveRun => ExitCode::from(EXIT_MAY_HAVE_RUN),
+        _ => ExitCode::FAILURE,
     }
-    Ok(report)
 }
