--- /dev/null
+++ b/crates/config/src/local_settings/kdl_reader.rs
@@ -0,0 +1,165 @@
+//! Typed access to KDL nodes; an error names line, column and key.
+
+use crate::{ConfigError, Problem};
+use basalthill_policy::api::Time;
+use kdl::{KdlDocument, KdlEntry, KdlNode, KdlValue, NodeKey};
+use std::net::SocketAddr;
+use std::ops::RangeInclusive;
+
+/// Longest time that can be given for what a read waits for or a write needs, in milliseconds.
+const MAX_MS: i128 = 60_000;
+
+/// The nodes of a file, with the text that they come from.
+pub(super) struct KdlReader<'a> {
+    text: &'a str,
+}
+
+/// Parses a file's text.
+pub(super) fn parse(text: &str) -> Result<KdlDocument, ConfigError> {
+    KdlDocument::parse_v2(text).map_err(|error| {
+        let first = error.diagnostics.first();
+        let offset = first.map_or(0, |diagnostic| diagnostic.span.offset());
+        let message = first.and_then(|diagnostic| diagnostic.message.clone().or(diagnostic.label.clone()));
+        let problem = Problem::Syntax(message.unwrap_or_else(|| "is not KDL".into()));
+        error_at(text, offset, "(file)", problem)
+    })
+}
+
+/// An error at a byte of the text; its key is `LINE:COLUMN: KEY`.
+fn error_at(text: &str, offset: usize, key: &str, problem: Problem) -> ConfigError {
+    let before = &text.as_bytes()[..offset.min(text.len())];
+    let line = before.iter().filter(|b| **b == b'\n').count() + 1;
+    let column = before.iter().rev().take_while(|b| **b != b'\n').count() + 1;
+    ConfigError::invalid(format!("{line}:{column}: {key}"), problem)
+}
+
+impl<'a> KdlReader<'a> {
+    /// A reader for the nodes of this text.
+    pub(super) fn new(text: &'a str) -> KdlReader<'a> {
+        KdlReader { text }
+    }
+
+    /// An error at a node.
+    pub(super) fn node_error(&self, node: &KdlNode, key: &str, problem: Problem) -> ConfigError {
+        error_at(self.text, node.span().offset(), key, problem)
+    }
+
+    /// An error at an argument or a property.
+    fn entry_error(&self, entry: &KdlEntry, key: &str, problem: Problem) -> ConfigError {
+        // A span may begin with the blanks before its entry.
+        let start = entry.span().offset();
+        let span = self.text.get(start..start + entry.span().len()).unwrap_or_default();
+        let blanks = span.len() - span.trim_start().len();
+        error_at(self.text, start + blanks, key, problem)
+    }
+
+    /// Rejects a node with another number of arguments, or with properties of other names.
+    pub(super) fn check_entries(
+        &self,
+        node: &KdlNode,
+        key: &str,
+        arguments: usize,
+        properties: &[&str],
+    ) -> Result<(), ConfigError> {
+        let mut found = 0;
+        for entry in node.entries() {
+            match entry.name().map(|name| name.value()) {
+                None => found += 1,
+                Some(name) if properties.contains(&name) => {}
+                Some(name) => {
+                    return Err(self.entry_error(entry, &format!("{key}.{name}"), Problem::UnknownKey));
+                }
+            }
+        }
+        if found == arguments {
+            return Ok(());
+        }
+        let problem = Problem::ArgumentCount { expected: arguments, found };
+        Err(self.node_error(node, key, problem))
+    }
+
+    /// A text that has to be there.
+    pub(super) fn text<'n>(
+        &self,
+        node: &'n KdlNode,
+        key: &str,
+        entry: impl Into<NodeKey>,
+    ) -> Result<&'n str, ConfigError> {
+        let Some(entry) = node.entry(entry) else {
+            return Err(self.node_error(node, key, Problem::Missing));
+        };
+        let problem = Problem::WrongType { expected: "text" };
+        entry.value().as_string().ok_or_else(|| self.entry_error(entry, key, problem))
+    }
+
+    /// A flag, which is off if it is not there.
+    pub(super) fn flag(
+        &self,
+        node: &KdlNode,
+        key: &str,
+        entry: impl Into<NodeKey>,
+    ) -> Result<bool, ConfigError> {
+        let Some(entry) = node.entry(entry) else { return Ok(false) };
+        let problem = Problem::WrongType { expected: "#true or #false" };
+        entry.value().as_bool().ok_or_else(|| self.entry_error(entry, key, problem))
+    }
+
+    /// A whole number.
+    pub(super) fn integer(
+        &self,
+        node: &KdlNode,
+        key: &str,
+        entry: impl Into<NodeKey>,
+        range: RangeInclusive<i128>,
+    ) -> Result<Option<u64>, ConfigError> {
+        let Some(entry) = node.entry(entry) else { return Ok(None) };
+        match entry.value() {
+            KdlValue::Integer(number) if range.contains(number) => Ok(Some(*number as u64)),
+            other => {
+                let value = other.to_string();
+                let problem = Problem::NotAnInteger { value, min: *range.start(), max: *range.end() };
+                Err(self.entry_error(entry, key, problem))
+            }
+        }
+    }
+
+    /// A number, whole or not.
+    pub(super) fn number(
+        &self,
+        node: &KdlNode,
+        key: &str,
+        entry: impl Into<NodeKey>,
+        range: RangeInclusive<f64>,
+    ) -> Result<Option<f64>, ConfigError> {
+        let Some(entry) = node.entry(entry) else { return Ok(None) };
+        let number = match entry.value() {
+            KdlValue::Integer(number) => Some(*number as f64),
+            KdlValue::Float(number) => Some(*number),
+            _ => None,
+        };
+        if let Some(number) = number.filter(|number| range.contains(number)) {
+            return Ok(Some(number));
+        }
+        let value = entry.value().to_string();
+        let problem = Problem::NotANumber { value, min: *range.start(), max: *range.end() };
+        Err(self.entry_error(entry, key, problem))
+    }
+
+    /// The time in milliseconds that is a node's only argument.
+    pub(super) fn milliseconds(&self, node: &KdlNode, key: &str) -> Result<Time, ConfigError> {
+        self.check_entries(node, key, 1, &[])?;
+        Ok(Time::ms(self.integer(node, key, 0, 0..=MAX_MS)?.unwrap_or_default()))
+    }
+
+    /// An address with a port.
+    pub(super) fn address(
+        &self,
+        node: &KdlNode,
+        key: &str,
+        entry: impl Into<NodeKey>,
+    ) -> Result<SocketAddr, ConfigError> {
+        let text = self.text(node, key, entry)?;
+        let problem = Problem::NotAnAddress { value: text.to_string() };
+        text.parse().map_err(|_| self.node_error(node, key, problem))
+    }
+}
--- /dev/null
+++ b/crates/config/src/local_settings/sessions.rs
@@ -0,0 +1,134 @@
+//! The section `sessions`: how a session's reads see its writes.
+
+use super::kdl_reader::KdlReader;
+use super::keys;
+use crate::{ConfigError, Problem};
+use basalthill_policy::api::Time;
+use basalthill_session::{DefaultFloor, SessionConfig, TokenDelivery};
+use kdl::KdlNode;
+use std::path::PathBuf;
+
+/// How sessions are kept consistent.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct SessionSettings {
+    /// What the floors follow.
+    pub plan: SessionConfig,
+    /// Where the session-floor table is stored over a graceful stop.
+    pub snapshot: Option<Snapshot>,
+}
+
+/// A place on a disk that outlives the process.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Snapshot {
+    /// The file.
+    pub path: PathBuf,
+    /// An older one is rejected.
+    pub max_age: Time,
+}
+
+/// Default of `skew-ms`.
+const DEFAULT_SKEW: Time = Time::ms(5);
+/// Default of `settle-ms`.
+const DEFAULT_SETTLE_TIME: Time = Time::ms(3000);
+/// Default of `lead-ms`.
+const DEFAULT_LEAD: Time = Time::ms(50);
+/// Default of a token's `max-age-s`: a day.
+const DEFAULT_TOKEN_AGE_S: u64 = 24 * 3600;
+/// Default of a snapshot's `max-age-s`.
+const DEFAULT_SNAPSHOT_AGE_S: u64 = 300;
+/// Greatest `max-age-s`: a year.
+const MAX_AGE_S: i128 = 366 * 24 * 3600;
+
+/// Reads the section.
+pub(super) fn read(reader: &KdlReader, node: &KdlNode) -> Result<SessionSettings, ConfigError> {
+    reader.check_entries(node, "sessions", 0, &["floor"])?;
+    let mut plan = SessionConfig {
+        default_floor: read_default_floor(reader, node)?,
+        skew: DEFAULT_SKEW,
+        settle_time: DEFAULT_SETTLE_TIME,
+        lead: DEFAULT_LEAD,
+        token_delivery: TokenDelivery::Never,
+        early_tokens: false,
+        keys: None,
+    };
+    let mut snapshot = None;
+    let mut seen = Vec::new();
+    for child in node.iter_children() {
+        let name = child.name().value();
+        let key = format!("sessions.{name}");
+        if seen.contains(&name) {
+            return Err(reader.node_error(child, &key, Problem::Duplicate));
+        }
+        seen.push(name);
+        match name {
+            "skew-ms" => plan.skew = reader.milliseconds(child, &key)?,
+            "settle-ms" => plan.settle_time = reader.milliseconds(child, &key)?,
+            "lead-ms" => plan.lead = reader.milliseconds(child, &key)?,
+            "tokens" => read_tokens(reader, child, &mut plan)?,
+            "snapshot" => snapshot = Some(read_snapshot(reader, child, &key)?),
+            _ => return Err(reader.node_error(child, &key, Problem::UnknownKey)),
+        }
+    }
+    Ok(SessionSettings { plan, snapshot })
+}
+
+fn read_default_floor(reader: &KdlReader, node: &KdlNode) -> Result<DefaultFloor, ConfigError> {
+    let key = "sessions.floor";
+    match reader.text(node, key, "floor")? {
+        "platform" => Ok(DefaultFloor::Platform),
+        "nothing" => Ok(DefaultFloor::RememberedOnly),
+        "router" => Ok(DefaultFloor::RouterStart),
+        "connection" => Ok(DefaultFloor::ConnectionAccept),
+        "arrival" => Ok(DefaultFloor::ReadArrival),
+        other => {
+            let expected = "platform, nothing, router, connection, arrival".to_string();
+            let problem = Problem::NotOneOf { value: other.to_string(), expected };
+            Err(reader.node_error(node, key, problem))
+        }
+    }
+}
+
+fn read_snapshot(reader: &KdlReader, node: &KdlNode, key: &str) -> Result<Snapshot, ConfigError> {
+    reader.check_entries(node, key, 1, &["max-age-s"])?;
+    let path = PathBuf::from(reader.text(node, key, 0)?);
+    let max_age = read_max_age(reader, node, key, DEFAULT_SNAPSHOT_AGE_S)?;
+    Ok(Snapshot { path, max_age })
+}
+
+fn read_tokens(reader: &KdlReader, node: &KdlNode, plan: &mut SessionConfig) -> Result<(), ConfigError> {
+    let key = "sessions.tokens";
+    reader.check_entries(node, key, 0, &["with", "early", "max-age-s"])?;
+    plan.token_delivery = read_token_delivery(reader, node)?;
+    plan.early_tokens = reader.flag(node, "sessions.tokens.early", "early")?;
+    let max_age = read_max_age(reader, node, key, DEFAULT_TOKEN_AGE_S)?;
+    if let Some(child) = node.iter_children().find(|child| child.name().value() != "key") {
+        let key = format!("{key}.{}", child.name().value());
+        return Err(reader.node_error(child, &key, Problem::UnknownKey));
+    }
+    plan.keys = Some(keys::read(reader, node, key, max_age)?);
+    Ok(())
+}
+
+fn read_token_delivery(reader: &KdlReader, node: &KdlNode) -> Result<TokenDelivery, ConfigError> {
+    let key = "sessions.tokens.with";
+    match reader.text(node, key, "with")? {
+        "writes" => Ok(TokenDelivery::WritesOnly),
+        "reads" => Ok(TokenDelivery::WritesAndReads),
+        "nothing" => Ok(TokenDelivery::Never),
+        other => {
+            let expected = "writes, reads, nothing".to_string();
+            let problem = Problem::NotOneOf { value: other.to_string(), expected };
+            Err(reader.node_error(node, key, problem))
+        }
+    }
+}
+
+fn read_max_age(
+    reader: &KdlReader,
+    node: &KdlNode,
+    parent: &str,
+    default_s: u64,
+) -> Result<Time, ConfigError> {
+    let seconds = reader.integer(node, &format!("{parent}.max-age-s"), "max-age-s", 1..=MAX_AGE_S)?;
+    Ok(Time::ms(seconds.unwrap_or(default_s) * 1000))
+}
--- /dev/null
+++ b/crates/config/src/settings/mod.rs
@@ -0,0 +1,229 @@
+//! The settings of a deployment: one JSON object, in the simulator's frames and in the router's file alike.
+
+mod json;
+
+use crate::error::from_json;
+use crate::{ConfigError, Problem};
+use basalthill_policy::api::*;
+use basalthill_session::PlatformFloors;
+use json::{ClassJson, ReplicationJson, SettingsJson};
+use serde_json::Value;
+
+/// The column of a load report that holds the member's position.
+const POSITION_COLUMN: &str = "x0";
+/// The column of a load report that holds the member's role.
+const ROLE_COLUMN: &str = "x1";
+
+/// Where members report their load and state.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LoadReportSource {
+    /// In answers and in answers to probes.
+    InAnswers,
+    /// In answers to probes alone.
+    InProbes,
+    /// Not at all.
+    None,
+}
+
+/// A deployment: the settings of the routing policy, and those that only the modules around it need.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Deployment {
+    /// The settings of the routing policy.
+    pub settings: Settings,
+    /// How session floors are known.
+    pub tokens: PlatformFloors,
+    /// The origin of positions in the simulator's frames. On sockets they are Unix times.
+    pub position_epoch: Time,
+    /// Names of a load report's values.
+    pub report_columns: Vec<String>,
+    /// Where members report.
+    pub load_reports: LoadReportSource,
+    /// Names of the classes, in the order of their ids.
+    pub classes: Vec<String>,
+    /// Names of the tenants, in the order of their ids.
+    pub tenants: Vec<String>,
+    /// Names of the zones, in the order of their ids.
+    pub zones: Vec<String>,
+    /// A connection idle for this long is closed by its member.
+    pub conn_idle: Time,
+    /// A connection that is not up within this has failed.
+    pub connect_timeout: Time,
+}
+
+/// Reads the settings from their text.
+pub fn read(text: &[u8]) -> Result<Deployment, ConfigError> {
+    let value = serde_json::from_slice(text)
+        .map_err(|error| ConfigError::invalid("settings", Problem::Syntax(error.to_string())))?;
+    from_value(value)
+}
+
+/// Reads the settings from a JSON value. An error's key begins with `settings`.
+pub fn from_value(value: Value) -> Result<Deployment, ConfigError> {
+    if !value.is_object() {
+        return Err(ConfigError::invalid("settings", Problem::WrongType { expected: "an object" }));
+    }
+    from_json(value).and_then(deployment).map_err(|error| error.under("settings"))
+}
+
+fn deployment(json: SettingsJson) -> Result<Deployment, ConfigError> {
+    let classes = classes(&json)?;
+    let load_reports = load_report_source(&json.reporting.via)?;
+    let settings = policy_settings(&json, classes, load_reports)?;
+    let tokens = platform_floors(&json.replication.token_mode)?;
+    Ok(Deployment {
+        settings,
+        tokens,
+        position_epoch: Time(json.replication.position_epoch_ns),
+        report_columns: json.reporting.columns,
+        load_reports,
+        classes: json.classes.into_iter().map(|class| class.name).collect(),
+        tenants: json.tenants.into_iter().map(|tenant| tenant.name).collect(),
+        zones: json.zones,
+        conn_idle: Time(json.bounds.idle_timeout_ns),
+        connect_timeout: Time(json.bounds.connect_timeout_ns),
+    })
+}
+
+fn policy_settings(
+    json: &SettingsJson,
+    classes: Vec<Class>,
+    load_reports: LoadReportSource,
+) -> Result<Settings, ConfigError> {
+    let reported = |column: &str| {
+        load_reports != LoadReportSource::None && json.reporting.columns.iter().any(|name| name == column)
+    };
+    let SettingsJson { replication, bounds, rules, prices, .. } = json;
+    Ok(Settings {
+        router: RouterId(json.router_id),
+        routers: json.router_count.max(1),
+        zone: ZoneId(json.zone),
+        tick: Time(json.tick_ns),
+        classes,
+        tenants: json.tenants.iter().map(|tenant| Tenant { quota_per_s: tenant.quota_per_s }).collect(),
+        over_quota_weight: json.over_quota_weight,
+        poll_endpoint_list: json.discovery == "subscribe",
+        list_role: list_role(&replication.role_listed)?,
+        weights: json.weights != "none",
+        positions: replication.positions,
+        probe_positions: reported(POSITION_COLUMN),
+        probe_roles: reported(ROLE_COLUMN),
+        when_behind: when_behind(replication)?,
+        max_attempts: bounds.max_attempts,
+        hedging: bounds.hedging,
+        cancel: bounds.cancel,
+        conn_idle: Time(bounds.idle_timeout_ns),
+        probes: bounds.probes,
+        retry_after: bounds.retry_after,
+        max_retry_after: Time(bounds.max_retry_after_ns),
+        drain_grace: Time(rules.drain_grace_ns),
+        only_draining_binds: rules.soft_removal,
+        slow_start_capacity: rules.slow_start_capacity,
+        slow_start_window: Time(rules.slow_start_window_ns),
+        overload_multiple: rules.overload_multiple,
+        overload_window: Time(rules.overload_window_ns),
+        poll_interval: Time(rules.poll_interval_ns),
+        price_cross_zone: prices.cross_zone,
+        price_waste: prices.waste,
+    })
+}
+
+fn classes(json: &SettingsJson) -> Result<Vec<Class>, ConfigError> {
+    let found = json.replication.consistency.len();
+    let expected = json.classes.len();
+    if found != expected {
+        let problem = Problem::EntryCount { expected, found };
+        return Err(ConfigError::invalid("familyInfo.consistency", problem));
+    }
+    if json.classes.is_empty() {
+        return Err(ConfigError::invalid("profiles", Problem::Empty));
+    }
+    json.classes
+        .iter()
+        .enumerate()
+        .map(|(index, class)| self::class(index, class, &json.replication))
+        .collect()
+}
+
+fn class(index: usize, json: &ClassJson, replication: &ReplicationJson) -> Result<Class, ConfigError> {
+    Ok(Class {
+        consistency: consistency(index, replication)?,
+        effect: effect(index, &json.effect)?,
+        scope: key_scope(index, &json.key_scope)?,
+        window: Time(json.window_ns),
+        latency_objective: Time(json.latency_objective_ns),
+        client_timeout: Time(json.deadline_ns),
+        priority_weight: json.priority_weight,
+        late_weight: json.late_weight,
+    })
+}
+
+fn consistency(index: usize, replication: &ReplicationJson) -> Result<Consistency, ConfigError> {
+    match replication.consistency[index].as_str() {
+        "eventual" => Ok(Consistency::Eventual),
+        "lag_bound" => match replication.max_lag_ns.get(index) {
+            Some(max_lag_ns) => Ok(Consistency::BoundedStaleness(Time(*max_lag_ns))),
+            None => Err(ConfigError::invalid(format!("familyInfo.lagAllowed[{index}]"), Problem::Missing)),
+        },
+        "causal" => Ok(Consistency::Session),
+        "strong" => Ok(Consistency::Strong),
+        "mutate" => Ok(Consistency::Write),
+        other => Err(unknown(format!("familyInfo.consistency[{index}]"), other)),
+    }
+}
+
+fn effect(index: usize, word: &str) -> Result<Effect, ConfigError> {
+    match word {
+        "idempotent" => Ok(Effect::Idempotent),
+        "deduplicated" => Ok(Effect::IdempotentByKey),
+        "at_most_once" => Ok(Effect::NonIdempotent),
+        other => Err(unknown(format!("profiles[{index}].effect"), other)),
+    }
+}
+
+fn key_scope(index: usize, word: &str) -> Result<KeyScope, ConfigError> {
+    match word {
+        "" | "all" => Ok(KeyScope::All),
+        "zone" => Ok(KeyScope::Zone),
+        "cell" => Ok(KeyScope::Group),
+        other => Err(unknown(format!("profiles[{index}].keyScope"), other)),
+    }
+}
+
+fn load_report_source(word: &str) -> Result<LoadReportSource, ConfigError> {
+    match word {
+        "answers" => Ok(LoadReportSource::InAnswers),
+        "probe" => Ok(LoadReportSource::InProbes),
+        "none" => Ok(LoadReportSource::None),
+        other => Err(unknown("reporting.via", other)),
+    }
+}
+
+fn list_role(word: &str) -> Result<ListRole, ConfigError> {
+    match word {
+        "trailing" => Ok(ListRole::Late),
+        "static" => Ok(ListRole::Start),
+        "none" => Ok(ListRole::None),
+        other => Err(unknown("familyInfo.roleListed", other)),
+    }
+}
+
+fn when_behind(replication: &ReplicationJson) -> Result<WhenBehind, ConfigError> {
+    match replication.when_behind.as_str() {
+        "none" => Ok(WhenBehind::ServeStale),
+        "bounce" => Ok(WhenBehind::Reject),
+        "await" => Ok(WhenBehind::Wait(Time(replication.wait_limit_ns))),
+        other => Err(unknown("familyInfo.whenBehind", other)),
+    }
+}
+
+fn platform_floors(word: &str) -> Result<PlatformFloors, ConfigError> {
+    match word {
+        "brought" => Ok(PlatformFloors::FromRequest),
+        "kept" => Ok(PlatformFloors::Remembered),
+        other => Err(unknown("familyInfo.tokenMode", other)),
+    }
+}
+
+fn unknown(key: impl Into<String>, word: &str) -> ConfigError {
+    ConfigError::invalid(key, Problem::UnknownWord { value: word.to_string() })
+}
--- a/crates/config/tests/own.rs
+++ b/crates/config/tests/local_settings.rs
@@ -1,21 +1,35 @@
-//! Our own settings: what they say, and how a fault is named.
+//! The local settings: what they switch on, and how errors name their place.
 
 use basalthill_config::local_settings::{load, parse, LocalSettings};
 use basalthill_fleet::{Bounds, Budget, NodeId, Subject};
 use basalthill_policy::api::Time;
 use basalthill_session::token::KeyId;
 use basalthill_session::{DefaultFloor, TokenDelivery};
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
 const KEY: &str = r#"key 2 "9f1c64b0a2d75e3381c6f0aa47b95d1e" signs=#true"#;
 
-fn fault(text: &str) -> String {
+fn error(text: &str) -> String {
     parse(text).unwrap_err().to_string()
 }
 
+/// The settings that come with the program.
+fn shipped_path() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/basalthill.kdl")
+}
+
+fn shipped_text() -> String {
+    std::fs::read_to_string(shipped_path()).unwrap()
+}
+
+/// Their text with the fleet switched on.
+fn fleet_file() -> String {
+    shipped_text().replace("/-fleet", "fleet")
+}
+
 #[test]
-fn the_file_that_comes_with_the_program_is_sound_and_holds_the_defaults() {
-    let shipped = load(&Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/basalthill.kdl")).unwrap();
+fn the_shipped_file_is_sound_and_shows_the_defaults() {
+    let shipped = load(&shipped_path()).unwrap();
     let sessions = shipped.sessions.unwrap();
     let keys = sessions.plan.keys.clone().unwrap();
     assert_eq!((keys.signing.id, keys.verifying.len()), (KeyId(2), 1));
@@ -72,7 +86,7 @@
 }
 
 #[test]
-fn a_fault_names_line_column_and_key() {
+fn an_error_names_line_column_and_key() {
     let within = |inner: &str| format!("// ours\nsessions floor=\"connection\" {{\n    {inner}\n}}");
     let keys = |inner: &str| within(&format!("tokens with=\"writes\" {{\n        {inner}\n    }}"));
     let cases = [
@@ -103,36 +117,28 @@
         ),
         (keys("lock 1"), "4:9: sessions.tokens.lock: is unknown"),
     ];
-    for (text, said) in cases {
-        let fault = fault(&text);
-        assert!(fault.starts_with(said), "{text}\n{fault}\n{said}");
+    for (text, expected) in cases {
+        let line = error(&text);
+        assert!(line.starts_with(expected), "{text}\n{line}\n{expected}");
     }
-    let fault = fault("sessions floor=\"arrival\" {\n  skew-ms 5\n");
-    assert!(fault.split(':').count() >= 3 && !fault.contains('\n'), "{fault}");
+    let line = error("sessions floor=\"arrival\" {\n  skew-ms 5\n");
+    assert!(line.split(':').count() >= 3 && !line.contains('\n'), "{line}");
     let missing = load(Path::new("/nowhere/own.kdl")).unwrap_err();
     assert!(missing.to_string().starts_with("/nowhere/own.kdl: "), "{missing}");
 }
 
 #[test]
-fn no_text_makes_it_panic() {
-    let whole =
-        std::fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/basalthill.kdl"))
-            .unwrap();
-    for cut in (0..whole.len()).step_by(13) {
-        drop(parse(&whole[..cut]));
-        drop(parse(&format!("{}\u{fffd}{}", &whole[..cut], &whole[cut..])));
+fn malformed_text_never_panics() {
+    let text = shipped_text();
+    for cut in (0..text.len()).step_by(13) {
+        drop(parse(&text[..cut]));
+        drop(parse(&format!("{}\u{fffd}{}", &text[..cut], &text[cut..])));
     }
 }
 
-fn fleet_file() -> String {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/basalthill.kdl");
-    std::fs::read_to_string(path).unwrap().replace("/-fleet", "fleet")
-}
-
 #[test]
-fn a_fleet_is_read_and_is_off_in_the_file_that_comes_with_the_program() {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/basalthill.kdl");
-    assert_eq!(load(&path).unwrap().fleet, None);
+fn a_fleet_is_read_and_is_off_in_the_shipped_file() {
+    assert_eq!(load(&shipped_path()).unwrap().fleet, None);
     let fleet = parse(&fleet_file()).unwrap().fleet.unwrap();
     assert_eq!((fleet.names.len(), fleet.drift, fleet.limits.len()), (3, 0.01, 5));
     assert_eq!((fleet.keys.signing.id, fleet.keys.verifying.len()), (KeyId(2), 1));
@@ -153,7 +159,7 @@
 }
 
 #[test]
-fn a_fleet_may_have_1024_names() {
+fn a_fleet_may_have_1024_routers() {
     let name = |n: usize| format!("router \"r{n}\" \"10.0.{}.{}:7946\"\n", n / 250, n % 250 + 1);
     let routers: String = (0..1024).map(name).collect();
     let fleet = parse(&format!("fleet {{\n{KEY}\n{routers}\n}}")).unwrap().fleet.unwrap();
@@ -162,18 +168,18 @@
 }
 
 #[test]
-fn limits_in_another_order_are_the_same_limits() {
-    let turned = |lines: [&str; 2]| {
+fn the_order_of_limits_has_no_meaning() {
+    let limits = |lines: [&str; 2]| {
         let router = "router \"a\" \"127.0.0.1:1\"";
         parse(&format!("fleet {{\n{KEY}\n{router}\n{}\n{}\n}}", lines[0], lines[1])).unwrap().fleet.unwrap()
     };
     let (one, other) = ("limit \"x\" group=1 per-s=5", "limit \"y\" group=2 per-s=6");
-    assert_eq!(turned([one, other]), turned([other, one]));
+    assert_eq!(limits([one, other]), limits([other, one]));
 }
 
 #[test]
-fn a_fault_in_a_fleet_names_its_place() {
-    let change = |from: &str, to: &str| fault(&fleet_file().replace(from, to));
+fn an_error_in_a_fleet_names_its_place() {
+    let change = |from: &str, to: &str| error(&fleet_file().replace(from, to));
     let cases = [
         (
             change("drift-percent 1", "drift-percent 11"),
@@ -198,9 +204,9 @@
         (change("group=2", "budget=\"retries\""), "fleet.limit: what it counts has a limit already"),
         (change("listen \"0.0.0.0:7946\"", "lisn 1"), "fleet.lisn: is unknown"),
     ];
-    for (said, part) in cases {
-        assert!(said.contains(part), "{said}\n{part}");
-        let mut place = said.split(':');
-        assert!(place.next().is_some_and(|line| line.parse::<usize>().is_ok_and(|n| n > 30)), "{said}");
+    for (message, part) in cases {
+        assert!(message.contains(part), "{message}\n{part}");
+        let mut place = message.split(':');
+        assert!(place.next().is_some_and(|line| line.parse::<usize>().is_ok_and(|n| n > 30)), "{message}");
     }
 }
--- a/crates/config/tests/config.rs
+++ b/crates/config/tests/router.rs
@@ -1,4 +1,4 @@
-//! What the configuration says when something is wrong with it, and its defaults.
+//! A router's configuration: defaults, variables, reloads, and how errors name their key.
 
 use basalthill_config::router::{parse, shutdown_timeout, LoadPhase, RouterConfig};
 use basalthill_config::settings::LoadReportSource;
@@ -6,7 +6,7 @@
 use basalthill_policy::api::{Consistency, Effect, Time};
 use serde_json::{json, Value};
 
-fn sound() -> Value {
+fn sound_file() -> Value {
     json!({
         "name": "n1", "listen": "127.0.0.1:5432", "discovery": "127.0.0.1:8500", "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 100, "sockets": 512}, "later": [1],
@@ -36,8 +36,8 @@
 }
 
 #[test]
-fn a_sound_file_with_unknown_keys_and_its_defaults() {
-    let c = load(&sound()).unwrap();
+fn unknown_keys_are_ignored_and_missing_ones_have_defaults() {
+    let c = load(&sound_file()).unwrap();
     assert_eq!((c.name.as_str(), c.listen.port(), c.seed), ("n1", 5432, 0x8c1f_30d2_7a5b_e964));
     assert_eq!((c.limits.sockets, c.limits.memory_mb), (512, 100));
     assert_eq!((c.deployment.conn_idle, c.deployment.connect_timeout), (Time::ms(15_000), Time::ms(250)));
@@ -55,7 +55,7 @@
         Time::ms(3500),
         "deadlines past three seconds count as three"
     );
-    let mut bare = sound();
+    let mut bare = sound_file();
     for key in ["limits", "known", "seed"] {
         bare.as_object_mut().unwrap().remove(key);
     }
@@ -64,8 +64,8 @@
 }
 
 #[test]
-fn a_variable_wins_over_the_file() {
-    let text = sound().to_string();
+fn a_variable_overrides_the_file() {
+    let text = sound_file().to_string();
     let variables = |name: &str| match name {
         "BALANCER_LISTEN" => Some("127.0.0.2:6432".to_string()),
         "BALANCER_NAME" => Some("n1".to_string()),
@@ -79,21 +79,21 @@
 }
 
 #[test]
-fn read_again_the_files_discovery_wins_over_the_variable_of_the_start() {
+fn on_reload_the_files_discovery_wins_over_the_variable() {
     let variables = |name: &str| (name == "BALANCER_DISCOVERY").then(|| "127.0.0.9:1".to_string());
     let read = |file: &Value, reading| parse(file.to_string().as_bytes(), variables, reading).unwrap();
-    assert_eq!(read(&sound(), LoadPhase::Startup).discovery.to_string(), "127.0.0.9:1");
-    let again = read(&sound(), LoadPhase::Reload);
+    assert_eq!(read(&sound_file(), LoadPhase::Startup).discovery.to_string(), "127.0.0.9:1");
+    let again = read(&sound_file(), LoadPhase::Reload);
     assert_eq!((again.discovery.to_string().as_str(), again.overridden_keys), ("127.0.0.1:8500", vec![]));
-    let mut without = sound();
+    let mut without = sound_file();
     without.as_object_mut().unwrap().remove("discovery");
     assert_eq!(read(&without, LoadPhase::Reload).discovery.to_string(), "127.0.0.9:1");
 }
 
 #[test]
-fn what_a_running_router_can_not_change_is_named() {
-    let started = load(&sound()).unwrap();
-    let mut file = sound();
+fn keys_that_need_a_restart_are_named() {
+    let started = load(&sound_file()).unwrap();
+    let mut file = sound_file();
     (file["seed"], file["discovery"]) = (json!("1"), json!("127.0.0.1:1"));
     file["known"]["version"] = json!(2);
     assert!(started.needs_restart(&load(&file).unwrap()).is_empty());
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn each_fault_names_its_key() {
+fn each_error_names_its_key() {
     let cases = [
         ("/listen", json!("nowhere"), "listen"),
         ("/discovery", json!(7), "discovery"),
@@ -132,25 +132,32 @@
         ("/settings/rules/fallMultiple", json!(0.0), "settings.rules.fallMultiple"),
     ];
     for (pointer, value, key) in cases {
-        let mut file = sound();
+        let mut file = sound_file();
         *file.pointer_mut(pointer).unwrap() = value.clone();
-        assert_eq!(load(&file).map_err(|e| e.key).err().as_deref(), Some(key), "{pointer} = {value}");
+        assert_eq!(
+            load(&file).map_err(|e| e.key().to_string()).err().as_deref(),
+            Some(key),
+            "{pointer} = {value}"
+        );
     }
-    assert_eq!(parse(b"{", |_| None, LoadPhase::Startup).map_err(|e| e.key).err().as_deref(), Some("(file)"));
-    assert_eq!(
-        parse(b"[]", |_| None, LoadPhase::Startup).map_err(|e| e.key).err().as_deref(),
-        Some("(file)")
-    );
-    let mut file = sound();
+    for text in [b"{", b"[]" as &[u8]] {
+        let error = parse(text, |_| None, LoadPhase::Startup).unwrap_err();
+        assert_eq!(error.key(), "(file)");
+    }
+    let mut file = sound_file();
     file["settings"]["bounds"].as_object_mut().unwrap().remove("probes");
     let error = load(&file).err().unwrap();
-    assert!(error.key == "settings.bounds" && error.problem.contains("probes"), "{error}");
+    assert_eq!(error.key(), "settings.bounds");
+    assert!(
+        matches!(&error, ConfigError::Invalid { problem, .. } if problem.to_string().contains("probes")),
+        "{error}"
+    );
 }
 
 #[test]
-fn a_drains_grace_covers_a_router_that_is_held_up_before_it_writes() {
+fn the_drain_grace_is_shortened_by_the_scheduling_delay() {
     let grace = |ms: u64| {
-        let mut file = sound();
+        let mut file = sound_file();
         file["settings"]["rules"]["drainGrace"] = (ms * 1_000_000).into();
         parse(file.to_string().as_bytes(), |_| None, LoadPhase::Startup)
             .unwrap()
@@ -160,5 +167,22 @@
     };
     assert_eq!(grace(1000), Time::ms(850));
     assert_eq!(grace(250), Time::ms(100));
-    assert_eq!(grace(100), Time(0), "none is left: nothing is sent from the notice on");
+    assert_eq!(grace(100), Time(0), "nothing is left: no request is sent from the notice on");
+}
+
+#[test]
+fn an_error_is_one_line_with_key_and_value() {
+    let cases = [
+        ("/listen", json!("nowhere"), "listen: \"nowhere\" is not an address with a port"),
+        ("/name", Value::Null, "name: is missing, and BALANCER_NAME is not set"),
+        ("/limits/sockets", json!(10), "limits.sockets: must be 48 at least, not 10"),
+        ("/known", json!([]), "known: must be an object"),
+        ("/settings/rules/coldFrom", json!(2.5), "settings.rules.coldFrom: must lie from 0 to 1, not at 2.5"),
+        ("/settings/reporting/via", json!("odd"), "settings.reporting.via: \"odd\" is unknown"),
+    ];
+    for (pointer, value, line) in cases {
+        let mut file = sound_file();
+        *file.pointer_mut(pointer).unwrap() = value;
+        assert_eq!(load(&file).unwrap_err().to_string(), line);
+    }
 }
--- a/crates/router/src/protocol/client.rs
+++ b/crates/router/src/protocol/client.rs
@@ -1,6 +1,6 @@
 //! The side towards clients: bytes in, requests out.
 
-use basalthill_config::router::LONGEST_STATEMENT;
+use basalthill_config::router::MAX_STATEMENT_LEN;
 use basalthill_policy::api::Time;
 use basalthill_wire::{
     put_cstring, put_error_response, put_message, read_cstring, MessageBuffer, MessageHeader, ProtocolError,
@@ -9,7 +9,7 @@
 use std::collections::VecDeque;
 
 /// Longest message body taken.
-pub const LONGEST: usize = LONGEST_STATEMENT;
+pub const LONGEST: usize = MAX_STATEMENT_LEN;
 const LONGEST_STARTUP: usize = 10_000;
 
 /// What a connection is told at its welcome, and a request to call something off has to name.
--- a/crates/sim/src/wire.rs
+++ b/crates/sim/src/wire.rs
@@ -110,7 +110,7 @@
                 let seed = c.u64()?;
                 let text = slice(tail, c.u32()?, c.u32()?)?;
                 let site = basalthill_config::settings::read(text).map_err(|e| e.to_string())?;
-                self.zeros.insert(inst, (site.zero, site.report_columns.clone()));
+                self.zeros.insert(inst, (site.position_epoch, site.report_columns.clone()));
                 return Ok(Some((inst, Incoming::Start(seed, Box::new(site)))));
             }
             10 => return Ok(Some((inst, Incoming::Stop))),
