--- /dev/null
+++ b/crates/router/tests/routing/invariants.rs
@@ -0,0 +1,223 @@
+//! What holds whatever hosts, clients and discovery do.
+
+use crate::harness::*;
+use basalthill_policy::api::RequestId;
+use basalthill_router::protocol::host::QueryOutcome;
+use basalthill_router::routing::{Answer, ClientId, Effect, ExchangeId, ExchangeResult, Input};
+use proptest::prelude::*;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// The classes of the settings.
+const CLASSES: [&str; 5] = ["view", "own", "status", "report", "write"];
+
+#[test]
+fn tables_are_empty_after_thousands_of_requests() {
+    let mut harness = RouterHarness::ready();
+    for n in 0..3000 {
+        let class = CLASSES[n as usize % CLASSES.len()];
+        let mut effects = harness.send_request(n, class, "");
+        for round in 0..4 {
+            let mut next = Vec::new();
+            for exchange in started_exchanges(&effects) {
+                let is_primary = exchange.goes_to(PRIMARY);
+                let error = QueryOutcome::Error("72000".into());
+                let result = match (n + round) % 7 {
+                    0 => ExchangeResult::NotSent,
+                    1 => ExchangeResult::ConnectionLost,
+                    2 => ExchangeResult::Answered(error, harness.reported(is_primary, 10)),
+                    _ => ExchangeResult::Answered(
+                        QueryOutcome::Row(row(b"x")),
+                        harness.reported(is_primary, 1),
+                    ),
+                };
+                next.extend(harness.finish(exchange.id, result));
+            }
+            next.extend(harness.advance_ms(2));
+            effects = next;
+        }
+    }
+    for _ in 0..50 {
+        let effects = harness.advance_ms(100);
+        for exchange in started_exchanges(&effects) {
+            harness.finish(exchange.id, ExchangeResult::NotSent);
+        }
+    }
+    harness.assert_drained();
+    assert_eq!(harness.router.unanswered(), 0);
+}
+
+/// How a host may end an exchange; none if it never answers.
+fn exchange_result() -> impl Strategy<Value = Option<ExchangeResult>> {
+    prop_oneof![
+        6 => Just(Some(row_answer(b"x"))),
+        1 => Just(Some(empty_answer())),
+        1 => Just(Some(error_answer("25006"))),
+        1 => Just(Some(error_answer("72000"))),
+        1 => Just(Some(error_answer("53300"))),
+        1 => Just(Some(error_answer("XX000"))),
+        1 => Just(Some(ExchangeResult::ConnectionRejected("53300".into()))),
+        1 => Just(Some(ExchangeResult::NotSent)),
+        1 => Just(Some(ExchangeResult::Skipped)),
+        1 => Just(Some(ExchangeResult::ConnectionLost)),
+        3 => Just(None),
+    ]
+}
+
+/// Something that happens.
+#[derive(Clone, Debug)]
+enum Step {
+    /// A new client sends a request of the class with this index.
+    Request(usize),
+    /// A client disconnects, by its number modulo the clients so far.
+    Disconnect(usize),
+    /// Time passes, in milliseconds.
+    Advance(u64),
+    /// Discovery lists the replica in the state with this index.
+    List(usize),
+}
+
+fn step() -> impl Strategy<Value = Step> {
+    prop_oneof![
+        6 => (0usize..5).prop_map(Step::Request),
+        1 => any::<usize>().prop_map(Step::Disconnect),
+        6 => (0u64..80).prop_map(Step::Advance),
+        1 => (0usize..3).prop_map(Step::List),
+    ]
+}
+
+/// A client, which sends one request.
+#[derive(Clone, Debug)]
+struct Client {
+    class: &'static str,
+    answer: Option<Answer>,
+    disconnected: bool,
+}
+
+/// Drives a router, and checks each of its effects.
+struct Checked {
+    harness: RouterHarness,
+    /// The clients, by number. All requests are valid, so the router numbers them likewise.
+    clients: BTreeMap<u64, Client>,
+    /// Requests that may have run at a host.
+    may_have_run: BTreeSet<RequestId>,
+}
+
+/// Whether the query may have run, if its exchange ends like this.
+fn may_run(result: Option<&ExchangeResult>) -> bool {
+    match result {
+        None | Some(ExchangeResult::ConnectionLost) => true,
+        Some(ExchangeResult::Answered(QueryOutcome::Error(code), _)) => code == "XX000",
+        Some(ExchangeResult::Answered(..)) => true,
+        Some(_) => false,
+    }
+}
+
+impl Checked {
+    fn new() -> Checked {
+        let harness = RouterHarness::ready();
+        Checked { harness, clients: BTreeMap::new(), may_have_run: BTreeSet::new() }
+    }
+
+    /// Takes a step; its effects.
+    fn take(&mut self, step: Step) -> Vec<Effect> {
+        match step {
+            Step::Request(class) => {
+                let class = CLASSES[class];
+                let client = self.clients.len() as u64;
+                self.clients.insert(client, Client { class, answer: None, disconnected: false });
+                self.harness.send_request(client, class, "")
+            }
+            Step::Disconnect(_) if self.clients.is_empty() => Vec::new(),
+            Step::Disconnect(n) => {
+                let number = (n % self.clients.len()) as u64;
+                if let Some(client) = self.clients.get_mut(&number) {
+                    client.disconnected = true;
+                }
+                self.harness.input(Input::ClientDisconnected(ClientId(number)))
+            }
+            Step::Advance(ms) => self.harness.advance_ms(ms),
+            Step::List(state) => {
+                let state = ["active", "leaving", "left"][state];
+                self.harness.apply_list(list(2, false, &[member("s-2", REPLICA, state, "copy")]))
+            }
+        }
+    }
+
+    /// Checks effects, and ends each exchange that they start with a result; the effects of that.
+    fn check(
+        &mut self,
+        effects: Vec<Effect>,
+        result: Option<&ExchangeResult>,
+    ) -> Result<Vec<Effect>, TestCaseError> {
+        let mut next = Vec::new();
+        for effect in effects {
+            match effect {
+                Effect::Answer { client, answer, .. } => self.check_answer(client.0, answer)?,
+                Effect::StartExchange(start) => {
+                    if let ExchangeId::Attempt(id, _) = start.id {
+                        self.check_attempt(id)?;
+                        if may_run(result) {
+                            self.may_have_run.insert(id);
+                        }
+                    }
+                    if let Some(result) = result {
+                        next.extend(self.harness.finish(start.id, result.clone()));
+                    }
+                }
+                _ => {}
+            }
+        }
+        Ok(next)
+    }
+
+    fn check_answer(&mut self, number: u64, answer: Answer) -> Result<(), TestCaseError> {
+        let client = &self.clients[&number];
+        prop_assert!(!client.disconnected || client.answer.is_none(), "an answer after the disconnect");
+        let ran = self.may_have_run.contains(&RequestId(number));
+        let rejected = matches!(answer, Answer::Rejected { .. });
+        let is_write = client.class == "write";
+        prop_assert!(!(is_write && ran && rejected), "a write that may have run was rejected");
+        let before = self.clients.get_mut(&number).and_then(|client| client.answer.replace(answer));
+        prop_assert_eq!(before, None, "a second answer");
+        Ok(())
+    }
+
+    fn check_attempt(&self, id: RequestId) -> Result<(), TestCaseError> {
+        let client = &self.clients[&id.0];
+        prop_assert!(client.answer.is_none(), "an attempt after the answer");
+        let repeated = client.class == "write" && self.may_have_run.contains(&id);
+        prop_assert!(!repeated, "a write that may have run was sent again");
+        Ok(())
+    }
+
+    /// Once time enough has passed, every request has its answer, and the tables are empty.
+    fn check_end(&self) -> Result<(), TestCaseError> {
+        for (number, client) in &self.clients {
+            let settled = client.answer.is_some() || client.disconnected;
+            prop_assert!(settled, "{} of client {} has no answer", client.class, number);
+        }
+        prop_assert_eq!(self.harness.router.unanswered(), 0);
+        prop_assert_eq!(self.harness.router.outstanding().requests, 0);
+        Ok(())
+    }
+}
+
+proptest! {
+    /// Whatever hosts, clients and discovery do: each request whose client stays gets one answer, one whose
+    /// client has disconnected gets none, no attempt is started after the answer, no write that may have run
+    /// is sent again or rejected, and nothing is left in the tables.
+    #[test]
+    fn every_request_gets_one_answer_and_writes_are_never_duplicated(
+        steps in proptest::collection::vec((step(), exchange_result()), 1..120)
+    ) {
+        let mut checked = Checked::new();
+        let drain = (0..200).map(|_| (Step::Advance(100), None));
+        for (step, result) in steps.into_iter().chain(drain) {
+            let mut effects = checked.take(step);
+            while !effects.is_empty() {
+                effects = checked.check(effects, result.as_ref())?;
+            }
+        }
+        checked.check_end()?;
+    }
+}
--- /dev/null
+++ b/crates/router/tests/routing/proxies.rs
@@ -0,0 +1,128 @@
+//! Leases of other proxies.
+
+use crate::harness::*;
+use basalthill_extproc::{
+    DecisionRequest, LeaseId, LeaseOutcome, LeaseUsage, ProxyLimits, ProxyReply, StreamId, WriteId,
+};
+use basalthill_policy::api::{ClassId, GroupId, ReplicationState, Role, TenantId, Time};
+use basalthill_router::routing::{Effect, Input, ProxyMessage};
+use std::net::SocketAddr;
+
+const PROXY_LIMITS: ProxyLimits = ProxyLimits {
+    max_open_calls: 100,
+    max_remembered_writes: 1000,
+    id_window: Time::ms(10_000),
+    skew: Time::ms(5),
+    send_within: Time::ms(200),
+};
+
+/// A lease that a proxy has been given.
+struct GrantedLease {
+    lease: LeaseId,
+    addr: SocketAddr,
+    send_by: Time,
+}
+
+impl RouterHarness {
+    /// A proxy requests a member for a write, whose id was made now.
+    fn proxy_requests(&mut self, stream: u64) -> Vec<Effect> {
+        let id = u128::from(self.unix_ms()) << 80 | 7 << 76 | 2 << 62 | u128::from(stream);
+        let request = DecisionRequest {
+            id: WriteId::new(id),
+            class: ClassId(4),
+            tenant: TenantId(0),
+            group: GroupId(2),
+            deadline: self.now.plus(Time::ms(900)),
+            floor: Time(0),
+            lead: Time(0),
+            client_retry: false,
+        };
+        self.input(Input::Proxy(StreamId(stream), ProxyMessage::Request(request)))
+    }
+
+    /// A proxy requests a member and is given a lease.
+    fn proxy_is_granted(&mut self, stream: u64) -> GrantedLease {
+        let effects = self.proxy_requests(stream);
+        granted(&effects).expect("a lease")
+    }
+
+    /// A proxy reports how the attempt under a lease ended, and the member's role.
+    fn proxy_reports(
+        &mut self,
+        stream: u64,
+        lease: LeaseId,
+        outcome: LeaseOutcome,
+        role: Role,
+    ) -> Vec<Effect> {
+        let replication = ReplicationState { position: Some(self.now), role: Some(role) };
+        let message = ProxyMessage::Outcome { lease, outcome, replication };
+        self.input(Input::Proxy(StreamId(stream), message))
+    }
+}
+
+fn granted(effects: &[Effect]) -> Option<GrantedLease> {
+    effects.iter().find_map(|effect| match effect {
+        Effect::ProxyReply { reply: ProxyReply::Member { lease, send_by, .. }, addr: Some(addr), .. } => {
+            Some(GrantedLease { lease: *lease, addr: *addr, send_by: *send_by })
+        }
+        _ => None,
+    })
+}
+
+fn usage(open_calls: usize, leases: usize, remembered_writes: usize) -> LeaseUsage {
+    LeaseUsage { open_calls, leases, remembered_writes }
+}
+
+#[test]
+fn proxies_and_clients_use_one_policy_and_its_member_state() {
+    let mut harness = RouterHarness::ready();
+    assert!(harness.proxy_requests(1).is_empty(), "proxies are not served by default");
+    harness.advance_ms(10);
+    harness.router.serve_proxies(harness.now, PROXY_LIMITS);
+    harness.advance_ms(10);
+    let GrantedLease { lease, addr, send_by } = harness.proxy_is_granted(1);
+    assert_eq!((addr, send_by), (address(PRIMARY), harness.now.plus(Time::ms(200))));
+    assert!(harness.proxy_reports(1, lease, LeaseOutcome::Served, Role::Primary).is_empty());
+    assert_eq!(harness.router.lease_usage(), usage(0, 0, 1));
+    // What a proxy reports of a member counts for clients: it is not the primary any more.
+    let lease = harness.proxy_is_granted(2).lease;
+    harness.proxy_reports(2, lease, LeaseOutcome::Misdirected, Role::Replica);
+    let effects = harness.send_request(1, "write", "");
+    assert!(!started_exchanges(&effects).iter().any(|e| e.goes_to(PRIMARY)), "{effects:?}");
+}
+
+#[test]
+fn unreported_lease_ends_with_its_request_and_its_member_is_not_awaited() {
+    let mut harness = RouterHarness::ready();
+    harness.router.serve_proxies(harness.now, PROXY_LIMITS);
+    harness.advance_ms(10);
+    let lease = harness.proxy_is_granted(1).lease;
+    assert_eq!(harness.router.lease_usage(), usage(1, 1, 1));
+    let effects = harness.advance_ms(900);
+    let failed = |e: &&Effect| {
+        matches!(e, Effect::ProxyReply { stream: StreamId(1), reply: ProxyReply::Failed, addr: None })
+    };
+    assert_eq!(effects.iter().filter(failed).count(), 1, "{effects:?}");
+    assert!(harness.proxy_reports(1, lease, LeaseOutcome::NotSent, Role::Primary).is_empty());
+    harness.input(Input::Proxy(StreamId(1), ProxyMessage::StreamClosed));
+    assert_eq!(harness.router.lease_usage(), usage(0, 0, 1));
+    harness.advance_ms(11_000);
+    assert_eq!(harness.router.lease_usage(), usage(0, 0, 0), "an id that is too old is forgotten");
+}
+
+#[test]
+fn proxy_lease_ends_with_the_drain_grace_period_of_its_member() {
+    let mut harness = RouterHarness::ready();
+    harness.router.serve_proxies(harness.now, PROXY_LIMITS);
+    harness.apply_list(list(2, false, &[member("s-1", PRIMARY, "leaving", "source")]));
+    let notified_at = harness.now;
+    harness.advance_ms(900);
+    // Within the grace period the primary still takes writes.
+    let GrantedLease { addr, send_by, .. } = harness.proxy_is_granted(1);
+    assert_eq!(addr, address(PRIMARY));
+    assert!(send_by <= notified_at.plus(Time::ms(1000)), "{send_by:?}");
+    assert!(send_by < harness.now.plus(Time::ms(200)), "the grace period binds, not the usual time");
+    harness.advance_ms(200);
+    let late = granted(&harness.proxy_requests(2));
+    assert!(late.is_none_or(|lease| lease.addr != address(PRIMARY)), "and none after it");
+}
