--- a/crates/router/tests/at_most_once.rs
+++ b/crates/router/tests/at_most_once.rs
@@ -1,5 +1,6 @@
-//! No effect twice, by a host's own record: connections cut before, in and after a request's last byte, and
-//! windows for repeats that are shorter than a connect. A slow host takes nothing from others.
+//! A write runs at most once, by a host's own record: over connections that are cut before, in and after a
+//! request's last byte, and with deduplication windows that are shorter than a connect. A slow host does not
+//! delay requests to others.
 
 mod common;
 
@@ -14,54 +15,89 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+/// The descriptors of each router.
+const DESCRIPTORS: usize = 256;
+/// The time that each write has.
+const DEADLINE: Duration = Duration::from_millis(2900);
+/// AuthenticationOk and ReadyForQuery: a host's answer to the startup message.
+const WELCOME: &[u8] = b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I";
+/// ReadyForQuery.
+const READY_FOR_QUERY: &[u8] = b"Z\0\0\0\x05I";
+/// The start of a statement, in bytes, that tells what it is; a host reads at least this much.
+const STATEMENT_START: usize = 64;
+
+/// A write with an id.
 fn write(id: &str) -> String {
-    statement_text("write", "").replace("id=9", &format!("id={id}")).replace("d=480", "d=2900")
+    let deadline = format!("d={}", DEADLINE.as_millis());
+    statement_text("write", "").replace("id=9", &format!("id={id}")).replace("d=480", &deadline)
+}
+
+/// The settings with a connect timeout of two seconds.
+fn with_long_connect_timeout(settings: &str) -> String {
+    settings.replace("\"connectTimeout\": 250000000", "\"connectTimeout\": 2000000000")
 }
 
 /// A router of one host, with settings.
-fn served(addr: SocketAddr, settings: &str) -> RouterThread {
+fn start_router(addr: SocketAddr, settings: &str) -> RouterThread {
     let known = endpoint_list(1, true, &[Endpoint::new("s-1", addr, 2, "active", "source")]);
     let discovery = Discovery::start(known.clone()).unwrap();
-    RouterThread::start(&known, discovery.addr, 256, settings)
+    RouterThread::start(&known, discovery.addr, DESCRIPTORS, settings)
 }
 
-/// A host that welcomes all, answers probes, and reads so many bytes of a statement, or all of it, before it
-/// closes. It keeps the statements that have come whole.
-fn cuts(after: Option<usize>) -> (SocketAddr, Arc<Watched<Vec<String>>>) {
-    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let addr = listener.local_addr().unwrap();
-    let whole = Arc::new(Watched::<Vec<String>>::default());
-    let seen = Arc::clone(&whole);
-    std::thread::spawn(move || {
-        for stream in listener.incoming().flatten() {
-            let seen = Arc::clone(&seen);
-            std::thread::spawn(move || drop(cut(stream, after, &seen)));
-        }
-    });
-    (addr, whole)
+/// A host that accepts all connections, answers health checks, and closes a connection once it has read this
+/// many bytes of a statement, or all of it. It records the statements that have arrived complete.
+struct CuttingHost {
+    addr: SocketAddr,
+    complete: Arc<Watched<Vec<String>>>,
+}
+
+impl CuttingHost {
+    fn start(cut_after: Option<usize>) -> CuttingHost {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let addr = listener.local_addr().unwrap();
+        let complete = Arc::new(Watched::<Vec<String>>::default());
+        let recorded = Arc::clone(&complete);
+        std::thread::spawn(move || {
+            for stream in listener.incoming().flatten() {
+                let complete = Arc::clone(&recorded);
+                std::thread::spawn(move || drop(serve_until_cut(stream, cut_after, &complete)));
+            }
+        });
+        CuttingHost { addr, complete }
+    }
+
+    /// How many statements that contain a text have arrived complete.
+    fn count(&self, text: &str) -> usize {
+        self.complete.lock().iter().filter(|statement| statement.contains(text)).count()
+    }
 }
 
-fn cut(mut stream: TcpStream, after: Option<usize>, seen: &Watched<Vec<String>>) -> std::io::Result<()> {
+/// Serves one connection of a [`CuttingHost`].
+fn serve_until_cut(
+    mut stream: TcpStream,
+    cut_after: Option<usize>,
+    complete: &Watched<Vec<String>>,
+) -> std::io::Result<()> {
     stream.read_exact(&mut vec![0; startup().len()])?;
-    stream.write_all(b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I")?;
+    stream.write_all(WELCOME)?;
     loop {
         let mut head = [0; 5];
         stream.read_exact(&mut head)?;
         let len = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize - 4;
-        let mut body = vec![0; len.min(64)];
+        let mut body = vec![0; len.min(STATEMENT_START)];
         stream.read_exact(&mut body)?;
         if body.starts_with(b"SHOW vitals") {
             let report = format!("x0={}.0,x1=1", unix_ms() / 1000);
             let rows = basalthill_standin::host::row(report.as_bytes());
-            stream.write_all(&[&rows[..], b"Z\0\0\0\x05I"].concat())?;
+            stream.write_all(&[&rows[..], READY_FOR_QUERY].concat())?;
             continue;
         }
-        let rest = after.unwrap_or(len).saturating_sub(body.len()).min(len - body.len());
+        let rest = cut_after.unwrap_or(len).saturating_sub(body.len()).min(len - body.len());
         let mut more = vec![0; rest];
         stream.read_exact(&mut more)?;
         body.extend(more);
         if body.len() == len {
-            seen.change(|s| s.push(String::from_utf8_lossy(&body).into_owned()));
+            complete.change(|statements| statements.push(String::from_utf8_lossy(&body).into_owned()));
         }
         return Ok(());
     }
@@ -69,16 +105,17 @@
 
 #[test]
 fn non_idempotent_write_over_cut_connections_arrives_complete_at_most_once() {
-    for after in [Some(64), Some(1000), Some(60_000), None] {
-        let (addr, whole) = cuts(after);
-        let served = served(addr, SETTINGS);
+    for cut_after in [Some(64), Some(1000), Some(60_000), None] {
+        let host = CuttingHost::start(cut_after);
+        let router = start_router(host.addr, SETTINGS);
         for (n, size) in [40, 2_000, 65_536].into_iter().enumerate() {
             let statement = write(&format!("cut{n}")).replace("9f03", &"9f".repeat(size));
-            let answer = served.client().query(&statement).unwrap();
-            let came = whole.lock().iter().filter(|t| t.contains(&format!("id=cut{n}"))).count();
-            assert!(came <= 1, "cut after {after:?} of {size}: {came} times");
-            // Only what can't have run is called harmless to ask again.
-            assert!(came == 0 || error_code(&answer) == "58000", "cut after {after:?} of {size}: {answer:?}");
+            let answer = router.client().query(&statement).unwrap();
+            let arrived = host.count(&format!("id=cut{n}"));
+            assert!(arrived <= 1, "cut after {cut_after:?} of {size}: {arrived} times");
+            // Only a write that can't have run is answered with a code that allows a retry.
+            let failed = || error_code(&answer) == "58000";
+            assert!(arrived == 0 || failed(), "cut after {cut_after:?} of {size}: {answer:?}");
         }
     }
 }
@@ -98,73 +135,68 @@
         "\"effect\": \"at_most_once\"",
         "\"effect\": \"deduplicated\", \"keyScope\": \"all\", \"window\": 300000000",
     );
-    let keyed = keyed.replace("\"connectTimeout\": 250000000", "\"connectTimeout\": 2000000000");
-    let served = served(host.addr, &keyed);
-    assert_eq!(served.client().query(&write("first")).unwrap(), row(b"x"));
-    let mut client = served.client();
+    let router = start_router(host.addr, &with_long_connect_timeout(&keyed));
+    assert_eq!(router.client().query(&write("first")).unwrap(), row(b"x"));
+    let mut client = router.client();
     client.send(&write("short")).unwrap();
     host.wait_for_statement("id=short").unwrap();
-    // Its connection has broken after the last byte; the next ones come up late, after the window.
-    host.seen.change(|s| s.withhold_welcome = true);
+    // Its connection was lost after the last byte; the next ones come up late, after the window.
+    host.seen.change(|host| host.withhold_welcome = true);
     std::thread::sleep(window + Duration::from_millis(100));
-    host.seen.change(|s| s.withhold_welcome = false);
+    host.seen.change(|host| host.withhold_welcome = false);
     assert!(matches!(client.read_answer().unwrap(), Answer::Error(..)));
-    assert_eq!(served.client().query(&write("after")).unwrap(), row(b"x"));
+    assert_eq!(router.client().query(&write("after")).unwrap(), row(b"x"));
     let seen = host.seen.lock();
-    let times: Vec<_> = seen.statements.iter().filter(|s| s.text.contains("id=short")).collect();
-    let span = times.last().unwrap().received_at - times[0].received_at;
-    assert!(span < window, "{} came, the last {span:?} after the first", times.len());
+    let attempts: Vec<_> = seen.statements.iter().filter(|s| s.text.contains("id=short")).collect();
+    let span = attempts.last().unwrap().received_at - attempts[0].received_at;
+    assert!(span < window, "{} attempts, the last {span:?} after the first", attempts.len());
 }
 
 #[test]
 fn slow_connecting_host_does_not_delay_requests_to_other_hosts() {
-    let (slow, quick) =
-        (primary_host(|_| Reply::Row(b"x".to_vec())), primary_host(|_| Reply::Row(b"x".to_vec())));
-    slow.seen.change(|s| s.withhold_welcome = true);
+    let slow = primary_host(|_| Reply::Row(b"x".to_vec()));
+    let quick = primary_host(|_| Reply::Row(b"x".to_vec()));
+    slow.seen.change(|host| host.withhold_welcome = true);
     let members = [
         Endpoint::new("s-1", quick.addr, 2, "active", "source"),
         Endpoint::new("s-2", slow.addr, 3, "active", "source"),
     ];
     let known = endpoint_list(1, true, &members);
     let discovery = Discovery::start(known.clone()).unwrap();
-    let served = RouterThread::start(&known, discovery.addr, 256, SETTINGS);
-    let mut waiting: Vec<Client> = (0..40)
-        .map(|n| {
-            let mut client = served.client();
-            client.send(&write(&format!("slow{n}")).replace("cluster=2", "cluster=3")).unwrap();
-            client
-        })
-        .collect();
+    let router = RouterThread::start(&known, discovery.addr, DESCRIPTORS, SETTINGS);
+    let send_to_slow = |n: usize| {
+        let mut client = router.client();
+        client.send(&write(&format!("slow{n}")).replace("cluster=2", "cluster=3")).unwrap();
+        client
+    };
+    let mut waiting: Vec<Client> = (0..40).map(send_to_slow).collect();
     for n in 0..50 {
-        let began = Instant::now();
-        assert_eq!(served.client().query(&write(&format!("quick{n}"))).unwrap(), row(b"x"));
-        assert!(began.elapsed() < Duration::from_secs(1), "{:?}", began.elapsed());
+        let started = Instant::now();
+        assert_eq!(router.client().query(&write(&format!("quick{n}"))).unwrap(), row(b"x"));
+        assert!(started.elapsed() < Duration::from_secs(1), "{:?}", started.elapsed());
     }
     for client in &mut waiting {
-        assert!(matches!(client.read_answer().unwrap(), Answer::Error(..)), "given up in its time");
+        assert!(matches!(client.read_answer().unwrap(), Answer::Error(..)), "it ends by its deadline");
     }
     assert_eq!(slow.statement_count("INSERT"), 0);
 }
 
-/// The time that a host is told is what is left as the statement is written, not as its connection was begun.
+/// The deadline that a host is sent is what is left when the statement is written, not when its connection
+/// was started.
 #[test]
 fn late_connection_forwards_only_the_remaining_deadline() {
     let host = primary_host(|_| Reply::RowThenClose(b"x".to_vec()));
-    let late = SETTINGS.replace("\"connectTimeout\": 250000000", "\"connectTimeout\": 2000000000");
-    let served = served(host.addr, &late);
-    let mut client = served.client();
-    host.seen.change(|s| s.withhold_welcome = true);
-    let sent = Instant::now();
+    let router = start_router(host.addr, &with_long_connect_timeout(SETTINGS));
+    let mut client = router.client();
+    host.seen.change(|host| host.withhold_welcome = true);
+    let sent_at = Instant::now();
     client.send(&write("late")).unwrap();
     std::thread::sleep(Duration::from_millis(600));
-    host.seen.change(|s| s.withhold_welcome = false);
-    let text = host.wait_for_statement("id=late").unwrap().text;
-    let told: u64 = text.split_once(",d=").unwrap().1.split_once(',').unwrap().0.parse().unwrap();
-    let at = host.seen.lock();
-    let n = at.statements.iter().position(|s| s.text.contains("id=late")).unwrap();
-    let left = Duration::from_millis(2900).saturating_sub(at.statements[n].received_at - sent);
-    assert!(
-        Duration::from_millis(told) <= left + Duration::from_millis(150),
-        "{told} ms told, {left:?} left"
-    );
+    host.seen.change(|host| host.withhold_welcome = false);
+    let statement = host.wait_for_statement("id=late").unwrap();
+    let (_, rest) = statement.text.split_once(",d=").unwrap();
+    let (deadline_ms, _) = rest.split_once(',').unwrap();
+    let forwarded = Duration::from_millis(deadline_ms.parse().unwrap());
+    let left = DEADLINE.saturating_sub(statement.received_at - sent_at);
+    assert!(forwarded <= left + Duration::from_millis(150), "{forwarded:?} forwarded, {left:?} left");
 }
