--- a/crates/client/src/core/attempts.rs
+++ b/crates/client/src/core/attempts.rs
@@ -84,8 +84,8 @@
         Some(statement.encode())
     }
 
-    /// An id for an attempt: random among clients, and different from the others of this client even if a
-    /// draw repeats.
+    /// An id for an attempt: random bits, mixed with the latest id and the number of attempts, so that a draw
+    /// that repeats does not repeat an id.
     fn draw_attempt_id(&mut self) -> u64 {
         let random = self.rng.u64(..1 << ATTEMPT_ID_RANDOM_BITS);
         (random << (u64::BITS - ATTEMPT_ID_RANDOM_BITS)) ^ self.last_id ^ (self.counters.attempts << 3)
--- a/crates/client/src/core/mod.rs
+++ b/crates/client/src/core/mod.rs
@@ -28,8 +28,8 @@
 use self::routers::Routers;
 use crate::config::Config;
 use crate::outcome::{RequestOutcome, RequestReport};
-use crate::protocol::encode_startup;
 use crate::request::Request;
+use basalthill_wire::startup_message;
 use std::collections::VecDeque;
 use std::time::Instant;
 
@@ -132,7 +132,7 @@
     /// A connection is up.
     pub fn handle_connected(&mut self, now: Instant, id: ConnectionId) {
         if self.connections.mark_connected(id) {
-            let bytes = encode_startup();
+            let bytes = startup_message();
             self.actions.push_back(Action::Write { connection: id, bytes, deadline: None });
         }
         self.advance(now);
--- a/crates/client/src/protocol.rs
+++ b/crates/client/src/protocol.rs
@@ -1,21 +1,15 @@
-//! The client's side of PostgreSQL's protocol version 3: encodes the startup message and the statements, and
-//! decodes the messages of a router.
+//! The client's side of PostgreSQL's protocol version 3: encodes statements, and decodes the messages
+//! of a router.
 
 use crate::request::{Operation, Request};
 use crate::session::SessionContext;
 use basalthill_wire::{
-    error_fields, put_cstring, put_message, read_cstring, MessageBuffer, MessageHeader, ProtocolError,
+    error_fields, put_message, read_cstring, MessageBuffer, MessageHeader, ProtocolError, HEADER_LEN,
 };
 
 /// Upper limit of a message's body, in bytes: a value of 64 KiB in text form, which is twice as long, and its
 /// head.
 const MAX_MESSAGE_BYTES: usize = 160 * 1024;
-/// Length of a message's type and length fields, in bytes.
-const MESSAGE_HEAD_BYTES: usize = 5;
-/// Protocol version 3.0, as the startup message gives it.
-const PROTOCOL_VERSION: u32 = 0x0003_0000;
-/// Parameters of the startup message: names, each followed by its value.
-const STARTUP_PARAMETERS: [&str; 4] = ["user", "svc", "database", "main"];
 /// Body of an Authentication message that asks for no password.
 const AUTHENTICATION_OK: [u8; 4] = [0; 4];
 /// The parameter whose status messages carry a session's tokens.
@@ -94,8 +88,8 @@
             else {
                 return Ok(None);
             };
-            let end = MESSAGE_HEAD_BYTES + body_len;
-            let message = decode(kind, &self.buffer.unread()[MESSAGE_HEAD_BYTES..end])?;
+            let end = HEADER_LEN + body_len;
+            let message = decode(kind, &self.buffer.unread()[HEADER_LEN..end])?;
             self.buffer.consume(end);
             if message.is_some() {
                 return Ok(message);
@@ -163,17 +157,6 @@
     }
 }
 
-/// Encodes the startup message.
-pub(crate) fn encode_startup() -> Vec<u8> {
-    let mut body = PROTOCOL_VERSION.to_be_bytes().to_vec();
-    for parameter in STARTUP_PARAMETERS {
-        put_cstring(&mut body, parameter);
-    }
-    body.push(0);
-    let length = (body.len() + 4) as u32;
-    [&length.to_be_bytes()[..], &body].concat()
-}
-
 /// The statement of one attempt.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Statement<'a> {
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -4,6 +4,7 @@
 mod buffer;
 mod error;
 mod message;
+mod startup;
 
 pub use buffer::{MessageBuffer, MessageHeader, HEADER_LEN};
 pub use error::ProtocolError;
@@ -11,3 +12,4 @@
     error_code, error_fields, put_cstring, put_error_response, put_message, read_cstring, ByteRange,
     Severity, READY_FOR_QUERY,
 };
+pub use startup::startup_message;
