--- a/crates/lab/src/book.rs
+++ b/crates/lab/src/book.rs
@@ -5,7 +5,7 @@
 use crate::{Common, Done, Outcome};
 use basalthill_policy::api::{GroupId, SessionKey, Time};
 use basalthill_session::{FloorTable, BUCKET_BYTES};
-use basalthill_standin::fleet::Dice;
+use basalthill_standin::Rng;
 use std::collections::BTreeMap;
 use std::hint::black_box;
 use std::time::Instant;
@@ -50,16 +50,16 @@
 fn share(options: &Options, bytes: usize, lag: Time, seed: u64) -> (f64, f64) {
     let mut book = FloorTable::new(START, bytes, seed);
     let mut exact = BTreeMap::new();
-    let (mut dice, mut passes, mut would) = (Dice(seed), 0u64, 0u64);
+    let (mut rng, mut passes, mut would) = (Rng::with_seed(seed), 0u64, 0u64);
     let writes = options.sessions * 2;
     let mut reads = 0u64;
     for n in 0..writes {
-        let (session, now) = (dice.below(options.sessions), commit(n, options));
+        let (session, now) = (rng.u64(..options.sessions), commit(n, options));
         book.raise(G, SessionKey(session), now);
         exact.insert(session, now);
         // Each write is followed by a read of some session, the same one half of the time a while later.
         if n > options.sessions {
-            let reader = dice.below(options.sessions);
+            let reader = rng.u64(..options.sessions);
             let entry = book.get(G, SessionKey(reader));
             let floor = entry.exact.unwrap_or_default().max(entry.evicted);
             let applied = now.minus(lag);
@@ -74,8 +74,8 @@
 pub fn run(options: &Options, common: &Common) -> Done {
     let n = options.sessions;
     let keys: Vec<SessionKey> = {
-        let mut dice = Dice(common.seed);
-        (0..n).map(|_| SessionKey(dice.below(1 << 31) << 31 | dice.below(1 << 31))).collect()
+        let mut rng = Rng::with_seed(common.seed);
+        (0..n).map(|_| SessionKey(rng.u64(..1 << 31) << 31 | rng.u64(..1 << 31))).collect()
     };
     let key = |i: u64| keys[(i.wrapping_mul(7919) % n) as usize];
     let before = resident();
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -3,7 +3,7 @@
 use basalthill_client::{Config, Idempotency, Priority, Request, RequestOutcome, Runtime};
 use basalthill_standin::client::{Answer, Client as Raw};
 use basalthill_standin::deployment::Deployment;
-use basalthill_standin::fleet::Dice;
+use basalthill_standin::Rng;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, OnceLock};
@@ -89,7 +89,7 @@
 
 /// One client's load: the moments of its requests, and what they are.
 struct Requests {
-    dice: Dice,
+    rng: Rng,
     next: Instant,
     gap: f64,
     number: u64,
@@ -99,15 +99,15 @@
 
 impl Requests {
     fn new(load: &Load, client: usize, from: Instant) -> Requests {
-        let dice = Dice(load.seed ^ (client as u64 * 7919 + 1));
+        let rng = Rng::with_seed(load.seed ^ (client as u64 * 7919 + 1));
         let gap = 1.0 / load.per_s;
-        let mut all = Requests { dice, next: from, gap, number: 0, write_every: load.write_every, client };
+        let mut all = Requests { rng, next: from, gap, number: 0, write_every: load.write_every, client };
         all.advance();
         all
     }
 
     fn advance(&mut self) {
-        let u = (self.dice.below(1 << 30) as f64 + 1.0) / (1u64 << 30) as f64;
+        let u = (self.rng.u64(..1 << 30) as f64 + 1.0) / (1u64 << 30) as f64;
         self.next += Duration::from_secs_f64(-u.ln() * self.gap);
     }
 
--- a/crates/lab/src/cost.rs
+++ b/crates/lab/src/cost.rs
@@ -50,7 +50,7 @@
     fn turn(&mut self, requests: u32) -> std::io::Result<()> {
         // A connection of this turn's own: a router sends those away that ask nothing for long.
         let mut client = Client::connect(self.world.routers[0].addr)?;
-        let (cpu, bytes) = (self.world.routers[0].cpu().unwrap_or_default(), client.bytes);
+        let (cpu, bytes) = (self.world.routers[0].cpu_time().unwrap_or_default(), client.bytes_transferred);
         for n in 0..requests {
             let token = self.token.as_ref().map(|t| format!(",token={t}")).unwrap_or_default();
             let id = self.took_us.len();
@@ -67,8 +67,8 @@
             }
             self.token = client.token.take().or(self.token.take());
         }
-        self.cpu += self.world.routers[0].cpu().unwrap_or_default().saturating_sub(cpu);
-        self.bytes += client.bytes - bytes;
+        self.cpu += self.world.routers[0].cpu_time().unwrap_or_default().saturating_sub(cpu);
+        self.bytes += client.bytes_transferred - bytes;
         Ok(())
     }
 
--- a/crates/lab/src/fleet_limits.rs
+++ b/crates/lab/src/fleet_limits.rs
@@ -6,11 +6,11 @@
 use crate::{Common, Done, Outcome};
 use basalthill_fleet::{Bounds, FleetConfig, Limit, LimitKey, Subject, Timing};
 use basalthill_policy::api::Time;
-use basalthill_standin::fleet::Dice;
 use basalthill_standin::harness::{
     rate_excess, ClientTotals, FleetHarness, HarnessConfig, HostBehavior, PacedClients,
 };
 use basalthill_standin::simulated_fleet::{numbered_names, SimulatedFleet};
+use basalthill_standin::Rng;
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -129,9 +129,9 @@
         / ((after.rejected - refused) + (after.served - served)).max(1) as f64;
     ten_to_one(&clients, routers, 1.5);
     sleep(Duration::from_secs(3));
-    let (faults, mut healed, mut dice) = (Instant::now(), Vec::new(), Dice(common.seed));
+    let (faults, mut healed, mut rng) = (Instant::now(), Vec::new(), Rng::with_seed(common.seed));
     while faults.elapsed() < third * 4 {
-        healed.extend(fault(&mut rig, &mut dice, routers)?);
+        healed.extend(fault(&mut rig, &mut rng, routers)?);
     }
     let until = Instant::now();
     drop(clients);
@@ -164,20 +164,24 @@
 }
 
 fn bytes(rig: &FleetHarness) -> f64 {
-    rig.relay.as_ref().map_or(0.0, |r| r.links().sent.iter().map(|s| s.1).sum::<u64>() as f64)
+    rig.proxy.as_ref().map_or(0.0, |r| r.links().sent.iter().map(|s| s.bytes).sum::<u64>() as f64)
 }
 
 /// One fault, and the time after it; when it was over, if it was a split.
-fn fault(rig: &mut FleetHarness, dice: &mut Dice, routers: usize) -> std::io::Result<Option<Instant>> {
+fn fault(
+    rig: &mut FleetHarness,
+    rng: &mut Rng,
+    routers: usize,
+) -> Result<Option<Instant>, basalthill_standin::StandinError> {
     let mut group = |count: u64| {
         let mut groups = vec![Vec::new(); count as usize];
-        (0..routers).for_each(|n| groups[dice.below(count) as usize].push(n));
+        (0..routers).for_each(|n| groups[rng.u64(..count) as usize].push(n));
         groups
     };
     let (two, three) = (group(2), group(3));
-    let victims: Vec<usize> = (0..3).map(|_| dice.below(routers as u64) as usize).collect();
+    let victims: Vec<usize> = (0..3).map(|_| rng.u64(..routers as u64) as usize).collect();
     let mut split = None;
-    match dice.below(6) {
+    match rng.u64(..6) {
         0 | 1 => {
             rig.partition(&two);
             sleep(FAULT / 2);
@@ -208,9 +212,9 @@
             rig.set_paused(victims[0], false)?;
         }
         _ => {
-            rig.lossy(300, (500, 20_000));
+            rig.set_link_quality(300, 500..20_000);
             sleep(FAULT / 2);
-            rig.lossy(0, (0, 0));
+            rig.set_link_quality(0, 0..0);
         }
     }
     sleep(FAULT / 2);
@@ -317,7 +321,7 @@
             vote_quarantine: quiet,
         };
         let mut model = SimulatedFleet::new(plan, Some(LimitKey::global("acme")), None, Time(0), common.seed);
-        model.sums = false;
+        model.tracks_allocated_units = false;
         (0..routers).for_each(|n| model.start(n));
         // Until all know of all.
         model.run_until(Time::ms(20_000));
@@ -369,7 +373,7 @@
     let rig = FleetHarness::start(&common.program()?, &std::env::temp_dir(), &setup)?;
     let started = began.elapsed();
     sleep(Duration::from_secs(20));
-    let cpu = || rig.routers.iter().filter_map(|r| r.cpu()).sum::<Duration>();
+    let cpu = || rig.routers.iter().filter_map(|r| r.cpu_time()).sum::<Duration>();
     let span = Duration::from_secs(20);
     let per = |cpu: Duration| cpu.as_secs_f64() / span.as_secs_f64() / options.routers as f64 * 1e6;
     let before = cpu();
@@ -429,7 +433,7 @@
         clients.push(PacedClients::start(&addrs, 4, COMMENT, common.seed));
     }
     sleep(Duration::from_secs(8));
-    let cpu = |n: usize| rigs[n].routers.iter().filter_map(|r| r.cpu()).sum::<Duration>();
+    let cpu = |n: usize| rigs[n].routers.iter().filter_map(|r| r.cpu_time()).sum::<Duration>();
     let (mut spent, mut served) = ([Duration::ZERO; 2], [0; 2]);
     let turn = Duration::from_secs(3);
     // What the fleet costs by itself is taken off: it is the same at any load.
--- a/crates/lab/src/sessions.rs
+++ b/crates/lab/src/sessions.rs
@@ -107,7 +107,7 @@
 /// The share of reads that were served within each time, in milliseconds.
 fn curve(tally: &SessionLoadReport) -> Result<Vec<(f64, f64)>, Box<dyn std::error::Error>> {
     let mut histogram = Histogram::<u32>::new_with_bounds(1, 10_000_000, 3)?;
-    tally.took_us.iter().try_for_each(|us| histogram.record(u64::from(*us).max(1)))?;
+    tally.latencies_us.iter().try_for_each(|us| histogram.record(u64::from(*us).max(1)))?;
     let points = histogram.iter_quantiles(5).map(|v| (v.value_iterated_to() as f64 / 1000.0, v.quantile()));
     Ok(points.collect())
 }
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -1,13 +1,25 @@
-//! A client: version 3 of PostgreSQL's protocol, simple queries.
+//! A client of version 3 of the PostgreSQL frontend/backend protocol that sends simple queries over a blocking
+//! socket, one connection each.
 
+use crate::pg_message::{
+    body_len, message, DATA_ROW, EMPTY_QUERY_RESPONSE, ERROR_RESPONSE, HEAD_LEN, LENGTH_LEN,
+    PARAMETER_STATUS, QUERY, READY_FOR_QUERY,
+};
 use crate::TIMEOUT;
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// What a router answered.
+/// Bytes in a DataRow before the value of its single column: the count of columns and the value's length.
+const DATA_ROW_PREFIX: usize = 6;
+/// Field types of an ErrorResponse.
+const SEVERITY_FIELD: u8 = b'S';
+const SQLSTATE_FIELD: u8 = b'C';
+const DETAIL_FIELD: u8 = b'D';
+
+/// What a router answered to a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// A value.
+    /// A row's single value.
     Row(Vec<u8>),
     /// An error: its SQLSTATE, and its detail if it has one.
     Error(String, Option<String>),
@@ -15,7 +27,15 @@
     Empty,
 }
 
-/// A message of a router.
+impl Answer {
+    /// Whether a router rejected the request without sending it to a host: by `too_many_connections` or
+    /// `cannot_connect_now`.
+    pub fn is_rejection(&self) -> bool {
+        matches!(self, Answer::Error(sqlstate, _) if sqlstate == "53300" || sqlstate == "57P03")
+    }
+}
+
+/// A message that a router sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
     /// Its type byte.
@@ -24,30 +44,29 @@
     pub body: Vec<u8>,
 }
 
-/// A client's connection.
+/// A client's connection. It is closed when dropped.
 pub struct Client {
     /// Its socket.
     pub stream: TcpStream,
-    /// Bytes sent and received.
-    pub bytes: u64,
-    /// The newest `session_token` that it was told.
+    /// Bytes of queries sent and of messages received so far.
+    pub bytes_transferred: u64,
+    /// The newest value of the parameter `session_token` that the router reported.
     pub token: Option<String>,
 }
 
-/// The startup message.
+/// A StartupMessage of protocol version 3.0 for user `svc` and database `main`.
 pub fn startup() -> Vec<u8> {
     let body = b"\0\x03\0\0user\0svc\0database\0main\0\0";
-    [&(body.len() as u32 + 4).to_be_bytes()[..], body].concat()
+    [&((body.len() + LENGTH_LEN) as u32).to_be_bytes()[..], body].concat()
 }
 
-/// A simple query.
+/// A Query message.
 pub fn query(text: &str) -> Vec<u8> {
-    let len = (text.len() as u32 + 5).to_be_bytes();
-    [b"Q", &len[..], text.as_bytes(), b"\0"].concat()
+    message(QUERY, &[text.as_bytes(), b"\0"].concat())
 }
 
 impl Client {
-    /// Connects and introduces itself; the welcome is awaited.
+    /// Connects, sends the startup message and waits for the first ReadyForQuery.
     pub fn connect(addr: SocketAddr) -> io::Result<Client> {
         let mut client = Client::connect_without_startup(addr)?;
         client.stream.write_all(&startup())?;
@@ -55,76 +74,85 @@
         Ok(client)
     }
 
-    /// Connects and says nothing.
+    /// Connects and sends nothing.
     pub fn connect_without_startup(addr: SocketAddr) -> io::Result<Client> {
         let stream = TcpStream::connect(addr)?;
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(TIMEOUT))?;
-        Ok(Client { stream, bytes: 0, token: None })
+        Ok(Client { stream, bytes_transferred: 0, token: None })
     }
 
-    /// Reads up to the first ReadyForQuery.
+    /// Reads messages up to the next ReadyForQuery.
     pub fn read_until_ready(&mut self) -> io::Result<()> {
-        while self.read_message()?.kind != b'Z' {}
+        while self.read_message()?.kind != READY_FOR_QUERY {}
         Ok(())
     }
 
-    /// One message: its type and its body.
+    /// Reads one message, and notes a session token that it reports.
     pub fn read_message(&mut self) -> io::Result<Message> {
-        let mut head = [0; 5];
+        let mut head = [0; HEAD_LEN];
         self.stream.read_exact(&mut head)?;
-        let len = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
-        let mut body = vec![0; len.saturating_sub(4)];
+        let kind = head[0];
+        let mut body = vec![0; body_len(&head)];
         self.stream.read_exact(&mut body)?;
-        self.bytes += (head.len() + body.len()) as u64;
-        if let Some(token) = body.strip_prefix(b"session_token\0").filter(|_| head[0] == b'S') {
-            let token = token.strip_suffix(b"\0").unwrap_or(token);
-            self.token = Some(String::from_utf8_lossy(token).into_owned());
+        self.bytes_transferred += (head.len() + body.len()) as u64;
+        if kind == PARAMETER_STATUS {
+            if let Some(token) = body.strip_prefix(b"session_token\0") {
+                let token = token.strip_suffix(b"\0").unwrap_or(token);
+                self.token = Some(String::from_utf8_lossy(token).into_owned());
+            }
         }
-        Ok(Message { kind: head[0], body })
+        Ok(Message { kind, body })
     }
 
-    /// Sends a query and awaits its answer.
+    /// Sends a query and waits for its answer.
     pub fn query(&mut self, text: &str) -> io::Result<Answer> {
         self.send(text)?;
         self.read_answer()
     }
 
-    /// Sends a query.
+    /// Sends a query without waiting for its answer.
     pub fn send(&mut self, text: &str) -> io::Result<()> {
         let bytes = query(text);
-        self.bytes += bytes.len() as u64;
+        self.bytes_transferred += bytes.len() as u64;
         self.stream.write_all(&bytes)
     }
 
-    /// Awaits an answer, to its ReadyForQuery.
+    /// Reads an answer up to its ReadyForQuery, or up to a fatal error. `InvalidData` if there was no answer.
     pub fn read_answer(&mut self) -> io::Result<Answer> {
         let mut answer = None;
         loop {
             let Message { kind, body } = self.read_message()?;
             match kind {
-                b'Z' => return answer.ok_or_else(|| ErrorKind::InvalidData.into()),
-                b'D' => answer = Some(Answer::Row(body.get(6..).unwrap_or_default().to_vec())),
-                b'I' => answer = Some(Answer::Empty),
-                b'E' => {
-                    let field = |name: u8| {
-                        let mut fields = body.split(|b| *b == 0);
-                        let found = fields.find(|f| f.first() == Some(&name))?;
-                        Some(String::from_utf8_lossy(&found[1..]).into_owned())
-                    };
-                    answer = Some(Answer::Error(field(b'C').unwrap_or_default(), field(b'D')));
-                    if field(b'S').as_deref() == Some("FATAL") {
-                        return answer.ok_or_else(|| ErrorKind::InvalidData.into());
+                READY_FOR_QUERY => return answer.ok_or_else(|| ErrorKind::InvalidData.into()),
+                DATA_ROW => {
+                    answer = Some(Answer::Row(body.get(DATA_ROW_PREFIX..).unwrap_or_default().to_vec()));
+                }
+                EMPTY_QUERY_RESPONSE => answer = Some(Answer::Empty),
+                ERROR_RESPONSE => {
+                    let sqlstate = error_field(&body, SQLSTATE_FIELD).unwrap_or_default();
+                    let error = Answer::Error(sqlstate, error_field(&body, DETAIL_FIELD));
+                    // No ReadyForQuery follows a fatal error.
+                    if error_field(&body, SEVERITY_FIELD).as_deref() == Some("FATAL") {
+                        return Ok(error);
                     }
+                    answer = Some(error);
                 }
                 _ => {}
             }
         }
     }
 
-    /// Whether the other side has ended the connection.
+    /// Waits for one byte: whether the other side has closed or reset the connection instead of sending one.
     pub fn is_closed(&mut self) -> bool {
         let end = self.stream.read(&mut [0]);
         matches!(end, Ok(0)) || matches!(end, Err(e) if e.kind() == ErrorKind::ConnectionReset)
     }
 }
+
+/// The value of an ErrorResponse's field.
+fn error_field(body: &[u8], field_type: u8) -> Option<String> {
+    let mut fields = body.split(|b| *b == 0);
+    let found = fields.find(|field| field.first() == Some(&field_type))?;
+    Some(String::from_utf8_lossy(&found[1..]).into_owned())
+}
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery: the list over HTTP/1.1, and a watch that tells changes.
+//! A discovery agent: the endpoint list over HTTP/1.1 (RFC 9112), and a watch that streams changes as chunks,
+//! one JSON object a line.
 
 use crate::Watched;
 use std::collections::VecDeque;
@@ -7,50 +8,91 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How a call is taken.
+/// The head of a successful response, up to the field that says how long its body is.
+const OK_HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n";
+/// The response for want of capacity.
+const UNAVAILABLE: &str = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
+/// The field and the end of a head whose body comes in chunks.
+const CHUNKED: &str = "Transfer-Encoding: chunked\r\n\r\n";
+/// What tells a watch from a poll in a request line.
+const WATCH_PARAMETER: &str = "watch=1";
+/// Between two bytes of [`ResponseMode::Drip`].
+const DRIP_INTERVAL: Duration = Duration::from_millis(50);
+/// Between two events of a watch, so that each of them is a segment of its own.
+const EVENT_INTERVAL: Duration = Duration::from_millis(1);
+
+/// How a request is answered, if not as usual.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseMode {
     /// Its connection is closed at once.
     Closed,
     /// It is never answered.
     Silent,
-    /// It is turned away, for want of capacity.
+    /// It is rejected with status 503.
     Unavailable,
-    /// Its answer ends with the head, and the connection stays.
+    /// Its response ends with the head, and the connection stays open.
     HeadOnly,
-    /// A watch tells its first line; then half a line drips in, byte by byte, and never ends.
+    /// The response is the list on one line; then half a line follows byte by byte and never ends.
     Drip,
-    /// The list comes indented, over many lines.
+    /// The list is indented, over many lines.
     Indented,
 }
 
-/// What discovery holds and has seen.
+/// What discovery publishes and which requests it has received.
 #[derive(Debug, Default)]
 pub struct DiscoveryState {
-    /// Lines told so far, the whole list first.
+    /// Lines published so far, the complete list first.
     lines: Vec<String>,
-    /// Request lines that came.
+    /// Request lines received, in order.
     pub requests: Vec<String>,
-    /// Watches are answered with nothing at all.
+    /// While this is set, requests get no answer at all, and never will.
     pub silent: bool,
-    /// How the next calls are taken, in order; those after them as usual.
+    /// How the next requests are answered, in order; those after them as usual.
     pub next_responses: VecDeque<ResponseMode>,
-    /// Watches begun so far, and watches to be broken up to this number.
+    /// Watches begun so far.
     watches: usize,
-    broken: usize,
+    /// Watches up to this number are ended.
+    ended_watches: usize,
+}
+
+impl DiscoveryState {
+    /// Records a request, and decides how it is answered.
+    fn receive(&mut self, request_line: String) -> Request {
+        let is_watch = request_line.contains(WATCH_PARAMETER);
+        self.requests.push(request_line);
+        self.watches += usize::from(is_watch);
+        Request {
+            is_watch,
+            watch_number: self.watches,
+            list: self.lines[0].clone(),
+            silent: self.silent,
+            mode: self.next_responses.pop_front(),
+        }
+    }
 }
 
-/// A stand-in for discovery's agent; it goes on until the process ends.
+/// A request and how it is answered.
+struct Request {
+    is_watch: bool,
+    /// Watches begun so far; its own number if it is a watch.
+    watch_number: usize,
+    /// The complete list.
+    list: String,
+    silent: bool,
+    mode: Option<ResponseMode>,
+}
+
+/// A discovery agent on loopback. It runs until the process ends.
 #[derive(Clone)]
 pub struct Discovery {
     /// Where it listens.
     pub addr: SocketAddr,
-    /// What it holds and has seen.
+    /// What it publishes and has received.
     pub state: Arc<Watched<DiscoveryState>>,
 }
 
 impl Discovery {
-    /// Starts with a whole list, a JSON object on one line.
+    /// Starts on a port of its own with a complete list, a JSON object on one line.
     pub fn start(list: String) -> io::Result<Discovery> {
         Discovery::start_at((Ipv4Addr::LOCALHOST, 0).into(), list)
     }
@@ -58,95 +100,113 @@
     /// Starts at a given address.
     pub fn start_at(addr: SocketAddr, list: String) -> io::Result<Discovery> {
         let listener = TcpListener::bind(addr)?;
-        let told = Watched::default();
-        told.change(|t: &mut DiscoveryState| t.lines.push(list));
-        let discovery = Discovery { addr: listener.local_addr()?, state: Arc::new(told) };
-        let told = Arc::clone(&discovery.state);
+        let state = DiscoveryState { lines: vec![list], ..DiscoveryState::default() };
+        let discovery = Discovery { addr: listener.local_addr()?, state: Arc::new(Watched::new(state)) };
+        let state = Arc::clone(&discovery.state);
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let told = Arc::clone(&told);
-                std::thread::spawn(move || drop(answer(stream, &told)));
+                let state = Arc::clone(&state);
+                // The other side may close or reset its connection at any time.
+                std::thread::spawn(move || drop(respond(stream, &state)));
             }
         });
         Ok(discovery)
     }
 
-    /// Tells a change, a JSON object on one line, or any other text.
+    /// Publishes a line to all watches: a change as a JSON object on one line, or any other text.
     pub fn publish(&self, line: String) {
-        self.state.change(|t| t.lines.push(line));
+        self.state.change(|s| s.lines.push(line));
     }
 
-    /// Ends the watches that are open; the next begins with the whole list given.
+    /// Ends the open watches; the next ones begin with the complete list given.
     pub fn restart_watches(&self, list: String) {
-        self.state.change(|t| (t.lines, t.broken) = (vec![list], t.watches));
+        self.state.change(|s| {
+            s.lines = vec![list];
+            s.ended_watches = s.watches;
+        });
     }
 }
 
-fn answer(stream: TcpStream, told: &Watched<DiscoveryState>) -> io::Result<()> {
+/// Reads a request and answers it.
+fn respond(mut stream: TcpStream, state: &Watched<DiscoveryState>) -> io::Result<()> {
     let mut lines = BufReader::new(stream.try_clone()?).lines();
-    let first = lines.next().unwrap_or_else(|| Ok(String::new()))?;
+    let request_line = lines.next().unwrap_or_else(|| Ok(String::new()))?;
     while !lines.next().unwrap_or_else(|| Ok(String::new()))?.is_empty() {}
-    let watch = first.contains("watch=1");
-    let (list, number, silent, manner) = told.change(|t| {
-        t.requests.push(first);
-        t.watches += usize::from(watch);
-        (t.lines[0].clone(), t.watches, t.silent, t.next_responses.pop_front())
-    });
-    let mut stream = stream;
-    if silent {
-        told.wait(|t| (!t.silent).then_some(()));
+    let request = state.change(|s| s.receive(request_line));
+    if request.silent {
+        state.wait(|s| (!s.silent).then_some(()));
         return Ok(());
     }
-    let head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n";
-    match manner {
-        Some(ResponseMode::Closed) => return Ok(()),
-        Some(ResponseMode::Silent) => return stays(stream),
-        Some(ResponseMode::Unavailable) => {
-            return write!(stream, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
-        }
-        Some(ResponseMode::HeadOnly) => {
-            write!(stream, "{head}Transfer-Encoding: chunked\r\n\r\n")?;
-            return stays(stream);
+    let list = &request.list;
+    match request.mode {
+        Some(mode) => respond_in_mode(stream, mode, list),
+        None if request.is_watch => stream_events(stream, state, request.watch_number),
+        None => write!(stream, "{OK_HEAD}Content-Length: {}\r\n\r\n{list}", list.len()),
+    }
+}
+
+/// Answers a request in an unusual way.
+fn respond_in_mode(mut stream: TcpStream, mode: ResponseMode, list: &str) -> io::Result<()> {
+    match mode {
+        ResponseMode::Closed => Ok(()),
+        ResponseMode::Silent => wait_until_closed(stream),
+        ResponseMode::Unavailable => stream.write_all(UNAVAILABLE.as_bytes()),
+        ResponseMode::HeadOnly => {
+            write!(stream, "{OK_HEAD}{CHUNKED}")?;
+            wait_until_closed(stream)
         }
-        Some(ResponseMode::Drip) => {
-            write!(stream, "{head}\r\n{list}\n{{")?;
+        ResponseMode::Drip => {
+            write!(stream, "{OK_HEAD}\r\n{list}\n{{")?;
             loop {
                 stream.write_all(b" ")?;
-                std::thread::sleep(Duration::from_millis(50));
+                std::thread::sleep(DRIP_INTERVAL);
             }
         }
-        Some(ResponseMode::Indented) => {
+        ResponseMode::Indented => {
             let list = list.replace('{', "{\n  ").replace(',', ",\n  ").replace('}', "\n}");
-            write!(stream, "{head}\r\n{list}\n")?;
-            return stays(stream);
+            write!(stream, "{OK_HEAD}\r\n{list}\n")?;
+            wait_until_closed(stream)
         }
-        None => {}
-    }
-    if !watch {
-        return write!(stream, "{head}Content-Length: {}\r\n\r\n{list}", list.len());
     }
-    write!(stream, "{head}Transfer-Encoding: chunked\r\n\r\n")?;
+}
+
+/// What a watch does next.
+enum WatchStep {
+    /// It sends a line.
+    Send(String),
+    /// It ends.
+    End,
+}
+
+/// Streams the complete list and all lines after it until the watch is ended. An empty line goes out where
+/// nothing is published for [`crate::TIMEOUT`].
+fn stream_events(
+    mut stream: TcpStream,
+    state: &Watched<DiscoveryState>,
+    watch_number: usize,
+) -> io::Result<()> {
+    write!(stream, "{OK_HEAD}{CHUNKED}")?;
     let mut next = 0;
     loop {
-        let line = told.wait(|t| match t.broken >= number {
-            true => Some(None),
-            false => t.lines.get(next).cloned().map(Some),
+        let step = state.wait(|s| match s.ended_watches >= watch_number {
+            true => Some(WatchStep::End),
+            false => s.lines.get(next).cloned().map(WatchStep::Send),
         });
-        match line {
-            Some(None) => return Ok(()),
-            Some(Some(line)) => {
+        match step {
+            Some(WatchStep::End) => return Ok(()),
+            Some(WatchStep::Send(line)) => {
                 next += 1;
                 write!(stream, "{:x}\r\n{line}\n\r\n", line.len() + 1)?;
             }
             None => write!(stream, "1\r\n\n\r\n")?,
         }
         stream.flush()?;
-        std::thread::sleep(Duration::from_millis(1));
+        std::thread::sleep(EVENT_INTERVAL);
     }
 }
 
-/// Keeps a connection until the other side closes it.
-fn stays(mut stream: TcpStream) -> io::Result<()> {
+/// Keeps a connection open until the other side closes it.
+fn wait_until_closed(mut stream: TcpStream) -> io::Result<()> {
     stream.read(&mut [0]).map(drop)
 }
 
@@ -178,7 +238,7 @@
     }
 }
 
-/// A line of an endpoint list.
+/// An endpoint list in discovery's JSON, on one line: a complete one, or the members that have changed.
 pub fn endpoint_list(version: u64, full: bool, members: &[Endpoint]) -> String {
     let entry = |member: &Endpoint| {
         let Endpoint { id, addr, group, state, rank } = member;
--- /dev/null
+++ b/crates/standin/src/harness.rs
@@ -0,0 +1,300 @@
+//! A fleet of router processes: hosts that count what reaches them, and a lossy network between the routers.
+//! What the routers do is checked against the hosts' own records.
+
+pub use crate::paced_clients::{ClientTotals, PacedClients};
+
+use crate::discovery::{endpoint_list, Discovery, Endpoint};
+use crate::group::{PRIMARY_RANK, REPLICA_RANK};
+use crate::host::{Host, Reply};
+use crate::router_process::{write_unique_file, RouterOptions, RouterProcess};
+use crate::udp_proxy::UdpProxy;
+use crate::{simulated_fleet, unix_ms, StandinError, SETTINGS};
+use basalthill_policy::api::Time;
+use std::io;
+use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
+use std::ops::Range;
+use std::path::{Path, PathBuf};
+use std::process::Command;
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// The key that the routers of all harnesses sign with: 16 bytes in hexadecimal digits.
+const KEY: &str = "51e0a8c97b3d2f6604de8f13c5a97b20";
+/// The group that all hosts belong to, as statements name it (`cluster=2`).
+const GROUP: u32 = 2;
+/// Limits that no test or experiment reaches.
+const LIMITS: &str = r#"{"sockets":4096,"memory_mb":192}"#;
+/// What comes before the address of a router's fleet socket in its log.
+const FLEET_LISTENING_MARKER: &str = "names, listens on ";
+/// With [`HostBehavior::FailSome`], one in so many statements fails.
+const FAIL_EVERY: usize = 3;
+
+/// What to start.
+#[derive(Clone, Debug)]
+pub struct HarnessConfig {
+    /// How many routers.
+    pub routers: usize,
+    /// How many hosts, all of one group.
+    pub hosts: usize,
+    /// How long a host works on a statement.
+    pub service_time: Duration,
+    /// What hosts do with statements.
+    pub host_behavior: HostBehavior,
+    /// Nodes of KDL inside `fleet`, besides names and keys; without any the routers have no fleet.
+    pub limits: Option<String>,
+    /// Each router knows of itself alone.
+    pub isolated: bool,
+    /// Routers reach each other without the proxy.
+    pub direct: bool,
+    /// For random numbers.
+    pub seed: u64,
+}
+
+/// What hosts do with statements.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum HostBehavior {
+    /// They serve them.
+    #[default]
+    Serve,
+    /// One in three fails.
+    FailSome,
+    /// They close the connection after each, and routers may not send health checks.
+    Close,
+}
+
+/// A host that counts the statements it works on.
+#[derive(Clone)]
+pub struct CountingHost {
+    /// The host.
+    pub host: Host,
+    /// The most statements that it worked on at a time.
+    pub max_concurrent: Arc<AtomicUsize>,
+}
+
+/// Router processes of a fleet, their hosts, discovery and network.
+pub struct FleetHarness {
+    /// The hosts.
+    pub hosts: Vec<CountingHost>,
+    /// The routers.
+    pub routers: Vec<RouterProcess>,
+    /// The network between them, unless they reach each other without it.
+    pub proxy: Option<UdpProxy>,
+    /// The file of each router's own settings (KDL), for `basalthill fleet` as well.
+    pub settings: Vec<Option<PathBuf>>,
+    config: PathBuf,
+    discovery: Discovery,
+}
+
+impl FleetHarness {
+    /// Starts everything; files are written to `folder`.
+    pub fn start(
+        program: &Path,
+        folder: &Path,
+        config: &HarnessConfig,
+    ) -> Result<FleetHarness, StandinError> {
+        let hosts: Vec<CountingHost> =
+            (0..config.hosts).map(|_| CountingHost::start(config)).collect::<io::Result<_>>()?;
+        let known = known_list(&hosts);
+        let discovery = Discovery::start(known.clone())?;
+        let settings = platform_settings(config);
+        let text = format!(r#"{{"seed":"1","limits":{LIMITS},"known":{known},"settings":{settings}}}"#);
+        let mut harness = FleetHarness {
+            hosts,
+            routers: Vec::new(),
+            proxy: (!config.direct).then(|| UdpProxy::start(config.routers, config.seed)).transpose()?,
+            settings: Vec::new(),
+            config: write_unique_file(folder, "rig.json", &text)?,
+            discovery,
+        };
+        let direct_addrs = free_addrs(if config.direct { config.routers } else { 0 })?;
+        for n in 0..config.routers {
+            let peers: Vec<SocketAddr> = match &harness.proxy {
+                Some(proxy) => (0..config.routers).map(|m| proxy.port(n, m)).collect(),
+                None => direct_addrs.clone(),
+            };
+            let own = config.limits.as_ref().map(|limits| fleet_settings(config, n, &peers, limits));
+            let own = own.map(|text| write_unique_file(folder, "rig.kdl", &text)).transpose()?;
+            harness.start_router(program, n, own)?;
+        }
+        Ok(harness)
+    }
+
+    fn start_router(
+        &mut self,
+        program: &Path,
+        n: usize,
+        settings: Option<PathBuf>,
+    ) -> Result<(), StandinError> {
+        let options = RouterOptions {
+            program: program.into(),
+            config: self.config.clone(),
+            settings: settings.clone(),
+            discovery: self.discovery.addr,
+        };
+        self.routers.push(RouterProcess::start(&format!("n{n}"), options)?);
+        self.settings.push(settings);
+        self.update_proxy_target(n);
+        Ok(())
+    }
+
+    /// Has the proxy forward to where a router that has just started listens for the others.
+    fn update_proxy_target(&mut self, n: usize) {
+        let Some(proxy) = self.proxy.as_ref().filter(|_| self.settings[n].is_some()) else { return };
+        let addr = self.fleet_addr(n);
+        proxy.links().targets[n] = addr;
+    }
+
+    /// Where a router listens for the others, by its log. `None` after [`crate::TIMEOUT`].
+    pub fn fleet_addr(&self, n: usize) -> Option<SocketAddr> {
+        let restarts = self.routers[n].restarts();
+        self.routers[n].log.wait(|lines| {
+            let addrs = lines.iter().filter_map(|l| l.split_once(FLEET_LISTENING_MARKER));
+            addrs.filter_map(|(_, addr)| addr.trim().parse().ok()).nth(restarts)
+        })
+    }
+
+    /// The configuration file (JSON) that all routers have.
+    pub fn config(&self) -> &Path {
+        &self.config
+    }
+
+    /// Cuts all links between groups of routers, and repairs all others.
+    pub fn partition(&mut self, groups: &[Vec<usize>]) {
+        if let Some(proxy) = &self.proxy {
+            proxy.partition(groups);
+        }
+    }
+
+    /// Repairs all links that are cut.
+    pub fn heal(&mut self) {
+        if let Some(proxy) = &self.proxy {
+            proxy.heal();
+        }
+    }
+
+    /// Has all links lose so many datagrams in a thousand, and delay the others by so many microseconds.
+    pub fn set_link_quality(&mut self, loss_per_mille: u64, delay_us: Range<u64>) {
+        if let Some(proxy) = &self.proxy {
+            let mut links = proxy.links();
+            links.faults.loss_per_mille = loss_per_mille;
+            links.faults.delay_us = delay_us;
+        }
+    }
+
+    /// Kills a router with SIGKILL.
+    pub fn kill(&mut self, n: usize) -> io::Result<()> {
+        self.routers[n].kill()
+    }
+
+    /// Starts a router again under its name and address after it has ended.
+    pub fn restart(&mut self, n: usize) -> Result<(), StandinError> {
+        self.routers[n].restart()?;
+        self.update_proxy_target(n);
+        Ok(())
+    }
+
+    /// Pauses a router's process with SIGSTOP, or resumes it with SIGCONT.
+    pub fn set_paused(&mut self, n: usize, paused: bool) -> Result<(), StandinError> {
+        self.routers[n].signal(if paused { "STOP" } else { "CONT" })
+    }
+
+    /// When statements that contain `part` arrived at hosts, in order.
+    pub fn arrivals(&self, part: &str) -> Vec<Instant> {
+        let mut arrivals = Vec::new();
+        for counting_host in &self.hosts {
+            let seen = counting_host.host.seen.lock();
+            let statements = seen.statements.iter().filter(|s| s.text.contains(part));
+            arrivals.extend(statements.map(|s| s.received_at));
+        }
+        arrivals.sort_unstable();
+        arrivals
+    }
+
+    /// What a router reports of its fleet, by the program's own command.
+    pub fn status(&self, program: &Path, n: usize) -> Result<String, StandinError> {
+        let settings = self.settings[n].clone().unwrap_or_default();
+        let addr = self.fleet_addr(n).ok_or(StandinError::NoFleetSocket { index: n })?;
+        let mut command = Command::new(program);
+        command.args(["fleet", "--settings"]).arg(settings).args(["--at", &addr.to_string()]);
+        let output = command.output()?;
+        if !output.status.success() {
+            let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+            return Err(StandinError::StatusCommandFailed { stderr });
+        }
+        Ok(String::from_utf8_lossy(&output.stdout).into_owned())
+    }
+}
+
+impl CountingHost {
+    fn start(config: &HarnessConfig) -> io::Result<CountingHost> {
+        let service_time = config.service_time;
+        let behavior = config.host_behavior;
+        let max_concurrent = Arc::new(AtomicUsize::new(0));
+        let max = Arc::clone(&max_concurrent);
+        let concurrent = AtomicUsize::new(0);
+        let received = AtomicUsize::new(0);
+        let host = Host::start(move |text| {
+            // Statements of clients have a comment; health checks have none.
+            let is_request = text.contains("/*");
+            if is_request {
+                let now = concurrent.fetch_add(1, Ordering::SeqCst) + 1;
+                max.fetch_max(now, Ordering::SeqCst);
+                std::thread::sleep(service_time);
+                concurrent.fetch_sub(1, Ordering::SeqCst);
+            }
+            let fails = || is_request && received.fetch_add(1, Ordering::Relaxed) % FAIL_EVERY == 0;
+            let reply = match behavior {
+                HostBehavior::FailSome if fails() => Reply::Error("XX000"),
+                HostBehavior::Serve | HostBehavior::FailSome => Reply::Row(b"v".to_vec()),
+                HostBehavior::Close => Reply::RowThenClose(b"v".to_vec()),
+            };
+            (reply, vec![("as_of", unix_ms().to_string()), ("rank", REPLICA_RANK.to_string())])
+        })?;
+        Ok(CountingHost { host, max_concurrent })
+    }
+}
+
+/// The hosts as discovery lists them, the first one as the primary.
+fn known_list(hosts: &[CountingHost]) -> String {
+    let endpoint = |(n, host): (usize, &CountingHost)| {
+        let rank = if n == 0 { PRIMARY_RANK } else { REPLICA_RANK };
+        Endpoint::new(format!("s-{n}"), host.host.addr, GROUP, "active", rank)
+    };
+    let members: Vec<Endpoint> = hosts.iter().enumerate().map(endpoint).collect();
+    endpoint_list(1, true, &members)
+}
+
+/// The deployment's settings (JSON). The longest deadlines are cut to 1.5 s, so that limits are free again
+/// soon after a router has died.
+fn platform_settings(config: &HarnessConfig) -> String {
+    let probes = config.host_behavior != HostBehavior::Close;
+    SETTINGS
+        .replace("\"balancers\": 2", &format!("\"balancers\": {}", config.routers))
+        .replace("6000000000", "1500000000")
+        .replace("\"probes\": true", &format!("\"probes\": {probes}"))
+        .replace("\"deadline\": 3000000000", "\"deadline\": 1500000000")
+}
+
+/// The `fleet` node (KDL) of a router's own settings. It reaches the others at the addresses `peers`.
+fn fleet_settings(config: &HarnessConfig, n: usize, peers: &[SocketAddr], limits: &str) -> String {
+    let listen = if config.direct { peers[n].to_string() } else { "127.0.0.1:0".into() };
+    let known = (0..config.routers).filter(|m| *m == n || !config.isolated);
+    let peers: String = known.map(|m| format!("router \"n{m}\" \"{}\"\n", peers[m])).collect();
+    format!("fleet {{\nlisten \"{listen}\"\nkey 1 \"{KEY}\" signs=#true\n{peers}{limits}\n}}\n")
+}
+
+/// Addresses on loopback whose UDP ports were free a moment ago.
+fn free_addrs(count: usize) -> io::Result<Vec<SocketAddr>> {
+    let sockets = (0..count).map(|_| UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)));
+    let sockets = sockets.collect::<io::Result<Vec<_>>>()?;
+    sockets.iter().map(UdpSocket::local_addr).collect()
+}
+
+/// By how many requests arrivals exceed a rate with a burst, at worst over all windows of time; below zero if
+/// they never do.
+pub fn rate_excess(arrivals: &[Instant], per_s: f64, burst: f64) -> f64 {
+    let Some(first) = arrivals.first() else { return -burst };
+    let times = arrivals.iter().map(|at| Time((*at - *first).as_nanos() as u64));
+    simulated_fleet::rate_excess(times.collect(), per_s, burst)
+}
--- a/crates/standin/src/host.rs
+++ b/crates/standin/src/host.rs
@@ -1,20 +1,32 @@
-//! A database host: version 3 of PostgreSQL's protocol, simple queries.
+//! A database host that speaks version 3 of the PostgreSQL frontend/backend protocol: startup without
+//! authentication, then simple queries, each answered by a function of the test.
 
+use crate::pg_message::{
+    body_len, message, AUTHENTICATION, BACKEND_KEY_DATA, COMMAND_COMPLETE, DATA_ROW, ERROR_RESPONSE,
+    HEAD_LEN, LENGTH_LEN, PARAMETER_STATUS, QUERY, READY_FOR_QUERY, ROW_DESCRIPTION,
+};
 use crate::Watched;
 use std::io::{self, Read, Write};
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
+use std::time::Instant;
+
+/// The longest startup message that PostgreSQL accepts, in bytes (`MAX_STARTUP_PACKET_LENGTH`).
+const MAX_STARTUP_LEN: usize = 10_000;
+/// RowDescription of a single column named `v`: no table, type `bytea` (17) of variable length, no type
+/// modifier, in binary format.
+const COLUMN: &[u8] = b"\0\x01v\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01";
 
 /// What a host does with a statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
     /// Serves it: one row of one binary value.
     Row(Vec<u8>),
-    /// Serves it, and closes the connection after that.
+    /// Serves it, then closes the connection.
     RowThenClose(Vec<u8>),
-    /// Answers with an error of this SQLSTATE and stays.
+    /// Answers with an error of this SQLSTATE and keeps the connection.
     Error(&'static str),
-    /// Answers with an error and closes without ReadyForQuery.
+    /// Answers with an error of this SQLSTATE and closes the connection without ReadyForQuery.
     Fatal(&'static str),
     /// Never answers, and keeps the connection.
     NoAnswer,
@@ -26,172 +38,216 @@
     RowOnRelease(Vec<u8>),
 }
 
-/// What a host tells of itself with each answer, as ParameterStatus messages.
+/// What a host reports of itself with each answer, as names and values of ParameterStatus messages.
 pub type ParameterStatuses = Vec<(&'static str, String)>;
 
 /// A statement that a host has received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedStatement {
-    /// The number of the connection that it arrived on, the first of them 1.
+    /// The number of the connection that it arrived on; the first one is 1.
     pub connection: usize,
     /// Its text.
     pub text: String,
     /// When its last byte had arrived.
-    pub received_at: std::time::Instant,
+    pub received_at: Instant,
 }
 
-/// What a host has seen.
+/// What a host has seen so far, and how it treats new connections.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct HostRecord {
     /// Statements in the order in which their last bytes arrived.
     pub statements: Vec<ReceivedStatement>,
     /// When connections were accepted.
-    pub accepted_at: Vec<std::time::Instant>,
+    pub accepted_at: Vec<Instant>,
     /// Connections accepted so far.
     pub accepted: usize,
     /// Connections that are open.
     pub open: usize,
-    /// Connections that come are accepted, and not welcomed while this holds.
+    /// While this is set, startup messages on accepted connections get no answer.
     pub withhold_welcome: bool,
+    /// Whether [`Reply::RowOnRelease`] may be answered.
     released: bool,
 }
 
-type Answers = dyn Fn(&str) -> (Reply, ParameterStatuses) + Send + Sync;
+/// Decides what a host does with a statement.
+type Responder = dyn Fn(&str) -> (Reply, ParameterStatuses) + Send + Sync;
 
-/// A stand-in for a database host on a port of its own; it goes on until the process ends.
+/// A database host on a port of its own on loopback. It runs until the process ends.
 #[derive(Clone)]
 pub struct Host {
     /// Where it listens.
     pub addr: SocketAddr,
     /// What it has seen.
-    pub seen: Arc<Watched<Seen>>,
+    pub seen: Arc<Watched<HostRecord>>,
 }
 
 impl Host {
-    /// Starts a host that answers each statement as `answers` says.
+    /// Starts a host that does with each statement what `respond` returns. Each connection has a thread.
     pub fn start(
-        answers: impl Fn(&str) -> (Reply, ParameterStatuses) + Send + Sync + 'static,
+        respond: impl Fn(&str) -> (Reply, ParameterStatuses) + Send + Sync + 'static,
     ) -> io::Result<Host> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let host = Host { addr: listener.local_addr()?, seen: Arc::default() };
-        let (seen, answers): (_, Arc<Answers>) = (Arc::clone(&host.seen), Arc::new(answers));
+        let seen = Arc::clone(&host.seen);
+        let respond: Arc<Responder> = Arc::new(respond);
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let number = seen.change(|s| {
-                    (s.accepted, s.open) = (s.accepted + 1, s.open + 1);
-                    s.accepted_at.push(std::time::Instant::now());
-                    s.accepted
-                });
-                let (seen, answers) = (Arc::clone(&seen), Arc::clone(&answers));
-                std::thread::spawn(move || {
-                    let _ = connection(&stream, number, &seen, &*answers);
-                    let _ = stream.shutdown(Shutdown::Both);
-                    seen.change(|s| s.open -= 1);
-                });
+                let number = seen.change(HostRecord::count_accepted);
+                let connection =
+                    Connection { stream, number, seen: Arc::clone(&seen), respond: Arc::clone(&respond) };
+                std::thread::spawn(move || connection.run());
             }
         });
         Ok(host)
     }
 
-    /// Lets held answers go.
+    /// Lets all [`Reply::RowOnRelease`] be answered, from now on.
     pub fn release(&self) {
         self.seen.change(|s| s.released = true);
     }
 
-    /// Waits for a statement that holds `part` and takes note of no other; its text and connection.
+    /// Waits for a statement that contains `part`, also one that arrived earlier. `None` after
+    /// [`crate::TIMEOUT`].
     pub fn wait_for_statement(&self, part: &str) -> Option<ReceivedStatement> {
-        self.seen.wait(|s| s.statements.iter().find(|s| s.text.contains(part)).cloned())
+        self.seen.wait(|seen| seen.statements.iter().find(|s| s.text.contains(part)).cloned())
     }
 
-    /// How many statements so far hold `part`.
+    /// How many statements so far contain `part`.
     pub fn statement_count(&self, part: &str) -> usize {
         self.seen.lock().statements.iter().filter(|s| s.text.contains(part)).count()
     }
 }
 
-fn message(kind: u8, body: &[u8]) -> Vec<u8> {
-    let mut out = vec![kind];
-    out.extend((body.len() as u32 + 4).to_be_bytes());
-    out.extend(body);
-    out
+impl HostRecord {
+    /// Counts a connection that was accepted, and returns its number.
+    fn count_accepted(&mut self) -> usize {
+        self.accepted += 1;
+        self.open += 1;
+        self.accepted_at.push(Instant::now());
+        self.accepted
+    }
 }
 
-/// A RowDescription, a DataRow and a CommandComplete with one binary value.
+/// RowDescription, DataRow and CommandComplete of one row with one binary value.
 pub fn row(value: &[u8]) -> Vec<u8> {
-    let mut column = vec![0, 1];
-    column.extend(b"v\0");
-    column.extend([0, 0, 0, 0, 0, 0, 0, 0, 0, 17, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0, 1]);
     let mut data = vec![0, 1];
     data.extend((value.len() as u32).to_be_bytes());
     data.extend(value);
-    [message(b'T', &column), message(b'D', &data), message(b'C', b"SELECT 1\0")].concat()
+    let complete = message(COMMAND_COMPLETE, b"SELECT 1\0");
+    [message(ROW_DESCRIPTION, COLUMN), message(DATA_ROW, &data), complete].concat()
 }
 
-fn error(code: &str) -> Vec<u8> {
-    message(b'E', format!("SERROR\0C{code}\0Mnot done\0\0").as_bytes())
+fn error(sqlstate: &str) -> Vec<u8> {
+    message(ERROR_RESPONSE, format!("SERROR\0C{sqlstate}\0Mnot done\0\0").as_bytes())
 }
 
-fn parameter(name: &str, value: &str) -> Vec<u8> {
-    message(b'S', format!("{name}\0{value}\0").as_bytes())
+fn parameter_status(name: &str, value: &str) -> Vec<u8> {
+    message(PARAMETER_STATUS, format!("{name}\0{value}\0").as_bytes())
 }
 
-fn connection(
-    mut stream: &TcpStream,
+fn ready_for_query() -> Vec<u8> {
+    message(READY_FOR_QUERY, b"I")
+}
+
+/// A connection that a host has accepted.
+struct Connection {
+    stream: TcpStream,
     number: usize,
-    seen: &Watched<Seen>,
-    answers: &Answers,
-) -> io::Result<()> {
-    stream.set_nodelay(true)?;
-    let mut head = [0; 4];
-    stream.read_exact(&mut head)?;
-    let mut startup = vec![0; (u32::from_be_bytes(head) as usize).saturating_sub(4).min(10_000)];
-    stream.read_exact(&mut startup)?;
-    seen.wait(|s| (!s.withhold_welcome).then_some(()));
-    let ready = message(b'Z', b"I");
-    let welcome =
-        [message(b'R', &[0; 4]), parameter("server_version", "15.0"), message(b'K', &[0; 8])].concat();
-    stream.write_all(&[welcome, ready.clone()].concat())?;
-    loop {
-        let mut head = [0; 5];
-        stream.read_exact(&mut head)?;
-        let len = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
-        let mut body = vec![0; len.saturating_sub(4)];
-        stream.read_exact(&mut body)?;
-        if head[0] != b'Q' {
-            return Ok(());
+    seen: Arc<Watched<HostRecord>>,
+    respond: Arc<Responder>,
+}
+
+/// Whether a connection goes on after a statement.
+#[derive(PartialEq, Eq)]
+enum Next {
+    Continue,
+    Close,
+}
+
+impl Connection {
+    /// Serves the connection until either side closes it.
+    fn run(mut self) {
+        // The other side may close or reset it at any time.
+        let _ = self.serve();
+        let _ = self.stream.shutdown(Shutdown::Both);
+        self.seen.change(|s| s.open -= 1);
+    }
+
+    fn serve(&mut self) -> io::Result<()> {
+        self.stream.set_nodelay(true)?;
+        self.read_startup()?;
+        self.seen.wait(|s| (!s.withhold_welcome).then_some(()));
+        let welcome = [
+            message(AUTHENTICATION, &[0; 4]),
+            parameter_status("server_version", "15.0"),
+            message(BACKEND_KEY_DATA, &[0; 8]),
+            ready_for_query(),
+        ];
+        self.stream.write_all(&welcome.concat())?;
+        while let Some(text) = self.read_query()? {
+            let (reply, statuses) = (self.respond)(&text);
+            if self.send(reply, &statuses)? == Next::Close {
+                break;
+            }
+        }
+        Ok(())
+    }
+
+    fn read_startup(&mut self) -> io::Result<()> {
+        let mut len = [0; LENGTH_LEN];
+        self.stream.read_exact(&mut len)?;
+        let len = (u32::from_be_bytes(len) as usize).saturating_sub(LENGTH_LEN);
+        let mut startup = vec![0; len.min(MAX_STARTUP_LEN)];
+        self.stream.read_exact(&mut startup)
+    }
+
+    /// Reads a query and records it. `None` for any other message.
+    fn read_query(&mut self) -> io::Result<Option<String>> {
+        let mut head = [0; HEAD_LEN];
+        self.stream.read_exact(&mut head)?;
+        let mut body = vec![0; body_len(&head)];
+        self.stream.read_exact(&mut body)?;
+        if head[0] != QUERY {
+            return Ok(None);
         }
         let text = String::from_utf8_lossy(body.strip_suffix(&[0]).unwrap_or(&body)).into_owned();
-        seen.change(|s| {
+        self.seen.change(|s| {
             s.statements.push(ReceivedStatement {
-                connection: number,
+                connection: self.number,
                 text: text.clone(),
-                received_at: std::time::Instant::now(),
+                received_at: Instant::now(),
             });
         });
-        let (reply, telling) = answers(&text);
-        let telling: Vec<u8> = telling.iter().flat_map(|(name, value)| parameter(name, value)).collect();
-        let out = match reply {
-            Reply::Row(value) => [row(&value), telling, ready.clone()].concat(),
+        Ok(Some(text))
+    }
+
+    fn send(&mut self, reply: Reply, statuses: &ParameterStatuses) -> io::Result<Next> {
+        let statuses: Vec<u8> =
+            statuses.iter().flat_map(|(name, value)| parameter_status(name, value)).collect();
+        let answer = match reply {
+            Reply::Row(value) => [row(&value), statuses, ready_for_query()].concat(),
             Reply::RowThenClose(value) => {
-                return stream.write_all(&[row(&value), telling, ready].concat());
+                self.stream.write_all(&[row(&value), statuses, ready_for_query()].concat())?;
+                return Ok(Next::Close);
             }
-            Reply::Error(code) => [error(code), telling, ready.clone()].concat(),
-            Reply::Fatal(code) => {
-                stream.write_all(&error(code))?;
-                return Ok(());
+            Reply::Error(sqlstate) => [error(sqlstate), statuses, ready_for_query()].concat(),
+            Reply::Fatal(sqlstate) => {
+                self.stream.write_all(&error(sqlstate))?;
+                return Ok(Next::Close);
             }
             Reply::NoAnswer => {
                 // Until the other side gives up.
-                let _ = stream.read(&mut [0]);
-                return Ok(());
+                let _ = self.stream.read(&mut [0]);
+                return Ok(Next::Close);
             }
-            Reply::Close => return Ok(()),
+            Reply::Close => return Ok(Next::Close),
             Reply::Raw(bytes) => bytes,
             Reply::RowOnRelease(value) => {
-                seen.wait(|s| s.released.then_some(()));
-                [row(&value), telling, ready.clone()].concat()
+                self.seen.wait(|s| s.released.then_some(()));
+                [row(&value), statuses, ready_for_query()].concat()
             }
         };
-        stream.write_all(&out)?;
+        self.stream.write_all(&answer)?;
+        Ok(Next::Continue)
     }
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,33 +1,37 @@
-//! Stand-ins for what a router meets outside: database hosts, discovery and clients. They are written from
-//! the published protocols alone and share no code with the router; the tests and the toy server use them.
+//! Stand-ins for what a router meets outside: database hosts, discovery, clients and other routers. They are
+//! written from the published protocols alone and share no code with the router; tests, the toy deployment and
+//! the lab use them.
+//!
+//! - [`host`], [`group`]: a database host, and a replicated group of them with an oracle
+//! - [`discovery`]: the endpoint list over HTTP
+//! - [`client`]: a client of version 3 of the PostgreSQL protocol
+//! - [`router_process`], [`deployment`], [`session_load`]: router processes before a group, under sessions
+//! - [`harness`], [`paced_clients`], [`udp_proxy`]: a fleet of router processes on a network that fails
+//! - [`simulated_fleet`]: a fleet of cores in simulated time
 pub mod client;
+pub mod deployment;
 pub mod discovery;
-/// A group of members, discovery and router processes together.
-pub mod deployment {
-    pub use crate::fleet::Deployment;
-}
-pub mod fleet;
+mod error;
 pub mod group;
-pub mod host;
-/// Router processes.
-pub mod router_process {
-    pub use crate::fleet::{write_unique_file, RouterOptions, RouterProcess};
-}
-/// Sessions that write and read through routers.
-pub mod session_load {
-    pub use crate::fleet::{run_load, ConnectionMode, SessionLoad, SessionLoadReport};
-}
-#[path = "rig.rs"]
 pub mod harness;
-#[path = "model.rs"]
+pub mod host;
+pub mod link_faults;
+pub mod paced_clients;
+mod pg_message;
+pub mod router_process;
+pub mod session_load;
 pub mod simulated_fleet;
-#[path = "relay.rs"]
 pub mod udp_proxy;
+mod watched;
+
+pub use error::StandinError;
+/// The seeded generator that all stand-ins draw from, for loads and faults of one's own.
+pub use fastrand::Rng;
+pub use watched::Watched;
 
-use std::sync::{Condvar, Mutex, MutexGuard};
-use std::time::{Duration, Instant};
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// A deployment with a bounded, a session, a fresh, an any and a write class.
+/// The settings (JSON) of a deployment with a bounded, a session, a fresh, an eventual and a write class.
 pub const SETTINGS: &str = r#"{"balancers": 2, "me": 1, "zone": 0, "zones": ["a"], "quantum": 5000000,
  "discovery": "automatic", "weights": "rough", "overShareWorth": 0.2,
  "profiles": [
@@ -47,45 +51,11 @@
    "warmWithin": 15000000000},
  "reporting": {"columns": ["x0", "x1"], "via": "answers"}, "prices": {"waste": 0.03}}"#;
 
-/// How long a stand-in waits for something that should come at once.
+/// How long a stand-in waits for something that should happen at once, before it takes it for a failure.
 pub const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A value that others wait for.
-#[derive(Debug, Default)]
-pub struct Watched<T> {
-    value: Mutex<T>,
-    changed: Condvar,
-}
-
-impl<T> Watched<T> {
-    /// Looks at the value.
-    pub fn lock(&self) -> MutexGuard<'_, T> {
-        self.value.lock().unwrap_or_else(|e| e.into_inner())
-    }
-
-    /// Changes the value and wakes those who wait.
-    pub fn change<R>(&self, f: impl FnOnce(&mut T) -> R) -> R {
-        let result = f(&mut self.lock());
-        self.changed.notify_all();
-        result
-    }
-
-    /// Waits until `f` finds what it looks for; none if that does not come.
-    pub fn wait<R>(&self, mut f: impl FnMut(&mut T) -> Option<R>) -> Option<R> {
-        let until = Instant::now() + TIMEOUT;
-        let mut value = self.lock();
-        loop {
-            if let Some(found) = f(&mut value) {
-                return Some(found);
-            }
-            let left = until.checked_duration_since(Instant::now())?;
-            value = self.changed.wait_timeout(value, left).unwrap_or_else(|e| e.into_inner()).0;
-        }
-    }
-}
-
-/// The time now in milliseconds of Unix time.
+/// The time now, in milliseconds of Unix time.
 pub fn unix_ms() -> u64 {
-    let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
+    let now = SystemTime::now().duration_since(UNIX_EPOCH);
     now.unwrap_or_default().as_millis() as u64
 }
--- /dev/null
+++ b/crates/standin/src/router_process.rs
@@ -0,0 +1,194 @@
+//! Router processes: started with a configuration, stopped or killed, started again at the same address, and
+//! observed through their log and `/proc`.
+
+use crate::{StandinError, Watched};
+use std::io::{self, BufRead, BufReader, Read};
+use std::net::{Ipv4Addr, SocketAddr};
+use std::path::{Path, PathBuf};
+use std::process::{Child, Command, ExitStatus, Stdio};
+use std::sync::atomic::{AtomicU32, Ordering};
+use std::sync::Arc;
+use std::time::Duration;
+
+/// What comes before a router's address in its log.
+const LISTENING_MARKER: &str = "listens on ";
+/// The unit of processor time in `/proc/PID/stat`: `sysconf(_SC_CLK_TCK)` is 100 on Linux.
+const CLOCK_TICK: Duration = Duration::from_millis(10);
+/// Fields of `/proc/PID/stat` between the process's name and `utime`, which `stime` follows (proc(5)).
+const FIELDS_BEFORE_UTIME: usize = 11;
+
+/// What a router process is started with.
+#[derive(Clone, Debug)]
+pub struct RouterOptions {
+    /// The program.
+    pub program: PathBuf,
+    /// Its configuration file (JSON).
+    pub config: PathBuf,
+    /// The file of its own settings (KDL), if it is given any.
+    pub settings: Option<PathBuf>,
+    /// Where discovery answers.
+    pub discovery: SocketAddr,
+}
+
+/// A router's process. It is killed when dropped.
+pub struct RouterProcess {
+    options: RouterOptions,
+    name: String,
+    /// Where it listens, the same after a restart.
+    pub addr: SocketAddr,
+    /// How often it has been started again.
+    restarts: usize,
+    child: Child,
+    /// Lines of its log, of all its incarnations.
+    pub log: Arc<Watched<Vec<String>>>,
+}
+
+impl RouterProcess {
+    /// Starts a router on a port of its own and waits until it listens.
+    pub fn start(name: &str, options: RouterOptions) -> Result<RouterProcess, StandinError> {
+        let log = Arc::default();
+        let any_port = (Ipv4Addr::LOCALHOST, 0).into();
+        let (child, addr) = spawn(name, &options, any_port, &log)?;
+        Ok(RouterProcess { options, name: name.into(), addr, restarts: 0, child, log })
+    }
+
+    /// Kills it with SIGKILL and starts it again at the same address.
+    pub fn kill_and_restart(&mut self) -> Result<(), StandinError> {
+        self.kill()?;
+        self.restart()
+    }
+
+    /// Stops it gracefully with SIGTERM and starts it again at the same address.
+    pub fn stop_and_restart(&mut self) -> Result<(), StandinError> {
+        self.signal("TERM")?;
+        self.child.wait()?;
+        self.restart()
+    }
+
+    /// Kills it with SIGKILL.
+    pub fn kill(&mut self) -> io::Result<()> {
+        self.child.kill()?;
+        self.child.wait().map(drop)
+    }
+
+    /// Starts it again at the same address after it has ended.
+    pub fn restart(&mut self) -> Result<(), StandinError> {
+        self.restarts += 1;
+        let (child, addr) = spawn(&self.name, &self.options, self.addr, &self.log)?;
+        self.child = child;
+        self.addr = addr;
+        Ok(())
+    }
+
+    /// How often it has been started again.
+    pub fn restarts(&self) -> usize {
+        self.restarts
+    }
+
+    /// Its process's id.
+    pub fn pid(&self) -> u32 {
+        self.child.id()
+    }
+
+    /// Its configuration file.
+    pub fn config(&self) -> &Path {
+        &self.options.config
+    }
+
+    /// Waits for its process to end by itself.
+    pub fn wait_for_exit(&mut self) -> io::Result<ExitStatus> {
+        self.child.wait()
+    }
+
+    /// Descriptors that its process has open.
+    pub fn descriptors(&self) -> io::Result<usize> {
+        Ok(std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))?.count())
+    }
+
+    /// Sends it a signal, named without `SIG`.
+    pub fn signal(&self, name: &str) -> Result<(), StandinError> {
+        let pid = self.child.id();
+        let status = Command::new("kill").args([format!("-{name}"), pid.to_string()]).status()?;
+        match status.success() {
+            true => Ok(()),
+            false => Err(StandinError::SignalNotDelivered { signal: name.into(), pid }),
+        }
+    }
+
+    /// Waits for a line of its log that contains `part`, also one of earlier. `None` after
+    /// [`crate::TIMEOUT`].
+    pub fn wait_for_log(&self, part: &str) -> Option<String> {
+        self.log.wait(|lines| lines.iter().find(|line| line.contains(part)).cloned())
+    }
+
+    /// Processor time that its process has used, in steps of 10 ms.
+    pub fn cpu_time(&self) -> Option<Duration> {
+        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).ok()?;
+        let fields = stat.rsplit_once(')')?.1.split_whitespace();
+        let user_and_system = fields.skip(FIELDS_BEFORE_UTIME).take(2);
+        let ticks: u64 = user_and_system.filter_map(|n| n.parse::<u64>().ok()).sum();
+        Some(Duration::from_millis(ticks * CLOCK_TICK.as_millis() as u64))
+    }
+
+    /// Its process's resident memory, in KiB.
+    pub fn resident_kib(&self) -> Option<u64> {
+        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).ok()?;
+        status.lines().find_map(|l| l.strip_prefix("VmRSS:")?.split_whitespace().next()?.parse().ok())
+    }
+}
+
+impl Drop for RouterProcess {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+    }
+}
+
+/// Starts a router's process and waits until it listens; the process and its address.
+fn spawn(
+    name: &str,
+    options: &RouterOptions,
+    listen: SocketAddr,
+    log: &Arc<Watched<Vec<String>>>,
+) -> Result<(Child, SocketAddr), StandinError> {
+    let mut command = Command::new(&options.program);
+    command
+        .args(["serve", "--config"])
+        .arg(&options.config)
+        .env_remove("BASALTHILL_SETTINGS")
+        .env("BALANCER_NAME", name)
+        .env("BALANCER_LISTEN", listen.to_string())
+        .env("BALANCER_DISCOVERY", options.discovery.to_string())
+        .stderr(Stdio::piped());
+    if let Some(settings) = &options.settings {
+        command.arg("--settings").arg(settings);
+    }
+    let mut child = command.spawn()?;
+    let addr = child.stderr.take().and_then(|stderr| follow_log(stderr, log));
+    match addr {
+        Some(addr) => Ok((child, addr)),
+        None => Err(StandinError::NotListening { name: name.into() }),
+    }
+}
+
+/// Appends a process's lines to its log on a thread of their own, and waits for the address in them.
+fn follow_log(stderr: impl Read + Send + 'static, log: &Arc<Watched<Vec<String>>>) -> Option<SocketAddr> {
+    let earlier_lines = log.lock().len();
+    let sink = Arc::clone(log);
+    std::thread::spawn(move || {
+        for line in BufReader::new(stderr).lines().map_while(Result::ok) {
+            sink.change(|lines| lines.push(line));
+        }
+    });
+    let listen_addr = |line: &String| line.split_once(LISTENING_MARKER)?.1.trim().parse().ok();
+    log.wait(|lines| lines[earlier_lines..].iter().find_map(listen_addr))
+}
+
+/// Writes a text to a new file in a folder, under a name that no other call in this machine's processes uses.
+pub fn write_unique_file(folder: &Path, name: &str, text: &str) -> io::Result<PathBuf> {
+    static COUNT: AtomicU32 = AtomicU32::new(0);
+    let number = COUNT.fetch_add(1, Ordering::Relaxed);
+    let path = folder.join(format!("{}-{number}-{name}", std::process::id()));
+    std::fs::write(&path, text)?;
+    Ok(path)
+}
