--- /dev/null
+++ b/crates/router/src/routing/counters.rs
@@ -0,0 +1,72 @@
+//! Counts of requests, attempts and health checks since they were last read. [`Router`](super::Router)
+//! counts; transport reads and resets them for the periodic line in the log.
+
+use basalthill_policy::api::Status;
+use std::fmt;
+
+/// What has happened since the counters were last read.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct RequestCounters {
+    /// Requests served.
+    pub served: u32,
+    /// Requests rejected.
+    pub rejected: u32,
+    /// Requests failed.
+    pub failed: u32,
+    /// Statements that this deployment does not serve.
+    pub invalid: u32,
+    /// Requests whose client disconnected or cancelled before the answer.
+    pub abandoned: u32,
+    /// Finished attempts, in the order of [`STATUS_NAMES`].
+    attempts: [u32; STATUS_NAMES.len()],
+    /// Health checks finished.
+    pub probes: u32,
+    /// Failed ones among them.
+    pub probes_failed: u32,
+}
+
+/// Each status of an attempt, with its name in the log.
+const STATUS_NAMES: [(Status, &str); 9] = [
+    (Status::Ok, "ok"),
+    (Status::Misdirected, "misdirected"),
+    (Status::Error, "error"),
+    (Status::Overloaded, "overloaded"),
+    (Status::Timeout, "timeout"),
+    (Status::ConnectFailed, "connect failed"),
+    (Status::Reset, "reset"),
+    (Status::Cancelled, "cancelled"),
+    (Status::NotSent, "not sent"),
+];
+
+impl RequestCounters {
+    /// Counts an attempt that has finished with a status.
+    pub fn record_attempt(&mut self, status: Status) {
+        if let Some(index) = index_of(status) {
+            self.attempts[index] += 1;
+        }
+    }
+
+    /// How many attempts have finished with a status.
+    pub fn attempts(&self, status: Status) -> u32 {
+        index_of(status).map_or(0, |index| self.attempts[index])
+    }
+}
+
+fn index_of(status: Status) -> Option<usize> {
+    STATUS_NAMES.iter().position(|(named, _)| *named == status)
+}
+
+impl fmt::Display for RequestCounters {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let RequestCounters { served, rejected, failed, invalid, abandoned, .. } = self;
+        write!(f, "{served} served, {rejected} rejected, {failed} failed, {invalid} invalid, ")?;
+        write!(f, "{abandoned} abandoned; attempts:")?;
+        for ((_, name), count) in STATUS_NAMES.iter().zip(self.attempts) {
+            if count > 0 {
+                write!(f, " {count} {name},")?;
+            }
+        }
+        let total: u32 = self.attempts.iter().sum();
+        write!(f, " {total} in all; probes: {}, {} failed", self.probes, self.probes_failed)
+    }
+}
--- /dev/null
+++ b/crates/router/src/routing/fleet_limits.rs
@@ -0,0 +1,295 @@
+//! Limits that hold over all routers together, as one router sees them. [`FleetLimits`] owns the fleet's core
+//! and what the policy was last sent of member capacities and budgets; `fleet.rs` connects it with the
+//! router.
+
+use super::attempts::FinishedAttempt;
+use super::endpoints::PresentMember;
+use basalthill_config::local_settings::FleetSettings;
+use basalthill_config::settings::Deployment;
+use basalthill_fleet::{Bounds, Budget, DatagramCodec, Fleet, FleetConfig, Limit, LimitKey, Subject, Timing};
+use basalthill_policy::api::{Attempt, Event, GroupId, MemberId, Request, RequestId, Status, Time};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Nanoseconds in a millisecond.
+const NS_PER_MS: u64 = 1_000_000;
+
+/// The lower bits of a slot's number hold the attempt's number, the bits above it the request's.
+const ATTEMPT_BITS: u32 = 16;
+
+/// The capacity of a member that no limit bounds.
+const UNLIMITED: u32 = u32::MAX;
+
+/// The tokens left in the budgets that the policy spends; none where there is no such budget.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+struct PolicyBudgets {
+    retries: Option<u32>,
+    probes: Option<u32>,
+}
+
+/// The fleet's configuration for a deployment. A request may use what it was granted up to the longest
+/// deadline of any class, where a limit bounds concurrent requests.
+fn fleet_config(deployment: &Deployment, fleet: &FleetSettings) -> FleetConfig {
+    let timeouts = deployment.settings.classes.iter().map(|class| class.client_timeout);
+    let longest = timeouts.max().unwrap_or_default();
+    let bounds_concurrency = fleet.limits.iter().any(|l| matches!(l.bounds, Bounds::Concurrent(_)));
+    let max_use = if bounds_concurrency { longest } else { Time(0) };
+    // The vote quarantine also covers limits of an earlier configuration.
+    let any_limits = Timing::new(fleet.drift, longest);
+    FleetConfig {
+        roster: fleet.names.clone(),
+        limits: fleet.limits.clone(),
+        timing: Timing::new(fleet.drift, max_use),
+        max_use,
+        vote_quarantine: any_limits.lender_span(any_limits.lease),
+    }
+}
+
+/// The name of the limit on concurrent attempts at each member, if there is one.
+fn per_member_limit(limits: &[Limit]) -> Option<String> {
+    limits.iter().find(|limit| limit.subject == Subject::EachMember).map(|limit| limit.name.clone())
+}
+
+/// The limits over all routers, and what the policy knows of them.
+pub struct FleetLimits {
+    pub(super) fleet: Fleet,
+    /// The name of the limit on concurrent attempts at each member, if there is one.
+    per_member_limit: Option<String>,
+    /// The key of that limit at each member in service.
+    member_keys: BTreeMap<MemberId, LimitKey>,
+    /// The members in service, by group.
+    group_members: BTreeMap<GroupId, BTreeSet<MemberId>>,
+    /// The capacity that the policy assumes at each member, after what it has sent since.
+    policy_capacity: BTreeMap<MemberId, u32>,
+    /// The budgets that the policy assumes, after what it has spent since.
+    policy_budgets: PolicyBudgets,
+    /// How long an attempt may occupy a slot.
+    max_use: Time,
+}
+
+impl FleetLimits {
+    /// The limits of a router that has just started under this name.
+    pub fn new(
+        now: Time,
+        name: &str,
+        deployment: &Deployment,
+        settings: &FleetSettings,
+        seed: u64,
+    ) -> FleetLimits {
+        let config = fleet_config(deployment, settings);
+        let per_member_limit = per_member_limit(&config.limits);
+        let max_use = config.max_use;
+        let incarnation = now.0 / NS_PER_MS;
+        let codec = DatagramCodec::new(settings.keys.clone());
+        FleetLimits {
+            fleet: Fleet::new(now, name, incarnation, config, codec, seed),
+            per_member_limit,
+            member_keys: BTreeMap::new(),
+            group_members: BTreeMap::new(),
+            policy_capacity: BTreeMap::new(),
+            policy_budgets: PolicyBudgets::default(),
+            max_use,
+        }
+    }
+
+    /// Takes over a changed configuration; the fleet's effects are appended to `effects`.
+    pub fn reload(
+        &mut self,
+        now: Time,
+        deployment: &Deployment,
+        settings: &FleetSettings,
+        effects: &mut Vec<basalthill_fleet::Effect>,
+    ) {
+        let config = fleet_config(deployment, settings);
+        self.per_member_limit = per_member_limit(&config.limits);
+        self.max_use = config.max_use;
+        let codec = DatagramCodec::new(settings.keys.clone());
+        self.fleet.reload(now, config, codec, effects);
+    }
+
+    /// Takes over the members in service, for the limit on each of them.
+    pub fn set_members<'a>(&mut self, now: Time, members: impl Iterator<Item = PresentMember<'a>>) {
+        let Some(limit) = &self.per_member_limit else { return };
+        self.member_keys.clear();
+        self.group_members.clear();
+        let mut names = Vec::new();
+        for PresentMember { name, member, group } in members {
+            self.member_keys.insert(member, LimitKey::at_member(limit, name));
+            self.group_members.entry(group).or_default().insert(member);
+            names.push(name.to_string());
+        }
+        self.fleet.set_members(now, names);
+    }
+
+    /// The keys of the limits that count a request.
+    pub fn keys_for(&self, class: &str, tenant: &str, group: GroupId) -> Vec<LimitKey> {
+        let counts = |limit: &&Limit| match &limit.subject {
+            Subject::Tenant(name) => name == tenant,
+            Subject::Class(name) => name == class,
+            Subject::Group(number) => *number == group.0,
+            Subject::EachMember | Subject::Budget(_) => false,
+        };
+        self.fleet.limits().iter().filter(counts).map(|limit| LimitKey::global(&limit.name)).collect()
+    }
+
+    /// The event for a request that the limits with these keys count.
+    pub fn request_event(&mut self, now: Time, request: Request, keys: &[LimitKey]) -> Event {
+        self.record_missing_capacity(request.group);
+        if keys.is_empty() {
+            return Event::Request(request);
+        }
+        let available = self.fleet.availability(now, keys);
+        Event::LimitedRequest {
+            request,
+            open_fraction: available.fraction,
+            retry_after: available.retry_after,
+        }
+    }
+
+    /// Reports demand for capacity at the members of a group where the policy assumes none.
+    fn record_missing_capacity(&mut self, group: GroupId) {
+        for member in self.group_members.get(&group).into_iter().flatten() {
+            if self.policy_capacity.get(member) != Some(&0) {
+                continue;
+            }
+            if let Some(key) = self.member_keys.get(member) {
+                self.fleet.record_missing_slot(*key);
+            }
+        }
+    }
+
+    /// The policy has admitted a request, or rejected it: the limits that count it spend a token, or learn of
+    /// the demand.
+    pub fn record_decision(&mut self, admitted: bool, keys: &[LimitKey]) {
+        if keys.is_empty() {
+            return;
+        }
+        match admitted {
+            true => self.fleet.spend(keys),
+            false => self.fleet.record_rejection(keys),
+        }
+    }
+
+    /// Occupies a slot at a member for an attempt that ends by `deadline`.
+    pub fn occupy_slot(
+        &mut self,
+        now: Time,
+        request: RequestId,
+        attempt: Attempt,
+        member: MemberId,
+        deadline: Time,
+    ) {
+        let Some(key) = self.member_keys.get(&member) else { return };
+        self.fleet.occupy_slot(now, *key, slot_number(request, attempt), deadline);
+        // The policy has counted the attempt already.
+        if let Some(capacity) = self.policy_capacity.get_mut(&member) {
+            *capacity = capacity.saturating_sub(1);
+        }
+    }
+
+    /// Releases the slot of a finished attempt, unless its host may still work on it: then the slot stays
+    /// occupied up to the attempt's deadline. Returns whether the limit counts its member.
+    pub fn release_slot(&mut self, now: Time, finished: &FinishedAttempt) -> bool {
+        let Some(key) = self.member_keys.get(&finished.exchange.member) else { return false };
+        let may_still_run = matches!(finished.status, Status::Cancelled | Status::Timeout | Status::Reset);
+        if !may_still_run {
+            let slot = slot_number(finished.request, finished.number);
+            self.fleet.release_slot(now, *key, slot);
+        }
+        true
+    }
+
+    /// A request with attempts has ended without a result: if the budget for retries is spent, another retry
+    /// was missing.
+    pub fn record_missed_retry(&mut self) {
+        if self.policy_budgets.retries != Some(0) {
+            return;
+        }
+        if let Some(key) = self.fleet.budget_key(Budget::Retries) {
+            self.fleet.record_missing_token(key);
+        }
+    }
+
+    /// Takes a token out of a budget. Returns whether there was one, or the budget does not exist. The policy
+    /// counts down its own budgets likewise.
+    pub fn spend_budget(&mut self, now: Time, budget: Budget) -> bool {
+        let Some(key) = self.fleet.budget_key(budget) else { return true };
+        let available = self.fleet.take_token(now, key);
+        let one_less = |tokens: Option<u32>| tokens.map(|n| n.saturating_sub(1));
+        match budget {
+            Budget::Retries => self.policy_budgets.retries = one_less(self.policy_budgets.retries),
+            Budget::Probes => self.policy_budgets.probes = one_less(self.policy_budgets.probes),
+            Budget::Connects | Budget::ListCalls => {}
+        }
+        available
+    }
+
+    /// Events for the budgets and capacities that differ from what the policy assumes. Their values are
+    /// filled in by [`FleetLimits::refresh`] when they are handed over.
+    pub fn changes(&mut self, now: Time) -> Vec<Event> {
+        let mut changes = Vec::new();
+        if self.budgets(now) != self.policy_budgets {
+            changes.push(Event::Budgets { retries: None, probes: None });
+        }
+        if self.per_member_limit.is_none() {
+            // A limit that has been removed leaves no bound behind.
+            for member in std::mem::take(&mut self.policy_capacity).into_keys() {
+                changes.push(Event::MemberCapacity { member, attempts: UNLIMITED });
+            }
+            return changes;
+        }
+        for (member, key) in &self.member_keys {
+            let capacity = free_slots(&mut self.fleet, now, *key, self.max_use);
+            if self.policy_capacity.get(member) != Some(&capacity) {
+                changes.push(Event::MemberCapacity { member: *member, attempts: capacity });
+            }
+        }
+        changes
+    }
+
+    /// An event with budgets and capacities as they are now, after all that was sent since it was queued.
+    pub fn refresh(&mut self, now: Time, event: Event) -> Event {
+        match event {
+            Event::Budgets { .. } => {
+                self.policy_budgets = self.budgets(now);
+                let PolicyBudgets { retries, probes } = self.policy_budgets;
+                Event::Budgets { retries, probes }
+            }
+            Event::MemberCapacity { member, .. } => {
+                let attempts = self.refresh_capacity(now, member);
+                Event::MemberCapacity { member, attempts }
+            }
+            other => other,
+        }
+    }
+
+    fn refresh_capacity(&mut self, now: Time, member: MemberId) -> u32 {
+        let key = self.member_keys.get(&member).filter(|_| self.per_member_limit.is_some());
+        let Some(key) = key else { return UNLIMITED };
+        let capacity = free_slots(&mut self.fleet, now, *key, self.max_use);
+        self.policy_capacity.insert(member, capacity);
+        capacity
+    }
+
+    fn budgets(&mut self, now: Time) -> PolicyBudgets {
+        PolicyBudgets {
+            retries: self.tokens_left(now, Budget::Retries),
+            probes: self.tokens_left(now, Budget::Probes),
+        }
+    }
+
+    fn tokens_left(&mut self, now: Time, budget: Budget) -> Option<u32> {
+        let key = self.fleet.budget_key(budget)?;
+        Some(self.fleet.tokens_left(now, key))
+    }
+}
+
+/// The attempts that may be started now under a key, if each ends within `max_use`.
+fn free_slots(fleet: &mut Fleet, now: Time, key: LimitKey, max_use: Time) -> u32 {
+    let slots = fleet.free_slots(now, key, max_use);
+    u32::try_from(slots).unwrap_or(UNLIMITED)
+}
+
+/// The number of an attempt's slot, unique at this router.
+fn slot_number(request: RequestId, attempt: Attempt) -> u64 {
+    request.0 << ATTEMPT_BITS | u64::from(attempt.0)
+}
--- a/crates/router/src/routing/requests.rs
+++ b/crates/router/src/routing/requests.rs
@@ -1,155 +1,216 @@
-//! The requests that have an answer or attempts outstanding, and the attempts and probes that are out.
-//! Each is put on the books once and taken off them once.
-
-use super::timers::TimerKey;
-use super::{ClientId, CommandId};
-use crate::protocol::statement::Statement;
-use basalthill_policy::api::*;
-use basalthill_session::TrackedRequest;
-use std::collections::{BTreeMap, BTreeSet};
+//! The life cycle of a client's request: validated, handed to the policy, answered, closed. The state is in
+//! [`RequestTable`](super::request_table::RequestTable); [`Router::handle`] and the policy's actions lead
+//! here.
+
+use super::input::{ClientId, ClientRequest};
+use super::request_table::{AwaitedCommand, OpenRequest};
+use super::sessions::SessionStart;
+use super::system_clock::ms_rounded_up;
+use super::{Answer, Effect, Router};
+use crate::protocol::statement::{Statement, StatementError};
+use basalthill_fleet::LimitKey;
+use basalthill_policy::api::{ClassId, Event, GroupId, Request, RequestId, TenantId, Time};
 use std::rc::Rc;
-
-/// A request that has an answer or attempts outstanding.
-pub struct Open {
-    pub client: ClientId,
-    pub command: CommandId,
-    pub statement: Rc<Statement>,
-    pub deadline: Time,
-    pub group: GroupId,
-    /// What its session is known by, if it has one.
-    pub tracked: Option<TrackedRequest>,
-    /// The floor that hosts are told.
-    pub floor_ms: Option<u64>,
-    pub answered: bool,
-    pub served: bool,
-    pub attempts: Vec<Option<Exchange>>, // None once its outcome is told
+use thiserror::Error;
+
+/// SQLSTATE `invalid_parameter_value`.
+const INVALID_PARAMETER_VALUE: &str = "22023";
+
+/// Why a request is invalid at this deployment. The texts go to clients.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub(super) enum InvalidRequest {
+    /// The settings have no class of this name.
+    #[error("the class is unknown")]
+    UnknownClass,
+    /// Discovery has named members, and none of this group.
+    #[error("the cluster is unknown")]
+    UnknownGroup,
+    /// Two open requests with one id could not be told apart at a host, and one would get the other's answer.
+    #[error("the id is that of an open request")]
+    DuplicateId,
+    /// A host has returned an error that lies in the statement.
+    #[error("a host can't use it")]
+    RejectedByHost,
 }
 
-/// An attempt or a probe that is out.
-#[derive(Clone, Copy)]
-pub struct Exchange {
-    pub member: MemberId,
-    pub sent: Time,
-    pub timer: TimerKey,
+impl From<InvalidRequest> for StatementError {
+    fn from(error: InvalidRequest) -> StatementError {
+        StatementError { code: INVALID_PARAMETER_VALUE, message: error.to_string() }
+    }
 }
 
-/// The requests of a router.
-#[derive(Default)]
-pub struct Requests {
-    open: BTreeMap<RequestId, Open>,
-    /// Requests that are waited for.
-    awaited: BTreeMap<(ClientId, CommandId), RequestId>,
-    /// Ids, as clients gave them, of the requests in `open`.
-    ids: BTreeSet<Rc<[u8]>>,
-    taken: u64,
+/// The class, tenant and group that a statement names.
+struct RequestTarget {
+    class: ClassId,
+    tenant: TenantId,
+    group: GroupId,
 }
 
-impl Requests {
-    /// The next request's number.
-    pub fn number(&mut self) -> RequestId {
-        self.taken += 1;
-        RequestId(self.taken - 1)
-    }
-
-    /// Whether a request of this id, as its client gave it, is on the books.
-    pub fn has(&self, id: &[u8]) -> bool {
-        self.ids.contains(id)
-    }
-
-    /// Puts a request on the books.
-    pub fn put(&mut self, id: RequestId, open: Open) {
-        self.ids.insert(open.statement.id().into());
-        self.awaited.insert((open.client, open.command), id);
-        self.open.insert(id, open);
-    }
-
-    /// A request that is on the books.
-    pub fn get(&self, id: RequestId) -> Option<&Open> {
-        self.open.get(&id)
-    }
-
-    /// A request that is on the books, to be changed.
-    pub fn get_mut(&mut self, id: RequestId) -> Option<&mut Open> {
-        self.open.get_mut(&id)
-    }
-
-    /// A command is no longer waited for: its request.
-    pub fn release(&mut self, client: ClientId, command: CommandId) -> Option<RequestId> {
-        self.awaited.remove(&(client, command))
-    }
-
-    /// The first command that a client waits for is no longer waited for.
-    pub fn release_first(&mut self, client: ClientId) -> Option<(CommandId, RequestId)> {
-        let command = self.of_client(client).next()?;
-        self.release(client, command).map(|id| (command, id))
-    }
-
-    /// A client no longer waits: all requests that it waited for.
-    pub fn release_client(&mut self, client: ClientId) -> Vec<RequestId> {
-        let commands: Vec<CommandId> = self.of_client(client).collect();
-        commands.into_iter().filter_map(|command| self.release(client, command)).collect()
-    }
-
-    /// No client waits any longer: all requests that were waited for.
-    pub fn release_all(&mut self) -> BTreeMap<(ClientId, CommandId), RequestId> {
-        std::mem::take(&mut self.awaited)
-    }
-
-    fn of_client(&self, client: ClientId) -> impl Iterator<Item = CommandId> + '_ {
-        let span = (client, CommandId(0))..=(client, CommandId(u64::MAX));
-        self.awaited.range(span).map(|((_, command), _)| *command)
-    }
+/// A request that has been handed to the policy.
+struct OpenedRequest {
+    id: RequestId,
+    /// The fleet's limits that count it.
+    limits: Vec<LimitKey>,
+}
 
-    /// A request has ended; its row goes once no attempt is out. What goes is given back.
-    pub fn close(&mut self, id: RequestId) -> Option<Open> {
-        let open = self.open.get_mut(&id)?;
-        open.answered = true;
-        if open.attempts.iter().any(Option::is_some) {
-            return None;
+impl Router {
+    /// Handles a client's request: rejects it if the program is ending, answers it if it is invalid, and has
+    /// the policy decide otherwise.
+    pub(super) fn handle_request(&mut self, now: Time, request: ClientRequest, out: &mut Vec<Effect>) {
+        let client = request.client;
+        let command = request.command;
+        if self.shutting_down {
+            self.counters.rejected += 1;
+            let answer = Answer::Rejected { retry_after_ms: None };
+            return out.push(Effect::Answer { client, command, answer });
+        }
+        match self.open_request(now, request) {
+            Ok(opened) => {
+                self.run_policy(now, out);
+                self.record_admission(opened.id, &opened.limits);
+            }
+            Err(error) => {
+                self.counters.invalid += 1;
+                out.push(Effect::Answer { client, command, answer: Answer::Invalid(error.into()) });
+            }
         }
-        self.ids.remove(open.statement.id());
-        self.open.remove(&id)
     }
 
-    /// Takes an attempt off the books, if it is out. Its request's row stays until [`Requests::close`].
-    pub fn take_attempt(&mut self, id: RequestId, attempt: Attempt) -> Option<Exchange> {
-        self.open.get_mut(&id)?.attempts.get_mut(usize::from(attempt.0))?.take()
+    /// Validates a request, inserts it into the table and queues its event for the policy.
+    fn open_request(&mut self, now: Time, request: ClientRequest) -> Result<OpenedRequest, InvalidRequest> {
+        let ClientRequest { client, command, statement, arrived_at } = request;
+        let RequestTarget { class, tenant, group } = self.resolve(&statement)?;
+        let id = self.requests.next_id();
+        let deadline = arrived_at.min(now).plus(Time::ms(statement.deadline_ms));
+        let SessionStart { tracked, floor } =
+            self.begin_session_request(now, client, &statement, class, group);
+        let request = Request {
+            id,
+            class,
+            tenant,
+            deadline,
+            group,
+            floor: self.system_clock.to_router_time(floor.position),
+            lead: floor.lead,
+            client_retry: statement.is_retry,
+        };
+        let open = OpenRequest {
+            client,
+            command,
+            statement: Rc::from(statement),
+            deadline,
+            group,
+            tracked,
+            floor_ms: floor.send_to_hosts.then(|| ms_rounded_up(floor.position)),
+            answered: false,
+            served: false,
+            attempts: Vec::new(),
+        };
+        self.requests.insert(id, open);
+        let limits = self.queue_request(now, request);
+        Ok(OpenedRequest { id, limits })
+    }
+
+    /// Looks up what a statement names, and checks that its id is not in use.
+    fn resolve(&self, statement: &Statement) -> Result<RequestTarget, InvalidRequest> {
+        let index = |names: &[String], name: &[u8]| names.iter().position(|n| n.as_bytes() == name);
+        let class = index(&self.deployment.classes, statement.class()).ok_or(InvalidRequest::UnknownClass)?;
+        // Before the first endpoint list no group is known to be missing: the policy rejects the request, and
+        // the client may retry.
+        let group = GroupId(statement.group);
+        if self.endpoints.lacks_group(group) {
+            return Err(InvalidRequest::UnknownGroup);
+        }
+        if self.requests.has_client_id(statement.id()) {
+            return Err(InvalidRequest::DuplicateId);
+        }
+        // A tenant that the settings don't name has no quota.
+        let tenants = &self.deployment.tenants;
+        let tenant = index(tenants, statement.tenant()).unwrap_or(tenants.len());
+        Ok(RequestTarget { class: ClassId(class as u16), tenant: TenantId(tenant as u16), group })
+    }
+
+    /// Rejects a request as the policy decided: nothing has run, and its client may retry after a span.
+    pub(super) fn reject_request(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        retry_after: Option<Time>,
+        out: &mut Vec<Effect>,
+    ) {
+        self.record_missed_retry(id);
+        self.note_unknown_outcome(now, id, out);
+        let retry_after_ms = retry_after.map(ms_rounded_up);
+        self.answer_client(now, id, Answer::Rejected { retry_after_ms }, out);
+    }
+
+    /// Fails a request as the policy decided: it may have run.
+    pub(super) fn fail_request(&mut self, now: Time, id: RequestId, out: &mut Vec<Effect>) {
+        self.record_missed_retry(id);
+        self.note_unknown_outcome(now, id, out);
+        self.answer_client(now, id, Answer::Failed, out);
+    }
+
+    /// Sends a request's only answer, unless its client has one or awaits none.
+    pub(super) fn answer_client(&mut self, now: Time, id: RequestId, answer: Answer, out: &mut Vec<Effect>) {
+        let Some(open) = self.requests.get(id).filter(|open| !open.answered) else { return };
+        let client = open.client;
+        let command = open.command;
+        match answer {
+            Answer::Served(_) => self.counters.served += 1,
+            Answer::Rejected { .. } => self.counters.rejected += 1,
+            Answer::Failed | Answer::Cancelled => self.counters.failed += 1,
+            Answer::Invalid(_) => self.counters.invalid += 1,
+        }
+        self.requests.release(client, command);
+        out.push(Effect::Answer { client, command, answer });
+        self.close_request(now, id);
     }
 
-    /// Requests without an answer.
-    pub fn unanswered(&self) -> usize {
-        self.awaited.len()
+    /// Marks a request as ended. It leaves the table, and its session's books, once no attempt is in flight.
+    pub(super) fn close_request(&mut self, now: Time, id: RequestId) {
+        if let Some(OpenRequest { group, tracked: Some(tracked), .. }) = self.requests.close(id) {
+            self.sessions.end_request(self.system_clock.to_unix_time(now), group, &tracked);
+        }
     }
 
-    /// Rows on the books.
-    pub fn rows(&self) -> usize {
-        self.open.len().max(self.ids.len())
+    /// A client has disconnected: the policy aborts what it safely can of its requests.
+    pub(super) fn client_disconnected(&mut self, now: Time, client: ClientId) {
+        self.accepted_at.remove(&client);
+        for AwaitedCommand { request, .. } in self.requests.release_client(client) {
+            self.counters.abandoned += 1;
+            self.close_request(now, request);
+            self.events.push_back(Event::ClientGone(request));
+        }
     }
-}
-
-/// The probes that are out.
-#[derive(Default)]
-pub struct Probes {
-    out: BTreeMap<u64, Exchange>,
-    sent: u64,
-}
 
-impl Probes {
-    /// Puts a probe on the books; `made` is told its number.
-    pub fn put(&mut self, made: impl FnOnce(u64) -> Exchange) -> u64 {
-        let number = self.sent;
-        self.sent += 1;
-        self.out.insert(number, made(number));
-        number
+    /// A client cancels its first unanswered request.
+    pub(super) fn cancel_first_request(&mut self, now: Time, client: ClientId, out: &mut Vec<Effect>) {
+        let Some(awaited) = self.requests.release_first(client) else { return };
+        self.counters.abandoned += 1;
+        self.end_without_result(now, awaited, Answer::Cancelled, out);
     }
 
-    /// Takes a probe off the books, if it is out.
-    pub fn take(&mut self, number: u64) -> Option<Exchange> {
-        self.out.remove(&number)
+    /// Fails all unanswered requests, as the program is about to end; later ones are rejected.
+    pub(super) fn shut_down(&mut self, now: Time, out: &mut Vec<Effect>) {
+        self.shutting_down = true;
+        for awaited in self.requests.release_all() {
+            self.end_without_result(now, awaited, Answer::Failed, out);
+        }
     }
 
-    /// How many are out.
-    pub fn len(&self) -> usize {
-        self.out.len()
+    /// Ends a request whose answer is not awaited any more with an answer that does not come from a host.
+    fn end_without_result(
+        &mut self,
+        now: Time,
+        awaited: AwaitedCommand,
+        answer: Answer,
+        out: &mut Vec<Effect>,
+    ) {
+        let AwaitedCommand { client, command, request } = awaited;
+        self.note_unknown_outcome(now, request, out);
+        self.close_request(now, request);
+        out.push(Effect::Answer { client, command, answer });
+        self.events.push_back(Event::ClientGone(request));
     }
 }
