--- a/crates/router/tests/program.rs
+++ b/crates/router/tests/program.rs
@@ -367,8 +367,7 @@
     let page = std::fs::read_to_string(root.join("examples/README.md")).unwrap();
     let commands: Vec<&str> =
         page.lines().filter_map(|line| line.split_once("basalthill -- ")).map(|parts| parts.1).collect();
-    let queries: Vec<&str> =
-        commands.into_iter().filter(|c| c.starts_with("query ") || c.starts_with("ask ")).collect();
+    let queries: Vec<&str> = commands.into_iter().filter(|c| c.starts_with("query ")).collect();
     assert_eq!(queries.len(), 2);
     for line in queries {
         let words: Vec<&str> = line.split(' ').map(|w| if w.contains(':') { &listen } else { w }).collect();
@@ -376,6 +375,9 @@
         let query = || program().args(&words).output().unwrap();
         let served = (0..100).any(|_| printed(&query()) == "served: hello\n");
         assert!(served, "{line}: {}", printed(&query()));
+        // The sub-command's earlier name is still an alias.
+        let alias = program().arg("ask").args(&words[1..]).output().unwrap();
+        assert_eq!(alias.status.code(), Some(0), "{line}: {}", printed(&alias));
     }
     signal(&router.0, "TERM");
     assert_eq!(router.0.wait().unwrap().code(), Some(0));
