--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -7,16 +7,7 @@
 
 fn request_under_limits(b: &mut Bench, class: ClassId, open: f64) -> RequestId {
     b.next += 1;
-    let request = Request {
-        id: RequestId(b.next),
-        class,
-        tenant: TenantId(0),
-        deadline: b.now.plus(Time::ms(1500)),
-        group: GroupId(0),
-        floor: Time(0),
-        lead: Time(0),
-        client_retry: false,
-    };
+    let request = plain_request(RequestId(b.next), class, b.now.plus(Time::ms(1500)));
     let id = request.id;
     b.event(Event::LimitedRequest { request, open_fraction: open, retry_after: Time::ms(120) });
     id
@@ -122,16 +113,7 @@
     b.now = b.now.plus(Time::ms(900));
     b.next += 1;
     let old = RequestId(b.next);
-    b.event(Event::Request(Request {
-        id: old,
-        class: BOUNDED,
-        tenant: TenantId(0),
-        deadline,
-        group: GroupId(0),
-        floor: Time(0),
-        lead: Time(0),
-        client_retry: false,
-    }));
+    b.event(Event::Request(plain_request(old, BOUNDED, deadline)));
     assert!(b.is_rejected(old), "its latency objective passed while the router stalled");
     let new = b.request(BOUNDED, 0);
     assert!(!b.is_rejected(new), "one that comes with the usual time left is new");
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -92,6 +92,20 @@
     }
 }
 
+/// A request for group 0 without a floor, which its client does not mark as a retry.
+pub fn plain_request(id: RequestId, class: ClassId, deadline: Time) -> Request {
+    Request {
+        id,
+        class,
+        tenant: TenantId(0),
+        deadline,
+        group: GroupId(0),
+        floor: Time(0),
+        lead: Time(0),
+        client_retry: false,
+    }
+}
+
 /// One router with its clock and a record of its actions.
 pub struct Bench {
     pub policy: Policy,
@@ -209,16 +223,8 @@
     fn submit(&mut self, class: ClassId, floor: Time, client_retry: bool, ms: u64) -> RequestId {
         self.next += 1;
         let id = RequestId(self.next);
-        self.event(Event::Request(Request {
-            id,
-            class,
-            tenant: TenantId(0),
-            deadline: self.now.plus(Time::ms(ms)),
-            group: GroupId(0),
-            floor,
-            lead: self.lead,
-            client_retry,
-        }));
+        let plain = plain_request(id, class, self.now.plus(Time::ms(ms)));
+        self.event(Event::Request(Request { floor, lead: self.lead, client_retry, ..plain }));
         id
     }
 
--- a/crates/policy/tests/endpoint_list.rs
+++ b/crates/policy/tests/endpoint_list.rs
@@ -84,14 +84,8 @@
         assert!(b.is_in_flight(id), "the true one again");
         let id = b.request(EVENTUAL, 0);
         b.event(Event::Request(Request {
-            id: RequestId(9999),
-            class: EVENTUAL,
-            tenant: TenantId(0),
-            deadline: b.now.plus(Time::ms(1500)),
             group: GroupId(77),
-            floor: Time(0),
-            lead: Time(0),
-            client_retry: false,
+            ..plain_request(RequestId(9999), EVENTUAL, b.now.plus(Time::ms(1500)))
         }));
         assert!(b.is_rejected(RequestId(9999)) && !b.is_rejected(id), "a group that no list named");
     }
--- a/crates/policy/tests/retries.rs
+++ b/crates/policy/tests/retries.rs
@@ -9,7 +9,8 @@
 fn with_window(ms: u64) -> Settings {
     let mut set = settings();
     let keyed = &mut set.classes[usize::from(IDEMPOTENT_BY_KEY.0)];
-    (keyed.window, keyed.scope) = (Time::ms(ms), KeyScope::All);
+    keyed.window = Time::ms(ms);
+    keyed.scope = KeyScope::All;
     set
 }
 
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -63,6 +63,7 @@
     ]
 }
 
+/// An attempt as the checker knows it.
 struct Out {
     member: MemberId,
     sent: Time,
@@ -70,6 +71,7 @@
     status: Option<Status>,
 }
 
+/// A request as the checker knows it.
 struct Submitted {
     class: Class,
     group: GroupId,
@@ -80,21 +82,26 @@
     over: bool,
 }
 
-/// Members 0 to 6; the even ones are in group 0, the odd ones in group 1.
+/// Plays events against a router and checks each action by the rules, from events and actions alone. Members
+/// are 0 to 6: the even ones are in group 0, the odd ones in group 1.
 struct Checker {
     set: Settings,
     policy: Policy,
     now: Time,
     requests: BTreeMap<RequestId, Submitted>,
+    /// When the router was notified that a member drains or is removed.
     drain_notified: BTreeMap<MemberId, Time>,
     started: BTreeMap<MemberId, Time>,
+    /// The latest position that a member has reported.
     position: BTreeMap<MemberId, Time>,
     /// When an answer last named a member a replica, until a later report or answer names it primary.
     replica: BTreeMap<MemberId, Time>,
     /// Members that something has named primary, so that sends there are excused.
     led: BTreeMap<MemberId, bool>,
     sends: BTreeMap<MemberId, Vec<Time>>,
+    /// Requests served by members that were not warming up.
     served_warm: usize,
+    /// Rules broken so far.
     broken: Vec<String>,
 }
 
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -12,7 +12,7 @@
     const ROUTERS: u64 = 200;
     let (every, took) = (2000, Time::ms(80));
     let mut set = settings();
-    (set.routers, set.router) = (ROUTERS as u32, RouterId(0));
+    set.routers = ROUTERS as u32;
     let first = || {
         let group = |g| {
             [endpoint(1 + 10 * g, g, true), endpoint(2 + 10 * g, g, false), endpoint(3 + 10 * g, g, false)]
@@ -53,14 +53,8 @@
             }
             if (ms + n as u64 * 10) % every == 0 {
                 events.push(Event::Request(Request {
-                    id: RequestId(ms),
-                    class: BOUNDED,
-                    tenant: TenantId(0),
-                    deadline: now.plus(Time::ms(1500)),
                     group: GroupId(((ms / every + n as u64) % u64::from(groups)) as u32),
-                    floor: Time(0),
-                    lead: Time(0),
-                    client_retry: false,
+                    ..plain_request(RequestId(ms), BOUNDED, now.plus(Time::ms(1500)))
                 }));
             }
             events.push(Event::Timer(0));
--- a/crates/policy/tests/slow_start_fleets.rs
+++ b/crates/policy/tests/slow_start_fleets.rs
@@ -195,14 +195,12 @@
                 router.requests += 1;
                 let write = headless && random.f64() < 0.5;
                 events.push(Event::Request(Request {
-                    id: RequestId(router.requests - 1),
-                    class: if write { NON_IDEMPOTENT } else { BOUNDED },
-                    tenant: TenantId(0),
-                    deadline: now.plus(Time::ms(1500)),
                     group: GroupId((random.f64() * f64::from(GROUPS)) as u32),
-                    floor: Time(0),
-                    lead: Time(0),
-                    client_retry: false,
+                    ..plain_request(
+                        RequestId(router.requests - 1),
+                        if write { NON_IDEMPOTENT } else { BOUNDED },
+                        now.plus(Time::ms(1500)),
+                    )
                 }));
             }
             events.push(Event::Timer(0));
