--- a/crates/policy/tests/ejection.rs
+++ b/crates/policy/tests/ejection.rs
@@ -197,7 +197,7 @@
 
 /// The router had no descriptor left for a connection, or a drain grace was over.
 #[test]
-fn an_unsent_health_check_says_nothing_of_its_member() {
+fn an_unsent_health_check_is_no_evidence_about_its_member() {
     let mut b = Bench::new(settings());
     for _ in 0..3 {
         b.advance(300);
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -493,7 +493,7 @@
 }
 
 #[test]
-fn the_five_rules_hold_on_random_event_sequences() {
+fn random_event_sequences_break_none_of_the_five_rules() {
     let strategy = (0u8..64, prop::collection::vec(step(), 1..250));
     let outcome = runner(400).run(&strategy, |(n, steps)| {
         let mut c = Checker::new(variant(n));
