--- a/crates/router/src/routing/endpoints.rs
+++ b/crates/router/src/routing/endpoints.rs
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Applies a list, or changes to it, whose content may have held since `valid_since`.
+    /// Applies a list, or changes to it, whose content may have been true since `valid_since`.
     pub fn apply(&mut self, list: HostList, valid_since: Time, clock: SystemClockOffset) -> AppliedList {
         let form = if list.full { EndpointUpdate::Full } else { EndpointUpdate::Delta };
         let mut applied = AppliedList { form, entries: Vec::new(), ended: Vec::new() };
--- a/crates/router/src/routing/exchanges.rs
+++ b/crates/router/src/routing/exchanges.rs
@@ -1,5 +1,5 @@
 //! Exchanges with database hosts, whether attempts of requests or health checks: what is known of one in
-//! flight, and the paths that both kinds share. Transport calls in with each exchange's result.
+//! flight, and the paths that are common to both kinds. Transport calls in with each exchange's result.
 
 use super::input::{ExchangeId, ExchangeResult};
 use super::timers::TimerKey;
--- a/crates/router/src/routing/fleet_limits.rs
+++ b/crates/router/src/routing/fleet_limits.rs
@@ -4,15 +4,13 @@
 
 use super::attempts::FinishedAttempt;
 use super::endpoints::PresentMember;
+use super::system_clock::NS_PER_MS;
 use basalthill_config::local_settings::FleetSettings;
 use basalthill_config::settings::Deployment;
 use basalthill_fleet::{Bounds, Budget, DatagramCodec, Fleet, FleetConfig, Limit, LimitKey, Subject, Timing};
 use basalthill_policy::api::{Attempt, Event, GroupId, MemberId, Request, RequestId, Status, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Nanoseconds in a millisecond.
-const NS_PER_MS: u64 = 1_000_000;
-
 /// The lower bits of a slot's number hold the attempt's number, the bits above it the request's.
 const ATTEMPT_BITS: u32 = 16;
 
@@ -33,7 +31,8 @@
     let longest = timeouts.max().unwrap_or_default();
     let bounds_concurrency = fleet.limits.iter().any(|l| matches!(l.bounds, Bounds::Concurrent(_)));
     let max_use = if bounds_concurrency { longest } else { Time(0) };
-    // The vote quarantine also covers limits of an earlier configuration.
+    // A voter that has just started waits until all votes of its earlier incarnation have run out. These may
+    // have been granted under other limits, so the longest use counts here in any case.
     let any_limits = Timing::new(fleet.drift, longest);
     FleetConfig {
         roster: fleet.names.clone(),
--- a/crates/router/src/routing/input.rs
+++ b/crates/router/src/routing/input.rs
@@ -76,7 +76,7 @@
     EndpointList {
         /// The list, complete or changes only.
         list: HostList,
-        /// The earliest time at which its content may have held: before its arrival, where a watch was
+        /// The earliest time at which its content may have been true: before its arrival, where a watch was
         /// silent.
         valid_since: Time,
     },
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -78,7 +78,7 @@
     shutting_down: bool,
     /// Events that the policy has not had yet.
     events: VecDeque<Event>,
-    /// An empty buffer for the policy's actions, kept for reuse.
+    /// An empty buffer for the policy's actions, reused by each event.
     actions: Vec<Action>,
 }
 
@@ -234,7 +234,7 @@
                 out.extend(self.endpoints.addr(member).map(Effect::CloseIdleConnections));
             }
             // Transport keeps a watch open in any case, which brings each change by itself. A poll of the
-            // whole list would only delay other routers that share the discovery service.
+            // complete list would only delay other routers that use the same discovery service.
             Action::WatchEndpoints | Action::PollEndpoints => {}
             Action::Log(line) => tracing::info!("{line}"),
         }
--- a/crates/router/src/routing/requests.rs
+++ b/crates/router/src/routing/requests.rs
@@ -1,6 +1,6 @@
-//! The life cycle of a client's request: validated, handed to the policy, answered, closed. The state is in
-//! [`RequestTable`](super::request_table::RequestTable); [`Router::handle`] and the policy's actions lead
-//! here.
+//! A client's request from its arrival to its end: validated, handed to the policy, answered, closed. The
+//! state is in [`RequestTable`](super::request_table::RequestTable); [`Router::handle`] and the policy's
+//! actions lead here.
 
 use super::input::{ClientId, ClientRequest};
 use super::request_table::{AwaitedCommand, OpenRequest};
@@ -25,7 +25,8 @@
     /// Discovery has named members, and none of this group.
     #[error("the cluster is unknown")]
     UnknownGroup,
-    /// Two open requests with one id could not be told apart at a host, and one would get the other's answer.
+    /// Two open requests with one id could not be distinguished at a host, and one would get the other's
+    /// answer.
     #[error("the id is that of an open request")]
     DuplicateId,
     /// A host has returned an error that lies in the statement.
@@ -167,7 +168,7 @@
         self.close_request(now, id);
     }
 
-    /// Marks a request as ended. It leaves the table, and its session's books, once no attempt is in flight.
+    /// Marks a request as ended. It leaves the table, and ends in its session, once no attempt is in flight.
     pub(super) fn close_request(&mut self, now: Time, id: RequestId) {
         if let Some(OpenRequest { group, tracked: Some(tracked), .. }) = self.requests.close(id) {
             self.sessions.end_request(self.system_clock.to_unix_time(now), group, &tracked);
--- a/crates/router/src/routing/system_clock.rs
+++ b/crates/router/src/routing/system_clock.rs
@@ -5,7 +5,7 @@
 use basalthill_policy::api::{ReplicationState, Time};
 
 /// Nanoseconds in a millisecond.
-const NS_PER_MS: u64 = 1_000_000;
+pub const NS_PER_MS: u64 = 1_000_000;
 
 /// A change of the offset by less than this, in nanoseconds, is the gradual correction of a synchronized
 /// clock; from here on it is a step, after which earlier and later Unix times can't be compared.
--- a/crates/router/tests/at_most_once.rs
+++ b/crates/router/tests/at_most_once.rs
@@ -23,7 +23,7 @@
 const WELCOME: &[u8] = b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I";
 /// ReadyForQuery.
 const READY_FOR_QUERY: &[u8] = b"Z\0\0\0\x05I";
-/// The start of a statement, in bytes, that tells what it is; a host reads at least this much.
+/// The bytes of a statement by which a host distinguishes health checks; it reads at least these.
 const STATEMENT_START: usize = 64;
 
 /// A write with an id.
--- a/crates/router/tests/routing/harness.rs
+++ b/crates/router/tests/routing/harness.rs
@@ -97,7 +97,7 @@
         effects
     }
 
-    /// Whole milliseconds up to a time.
+    /// Milliseconds up to a time, rounded down.
     pub fn ms_until(&self, time: Time) -> u64 {
         time.since(self.now).0 / 1_000_000
     }
--- a/crates/router/tests/routing/requests.rs
+++ b/crates/router/tests/routing/requests.rs
@@ -41,7 +41,7 @@
     let answered = answers(&effects);
     assert!(matches!(answered[..], [(2, Answer::Rejected { retry_after_ms: Some(_) })]), "{effects:?}");
 
-    // An arrival in the future grants no more than the whole timeout.
+    // An arrival in the future grants no more than the full timeout.
     let arrived_at = harness.now.plus(Time::ms(500));
     let effects = harness.input(request(3, statement("write", ""), arrived_at));
     let [attempt] = &started_exchanges(&effects)[..] else { panic!("{effects:?}") };
