--- a/crates/router/src/transport/backoff/tests.rs
+++ b/crates/router/src/transport/backoff/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn rests_double_up_to_their_limit_and_begin_anew_after_success() {
+fn delays_double_up_to_their_limit_and_restart_after_success() {
     assert_eq!(rests(Backoff::steady(), 5), [100, 200, 400, 500, 500]);
     let mut backoff = Backoff::steady();
     backoff.next(Call::Unanswered);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn routers_that_a_shared_discovery_turns_away_together_all_get_through() {
+fn routers_rejected_together_by_a_shared_discovery_all_get_through() {
     for routers in [20, 100, 300] {
         let each = 8000 / routers;
         assert_eq!(served(routers, each, 30_000), routers as usize, "{routers} routers");
@@ -57,7 +57,7 @@
 
 /// Rule: told 6 s after discovery can be reached again; a call that is given up takes 2.25 s of it.
 #[test]
-fn after_a_long_outage_no_rest_is_longer_than_what_the_rule_leaves() {
+fn after_a_long_outage_no_delay_exceeds_what_the_6_s_rule_allows() {
     for watch in 0..50 {
         let mut backoff = Backoff::drawn(40, watch);
         let longest = (0..30).map(|_| backoff.next(Call::Unanswered)).max();
--- a/crates/router/src/transport/conversation/tests.rs
+++ b/crates/router/src/transport/conversation/tests.rs
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn reads_are_asked_side_by_side_and_answered_in_order() {
+fn reads_are_forwarded_concurrently_and_answered_in_order() {
     let mut talk = talk();
     let commands: Vec<u8> = (0..MAX_CONCURRENT_READS + 2).flat_map(|n| query(&text(n, false))).collect();
     talk.read(&[startup(), commands].concat(), true, Time::ms(5));
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_write_waits_for_all_before_it_and_all_behind_it_for_the_write() {
+fn a_write_waits_for_earlier_commands_and_blocks_later_ones() {
     let mut talk = talk();
     let commands = [(0, false), (1, false), (2, true), (3, false)].map(|(n, write)| query(&text(n, write)));
     talk.read(&[startup(), commands.concat()].concat(), true, Time(0));
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn what_was_read_after_a_pause_counts_from_the_pause() {
+fn input_read_after_a_pause_counts_from_the_pause() {
     let mut talk = talk();
     talk.read(&startup(), true, Time::ms(1));
     talk.pause(Time::ms(10));
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn one_that_does_not_take_its_answers_is_asked_no_more_for() {
+fn a_client_that_reads_no_replies_has_no_more_requests_forwarded() {
     let mut talk = talk();
     let commands: Vec<u8> = (0..60).flat_map(|n| query(&text(n, false))).collect();
     talk.read(&[startup(), commands].concat(), true, Time(0));
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn reading_stops_while_much_waits_and_goes_on_later() {
+fn reading_pauses_while_much_input_is_queued() {
     let mut talk = talk();
     let write = query(&text(0, true));
     let many = LARGE_STATEMENT_LEN / write.len() + 2;
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn sound_commands_before_too_many_faults_have_their_answers() {
+fn valid_commands_before_too_many_faults_are_answered() {
     let mut talk = talk();
     let bad = query("DROP TABLE records");
     let commands = [
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn a_message_that_never_ends_is_told_off_behind_the_answers_before_it() {
+fn an_incomplete_message_times_out_behind_the_earlier_replies() {
     let mut talk = talk();
     let half = query(&text(1, false));
     talk.read(&[startup(), query(&text(0, true)), half[..20].to_vec()].concat(), true, Time::ms(3));
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn after_the_last_call_only_what_has_begun_is_taken() {
+fn after_the_input_limit_only_a_started_message_is_completed() {
     let mut talk = talk();
     let (one, two) = (query(&text(0, false)), query(&text(1, false)));
     talk.read(&[startup(), one[..7].to_vec()].concat(), true, Time(0));
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn what_the_socket_holds_at_the_last_call_is_taken_and_nothing_behind_it() {
+fn input_is_taken_up_to_the_limit_and_nothing_behind_it() {
     let mut talk = talk();
     talk.read(&startup(), true, Time(0));
     let (one, two, three) = (query(&text(0, false)), query(&text(1, false)), query(&text(2, false)));
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn an_empty_query_is_answered_once_the_router_is_ready_and_holds_up_nothing() {
+fn an_empty_query_is_answered_once_the_router_is_ready_and_blocks_nothing() {
     let mut talk = talk();
     talk.read(&[startup(), query("")].concat(), true, Time(0));
     while talk.step(false).is_some() {}
@@ -318,7 +318,7 @@
     /// its own lateness: each whole command that is taken gets exactly one answer, in order; a connection
     /// ends only behind all of them; no read passes a write; and nothing is taken behind its end.
     #[test]
-    fn each_whole_command_has_one_answer_in_order(
+    fn each_complete_command_has_one_reply_in_order(
         commands in commands(),
         cuts in prop::collection::vec(any::<usize>(), 0..30),
         between in prop::collection::vec(happens(), 0..120),
--- a/crates/router/src/transport/exchange/tests.rs
+++ b/crates/router/src/transport/exchange/tests.rs
@@ -50,13 +50,13 @@
 }
 
 #[test]
-fn a_request_that_can_not_be_written_whole_was_not_sent() -> std::io::Result<()> {
+fn a_query_that_was_written_in_part_counts_as_not_sent() -> std::io::Result<()> {
     assert_eq!(ended(PROBE, "active", "1000000000", true)?, (ExchangeResult::NotSent, 0));
     Ok(())
 }
 
 #[test]
-fn nothing_is_written_once_a_drains_grace_has_passed() -> std::io::Result<()> {
+fn nothing_is_written_after_the_drain_grace() -> std::io::Result<()> {
     assert_eq!(ended(PROBE, "active", "0", false)?, (ExchangeResult::ConnectionLost, 14));
     assert_eq!(ended(PROBE, "leaving", "60000000000", false)?, (ExchangeResult::ConnectionLost, 14));
     assert_eq!(ended(PROBE, "leaving", "0", false)?, (ExchangeResult::Skipped, 0));
@@ -93,20 +93,20 @@
 }
 
 #[test]
-fn a_want_of_descriptors_is_waited_out_and_no_failure_of_the_member() -> std::io::Result<()> {
+fn descriptor_exhaustion_is_waited_out_and_is_no_fault_of_the_member() -> std::io::Result<()> {
     // The query was written, and the member closed.
     assert_eq!(over_a_want_of_descriptors(PROBE)?, (ExchangeResult::ConnectionLost, 14));
     Ok(())
 }
 
 #[test]
-fn nothing_is_written_for_a_client_that_left_while_a_connection_rested() -> std::io::Result<()> {
+fn nothing_is_written_for_a_client_that_disconnected_during_the_reuse_delay() -> std::io::Result<()> {
     assert_eq!(ended(LEFT, "active", "1000000000", false)?, (ExchangeResult::Skipped, 0));
     Ok(())
 }
 
 #[test]
-fn nothing_is_written_for_a_client_that_left_while_a_descriptor_was_waited_for() -> std::io::Result<()> {
+fn nothing_is_written_for_a_client_that_disconnected_during_descriptor_exhaustion() -> std::io::Result<()> {
     assert_eq!(over_a_want_of_descriptors(LEFT)?, (ExchangeResult::Skipped, 0));
     Ok(())
 }
--- a/crates/router/src/transport/pool/tests.rs
+++ b/crates/router/src/transport/pool/tests.rs
@@ -4,7 +4,7 @@
 use std::net::TcpListener;
 
 #[test]
-fn a_connection_rests_and_one_that_has_brought_more_is_never_used_again() -> std::io::Result<()> {
+fn a_connection_observes_the_reuse_delay_and_one_with_unexpected_input_is_closed() -> std::io::Result<()> {
     let host = TcpListener::bind(("127.0.0.1", 0))?;
     let addr = host.local_addr()?;
     let budget = Semaphore::new(9);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn connections_that_have_idled_since_before_a_moment_are_closed() -> std::io::Result<()> {
+fn connections_idle_since_before_an_instant_are_closed() -> std::io::Result<()> {
     let host = TcpListener::bind(("127.0.0.1", 0))?;
     let (addr, budget) = (host.local_addr()?, Semaphore::new(9));
     let pool = Pool::new(Duration::ZERO, Duration::from_secs(86_400));
--- a/crates/router/src/transport/tests.rs
+++ b/crates/router/src/transport/tests.rs
@@ -4,7 +4,7 @@
 const CONFIG: &str = include_str!("../../../../examples/router.json");
 
 #[test]
-fn what_the_machine_has_accepted_is_taken_in_before_the_listener_closes() -> std::io::Result<()> {
+fn the_backlog_is_accepted_before_the_listener_closes() -> std::io::Result<()> {
     let listener = TcpListener::bind(("127.0.0.1", 0))?;
     let addr = listener.local_addr()?;
     let config = parse(CONFIG.as_bytes(), |_| None, LoadPhase::Startup).expect("a sound example");
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_call_that_fails_leaves_those_behind_it_to_be_accepted() {
+fn a_failed_accept_leaves_the_backlog_to_be_accepted() {
     let mut calls =
         [Err(ErrorKind::Interrupted), Err(ErrorKind::ConnectionAborted), Ok(1), Ok(2)].into_iter();
     let mut accept = || calls.next().unwrap_or(Err(ErrorKind::WouldBlock)).map_err(std::io::Error::from);
--- a/crates/router/tests/client_moments.rs
+++ b/crates/router/tests/client_moments.rs
@@ -84,18 +84,18 @@
 }
 
 #[test]
-fn a_write_whose_client_closed_while_it_waited_for_a_connection_is_never_sent() {
+fn a_write_is_not_sent_after_its_client_closed() {
     leaves(|mut client| client.read_until_ready().unwrap());
 }
 
 #[test]
-fn a_write_whose_client_reset_its_connection_meanwhile_is_never_sent() {
+fn a_write_is_not_sent_after_its_client_reset_the_connection() {
     // Closed over a welcome that it has not read: its machine resets the connection.
     leaves(drop);
 }
 
 #[test]
-fn a_client_that_closed_behind_what_is_not_read_on_is_noticed() {
+fn a_client_close_behind_unread_bytes_is_detected() {
     leaves(|mut client| {
         // More than the router reads on while a request is out.
         let rest = query(&format!("SELECT {}", "7".repeat(100_000)));
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_cancelled_write_is_answered_at_once_and_never_sent() {
+fn a_cancelled_write_is_answered_immediately_and_never_sent() {
     let (host, served) = aloof();
     let (mut client, key) = keyed(served.addr);
     let before = host.seen.lock().accepted;
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn under_a_flood_nothing_is_sent_for_clients_that_left_a_tenth_of_a_second_ago() {
+fn under_a_flood_nothing_is_sent_100_ms_after_a_client_disconnected() {
     let (host, served) = aloof();
     let busy = Arc::new(AtomicBool::new(true));
     flood(served.addr, 4, &busy);
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn requests_that_cross_a_stop_are_answered_or_provably_unread() {
+fn requests_that_race_with_shutdown_are_answered_or_unread() {
     let host = primary_host(|_| Reply::Row(b"x".to_vec()));
     let mut served = RouterThread::with_primary(&host);
     let mut resting: Vec<Client> = (0..40).map(|_| served.client()).collect();
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn a_close_over_bytes_that_come_with_it_loses_no_tail_of_an_answer() {
+fn a_close_with_unread_input_keeps_the_last_answer_complete() {
     let value = vec![7; 60_000];
     let large = value.clone();
     let host = primary_host(move |_| Reply::Row(large.clone()));
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn clients_that_send_without_a_pause_do_not_hold_up_a_stop() {
+fn clients_that_send_without_pause_do_not_delay_shutdown() {
     let host = primary_host(|_| Reply::Row(b"x".to_vec()));
     let mut served = RouterThread::with_primary(&host);
     let busy = Arc::new(AtomicBool::new(true));
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn at_the_end_of_a_stop_requests_behind_others_are_answered_too() {
+fn at_the_shutdown_deadline_queued_requests_are_answered_too() {
     let host = primary_host(|_| Reply::NoAnswer);
     let mut served = RouterThread::with_primary(&host);
     let mut client = served.client();
@@ -268,7 +268,7 @@
 /// A client that writes many commands at once waits for each from its last byte on: one whose time has passed
 /// behind the others is turned away as its turn comes, and sent nowhere.
 #[test]
-fn a_command_whose_time_passed_behind_another_is_turned_away_in_its_turn() {
+fn a_command_that_expired_in_the_pipeline_is_rejected_in_order() {
     let host = primary_host(|text| {
         if text.contains("id=1") {
             std::thread::sleep(Duration::from_millis(700)); // its work
@@ -299,7 +299,7 @@
 /// A client that makes room for another, and asks in that very moment: it is served, or its request was never
 /// read on.
 #[test]
-fn requests_that_cross_a_close_for_want_of_room_are_answered_or_unread() {
+fn requests_that_race_with_an_eviction_are_answered_or_unread() {
     let host = primary_host(|_| Reply::Row(b"x".to_vec()));
     let served = RouterThread::with_descriptors(&host, 64);
     let mut unserved = 0;
@@ -324,7 +324,7 @@
 
 /// A slow reader and one that sends slowly take nothing from the others' time, and give back what they held.
 #[test]
-fn slow_clients_take_nothing_from_others() {
+fn slow_clients_do_not_delay_other_clients() {
     let value = vec![7; 60_000];
     let host = primary_host(move |text| match text.contains("id=slow") {
         true => Reply::Row(value.clone()),
--- a/crates/router/tests/list_moments.rs
+++ b/crates/router/tests/list_moments.rs
@@ -83,28 +83,28 @@
 }
 
 #[test]
-fn a_watch_that_drips_half_a_line_for_ever_is_silent() {
+fn a_watch_that_drips_an_incomplete_line_times_out() {
     drain_after(&[]);
 }
 
 #[test]
-fn a_drain_is_acted_on_in_time_through_a_silent_and_a_refused_call() {
+fn a_drain_takes_effect_in_time_after_a_silent_and_a_refused_call() {
     drain_after(&[ResponseMode::Silent, ResponseMode::Closed]);
 }
 
 #[test]
-fn a_drain_is_acted_on_in_time_through_a_refused_call_and_one_that_ends_with_its_head() {
+fn a_drain_takes_effect_in_time_after_a_refused_call_and_one_cut_after_its_head() {
     drain_after(&[ResponseMode::Closed, ResponseMode::HeadOnly]);
 }
 
 #[test]
-fn a_drain_is_acted_on_in_time_through_two_refused_calls_and_a_silent_one() {
+fn a_drain_takes_effect_in_time_after_two_refused_calls_and_a_silent_one() {
     drain_after(&[ResponseMode::Closed, ResponseMode::Closed, ResponseMode::Silent]);
 }
 
 /// Discovery is away for so long that calls are far apart; at its return the drain is there.
 #[test]
-fn discovery_that_comes_back_is_heard_at_once() {
+fn discovery_that_recovers_is_followed_at_once() {
     let (one, two) = pair();
     let known = endpoint_list(1, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
     let nobody = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -122,7 +122,7 @@
 
 /// The old address hangs and the first call to the new one is never answered.
 #[test]
-fn a_new_address_is_heard_in_time_though_its_first_call_is_lost() {
+fn a_new_discovery_address_is_followed_in_time_though_its_first_call_is_lost() {
     let (one, two) = pair();
     let known = endpoint_list(70, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
     let old = Discovery::start(known.clone()).unwrap();
@@ -141,7 +141,7 @@
 /// The agent had the drain before the process started, so it counts as told from then on, also where the
 /// first call was lost: nothing of its grace is left when the list comes.
 #[test]
-fn a_drain_that_was_there_before_the_start_has_no_grace_left_when_it_comes_late() {
+fn a_drain_from_before_the_start_has_no_grace_left_when_it_arrives_late() {
     let one = primary_host(|_| Reply::Row(b"one".to_vec()));
     let known = endpoint_list(1, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
     let discovery =
@@ -163,7 +163,7 @@
 /// Where all routers ask one discovery in turn, a whole list for each that is turned away would be more than
 /// it can give: what is known stays known, and the next call asks for what has changed.
 #[test]
-fn a_router_that_is_turned_away_asks_again_for_what_has_changed_alone() {
+fn a_rejected_call_is_repeated_for_changes_only() {
     let (one, two) = pair();
     let known = endpoint_list(7, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
     let discovery = Discovery::start(drained(8, false, &one, &two)).unwrap();
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn a_list_that_comes_indented_is_read() {
+fn an_indented_list_is_read() {
     let (one, two) = pair();
     let known = endpoint_list(1, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
     let discovery = Discovery::start(drained(2, true, &one, &two)).unwrap();
--- a/crates/router/tests/local_calls.rs
+++ b/crates/router/tests/local_calls.rs
@@ -46,20 +46,20 @@
 }
 
 #[test]
-fn calls_that_signals_interrupt_lose_no_request() {
+fn interrupted_system_calls_lose_no_request() {
     let calls = ["read", "recv", "send", "writev", "accept4"];
     serves_all(&calls.map(|name| (name, libc::EINTR, 3)));
 }
 
 #[test]
-fn calls_that_want_for_buffers_lose_no_request() {
+fn system_calls_without_buffers_lose_no_request() {
     let (memory, buffers) = (libc::ENOMEM, libc::ENOBUFS);
     serves_all(&[("recv", memory, 7), ("send", buffers, 7), ("writev", buffers, 7), ("accept4", memory, 3)]);
 }
 
 /// Its descriptors end before its own count of them does, as clients hold them; then they leave.
 #[test]
-fn a_want_of_descriptors_is_waited_out_and_no_failure_of_a_member() {
+fn descriptor_exhaustion_is_waited_out_and_is_no_fault_of_a_member() {
     let world =
         Deployment::start(&program("ulimit -n 64"), Path::new(FOLDER), 1, GroupBehavior::default(), None)
             .unwrap();
@@ -144,11 +144,11 @@
 }
 
 #[test]
-fn once_a_clock_that_was_behind_is_set_no_read_is_older_than_its_class_allows() {
+fn after_a_slow_system_clock_is_set_reads_keep_their_staleness_bound() {
     reads_what_is_fresh_enough(-10_000);
 }
 
 #[test]
-fn once_a_clock_that_was_ahead_is_set_replicas_serve_again() {
+fn after_a_fast_system_clock_is_set_replicas_serve_again() {
     reads_what_is_fresh_enough(10_000);
 }
--- a/crates/router/tests/pipelines.rs
+++ b/crates/router/tests/pipelines.rs
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn hundreds_of_commands_before_the_first_answer_is_read_all_have_theirs_beside_others() {
+fn hundreds_of_pipelined_commands_are_answered_without_delaying_other_clients() {
     let host = primary(40_000);
     let router = one(&host, 256);
     drop(Client::connect(router.addr).unwrap());
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn what_came_whole_before_a_stop_is_answered_however_slowly_it_is_read() {
+fn complete_requests_before_shutdown_are_answered_to_slow_readers() {
     let host = primary(20_000);
     let mut router = one(&host, 256);
     let mut clients: Vec<Client> = (0..4).map(|_| Client::connect(router.addr).unwrap()).collect();
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_pipeline_longer_than_a_router_holds_is_answered_whole_over_a_stop() {
+fn a_pipeline_beyond_the_buffer_limit_is_answered_completely_over_a_shutdown() {
     let host = Host::start(|text| match text {
         "SHOW vitals" => (Reply::Row(b"x1=1".to_vec()), Vec::new()),
         text => {
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_pipeline_goes_on_while_others_make_room_and_the_list_moves() {
+fn a_pipeline_continues_during_evictions_and_a_discovery_change() {
     let (one, two) = (primary(2_000), primary(2_000));
     let known = endpoint_list(1, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
     let drained = endpoint_list(
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn ten_routers_killed_at_once_under_pipelines_leave_no_request_without_an_answer_in_its_time() {
+fn ten_routers_killed_under_pipelines_answer_every_request_in_time() {
     let host = primary(500);
     let good = endpoint_list(1, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]);
     let old = endpoint_list(
@@ -324,7 +324,7 @@
 }
 
 #[test]
-fn each_of_thirty_routers_with_cold_hosts_serves_again_after_a_restart_and_a_reload() {
+fn thirty_routers_with_warming_up_hosts_serve_after_restart_and_reload() {
     let host = primary(100);
     let now = basalthill_standin::unix_ms();
     let cold = |text: String| text.replace("\"started_ms\":0", &format!("\"started_ms\":{now}"));
@@ -375,7 +375,7 @@
 
 /// No list is bounded by a fixed number: 1,024 hosts, indented over many lines, and as many routers.
 #[test]
-fn a_list_of_1024_hosts_is_taken_whole_and_costs_little_at_rest() {
+fn a_list_of_1024_hosts_is_accepted_and_uses_little_memory_when_idle() {
     let host = primary(100);
     let names: Vec<String> = (0..1024).map(|n| format!("s-{n:08x}")).collect();
     let members: Vec<_> = (0u32..)
--- a/crates/router/tests/platform.rs
+++ b/crates/router/tests/platform.rs
@@ -20,7 +20,7 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_basalthill");
 
 #[test]
-fn the_program_is_linked_dynamically_against_the_c_library() {
+fn the_program_links_dynamically_against_the_c_library_only() {
     let bytes = fs::read(PROGRAM).unwrap();
     let file = ElfFile64::<Endianness>::parse(&*bytes).unwrap();
     let (header, endian) = (file.elf_header(), file.endian());
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn it_serves_reloads_and_stops_without_what_the_platform_refuses() {
+fn it_serves_reloads_and_stops_without_the_system_calls_that_the_platform_denies() {
     let play = || {
         as_on_the_platform();
         assert!(std::net::TcpListener::bind("[::1]:0").is_err(), "the filter is in force");
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_router_that_is_asked_nothing_has_no_thread_that_goes_on() {
+fn an_idle_router_has_no_running_thread() {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let world = Deployment::start(Path::new(PROGRAM), folder, 1, GroupBehavior::default(), None).unwrap();
     ask(&world, 0);
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn requests_that_have_ended_leave_no_memory_behind() {
+fn finished_requests_leak_no_memory() {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let mut world = Deployment::start(Path::new(PROGRAM), folder, 1, GroupBehavior::default(), None).unwrap();
     let load = |seed| SessionLoad {
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn after_floods_and_slow_clients_memory_and_descriptors_are_back_where_they_were() {
+fn floods_and_slow_clients_leak_neither_memory_nor_descriptors() {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let world = Deployment::start(Path::new(PROGRAM), folder, 1, GroupBehavior::default(), None).unwrap();
     let router = &world.routers[0];
--- a/crates/router/tests/reconnect.rs
+++ b/crates/router/tests/reconnect.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn clients_that_lose_a_router_arrive_at_the_others_spread_over_their_slack() {
+fn clients_that_lose_a_router_reconnect_spread_over_their_slack() {
     metrics::set_global_recorder(Recorder).unwrap();
     let program = Path::new(env!("CARGO_BIN_EXE_basalthill"));
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
--- a/crates/router/tests/stop_soak.rs
+++ b/crates/router/tests/stop_soak.rs
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_stop_loses_nothing_under_clients_that_go_on_up_to_the_kill() {
+fn shutdown_loses_no_request_of_clients_that_go_on_until_the_kill() {
     let number = |name, or| std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(or);
     let (first, count): (u64, u64) = (number("SOAK_FIRST", 1), number("SOAK_SEEDS", AT_ONCE as u64));
     let seeds: Vec<u64> = (first..first + count).collect();
--- a/crates/router/tests/transport.rs
+++ b/crates/router/tests/transport.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_statement_is_passed_on_unchanged_but_for_what_is_left_of_its_time() {
+fn a_statement_is_forwarded_unchanged_except_for_its_remaining_time() {
     let host = primary_host(|_| Reply::Row(b"\x9f\x03".to_vec()));
     let served = RouterThread::with_primary(&host);
     let mut client = Client::connect_without_startup(served.addr).unwrap();
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn queries_split_at_any_byte_and_several_at_once_are_answered_in_order() {
+fn split_and_pipelined_queries_are_answered_in_order() {
     let host = primary_host(|text| Reply::Row(text.split("id=").nth(1).unwrap().as_bytes()[..1].to_vec()));
     let served = RouterThread::with_primary(&host);
     let mut client = served.client();
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn encryption_is_declined_and_what_is_no_protocol_ends_the_connection() {
+fn encryption_is_declined_and_a_protocol_violation_closes_the_connection() {
     let host = primary_host(|_| Reply::Row(b"x".to_vec()));
     let served = RouterThread::with_primary(&host);
     let mut client = Client::connect_without_startup(served.addr).unwrap();
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_connection_that_breaks_after_the_last_byte_fails_a_write_which_is_sent_once() {
+fn a_host_connection_lost_after_the_last_byte_fails_the_write_without_retry() {
     let host = primary_host(|_| Reply::Close);
     let served = RouterThread::with_primary(&host);
     assert_eq!(error_code(&served.client().query(&statement_text("write", "")).unwrap()), "58000");
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_host_that_turns_away_with_a_fatal_error_is_known_not_to_have_run_it() {
+fn a_fatal_53300_from_a_host_means_the_request_did_not_run() {
     let host = primary_host(|_| Reply::Fatal("53300"));
     let served = RouterThread::with_primary(&host);
     let answer = served.client().query(&statement_text("write", "")).unwrap();
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_refused_connection_is_no_attempt_that_ran() {
+fn a_refused_host_connection_means_the_request_did_not_run() {
     let known = endpoint_list(1, true, &[Endpoint::new("s-1", unreachable_address(), 2, "active", "source")]);
     let discovery = Discovery::start(known.clone()).unwrap();
     let served = RouterThread::start(&known, discovery.addr, 256, SETTINGS);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn nonsense_from_a_host_is_never_passed_on() {
+fn a_malformed_host_response_is_never_forwarded() {
     let host = primary_host(|_| Reply::Raw(b"D\0\0\0\x08\0\x01\0\0Z\0\0\0\x05I".to_vec()));
     let served = RouterThread::with_primary(&host);
     assert_eq!(error_code(&served.client().query(&statement_text("write", "")).unwrap()), "58000");
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_late_answer_never_meets_the_next_request() {
+fn a_late_answer_is_never_given_to_the_next_request() {
     let host = primary_host(|text| match text.contains("id=1") {
         true => Reply::RowOnRelease(b"late".to_vec()),
         false => Reply::Row(b"good".to_vec()),
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_pooled_connection_is_used_again_and_one_that_its_host_closed_is_replaced() {
+fn pooled_connections_are_reused_and_closed_ones_replaced() {
     let host = primary_host(|text| match text.contains("id=1") {
         true => Reply::RowThenClose(b"last".to_vec()),
         false => Reply::Row(b"x".to_vec()),
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn idle_connections_are_closed_before_the_settings_time() {
+fn idle_host_connections_are_closed_before_the_configured_timeout() {
     let host = primary_host(|_| Reply::Row(b"x".to_vec()));
     let known = endpoint_list(1, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]);
     let discovery = Discovery::start(known.clone()).unwrap();
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_has_its_read_called_off_at_the_host() {
+fn a_disconnected_clients_read_is_aborted_at_the_host() {
     let host = primary_host(|_| Reply::NoAnswer);
     let served = RouterThread::with_primary(&host);
     let mut client = served.client();
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_value_of_64_kib_reaches_a_slow_reader_whole() {
+fn a_64_kib_value_reaches_a_slow_reader_complete() {
     let value: Vec<u8> = (0..65536u32).map(|n| n as u8).collect();
     let big = value.clone();
     let host = primary_host(move |_| Reply::Row(big.clone()));
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn descriptors_are_a_budget_and_newcomers_beyond_it_are_turned_away_cleanly() {
+fn clients_beyond_the_descriptor_budget_are_rejected_cleanly() {
     let host = primary_host(|_| Reply::RowOnRelease(b"x".to_vec()));
     let served = RouterThread::with_descriptors(&host, 48);
     // 24 are kept back; of the other 24 half are for clients, and the members have the rest.
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn clients_that_ask_once_and_hold_on_take_no_room_from_newcomers() {
+fn idle_clients_are_evicted_for_new_connections() {
     let host = primary_host(|_| Reply::Row(b"x".to_vec()));
     let served = RouterThread::with_descriptors(&host, 64);
     // Of 64 descriptors clients use 21 together; a router that lets them all hold on would be full by then.
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn a_client_in_the_middle_of_its_request_makes_no_room_while_others_are_quiet() {
+fn a_client_mid_request_is_not_evicted_while_others_are_idle() {
     // Found on a long day: of requests written in pieces, those beside a crowd lost their connections,
     // and the request was lost where its last piece had been written by then.
     let host = primary_host(|_| Reply::Row(b"x".to_vec()));
@@ -266,7 +266,7 @@
 }
 
 #[test]
-fn connections_that_say_nothing_make_room_and_are_ended_in_time() {
+fn silent_connections_are_evicted_and_time_out() {
     let host = primary_host(|_| Reply::Row(b"x".to_vec()));
     let served = RouterThread::with_descriptors(&host, 48);
     let began = Instant::now();
@@ -300,7 +300,7 @@
 }
 
 #[test]
-fn commands_that_are_none_of_ours_are_answered_in_order_and_then_end_the_connection() {
+fn invalid_commands_are_answered_in_order_and_then_close_the_connection() {
     let host = primary_host(|_| Reply::Row(b"x".to_vec()));
     let served = RouterThread::with_primary(&host);
     let mut client = served.client();
@@ -322,7 +322,7 @@
 }
 
 #[test]
-fn a_value_of_60_mb_is_judged_by_its_head_and_gets_its_error() {
+fn a_60_mb_statement_is_rejected_by_its_header() {
     let host = primary_host(|_| Reply::Row(b"x".to_vec()));
     let served = RouterThread::with_primary(&host);
     let mut client = served.client();
@@ -338,7 +338,7 @@
 }
 
 #[test]
-fn a_router_that_stops_answers_what_it_has_takes_newcomers_for_a_while_and_ends() {
+fn shutdown_answers_open_requests_and_serves_new_connections_for_a_grace_period() {
     let host = primary_host(|text| match text.contains("id=1") {
         true => Reply::RowOnRelease(b"held".to_vec()),
         false => Reply::Row(b"x".to_vec()),
@@ -361,7 +361,7 @@
 }
 
 #[test]
-fn a_router_that_stops_fails_what_is_never_answered_and_ends_in_time() {
+fn shutdown_fails_unanswered_requests_and_ends_in_time() {
     let host = primary_host(|_| Reply::NoAnswer);
     let mut served = RouterThread::with_primary(&host);
     let mut client = served.client();
@@ -374,7 +374,7 @@
 }
 
 #[test]
-fn changes_of_the_list_are_followed_through_nonsense_and_broken_watches() {
+fn list_changes_are_followed_through_malformed_lists_and_broken_watches() {
     let (one, two) =
         (primary_host(|_| Reply::Row(b"one".to_vec())), primary_host(|_| Reply::Row(b"two".to_vec())));
     let known = endpoint_list(1, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
@@ -403,7 +403,7 @@
 }
 
 #[test]
-fn without_a_known_list_a_router_is_ready_once_discovery_has_told_one() {
+fn without_a_known_list_the_router_is_ready_after_the_first_list() {
     let host = primary_host(|_| Reply::Row(b"x".to_vec()));
     let discovery =
         Discovery::start(endpoint_list(1, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]))
@@ -422,7 +422,7 @@
 /// An open watch tells each change: whole lists beside it would take from a discovery that all routers share
 /// what others wait for.
 #[test]
-fn where_lists_are_asked_for_the_watch_is_the_one_call() {
+fn with_polled_lists_the_watch_is_the_only_call() {
     let host = primary_host(|_| Reply::Row(b"x".to_vec()));
     let known = endpoint_list(1, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]);
     let discovery = Discovery::start(known.clone()).unwrap();
@@ -437,7 +437,7 @@
 }
 
 #[test]
-fn large_statements_are_read_a_few_at_a_time() {
+fn concurrent_reads_of_large_statements_are_limited() {
     let host = primary_host(|_| Reply::Row(b"x".to_vec()));
     let served = RouterThread::with_primary(&host);
     let large =
@@ -461,7 +461,7 @@
 }
 
 #[test]
-fn a_watch_that_has_fallen_silent_is_opened_again_from_the_last_version() {
+fn a_silent_watch_is_reopened_from_the_last_version() {
     let host = primary_host(|_| Reply::Row(b"x".to_vec()));
     let known = endpoint_list(7, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]);
     let discovery = Discovery::start(known.clone()).unwrap();
@@ -473,7 +473,7 @@
 }
 
 #[test]
-fn spoilt_answers_end_their_attempts_at_once_and_never_reach_a_client() {
+fn malformed_answers_end_their_attempts_at_once_and_never_reach_a_client() {
     let whole = host::row(b"x");
     let spoilt = [
         whole[..10].to_vec(),
@@ -500,7 +500,7 @@
 }
 
 #[test]
-fn a_new_discovery_is_followed_at_once_while_the_old_one_hangs() {
+fn a_new_discovery_address_is_followed_at_once_while_the_old_one_hangs() {
     let (one, two) =
         (primary_host(|_| Reply::Row(b"one".to_vec())), primary_host(|_| Reply::Row(b"two".to_vec())));
     let known = endpoint_list(70, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
@@ -537,7 +537,7 @@
 }
 
 #[test]
-fn a_new_discovery_that_can_not_be_reached_ends_neither_service_nor_the_old_watch() {
+fn an_unreachable_new_discovery_address_keeps_service_and_the_old_watch() {
     let (one, two) =
         (primary_host(|_| Reply::Row(b"one".to_vec())), primary_host(|_| Reply::Row(b"two".to_vec())));
     let known = endpoint_list(1, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
