--- a/crates/router/src/transport/backoff.rs
+++ b/crates/router/src/transport/backoff.rs
@@ -1,64 +1,72 @@
-//! How long to rest before discovery is called again.
+//! Exponential backoff between calls of discovery.
 
 use fastrand::Rng;
 use std::time::Duration;
 
-const FIRST: Duration = Duration::from_millis(100);
-/// What discovery has counts as told 6 s after it can be reached, whatever became of calls before. The
-/// longest way to it: a silent watch (2.25 s), a rest, a call that is given up (1.2 s before its head, 2.25 s
-/// after it), a rest, one that is refused, a rest, and the call that tells: 5.1 s.
-const MOST: Duration = Duration::from_millis(500);
-/// Where calls of all routers wait in turn, discovery takes one of each in eight seconds at the worst. Called
-/// more often by routers that it turns away, it would be busy with calls that are too late by the time they
-/// have their turn, and no router would ever get a list.
-const MOST_IN_TURN: Duration = Duration::from_millis(8000);
-/// One that is away and comes back has 6 s for what it has to tell, too, after however long an outage: a call
-/// that is given up (2.25 s), and the longest drawn rest (3 s).
-const MOST_AWAY: Duration = Duration::from_millis(2000);
+/// The first delay after a call that brought nothing.
+const INITIAL_DELAY: Duration = Duration::from_millis(100);
+/// What discovery has counts as received 6 s after it can be reached, whatever became of calls before. The
+/// longest way to it: a silent watch (2.25 s), a delay, a call that is given up (1.2 s before its head,
+/// 2.25 s after it), a delay, one that is refused, a delay, and the call that brings the list: 5.1 s.
+const MAX_DELAY: Duration = Duration::from_millis(500);
+/// Where calls of all routers are served in turn, discovery serves one of each in eight seconds at the worst.
+/// Called more often by routers that it rejects, it would be busy with calls that are too late by the time
+/// they have their turn, and no router would ever get a list.
+const MAX_SHARED_DELAY: Duration = Duration::from_millis(8000);
+/// A shared discovery that was unreachable has 6 s for its changes to arrive, too, after however long an
+/// outage: a call that is given up (2.25 s), and the longest delay with jitter (3 s).
+const MAX_UNREACHABLE_DELAY: Duration = Duration::from_millis(2000);
+/// With jitter, a delay is this part of its length at least, and as much more than its length at most.
+const MIN_JITTER: f64 = 0.5;
+/// Spreads the numbers of a router's watches over the seeds (the 64-bit golden ratio).
+const SEED_STRIDE: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// What became of a call.
+/// What became of a call that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
-    /// Nobody answered: discovery is away.
-    Unanswered,
-    /// Discovery is there, and did not get to it.
-    TurnedAway,
+pub enum CallFailure {
+    /// Nobody answered, or the connection failed.
+    Unreachable,
+    /// Discovery is there, and had no capacity for the call.
+    Rejected,
 }
 
-/// Rests that double, up to a limit, until a call brings something.
+/// Delays that double, up to a limit, until a call succeeds.
 #[derive(Debug)]
 pub struct Backoff {
-    rest: Duration,
-    most: Duration,
-    random: Option<Rng>,
+    delay: Duration,
+    max_delay: Duration,
+    jitter: Option<Rng>,
 }
 
 impl Backoff {
     /// For a discovery that answers each router by itself, at once and at no cost.
-    pub fn steady() -> Backoff {
-        Backoff { rest: FIRST, most: MOST, random: None }
+    pub fn without_jitter() -> Backoff {
+        Backoff { delay: INITIAL_DELAY, max_delay: MAX_DELAY, jitter: None }
     }
 
-    /// For one that all routers share. Those that it turns away together come again at moments of their own:
-    /// the rests are drawn, from half to one and a half times their length.
-    pub fn drawn(seed: u64, watch: u64) -> Backoff {
-        let random = Rng::with_seed(seed ^ watch.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-        Backoff { rest: FIRST, most: MOST_IN_TURN, random: Some(random) }
+    /// For one that serves all routers in turn. Those that it rejects together call again at different
+    /// moments: each delay is drawn from half to one and a half times its length.
+    pub fn with_jitter(seed: u64, watch: u64) -> Backoff {
+        let rng = Rng::with_seed(seed ^ watch.wrapping_mul(SEED_STRIDE));
+        Backoff { delay: INITIAL_DELAY, max_delay: MAX_SHARED_DELAY, jitter: Some(rng) }
     }
 
-    /// A call has brought something.
+    /// Starts anew after a call that succeeded.
     pub fn reset(&mut self) {
-        self.rest = FIRST / 2;
+        self.delay = INITIAL_DELAY / 2;
     }
 
-    /// The next rest, after what became of the last call.
-    pub fn next(&mut self, call: Call) -> Duration {
-        let most = if call == Call::TurnedAway { self.most } else { self.most.min(MOST_AWAY) };
-        let rest = self.rest.min(most);
-        self.rest = (rest * 2).min(most);
-        match &mut self.random {
-            Some(random) => rest.mul_f64(0.5 + random.f64()),
-            None => rest,
+    /// The delay before the next call, after what became of the last one.
+    pub fn next_delay(&mut self, failure: CallFailure) -> Duration {
+        let limit = match failure {
+            CallFailure::Rejected => self.max_delay,
+            CallFailure::Unreachable => self.max_delay.min(MAX_UNREACHABLE_DELAY),
+        };
+        let delay = self.delay.min(limit);
+        self.delay = (delay * 2).min(limit);
+        match &mut self.jitter {
+            Some(rng) => delay.mul_f64(MIN_JITTER + rng.f64()),
+            None => delay,
         }
     }
 }
--- a/crates/router/src/transport/conversation.rs
+++ b/crates/router/src/transport/conversation.rs
@@ -1,324 +1,322 @@
-//! One client's side of a connection, without I/O: bytes and answers go in; requests to be asked, and bytes
-//! to be written, come out. Reading, asking and writing don't wait for each other, but within bounds.
+//! One client's side of a connection, without I/O: bytes and answers go in; requests to be forwarded, and
+//! bytes to be written, come out. Reading, forwarding and writing don't wait for each other, but within
+//! bounds.
 //!
-//! Each whole command gets exactly one answer, in the order of the commands. Reads behind reads are asked
-//! side by side, a few at a time. A write waits until all before it is answered, and what stands behind it
-//! waits for its answer: a session's commands take effect in their order.
+//! Each complete command gets exactly one reply, in the order of the commands. Reads behind reads are
+//! forwarded side by side, a few at a time. A write waits until all before it is answered, and what stands
+//! behind it waits for its answer: a session's commands take effect in their order.
 
-use crate::protocol::client::{self, CancelKey, ClientCodec, ClientMessage};
+mod input;
+mod output;
+mod replies;
+
+use crate::protocol::client::{self, CancelKey, ClientMessage};
 use crate::protocol::statement::{Statement, Verb};
 use crate::routing::{Answer, CommandId};
 use basalthill_config::router::{LARGE_STATEMENT_LEN, MAX_CLIENT_FAULTS, MAX_CONCURRENT_READS};
 use basalthill_policy::api::Time;
 use basalthill_wire::READY_FOR_QUERY;
-use std::collections::VecDeque;
+use input::MessageInput;
+use output::OutputQueue;
+use replies::ReplyQueue;
 use std::io::IoSlice;
 
+/// The type byte of a function call, which has no Sync behind it: its error is the end of the command.
+const FUNCTION_CALL: u8 = b'F';
+
 /// Something to be done for a client.
 #[derive(Debug)]
 pub enum Step {
-    /// Its next request is to be asked; the answer belongs to this command.
-    Ask(CommandId, Box<Statement>, Time),
-    /// What is open on the connection of this key is to be called off.
+    /// Its next request is to be forwarded.
+    Forward {
+        /// The command to which the answer belongs.
+        command: CommandId,
+        /// The request itself.
+        statement: Box<Statement>,
+        /// When the command's last byte arrived.
+        arrived_at: Time,
+    },
+    /// The open request of the connection with this key is to be cancelled.
     Cancel(CancelKey),
-    /// Something was answered here.
-    Done,
+    /// The conversation itself has dealt with a message.
+    Handled,
 }
 
-/// What a command's answer is at.
+/// What a client's next message was.
 #[derive(Debug)]
-enum Reply {
-    /// It has come.
-    Ready(Vec<u8>),
-    /// It is waited for.
-    Asked(CommandId),
-    /// An empty query, before the router is ready.
-    Empty,
+enum Taken {
+    /// None has arrived.
+    Nothing,
+    /// A request, which is pending now.
+    Request,
+    /// Another message, with what is to be done or was done for it.
+    Other(Step),
 }
 
-/// The next command, told apart and not asked yet.
+/// A request that waits until it may be forwarded.
 #[derive(Debug)]
-struct Next {
+struct PendingRequest {
     statement: Box<Statement>,
-    came: Time,
+    arrived_at: Time,
+    /// The length of its text.
     bytes: usize,
 }
 
+/// The error with which the router ends a conversation, behind the replies to all that was complete.
+#[derive(Clone, Copy, Debug)]
+struct FinalError {
+    code: &'static str,
+    message: &'static str,
+}
+
+/// A client had its time for a message.
+const MESSAGE_TIMED_OUT: FinalError =
+    FinalError { code: "57P05", message: "no whole request has come in time" };
+
 /// The state of one client's connection.
 #[derive(Debug)]
 pub struct Conversation {
-    key: CancelKey,
-    side: ClientCodec,
-    next: Option<Next>,
-    /// Answers of the commands taken, in order, as far as they are not among `out`.
-    replies: VecDeque<Reply>,
-    /// Bytes of answers among `replies` that wait for one before them.
-    ahead: usize,
-    /// What is to be written, and how much of its first part has been.
-    out: VecDeque<Vec<u8>>,
-    unwritten: usize,
-    written: usize,
-    /// Commands that are asked: how many, and whether that is a write.
-    asked: usize,
-    writing: bool,
-    count: u64,
-    /// Commands running that were none of ours.
+    cancel_key: CancelKey,
+    input: MessageInput,
+    /// The next request, read and not forwarded yet.
+    pending: Option<PendingRequest>,
+    /// Replies to the commands taken, in order, as far as they are not in `output`.
+    replies: ReplyQueue,
+    output: OutputQueue,
+    /// How many requests are forwarded and not answered.
+    in_flight: usize,
+    /// The one in flight is a write.
+    write_in_flight: bool,
+    /// The number of the next command.
+    next_command: u64,
+    /// Commands that are not served, since one was.
     faults: u32,
-    /// Something of ours has been asked.
+    /// A request has been served or answered, or an empty query has arrived.
     used: bool,
-    /// Since when it is not known whether the socket holds something unread.
-    unread_since: Option<Time>,
-    /// When the first byte came of the message that is not whole.
-    begun: Option<Time>,
-    paused: bool,
-    /// So many bytes more are taken, and the rest of the message that has begun by then; nothing behind it.
-    last_call: Option<usize>,
-    /// Nothing behind what has come whole is taken: its client is told so in that place.
-    cut: Option<(&'static str, &'static str)>,
-    /// Nothing more is taken; it ends once all answers are written.
+    /// Nothing behind what has arrived complete is taken: this error ends the conversation in that place.
+    final_error: Option<FinalError>,
+    /// Nothing more is taken; the connection ends once all replies are written.
     ending: bool,
-    /// What its client was told at the end, if that was its own doing.
-    dismissed: Option<String>,
+    /// Why the client was dismissed, if that was its own doing.
+    dismissal: Option<String>,
 }
 
 impl Conversation {
-    /// A connection whose socket may hold something since a time.
-    pub fn new(key: CancelKey, since: Time) -> Conversation {
+    /// The conversation on a connection whose socket may have something to read since `unread_since`.
+    pub fn new(cancel_key: CancelKey, unread_since: Time) -> Conversation {
         Conversation {
-            key,
-            side: ClientCodec::default(),
-            next: None,
-            replies: VecDeque::new(),
-            ahead: 0,
-            out: VecDeque::new(),
-            unwritten: 0,
-            written: 0,
-            asked: 0,
-            writing: false,
-            count: 0,
+            cancel_key,
+            input: MessageInput::new(unread_since),
+            pending: None,
+            replies: ReplyQueue::default(),
+            output: OutputQueue::default(),
+            in_flight: 0,
+            write_in_flight: false,
+            next_command: 0,
             faults: 0,
             used: false,
-            unread_since: Some(since),
-            begun: None,
-            paused: false,
-            last_call: None,
-            cut: None,
+            final_error: None,
             ending: false,
-            dismissed: None,
+            dismissal: None,
         }
     }
+}
 
-    // ---- Reading ----
-
-    /// Takes in bytes that were read now; `drained` if they were all that the socket held.
-    pub fn read(&mut self, bytes: &[u8], drained: bool, now: Time) {
-        let came = self.unread_since.unwrap_or(now);
-        if drained {
-            self.unread_since = None;
-        }
-        if self.ending || self.cut.is_some() {
-            return;
+/// Reading.
+impl Conversation {
+    /// Takes in bytes that were read now; `drained` if they were all that the socket had.
+    pub fn feed(&mut self, bytes: &[u8], drained: bool, now: Time) {
+        let arrived_at = self.input.arrival(drained, now);
+        if !self.ending && self.final_error.is_none() {
+            self.input.feed(bytes, arrived_at, drained, now);
         }
-        let before = self.side.partial_bytes();
-        let fed = match self.last_call {
-            None => {
-                self.side.feed(bytes, came);
-                bytes.len()
-            }
-            Some(left) => {
-                let (now, later) = bytes.split_at(left.min(bytes.len()));
-                self.side.feed(now, came);
-                self.last_call = Some(if drained { 0 } else { left - now.len() });
-                now.len() + self.side.finish_message(later, came)
-            }
-        };
-        let partial = self.side.partial_bytes();
-        self.begun = match (partial, self.begun) {
-            (0, _) => None,
-            // The message goes on.
-            (_, Some(begun)) if partial == before + fed => Some(begun),
-            _ => Some(now),
-        };
     }
 
     /// The socket was found empty.
-    pub fn drained(&mut self) {
-        self.unread_since = None;
-        self.last_call = self.last_call.map(|_| 0);
+    pub fn socket_drained(&mut self) {
+        self.input.socket_drained();
     }
 
-    /// Nothing is read from now on, up to [`Conversation::resume`]: what comes may wait unread.
-    pub fn pause(&mut self, now: Time) {
-        self.unread_since = self.unread_since.or(Some(now));
-        self.paused = true;
+    /// Nothing is read from now on, up to [`Conversation::resume_reading`].
+    pub fn pause_reading(&mut self, now: Time) {
+        self.input.pause(now);
     }
 
-    /// Reading goes on: time in which nothing was read is not its client's.
-    pub fn resume(&mut self, now: Time) {
-        if std::mem::take(&mut self.paused) {
-            self.begun = self.begun.map(|_| now);
-        }
+    /// Reading goes on; the time of the pause does not count against the client.
+    pub fn resume_reading(&mut self, now: Time) {
+        self.input.resume(now);
     }
 
-    /// Whether more may be read: so much may wait here for its turn, and no more.
-    pub fn takes(&self) -> bool {
-        let open = !self.ending
-            && self.cut.is_none()
-            && self.last_call.is_none_or(|left| left > 0 || self.side.partial_bytes() > 0);
-        open && self.side.queued_bytes() + self.next.as_ref().map_or(0, |n| n.bytes) <= LARGE_STATEMENT_LEN
+    /// Whether more may be read: up to [`LARGE_STATEMENT_LEN`] bytes may wait here for their turn.
+    pub fn accepts_input(&self) -> bool {
+        let is_open = !self.ending && self.final_error.is_none() && self.input.accepts_more();
+        let pending_bytes = self.pending.as_ref().map_or(0, |pending| pending.bytes);
+        is_open && self.input.queued_bytes() + pending_bytes <= LARGE_STATEMENT_LEN
     }
 
-    /// What comes from now on is not taken, but for what the socket holds, so many bytes, and the rest of a
-    /// message that has begun.
-    pub fn last_call(&mut self, unread: usize) {
-        self.last_call = Some(unread);
+    /// Takes nothing that arrives from now on, but for the `unread` bytes that the socket has, and the rest
+    /// of a message that has begun.
+    pub fn limit_input(&mut self, unread: usize) {
+        self.input.limit_to(unread);
     }
 
-    /// Whether [`Conversation::last_call`] has been said.
-    pub fn called(&self) -> bool {
-        self.last_call.is_some()
+    /// Whether [`Conversation::limit_input`] has been called.
+    pub fn is_input_limited(&self) -> bool {
+        self.input.is_limited()
     }
 
-    /// Its client has had its time for a message; it is told behind the answers of all that came whole.
-    pub fn late(&mut self) {
-        self.cut = Some(("57P05", "no whole request has come in time"));
-        self.begun = None;
+    /// The client's time for a message is over; the error stands behind the replies to all that was complete.
+    pub fn time_out_message(&mut self) {
+        self.final_error = Some(MESSAGE_TIMED_OUT);
+        self.input.forget_message_start();
     }
 
-    /// Whether the message that is not whole needs a place among the large ones to be read on.
-    pub fn large(&self) -> bool {
-        self.side.partial_bytes() > LARGE_STATEMENT_LEN
+    /// Whether the incomplete message is so long that it needs a permit to be read on.
+    pub fn needs_large_permit(&self) -> bool {
+        self.input.partial_bytes() > LARGE_STATEMENT_LEN
     }
 
-    /// Since when a message is not whole, if one is.
-    pub fn begun(&self) -> Option<Time> {
-        self.begun.filter(|_| !self.ending && !self.paused)
+    /// Since when a message is incomplete, if one is.
+    pub fn message_started(&self) -> Option<Time> {
+        self.input.message_started().filter(|_| !self.ending)
     }
+}
 
-    // ---- Asking ----
-
-    /// The next thing that may be done now. `ready` tells whether the router is.
-    pub fn step(&mut self, ready: bool) -> Option<Step> {
-        if ready {
-            for reply in self.replies.iter_mut().filter(|r| matches!(r, Reply::Empty)) {
-                *reply = Reply::Ready(client::empty_query());
-            }
-            self.pass();
+/// Forwarding.
+impl Conversation {
+    /// The next thing that may be done now, if there is one.
+    pub fn next_step(&mut self, router_is_ready: bool) -> Option<Step> {
+        if router_is_ready {
+            self.replies.answer_empty_queries();
+            self.flush_replies();
         }
-        if self.ending || self.unwritten() > LARGE_STATEMENT_LEN || self.ahead > LARGE_STATEMENT_LEN {
+        let output_is_full = self.output.unwritten() > LARGE_STATEMENT_LEN;
+        if self.ending || output_is_full || self.replies.buffered() > LARGE_STATEMENT_LEN {
             return None;
         }
-        if self.next.is_none() {
-            match self.side.next_message() {
-                Ok(None) => {
-                    let (code, message) = self.cut?;
-                    self.close_with_error(code, message);
-                    return Some(Step::Done);
-                }
-                Ok(Some((message, came))) => {
-                    if let Some(step) = self.message(message, came, ready) {
-                        return Some(step);
-                    }
-                }
-                Err(e) => {
-                    self.close_with_error("08P01", &e.to_string());
-                    return Some(Step::Done);
-                }
+        if self.pending.is_none() {
+            match self.take_message(router_is_ready) {
+                Taken::Nothing => return None,
+                Taken::Request => {}
+                Taken::Other(step) => return Some(step),
             }
         }
-        let next = self.next.as_ref()?;
-        let write = next.statement.verb == Verb::Insert;
-        let room = match write {
-            true => self.asked == 0,
-            false => !self.writing && self.asked < MAX_CONCURRENT_READS,
+        self.forward_pending()
+    }
+
+    /// Takes the next message.
+    fn take_message(&mut self, router_is_ready: bool) -> Taken {
+        match self.input.next_message() {
+            Ok(Some((message, arrived_at))) => self.handle_message(message, arrived_at, router_is_ready),
+            Ok(None) => {
+                let Some(error) = self.final_error else { return Taken::Nothing };
+                self.close_with_error(error.code, error.message);
+                Taken::Other(Step::Handled)
+            }
+            Err(e) => {
+                self.close_with_error("08P01", &e.to_string());
+                Taken::Other(Step::Handled)
+            }
+        }
+    }
+
+    /// Forwards the pending request, if those in flight allow it.
+    fn forward_pending(&mut self) -> Option<Step> {
+        let is_write = self.pending.as_ref()?.statement.verb == Verb::Insert;
+        let may_forward = match is_write {
+            true => self.in_flight == 0,
+            false => !self.write_in_flight && self.in_flight < MAX_CONCURRENT_READS,
         };
-        if !room {
+        if !may_forward {
             return None;
         }
-        let Next { statement, came, .. } = self.next.take()?;
-        (self.asked, self.writing) = (self.asked + 1, write);
-        let command = CommandId(self.count);
-        self.count += 1;
-        self.replies.push_back(Reply::Asked(command));
-        Some(Step::Ask(command, statement, came))
+        let PendingRequest { statement, arrived_at, .. } = self.pending.take()?;
+        self.in_flight += 1;
+        self.write_in_flight = is_write;
+        let command = CommandId(self.next_command);
+        self.next_command += 1;
+        self.replies.push_forwarded(command);
+        Some(Step::Forward { command, statement, arrived_at })
     }
 
-    /// Takes a message; none if it is a request, which waits for its turn.
-    fn message(&mut self, message: ClientMessage, came: Time, ready: bool) -> Option<Step> {
+    fn handle_message(&mut self, message: ClientMessage, arrived_at: Time, ready: bool) -> Taken {
         match message {
-            ClientMessage::Encryption => self.reply(client::NO_ENCRYPTION.to_vec()),
+            ClientMessage::Encryption => self.push_reply(client::NO_ENCRYPTION.to_vec()),
             ClientMessage::CancelRequest(key) => {
                 self.end();
-                return Some(Step::Cancel(key));
+                return Taken::Other(Step::Cancel(key));
             }
             ClientMessage::Terminate => self.end(),
-            ClientMessage::Startup { newer } => self.reply(client::welcome(newer, self.key)),
-            ClientMessage::Unsupported(kind) => {
-                let whole = client::error("0A000", "only simple queries are served", None);
-                self.fault(if kind == b'F' { whole } else { client::unsupported() });
+            ClientMessage::Startup { newer } => self.push_reply(client::welcome(newer, self.cancel_key)),
+            ClientMessage::Unsupported(FUNCTION_CALL) => {
+                self.push_fault(client::error("0A000", "only simple queries are served", None));
             }
-            ClientMessage::Sync => self.reply(READY_FOR_QUERY.to_vec()),
-            ClientMessage::Query(text) if text.trim_ascii().is_empty() => {
-                self.used = true;
-                match ready {
-                    true => self.reply(client::empty_query()),
-                    false => {
-                        self.ahead += client::empty_query().len();
-                        self.replies.push_back(Reply::Empty);
-                    }
-                }
+            ClientMessage::Unsupported(_) => self.push_fault(client::unsupported()),
+            ClientMessage::Sync => self.push_reply(READY_FOR_QUERY.to_vec()),
+            ClientMessage::Query(text) if text.trim_ascii().is_empty() => self.handle_empty_query(ready),
+            ClientMessage::Query(text) => return self.handle_query(text, arrived_at),
+        }
+        Taken::Other(Step::Handled)
+    }
+
+    fn handle_empty_query(&mut self, router_is_ready: bool) {
+        self.used = true;
+        match router_is_ready {
+            true => self.push_reply(client::empty_query()),
+            false => self.replies.push_empty_query(),
+        }
+    }
+
+    fn handle_query(&mut self, text: Vec<u8>, arrived_at: Time) -> Taken {
+        let bytes = text.len();
+        match Statement::parse(text) {
+            Ok(statement) => {
+                let statement = Box::new(statement);
+                self.pending = Some(PendingRequest { statement, arrived_at, bytes });
+                Taken::Request
             }
-            ClientMessage::Query(text) => {
-                let bytes = text.len();
-                match Statement::parse(text) {
-                    Ok(statement) => {
-                        self.next = Some(Next { statement: Box::new(statement), came, bytes });
-                        return None;
-                    }
-                    Err(e) => self.fault(client::error(e.code, &e.message, None)),
-                }
+            Err(e) => {
+                self.push_fault(client::error(e.code, &e.message, None));
+                Taken::Other(Step::Handled)
             }
         }
-        Some(Step::Done)
     }
 
-    /// Answers what is none of ours. A client that goes on with such ends its connection: it may send as fast
-    /// as it can.
-    fn fault(&mut self, reply: Vec<u8>) {
-        self.reply(reply);
-        self.faulty();
+    /// Answers a command that is not served.
+    fn push_fault(&mut self, reply: Vec<u8>) {
+        self.push_reply(reply);
+        self.count_fault();
     }
 
-    fn faulty(&mut self) {
+    /// Counts a command that is not served. A client that goes on with such ends its connection: it may send
+    /// them as fast as it can.
+    fn count_fault(&mut self) {
         self.faults += 1;
-        if self.faults >= MAX_CLIENT_FAULTS && self.dismissed.is_none() {
+        if self.faults >= MAX_CLIENT_FAULTS && self.dismissal.is_none() {
             self.close_with_error("08P01", "too many commands that are not served");
         }
     }
 
-    fn reply(&mut self, bytes: Vec<u8>) {
-        self.ahead += bytes.len();
-        self.replies.push_back(Reply::Ready(bytes));
-        self.pass();
+    fn push_reply(&mut self, bytes: Vec<u8>) {
+        self.replies.push_ready(bytes);
+        self.flush_replies();
     }
 
-    /// Moves what has its turn to what is to be written.
-    fn pass(&mut self) {
-        while let Some(Reply::Ready(_)) = self.replies.front() {
-            if let Some(Reply::Ready(bytes)) = self.replies.pop_front() {
-                self.ahead = self.ahead.saturating_sub(bytes.len());
-                self.write(bytes);
-            }
+    /// Moves the replies whose turn it is to the output.
+    fn flush_replies(&mut self) {
+        while let Some(bytes) = self.replies.pop_ready() {
+            self.output.push(bytes);
         }
     }
+}
 
-    // ---- Answering ----
-
-    /// A command's answer has come.
+/// Answering and writing.
+impl Conversation {
+    /// Takes the answer to a command.
     pub fn answer(&mut self, command: CommandId, answer: Answer) {
-        let of = |r: &Reply| matches!(r, Reply::Asked(c) if *c == command);
-        let Some(at) = self.replies.iter().position(of) else { return };
-        (self.asked, self.writing) = (self.asked - 1, false);
+        let Some(position) = self.replies.position(command) else { return };
+        self.in_flight -= 1;
+        self.write_in_flight = false;
         self.used |= !matches!(answer, Answer::Invalid(_));
         let bytes = match answer {
             Answer::Served(row) => {
@@ -327,123 +325,94 @@
                 bytes.extend_from_slice(READY_FOR_QUERY);
                 bytes
             }
-            Answer::Rejected { retry_after_ms: after } => refusal(after),
+            Answer::Rejected { retry_after_ms } => rejection(retry_after_ms),
             Answer::Failed => client::error("58000", "no answer could be had", None),
             Answer::Cancelled => client::error("57014", "called off at its client's wish", None),
             Answer::Invalid(e) => {
-                self.faulty();
+                self.count_fault();
                 client::error(e.code, &e.message, None)
             }
         };
-        self.ahead += bytes.len();
-        self.replies[at] = Reply::Ready(bytes);
-        // What stands behind an empty query does not wait for the router to be ready.
-        for reply in self.replies.iter_mut().take(at).filter(|r| matches!(r, Reply::Empty)) {
-            *reply = Reply::Ready(client::error("57P03", "not ready yet", None));
-        }
-        self.pass();
+        self.replies.complete(position, bytes);
+        self.flush_replies();
     }
 
-    /// Its session's token, which goes out between two messages.
-    pub fn token(&mut self, token: &str) {
-        self.write(client::session_token(token));
+    /// Takes the session's token, which is written between two replies.
+    pub fn push_session_token(&mut self, token: &str) {
+        self.output.push(client::session_token(token));
     }
 
-    fn write(&mut self, bytes: Vec<u8>) {
-        self.unwritten += bytes.len();
-        self.out.push_back(bytes);
-    }
-
-    // ---- Writing ----
-
-    /// What is to be written next; its parts as far as there are places for them.
-    pub fn fill<'a>(&'a self, slices: &mut [IoSlice<'a>]) -> usize {
-        let mut skip = self.written;
-        let mut count = 0;
-        for (slice, part) in slices.iter_mut().zip(&self.out) {
-            *slice = IoSlice::new(&part[skip..]);
-            (skip, count) = (0, count + 1);
-        }
-        count
+    /// Whether something is to be written.
+    pub fn has_output(&self) -> bool {
+        !self.output.is_empty()
     }
 
-    /// So many bytes have been written; whether the last of an answer was among them.
-    pub fn wrote(&mut self, n: usize) -> bool {
-        let before = self.out.len();
-        self.written += n;
-        self.unwritten -= n;
-        while let Some(len) = self.out.front().map(Vec::len).filter(|len| *len <= self.written) {
-            self.written -= len;
-            self.out.pop_front();
-        }
-        self.out.len() < before
+    /// Fills `slices` with what is to be written next; how many were filled.
+    pub fn fill_output<'a>(&'a self, slices: &mut [IoSlice<'a>]) -> usize {
+        self.output.fill(slices)
     }
 
-    /// Bytes that are to be written.
-    pub fn unwritten(&self) -> usize {
-        self.unwritten
+    /// Takes note that `len` bytes have been written; whether a reply is complete with them.
+    pub fn mark_written(&mut self, len: usize) -> bool {
+        self.output.mark_written(len)
     }
+}
 
-    // ---- Its end ----
-
+/// The end.
+impl Conversation {
     /// Takes nothing more, and ends once all that was taken is answered.
     pub fn end(&mut self) {
         self.ending = true;
-        (self.side, self.begun, self.cut) = (ClientCodec::default(), None, None);
+        self.input.clear();
+        self.final_error = None;
     }
 
-    /// Says that the connection ends, behind the answers of all that was taken. What stands behind that is
-    /// dropped and was never sent on: a client that ends its connection by its faults is told so by the end.
+    /// Ends with an error behind the replies to all that was taken. What stands behind that is dropped and
+    /// was never forwarded.
     pub fn close_with_error(&mut self, code: &str, message: &str) {
-        self.dismissed = Some(message.to_string());
-        self.next = None;
-        self.reply(client::fatal(code, message));
+        self.dismissal = Some(message.to_string());
+        self.pending = None;
+        self.push_reply(client::fatal(code, message));
         self.end();
     }
 
-    /// Ends between two requests, and says so.
-    pub fn farewell(&mut self) {
-        self.reply(client::fatal("57P01", "closed between two requests"));
+    /// Ends between two requests, and notifies the client.
+    pub fn end_with_notice(&mut self) {
+        self.push_reply(client::fatal("57P01", "closed between two requests"));
         self.end();
     }
 
-    /// What its client was told at the end, if that was its own doing.
-    pub fn dismissed(&self) -> Option<&str> {
-        self.dismissed.as_deref()
-    }
-
-    /// Whether something is to be written.
-    pub fn speaks(&self) -> bool {
-        !self.out.is_empty()
+    /// Why the client was dismissed, if that was its own doing.
+    pub fn dismissal(&self) -> Option<&str> {
+        self.dismissal.as_deref()
     }
 
-    /// Whether it takes nothing more.
-    pub fn ending(&self) -> bool {
+    /// Whether nothing more is taken.
+    pub fn is_ending(&self) -> bool {
         self.ending
     }
 
-    /// Whether nothing is open: every command that came whole is answered, and the answer written.
-    pub fn resting(&self) -> bool {
-        self.answered() && self.out.is_empty()
+    /// Whether nothing is open: every complete command is answered, and its reply written.
+    pub fn is_idle(&self) -> bool {
+        self.is_answered() && self.output.is_empty()
     }
 
-    /// Whether every command that came whole is answered.
-    pub fn answered(&self) -> bool {
-        self.next.is_none()
+    /// Whether every complete command is answered.
+    pub fn is_answered(&self) -> bool {
+        self.pending.is_none()
             && self.replies.is_empty()
-            && self.side.queued_bytes() == 0
-            && !self.side.is_broken()
-            && self.cut.is_none()
+            && self.input.is_consumed()
+            && self.final_error.is_none()
     }
 
-    /// Whether something of ours has been asked here.
-    pub fn used(&self) -> bool {
+    /// Whether a request of the client has been answered here.
+    pub fn has_been_used(&self) -> bool {
         self.used
     }
 }
 
-fn refusal(after: Option<u64>) -> Vec<u8> {
-    let detail = after.map(|ms| ms.to_string());
+fn rejection(retry_after_ms: Option<u64>) -> Vec<u8> {
+    let detail = retry_after_ms.map(|ms| ms.to_string());
     client::error("53300", "turned away; trying again does no harm", detail.as_deref())
 }
 
--- a/crates/router/src/transport/conversation/tests.rs
+++ b/crates/router/src/transport/conversation/tests.rs
@@ -9,7 +9,7 @@
 
 const KEY: CancelKey = CancelKey { process: 7, secret: 9 };
 
-fn text(id: usize, write: bool) -> String {
+fn statement_text(id: usize, write: bool) -> String {
     let comment = format!("/* id={id:016x},c=view,t=acme,d=480,cluster=2 */");
     match write {
         true => format!("INSERT INTO records (k, v) VALUES ('k', '\\x00') RETURNING v {comment}"),
@@ -17,48 +17,69 @@
     }
 }
 
-fn served(value: &[u8]) -> Answer {
+fn served_answer(value: &[u8]) -> Answer {
     let bytes = row(value);
     let end = bytes.len();
     Answer::Served(Row { bytes, parts: vec![0..end, end..end, end..end], value: None, binary: true })
 }
 
-fn talk() -> Conversation {
-    let mut talk = Conversation::new(KEY, Time(0));
-    talk.drained();
-    talk
+fn empty_conversation() -> Conversation {
+    let mut conversation = Conversation::new(KEY, Time(0));
+    conversation.socket_drained();
+    conversation
 }
 
-/// Takes up to so many bytes of what is to be written.
-fn take(talk: &mut Conversation, most: usize) -> Vec<u8> {
+/// Writes out up to `most` bytes.
+fn write_out(conversation: &mut Conversation, most: usize) -> Vec<u8> {
     let mut slices = [IoSlice::new(&[]); 4];
-    let count = talk.fill(&mut slices);
+    let count = conversation.fill_output(&mut slices);
     let all: Vec<u8> = slices[..count].iter().flat_map(|s| s.iter().copied()).take(most).collect();
-    talk.wrote(all.len());
+    conversation.mark_written(all.len());
     all
 }
 
-fn all(talk: &mut Conversation) -> Vec<u8> {
+fn write_out_all(conversation: &mut Conversation) -> Vec<u8> {
     let mut out = Vec::new();
-    while talk.speaks() {
-        out.extend(take(talk, usize::MAX));
+    while conversation.has_output() {
+        out.extend(write_out(conversation, usize::MAX));
     }
     out
 }
 
-/// Steps until nothing can be done now; what is to be asked, with when it came.
-fn asks(talk: &mut Conversation) -> Vec<(CommandId, String, Time)> {
-    let mut asked = Vec::new();
-    while let Some(step) = talk.step(true) {
-        if let Step::Ask(command, statement, came) = step {
-            asked.push((command, String::from_utf8_lossy(statement.id()).into_owned(), came));
+/// A request that the conversation has forwarded.
+struct Forwarded {
+    command: CommandId,
+    statement_id: String,
+    arrived_at: Time,
+}
+
+/// Steps until nothing can be done now; the requests that were forwarded.
+fn forwarded(conversation: &mut Conversation) -> Vec<Forwarded> {
+    let mut requests = Vec::new();
+    while let Some(step) = conversation.next_step(true) {
+        if let Step::Forward { command, statement, arrived_at } = step {
+            let statement_id = String::from_utf8_lossy(statement.id()).into_owned();
+            requests.push(Forwarded { command, statement_id, arrived_at });
         }
     }
-    asked
+    requests
+}
+
+/// A reply, by the message in it that says most.
+struct Reply {
+    message_type: u8,
+    body: Vec<u8>,
+}
+
+impl Reply {
+    fn error_code(&self) -> &str {
+        assert_eq!(self.message_type, b'E');
+        std::str::from_utf8(basalthill_wire::error_code(&self.body).unwrap()).unwrap()
+    }
 }
 
-/// The answers in a stream of messages, each by its last telling message: its type and its body.
-fn answers(mut bytes: &[u8]) -> Vec<(u8, Vec<u8>)> {
+/// The replies in a stream of messages.
+fn replies(mut bytes: &[u8]) -> Vec<Reply> {
     let (mut out, mut last) = (Vec::new(), None);
     while let Some(head) = bytes.first_chunk::<5>() {
         let len = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
@@ -66,7 +87,7 @@
         bytes = &bytes[1 + len..];
         match head[0] {
             b'Z' => out.extend(last.take()),
-            b'D' | b'E' | b'I' | b'R' => last = Some((head[0], body)),
+            b'D' | b'E' | b'I' | b'R' => last = Some(Reply { message_type: head[0], body }),
             _ => {}
         }
     }
@@ -75,193 +96,203 @@
     out
 }
 
-fn code(answer: &(u8, Vec<u8>)) -> &str {
-    assert_eq!(answer.0, b'E');
-    std::str::from_utf8(basalthill_wire::error_code(&answer.1).unwrap()).unwrap()
-}
-
 #[test]
 fn reads_are_forwarded_concurrently_and_answered_in_order() {
-    let mut talk = talk();
-    let commands: Vec<u8> = (0..MAX_CONCURRENT_READS + 2).flat_map(|n| query(&text(n, false))).collect();
-    talk.read(&[startup(), commands].concat(), true, Time::ms(5));
-    let first = asks(&mut talk);
+    let mut conversation = empty_conversation();
+    let commands: Vec<u8> =
+        (0..MAX_CONCURRENT_READS + 2).flat_map(|n| query(&statement_text(n, false))).collect();
+    conversation.feed(&[startup(), commands].concat(), true, Time::ms(5));
+    let first = forwarded(&mut conversation);
     assert_eq!(first.len(), MAX_CONCURRENT_READS);
-    assert!(first.iter().all(|(_, _, came)| *came == Time::ms(5)));
-    all(&mut talk);
-    talk.answer(first[1].0, served(b"second"));
-    assert!(!talk.speaks(), "the first has no answer yet");
-    assert_eq!(asks(&mut talk).len(), 1, "there is room for another");
-    talk.answer(first[0].0, served(b"first"));
-    let told = answers(&all(&mut talk));
-    assert!(told[0].1.ends_with(b"first") && told[1].1.ends_with(b"second") && told.len() == 2);
+    assert!(first.iter().all(|request| request.arrived_at == Time::ms(5)));
+    write_out_all(&mut conversation);
+    conversation.answer(first[1].command, served_answer(b"second"));
+    assert!(!conversation.has_output(), "the first has no answer yet");
+    assert_eq!(forwarded(&mut conversation).len(), 1, "another read may be in flight");
+    conversation.answer(first[0].command, served_answer(b"first"));
+    let received = replies(&write_out_all(&mut conversation));
+    assert!(
+        received[0].body.ends_with(b"first") && received[1].body.ends_with(b"second") && received.len() == 2
+    );
 }
 
 #[test]
 fn a_write_waits_for_earlier_commands_and_blocks_later_ones() {
-    let mut talk = talk();
-    let commands = [(0, false), (1, false), (2, true), (3, false)].map(|(n, write)| query(&text(n, write)));
-    talk.read(&[startup(), commands.concat()].concat(), true, Time(0));
-    let reads = asks(&mut talk);
+    let mut conversation = empty_conversation();
+    let commands =
+        [(0, false), (1, false), (2, true), (3, false)].map(|(n, write)| query(&statement_text(n, write)));
+    conversation.feed(&[startup(), commands.concat()].concat(), true, Time(0));
+    let reads = forwarded(&mut conversation);
     assert_eq!(reads.len(), 2);
-    talk.answer(reads[1].0, served(b"b"));
-    assert!(asks(&mut talk).is_empty(), "a read before it is open");
-    talk.answer(reads[0].0, Answer::Failed);
-    let write = asks(&mut talk);
+    conversation.answer(reads[1].command, served_answer(b"b"));
+    assert!(forwarded(&mut conversation).is_empty(), "a read before it is open");
+    conversation.answer(reads[0].command, Answer::Failed);
+    let write = forwarded(&mut conversation);
     assert_eq!(write.len(), 1);
-    talk.answer(write[0].0, Answer::Rejected { retry_after_ms: Some(40) });
-    assert_eq!(asks(&mut talk)[0].1, format!("{:016x}", 3));
+    conversation.answer(write[0].command, Answer::Rejected { retry_after_ms: Some(40) });
+    assert_eq!(forwarded(&mut conversation)[0].statement_id, format!("{:016x}", 3));
 }
 
 #[test]
 fn input_read_after_a_pause_counts_from_the_pause() {
-    let mut talk = talk();
-    talk.read(&startup(), true, Time::ms(1));
-    talk.pause(Time::ms(10));
-    talk.resume(Time::ms(500));
-    // As much as there was room for: more may have waited with it.
-    talk.read(&query(&text(0, false)), false, Time::ms(500));
-    talk.read(&query(&text(1, false)), true, Time::ms(501));
-    talk.read(&query(&text(2, false)), true, Time::ms(502));
-    let came: Vec<Time> = asks(&mut talk).into_iter().map(|a| a.2).collect();
-    assert_eq!(came, [10, 10, 502].map(Time::ms));
+    let mut conversation = empty_conversation();
+    conversation.feed(&startup(), true, Time::ms(1));
+    conversation.pause_reading(Time::ms(10));
+    conversation.resume_reading(Time::ms(500));
+    // The buffer was full: more may have arrived with it.
+    conversation.feed(&query(&statement_text(0, false)), false, Time::ms(500));
+    conversation.feed(&query(&statement_text(1, false)), true, Time::ms(501));
+    conversation.feed(&query(&statement_text(2, false)), true, Time::ms(502));
+    let requests = forwarded(&mut conversation);
+    let arrivals: Vec<Time> = requests.into_iter().map(|request| request.arrived_at).collect();
+    assert_eq!(arrivals, [10, 10, 502].map(Time::ms));
 }
 
 #[test]
 fn a_client_that_reads_no_replies_has_no_more_requests_forwarded() {
-    let mut talk = talk();
-    let commands: Vec<u8> = (0..60).flat_map(|n| query(&text(n, false))).collect();
-    talk.read(&[startup(), commands].concat(), true, Time(0));
-    let mut asked = 0;
+    let mut conversation = empty_conversation();
+    let commands: Vec<u8> = (0..60).flat_map(|n| query(&statement_text(n, false))).collect();
+    conversation.feed(&[startup(), commands].concat(), true, Time(0));
+    let mut count = 0;
     loop {
-        let now = asks(&mut talk);
-        if now.is_empty() {
+        let requests = forwarded(&mut conversation);
+        if requests.is_empty() {
             break;
         }
-        asked += now.len();
-        now.into_iter().for_each(|(command, ..)| talk.answer(command, served(&[7; 8000])));
+        count += requests.len();
+        for request in requests {
+            conversation.answer(request.command, served_answer(&[7; 8000]));
+        }
     }
-    assert!(asked <= 2 * MAX_CONCURRENT_READS, "{asked}");
-    all(&mut talk);
-    assert!(!asks(&mut talk).is_empty(), "it goes on once they are taken");
+    assert!(count <= 2 * MAX_CONCURRENT_READS, "{count}");
+    write_out_all(&mut conversation);
+    assert!(!forwarded(&mut conversation).is_empty(), "it goes on once the replies are written");
 }
 
 #[test]
 fn reading_pauses_while_much_input_is_queued() {
-    let mut talk = talk();
-    let write = query(&text(0, true));
+    let mut conversation = empty_conversation();
+    let write = query(&statement_text(0, true));
     let many = LARGE_STATEMENT_LEN / write.len() + 2;
-    let bytes: Vec<u8> = (0..many).flat_map(|n| query(&text(n, true))).collect();
-    talk.read(&[startup(), bytes].concat(), true, Time(0));
+    let bytes: Vec<u8> = (0..many).flat_map(|n| query(&statement_text(n, true))).collect();
+    conversation.feed(&[startup(), bytes].concat(), true, Time(0));
     let mut answered = 0;
-    let mut open = asks(&mut talk);
-    assert!(!talk.takes());
-    while let Some((command, ..)) = open.pop() {
-        talk.answer(command, served(b"x"));
-        all(&mut talk);
+    let mut open = forwarded(&mut conversation);
+    assert!(!conversation.accepts_input());
+    while let Some(request) = open.pop() {
+        conversation.answer(request.command, served_answer(b"x"));
+        write_out_all(&mut conversation);
         answered += 1;
-        open = asks(&mut talk);
+        open = forwarded(&mut conversation);
     }
-    assert!(talk.takes() && talk.resting());
+    assert!(conversation.accepts_input() && conversation.is_idle());
     assert_eq!(answered, many);
 }
 
 #[test]
 fn valid_commands_before_too_many_faults_are_answered() {
-    let mut talk = talk();
+    let mut conversation = empty_conversation();
     let bad = query("DROP TABLE records");
     let commands = [
-        query(&text(0, false)),
+        query(&statement_text(0, false)),
         bad.repeat(MAX_CLIENT_FAULTS as usize),
-        query(&text(1, false)),
-        query(&text(2, true)),
+        query(&statement_text(1, false)),
+        query(&statement_text(2, true)),
     ];
-    talk.read(&[startup(), commands.concat()].concat(), true, Time(0));
-    let open = asks(&mut talk);
-    assert_eq!(open.len(), 1, "nothing behind the faults is sent on");
-    talk.answer(open[0].0, served(b"x"));
-    let told = answers(&all(&mut talk));
+    conversation.feed(&[startup(), commands.concat()].concat(), true, Time(0));
+    let open = forwarded(&mut conversation);
+    assert_eq!(open.len(), 1, "nothing behind the faults is forwarded");
+    conversation.answer(open[0].command, served_answer(b"x"));
+    let received = replies(&write_out_all(&mut conversation));
     let faults = MAX_CLIENT_FAULTS as usize;
-    assert_eq!(told.len(), 1 + 1 + faults + 1, "welcome, row, faults, the end");
-    assert_eq!(told[1].0, b'D');
-    assert!(told[2..2 + faults].iter().all(|t| code(t) == "42601"));
-    assert_eq!(code(&told[2 + faults]), "08P01");
-    assert!(talk.ending() && talk.resting());
+    assert_eq!(received.len(), 1 + 1 + faults + 1, "welcome, row, faults, the end");
+    assert_eq!(received[1].message_type, b'D');
+    assert!(received[2..2 + faults].iter().all(|t| t.error_code() == "42601"));
+    assert_eq!(received[2 + faults].error_code(), "08P01");
+    assert!(conversation.is_ending() && conversation.is_idle());
 }
 
 #[test]
 fn an_incomplete_message_times_out_behind_the_earlier_replies() {
-    let mut talk = talk();
-    let half = query(&text(1, false));
-    talk.read(&[startup(), query(&text(0, true)), half[..20].to_vec()].concat(), true, Time::ms(3));
-    let open = asks(&mut talk);
-    assert_eq!(talk.begun(), Some(Time::ms(3)));
-    talk.late();
-    assert!(asks(&mut talk).is_empty() && !talk.takes());
-    all(&mut talk);
-    talk.answer(open[0].0, served(b"x"));
-    asks(&mut talk);
-    let told = answers(&all(&mut talk));
-    assert_eq!((told[0].0, code(&told[1])), (b'D', "57P05"));
-    assert!(talk.ending() && talk.resting());
+    let mut conversation = empty_conversation();
+    let half = query(&statement_text(1, false));
+    conversation.feed(
+        &[startup(), query(&statement_text(0, true)), half[..20].to_vec()].concat(),
+        true,
+        Time::ms(3),
+    );
+    let open = forwarded(&mut conversation);
+    assert_eq!(conversation.message_started(), Some(Time::ms(3)));
+    conversation.time_out_message();
+    assert!(forwarded(&mut conversation).is_empty() && !conversation.accepts_input());
+    write_out_all(&mut conversation);
+    conversation.answer(open[0].command, served_answer(b"x"));
+    forwarded(&mut conversation);
+    let received = replies(&write_out_all(&mut conversation));
+    assert_eq!((received[0].message_type, received[1].error_code()), (b'D', "57P05"));
+    assert!(conversation.is_ending() && conversation.is_idle());
 }
 
 #[test]
 fn after_the_input_limit_only_a_started_message_is_completed() {
-    let mut talk = talk();
-    let (one, two) = (query(&text(0, false)), query(&text(1, false)));
-    talk.read(&[startup(), one[..7].to_vec()].concat(), true, Time(0));
-    talk.last_call(0);
-    assert!(talk.takes());
-    talk.read(&one[7..20], true, Time(0));
-    talk.read(&[one[20..].to_vec(), two.clone()].concat(), true, Time(0));
-    assert_eq!(asks(&mut talk).len(), 1);
-    assert!(!talk.takes());
-    talk.read(&two, true, Time(0));
-    assert!(asks(&mut talk).is_empty());
+    let mut conversation = empty_conversation();
+    let (one, two) = (query(&statement_text(0, false)), query(&statement_text(1, false)));
+    conversation.feed(&[startup(), one[..7].to_vec()].concat(), true, Time(0));
+    conversation.limit_input(0);
+    assert!(conversation.accepts_input());
+    conversation.feed(&one[7..20], true, Time(0));
+    conversation.feed(&[one[20..].to_vec(), two.clone()].concat(), true, Time(0));
+    assert_eq!(forwarded(&mut conversation).len(), 1);
+    assert!(!conversation.accepts_input());
+    conversation.feed(&two, true, Time(0));
+    assert!(forwarded(&mut conversation).is_empty());
 }
 
 #[test]
 fn input_is_taken_up_to_the_limit_and_nothing_behind_it() {
-    let mut talk = talk();
-    talk.read(&startup(), true, Time(0));
-    let (one, two, three) = (query(&text(0, false)), query(&text(1, false)), query(&text(2, false)));
-    talk.last_call(one.len() + two.len() - 5);
-    talk.read(&one, false, Time(0));
-    assert!(talk.takes());
-    talk.read(&[&two[..], &three].concat(), false, Time(0));
-    assert!(!talk.takes());
-    assert_eq!(asks(&mut talk).len(), 2, "the second has begun by then");
-    // A socket that is found empty holds no more.
-    let mut talk = self::talk();
-    talk.last_call(1000);
-    talk.drained();
-    assert!(!talk.takes());
+    let mut conversation = empty_conversation();
+    conversation.feed(&startup(), true, Time(0));
+    let (one, two, three) = (
+        query(&statement_text(0, false)),
+        query(&statement_text(1, false)),
+        query(&statement_text(2, false)),
+    );
+    conversation.limit_input(one.len() + two.len() - 5);
+    conversation.feed(&one, false, Time(0));
+    assert!(conversation.accepts_input());
+    conversation.feed(&[&two[..], &three].concat(), false, Time(0));
+    assert!(!conversation.accepts_input());
+    assert_eq!(forwarded(&mut conversation).len(), 2, "the second has begun by then");
+    // A socket that is found empty has no more.
+    let mut conversation = empty_conversation();
+    conversation.limit_input(1000);
+    conversation.socket_drained();
+    assert!(!conversation.accepts_input());
 }
 
 #[test]
 fn an_empty_query_is_answered_once_the_router_is_ready_and_blocks_nothing() {
-    let mut talk = talk();
-    talk.read(&[startup(), query("")].concat(), true, Time(0));
-    while talk.step(false).is_some() {}
-    assert_eq!(answers(&all(&mut talk)).len(), 1, "the welcome");
-    assert!(talk.step(true).is_none());
-    assert_eq!(answers(&all(&mut talk))[0].0, b'I');
-    let mut talk = self::talk();
-    talk.read(&[startup(), query(""), query(&text(0, false))].concat(), true, Time(0));
+    let mut conversation = empty_conversation();
+    conversation.feed(&[startup(), query("")].concat(), true, Time(0));
+    while conversation.next_step(false).is_some() {}
+    assert_eq!(replies(&write_out_all(&mut conversation)).len(), 1, "the welcome");
+    assert!(conversation.next_step(true).is_none());
+    assert_eq!(replies(&write_out_all(&mut conversation))[0].message_type, b'I');
+    let mut conversation = empty_conversation();
+    conversation.feed(&[startup(), query(""), query(&statement_text(0, false))].concat(), true, Time(0));
     let mut open = Vec::new();
-    while let Some(step) = talk.step(false) {
-        open.extend(matches!(step, Step::Ask(..)).then_some(step));
+    while let Some(step) = conversation.next_step(false) {
+        open.extend(matches!(step, Step::Forward { .. }).then_some(step));
     }
-    let Some(Step::Ask(command, ..)) = open.pop() else { panic!("asked") };
-    talk.answer(command, Answer::Rejected { retry_after_ms: None });
-    let told = answers(&all(&mut talk));
-    assert_eq!((code(&told[1]), code(&told[2])), ("57P03", "53300"));
+    let Some(Step::Forward { command, .. }) = open.pop() else { panic!("the query is forwarded") };
+    conversation.answer(command, Answer::Rejected { retry_after_ms: None });
+    let received = replies(&write_out_all(&mut conversation));
+    assert_eq!((received[1].error_code(), received[2].error_code()), ("57P03", "53300"));
 }
 
-/// One thing that a client writes.
+/// One message that a client writes.
 #[derive(Clone, Debug)]
-enum Written {
+enum ClientWrite {
     Read,
     Write,
     Empty,
@@ -271,42 +302,50 @@
 }
 
 /// Mostly sound commands, or mostly such as are not served.
-fn commands() -> impl Strategy<Value = Vec<Written>> {
-    let bad = prop_oneof![1 => written(), 3 => Just(Written::Bad)];
-    prop_oneof![4 => prop::collection::vec(written(), 0..40), 1 => prop::collection::vec(bad, 0..40)]
+fn commands() -> impl Strategy<Value = Vec<ClientWrite>> {
+    let bad = prop_oneof![1 => client_write(), 3 => Just(ClientWrite::Bad)];
+    prop_oneof![4 => prop::collection::vec(client_write(), 0..40), 1 => prop::collection::vec(bad, 0..40)]
 }
 
-fn written() -> impl Strategy<Value = Written> {
+fn client_write() -> impl Strategy<Value = ClientWrite> {
     prop_oneof![
-        6 => Just(Written::Read),
-        3 => Just(Written::Write),
-        1 => Just(Written::Empty),
-        1 => Just(Written::Bad),
-        1 => Just(Written::Sync),
-        1 => Just(Written::Unsupported),
+        6 => Just(ClientWrite::Read),
+        3 => Just(ClientWrite::Write),
+        1 => Just(ClientWrite::Empty),
+        1 => Just(ClientWrite::Bad),
+        1 => Just(ClientWrite::Sync),
+        1 => Just(ClientWrite::Unsupported),
     ]
 }
 
-/// What happens between two pieces.
+/// What happens between two pieces of a client's input.
 #[derive(Clone, Debug)]
-enum Happens {
+enum Interleaved {
     Answered(usize, u8),
     Token,
-    Taken(usize),
-    Stops,
-    Late,
+    BytesWritten(usize),
+    ShutdownStarts,
+    MessageTimesOut,
 }
 
-fn happens() -> impl Strategy<Value = Happens> {
+fn interleaved() -> impl Strategy<Value = Interleaved> {
     prop_oneof![
-        8 => (any::<usize>(), any::<u8>()).prop_map(|(n, how)| Happens::Answered(n, how)),
-        1 => Just(Happens::Token),
-        4 => (1..200usize).prop_map(Happens::Taken),
-        1 => Just(Happens::Stops),
-        1 => Just(Happens::Late),
+        8 => (any::<usize>(), any::<u8>()).prop_map(|(n, how)| Interleaved::Answered(n, how)),
+        1 => Just(Interleaved::Token),
+        4 => (1..200usize).prop_map(Interleaved::BytesWritten),
+        1 => Just(Interleaved::ShutdownStarts),
+        1 => Just(Interleaved::MessageTimesOut),
     ]
 }
 
+/// A request of the property test that is not answered yet.
+struct OpenRequest {
+    command: CommandId,
+    /// Its place among the commands.
+    n: usize,
+    is_write: bool,
+}
+
 proptest! {
     #![proptest_config(ProptestConfig {
         cases: 2000,
@@ -314,137 +353,147 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever a client writes, in whatever pieces, crossed by answers, tokens, a slow reader, a stop and
-    /// its own lateness: each whole command that is taken gets exactly one answer, in order; a connection
-    /// ends only behind all of them; no read passes a write; and nothing is taken behind its end.
+    /// Whatever a client writes, in whatever pieces, interleaved with answers, tokens, a slow reader, a
+    /// shutdown and a timeout: each complete command that is taken gets exactly one reply, in order; a
+    /// connection ends only behind all of them; no read passes a write; and nothing is taken behind its end.
     #[test]
     fn each_complete_command_has_one_reply_in_order(
         commands in commands(),
         cuts in prop::collection::vec(any::<usize>(), 0..30),
-        between in prop::collection::vec(happens(), 0..120),
+        between in prop::collection::vec(interleaved(), 0..120),
     ) {
         let mut bytes = startup();
         let mut ends = vec![(bytes.len(), None)];
         for (n, c) in commands.iter().enumerate() {
             bytes.extend(match c {
-                Written::Read => query(&text(n, false)),
-                Written::Write => query(&text(n, true)),
-                Written::Empty => query(""),
-                Written::Bad => query("EXPLAIN records"),
-                Written::Sync => b"S\0\0\0\x04".to_vec(),
+                ClientWrite::Read => query(&statement_text(n, false)),
+                ClientWrite::Write => query(&statement_text(n, true)),
+                ClientWrite::Empty => query(""),
+                ClientWrite::Bad => query("EXPLAIN records"),
+                ClientWrite::Sync => b"S\0\0\0\x04".to_vec(),
                 // With the Sync that ends what it began.
-                Written::Unsupported => b"P\0\0\0\x04S\0\0\0\x04".to_vec(),
+                ClientWrite::Unsupported => b"P\0\0\0\x04S\0\0\0\x04".to_vec(),
             });
             ends.push((bytes.len(), Some(n)));
         }
         let mut cuts: Vec<usize> = cuts.iter().map(|c| c % (bytes.len() + 1)).collect();
         cuts.extend([0, bytes.len()]);
         cuts.sort_unstable();
-        let (mut talk, mut out, mut open) = (talk(), Vec::new(), Vec::<(CommandId, usize, bool)>::new());
-        let mut fates: BTreeMap<usize, u8> = BTreeMap::new(); // of each command that was asked
-        let (mut fed, mut stopped, mut late) = (0, false, false);
+        let mut conversation = empty_conversation();
+        let mut out = Vec::new();
+        let mut open: Vec<OpenRequest> = Vec::new();
+        // How each command that was forwarded was answered.
+        let mut outcomes: BTreeMap<usize, u8> = BTreeMap::new();
+        let mut fed = 0;
+        let mut stopped = false;
+        let mut late = false;
         let mut between = between.into_iter();
         let mut pieces = cuts.windows(2);
         loop {
-            while let Some(step) = talk.step(true) {
-                prop_assert!(talk.replies.len() <= bytes.len());
-                if let Step::Ask(command, statement, _) = step {
+            while let Some(step) = conversation.next_step(true) {
+                prop_assert!(conversation.replies.len() <= bytes.len());
+                if let Step::Forward { command, statement, .. } = step {
                     let n = usize::from_str_radix(std::str::from_utf8(statement.id()).unwrap(), 16).unwrap();
-                    let write = statement.verb == Verb::Insert;
-                    prop_assert!(open.iter().all(|o| !o.2 && !write), "nothing passes a write");
+                    let is_write = statement.verb == Verb::Insert;
+                    let passes_no_write = open.iter().all(|request| !request.is_write && !is_write);
+                    prop_assert!(passes_no_write, "nothing passes a write");
                     prop_assert!(open.len() < MAX_CONCURRENT_READS);
-                    prop_assert!(fates.insert(n, u8::MAX).is_none(), "asked once");
-                    open.push((command, n, write));
+                    prop_assert!(outcomes.insert(n, u8::MAX).is_none(), "forwarded once");
+                    open.push(OpenRequest { command, n, is_write });
                 }
             }
             match between.next() {
-                Some(Happens::Answered(which, how)) if !open.is_empty() => {
-                    let (command, n, _) = open.remove(which % open.len());
+                Some(Interleaved::Answered(which, how)) if !open.is_empty() => {
+                    let OpenRequest { command, n, .. } = open.remove(which % open.len());
                     let how = how % 5;
-                    fates.insert(n, how);
+                    outcomes.insert(n, how);
                     let e = StatementError { code: "22023", message: "unknown".into() };
-                    talk.answer(command, match how {
-                        0 | 1 => served(format!("{n:016x}").as_bytes()),
+                    conversation.answer(command, match how {
+                        0 | 1 => served_answer(format!("{n:016x}").as_bytes()),
                         2 => Answer::Rejected { retry_after_ms: None },
                         3 => Answer::Failed,
                         _ => Answer::Invalid(e),
                     });
                 }
-                Some(Happens::Answered(..)) => {}
-                Some(Happens::Token) => talk.token("token"),
-                Some(Happens::Taken(most)) => out.extend(take(&mut talk, most)),
-                Some(Happens::Stops) if fed > 0 => {
-                    talk.last_call(0);
+                Some(Interleaved::Answered(..)) => {}
+                Some(Interleaved::Token) => conversation.push_session_token("token"),
+                Some(Interleaved::BytesWritten(most)) => out.extend(write_out(&mut conversation, most)),
+                Some(Interleaved::ShutdownStarts) if fed > 0 => {
+                    conversation.limit_input(0);
                     stopped = true;
                 }
-                Some(Happens::Late) if talk.begun().is_some() => {
-                    talk.late();
+                Some(Interleaved::MessageTimesOut) if conversation.message_started().is_some() => {
+                    conversation.time_out_message();
                     late = true;
                 }
-                Some(Happens::Stops | Happens::Late) => {}
+                Some(Interleaved::ShutdownStarts | Interleaved::MessageTimesOut) => {}
                 None => {
                     // The rest, as fast as it goes.
-                    if let Some((command, n, _)) = open.pop() {
-                        fates.insert(n, 0);
-                        talk.answer(command, served(format!("{n:016x}").as_bytes()));
+                    if let Some(OpenRequest { command, n, .. }) = open.pop() {
+                        outcomes.insert(n, 0);
+                        conversation.answer(command, served_answer(format!("{n:016x}").as_bytes()));
                     }
-                    out.extend(all(&mut talk));
-                    if open.is_empty() && pieces.len() == 0 && talk.answered() && !talk.speaks() {
+                    out.extend(write_out_all(&mut conversation));
+                    let is_consumed = open.is_empty() && pieces.len() == 0;
+                    if is_consumed && conversation.is_answered() && !conversation.has_output() {
                         break;
                     }
                 }
             }
-            if talk.takes() {
+            if conversation.accepts_input() {
                 if let Some(cut) = pieces.next() {
-                    talk.read(&bytes[cut[0]..cut[1]], true, Time(0));
+                    conversation.feed(&bytes[cut[0]..cut[1]], true, Time(0));
                     fed = cut[1];
                 }
-            } else if talk.ending() || stopped || late {
+            } else if conversation.is_ending() || stopped || late {
                 pieces = cuts[..0].windows(2);
             }
         }
-        // What was told, in the order of the commands.
-        let told = answers(&out);
-        let mut told = told.iter();
+        // What was received, in the order of the commands.
+        let received = replies(&out);
+        let mut received = received.iter();
         if fed >= ends[0].0 {
-            prop_assert_eq!(told.next().map(|t| t.0), Some(b'R'), "a welcome comes first");
+            let first = received.next().map(|reply| reply.message_type);
+            prop_assert_eq!(first, Some(b'R'), "a welcome comes first");
         }
         let mut faults = 0;
         for (end, n) in ends.iter().skip(1) {
             let Some(n) = n else { continue };
-            if matches!(commands[*n], Written::Sync) {
+            if matches!(commands[*n], ClientWrite::Sync) {
                 continue;
             }
-            let Some(answer) = told.next() else {
+            let Some(reply) = received.next() else {
                 // Not answered: then nothing behind it is, and it was not taken.
-                prop_assert!(told.next().is_none() && !fates.contains_key(n));
-                prop_assert!(stopped || late || talk.ending() || *end > fed, "command {} has no answer", n);
+                prop_assert!(received.next().is_none() && !outcomes.contains_key(n));
+                let is_excused = stopped || late || conversation.is_ending() || *end > fed;
+                prop_assert!(is_excused, "command {} has no reply", n);
                 return Ok(());
             };
-            let fatal = answer.0 == b'E' && answer.1.starts_with(b"SFATAL");
+            let fatal = reply.message_type == b'E' && reply.body.starts_with(b"SFATAL");
             if fatal {
                 prop_assert!(late || faults >= MAX_CLIENT_FAULTS, "a connection ends for a reason");
-                prop_assert!(told.next().is_none(), "nothing comes behind the end");
+                prop_assert!(received.next().is_none(), "nothing comes behind the end");
                 return Ok(());
             }
-            match (&commands[*n], fates.get(n)) {
-                (Written::Empty, _) => prop_assert_eq!(answer.0, b'I'),
-                (Written::Bad, _) => {
+            match (&commands[*n], outcomes.get(n)) {
+                (ClientWrite::Empty, _) => prop_assert_eq!(reply.message_type, b'I'),
+                (ClientWrite::Bad, _) => {
                     faults += 1;
-                    prop_assert_eq!(code(answer), "42601");
+                    prop_assert_eq!(reply.error_code(), "42601");
                 }
-                (Written::Unsupported, _) => {
+                (ClientWrite::Unsupported, _) => {
                     faults += 1;
-                    prop_assert_eq!(code(answer), "0A000");
+                    prop_assert_eq!(reply.error_code(), "0A000");
                 }
                 (_, Some(0 | 1)) => {
-                    prop_assert!(answer.1.ends_with(format!("{n:016x}").as_bytes()), "another's answer");
+                    let id = format!("{n:016x}");
+                    prop_assert!(reply.body.ends_with(id.as_bytes()), "another command's answer");
                 }
-                (_, Some(2)) | (_, None) => prop_assert_eq!(code(answer), "53300"),
-                (_, Some(3)) => prop_assert_eq!(code(answer), "58000"),
+                (_, Some(2)) | (_, None) => prop_assert_eq!(reply.error_code(), "53300"),
+                (_, Some(3)) => prop_assert_eq!(reply.error_code(), "58000"),
                 (_, Some(_)) => {
                     faults += 1;
-                    prop_assert_eq!(code(answer), "22023");
+                    prop_assert_eq!(reply.error_code(), "22023");
                 }
             }
         }
--- /dev/null
+++ b/crates/router/src/transport/driver.rs
@@ -0,0 +1,178 @@
+//! The common state of a router's tasks. Inputs are fed to routing here, and the effects that come of
+//! them are carried out here.
+
+use super::client::{ClientRegistry, Eviction};
+use super::exchange::{self, RunningExchanges};
+use super::fleet::FleetLink;
+use super::io::ReadBuffer;
+use super::pool::{HostPool, PoolTimeouts};
+use super::semaphore::{Permit, Semaphore};
+use super::shutdown::Shutdown;
+use super::snapshot_file;
+use super::tasks::TaskSpawner;
+use super::timers::TimerDeadline;
+use super::watch::DiscoveryWatches;
+use crate::protocol::discovery::HostList;
+use crate::routing::{Clock, Effect, ExchangeId, ExchangeResult, ExchangeStart, Input, Router};
+use async_executor::LocalExecutor;
+use basalthill_config::router::{RouterConfig, HOST_REUSE_DELAY, IDLE_TIMEOUT_FRACTION};
+use basalthill_policy::api::Time;
+use std::cell::RefCell;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// The common state of a router's tasks; each field owns one resource.
+pub struct Driver {
+    /// The clock by which inputs come.
+    pub clock: Clock,
+    /// The router without its sockets.
+    pub router: RefCell<Router>,
+    /// Spawns tasks, up to the shutdown.
+    pub tasks: TaskSpawner,
+    /// The clients' connections.
+    pub clients: ClientRegistry,
+    /// The exchanges with hosts that are under way.
+    pub exchanges: RunningExchanges,
+    /// Idle connections to hosts.
+    pub pool: HostPool,
+    /// The budget of descriptors, for clients and hosts together.
+    pub descriptors: Semaphore,
+    /// The buffer into which sockets are read.
+    pub read_buffer: ReadBuffer,
+    /// The watches that follow discovery.
+    pub discovery: DiscoveryWatches,
+    /// The link to the other routers of a fleet.
+    pub fleet: FleetLink,
+    /// When routing's next timer is due.
+    pub timers: TimerDeadline,
+    /// How far the router is in stopping.
+    pub shutdown: Shutdown,
+}
+
+impl Driver {
+    /// The state of a router that starts; its tasks run on `executor`.
+    pub fn new(
+        config: &RouterConfig,
+        known_endpoints: Option<HostList>,
+        executor: &Rc<LocalExecutor<'static>>,
+    ) -> Rc<Driver> {
+        let clock = Clock::anchored();
+        let mut effects = Vec::new();
+        let now = clock.now();
+        let sessions = snapshot_file::load_sessions(now, config);
+        let deployment = config.deployment.clone();
+        let router = Router::new(now, deployment, sessions, config.seed, known_endpoints, &mut effects);
+        let driver = Rc::new(Driver {
+            clock,
+            router: RefCell::new(router),
+            tasks: TaskSpawner::new(executor),
+            clients: ClientRegistry::new(config),
+            exchanges: RunningExchanges::default(),
+            pool: HostPool::new(pool_timeouts(config)),
+            descriptors: Semaphore::new(config.limits.descriptors()),
+            read_buffer: ReadBuffer::default(),
+            discovery: DiscoveryWatches::new(config),
+            fleet: FleetLink::default(),
+            timers: TimerDeadline::default(),
+            shutdown: Shutdown::default(),
+        });
+        driver.apply(effects);
+        driver
+    }
+
+    /// Feeds an input to routing and carries out the effects.
+    pub fn handle(self: &Rc<Driver>, input: Input) {
+        let mut effects = Vec::new();
+        let now = self.clock.now();
+        let mut router = self.router.borrow_mut();
+        if let Some(offset_ns) = self.clock.system_clock_offset_ns() {
+            router.observe_system_clock(now, offset_ns, &mut effects);
+        }
+        router.handle(now, input, &mut effects);
+        drop(router);
+        self.apply(effects);
+    }
+
+    /// Calls the router with the time and carries out the effects that it appends.
+    pub fn with_router(self: &Rc<Driver>, call: impl FnOnce(&mut Router, Time, &mut Vec<Effect>)) {
+        let mut effects = Vec::new();
+        let now = self.clock.now();
+        call(&mut self.router.borrow_mut(), now, &mut effects);
+        self.apply(effects);
+    }
+
+    fn apply(self: &Rc<Driver>, effects: Vec<Effect>) {
+        for effect in effects {
+            self.apply_one(effect);
+        }
+        let router = self.router.borrow();
+        self.timers.wake_before(router.next_due());
+        if router.unanswered() == 0 {
+            self.shutdown.notify_progress();
+        }
+    }
+
+    fn apply_one(self: &Rc<Driver>, effect: Effect) {
+        match effect {
+            Effect::StartExchange(start) => self.start_exchange(start),
+            Effect::AbortExchange(id) => self.exchanges.abort(id),
+            Effect::SessionToken { client, token } => {
+                if let Some(handle) = self.clients.handle(client) {
+                    handle.set_session_token(token);
+                }
+            }
+            Effect::SendDatagram { to, bytes } => self.fleet.send(to, &bytes),
+            // The front end for other proxies does not exist yet.
+            Effect::ProxyReply { .. } => {}
+            Effect::Answer { client, command, answer } => {
+                if let Some(handle) = self.clients.handle(client) {
+                    handle.push_answer(command, answer);
+                }
+            }
+            Effect::CloseIdleConnections(addr) => self.pool.close_all(addr),
+            Effect::CloseConnectionsIdleSince { addr, before } => {
+                self.pool.close_idle_since_before(addr, self.clock.instant(before));
+            }
+        }
+    }
+
+    fn start_exchange(self: &Rc<Driver>, start: ExchangeStart) {
+        let driver = Rc::clone(self);
+        let id = start.id;
+        let task = self.tasks.spawn(async move {
+            let result = exchange::run(&driver, start).await;
+            driver.finish_exchange(id, result);
+        });
+        if let Some(task) = task {
+            self.exchanges.insert(id, task);
+        }
+    }
+
+    /// An exchange's task has come to its end; called from within it.
+    fn finish_exchange(self: &Rc<Driver>, id: ExchangeId, result: ExchangeResult) {
+        self.exchanges.detach(id);
+        self.handle(Input::ExchangeFinished(id, result));
+    }
+
+    /// A descriptor from the budget. When it is spent, the connection to a host that has been idle for
+    /// longest makes place, or else a client.
+    pub async fn acquire_descriptor(&self) -> Option<Permit> {
+        if let Some(permit) = self.descriptors.acquire_now() {
+            return Some(permit);
+        }
+        self.pool.close_oldest();
+        if let Some(permit) = self.descriptors.acquire_now() {
+            return Some(permit);
+        }
+        self.clients.evict(Eviction::Soon).await;
+        self.descriptors.acquire_now()
+    }
+}
+
+fn pool_timeouts(config: &RouterConfig) -> PoolTimeouts {
+    PoolTimeouts {
+        reuse_delay: Duration::from_nanos(HOST_REUSE_DELAY.0),
+        idle: Duration::from_nanos(config.deployment.conn_idle.times(IDLE_TIMEOUT_FRACTION).0),
+        connect: Duration::from_nanos(config.deployment.connect_timeout.0),
+    }
+}
--- a/crates/router/src/transport/signal.rs
+++ b/crates/router/src/transport/notify.rs
@@ -1,34 +1,29 @@
-//! A note from one task to another on the same thread.
+//! A wake-up from one task to another on the same thread.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
 use std::task::{Poll, Waker};
 
-/// Set by many, awaited by one; notes add up to one until it is seen.
+/// Notified by any number of tasks, awaited by one. Notifications that arrive before it looks merge into one.
 #[derive(Default)]
-pub struct Signal {
-    set: Cell<bool>,
+pub struct Notify {
+    notified: Cell<bool>,
     waker: RefCell<Option<Waker>>,
 }
 
-impl Signal {
-    /// Leaves a note.
+impl Notify {
+    /// Wakes the waiting task, or lets its next wait return at once.
     pub fn notify(&self) {
-        self.set.set(true);
+        self.notified.set(true);
         if let Some(waker) = self.waker.borrow_mut().take() {
             waker.wake();
         }
     }
 
-    /// Takes a note, if there is one.
-    pub fn take(&self) -> bool {
-        self.set.replace(false)
-    }
-
-    /// Waits for a note and takes it.
-    pub async fn wait(&self) {
+    /// Waits for a notification and consumes it.
+    pub async fn notified(&self) {
         poll_fn(|cx| {
-            if self.take() {
+            if self.notified.take() {
                 return Poll::Ready(());
             }
             *self.waker.borrow_mut() = Some(cx.waker().clone());
--- a/crates/router/src/transport/pool/tests.rs
+++ b/crates/router/src/transport/pool/tests.rs
@@ -3,6 +3,13 @@
 use std::io::Write;
 use std::net::TcpListener;
 
+const DAY: Duration = Duration::from_secs(86_400);
+
+/// A pool that closes nothing for its age.
+fn pool(reuse_delay: Duration) -> HostPool {
+    HostPool::new(PoolTimeouts { reuse_delay, idle: DAY, connect: DAY })
+}
+
 #[test]
 fn a_connection_observes_the_reuse_delay_and_one_with_unexpected_input_is_closed() -> std::io::Result<()> {
     let host = TcpListener::bind(("127.0.0.1", 0))?;
@@ -10,24 +17,26 @@
     let budget = Semaphore::new(9);
     let connected = || -> std::io::Result<(HostConnection, TcpStream)> {
         let (near, far) = (TcpStream::connect(addr)?, host.accept()?.0);
-        let permit = budget.take().expect("a descriptor");
-        Ok((HostConnection { stream: Async::new(near)?, side: HostCodec::default(), _permit: permit }, far))
+        let permit = budget.acquire_now().expect("a descriptor");
+        Ok((
+            HostConnection { stream: Async::new(near)?, codec: HostCodec::default(), _descriptor: permit },
+            far,
+        ))
     };
-    let (day, zero) = (Duration::from_secs(86_400), Duration::ZERO);
-    let resting = Pool::new(day, day);
+    let delaying = pool(DAY);
     let (one, _far) = connected()?;
-    resting.put(addr, one);
-    assert!(matches!(resting.take(addr), Taken::Resting(left) if left > zero));
-    let rested = Pool::new(zero, day);
+    delaying.check_in(addr, one);
+    assert!(matches!(delaying.check_out(addr), Checkout::ReusableAfter(delay) if delay > Duration::ZERO));
+    let immediate = pool(Duration::ZERO);
     let ((one, mut far), (two, _far_of_two)) = (connected()?, connected()?);
     far.write_all(b"D")?;
     far.flush()?;
     async_io::block_on(one.stream.readable())?;
-    rested.put(addr, two);
-    rested.put(addr, one);
-    assert!(matches!(rested.take(addr), Taken::Ready(_)));
-    assert!(matches!(rested.take(addr), Taken::Nothing), "the one that has brought more is closed");
-    assert_eq!(budget.left(), 8);
+    immediate.check_in(addr, two);
+    immediate.check_in(addr, one);
+    assert!(matches!(immediate.check_out(addr), Checkout::Ready(_)));
+    assert!(matches!(immediate.check_out(addr), Checkout::Empty), "the one with unexpected input is closed");
+    assert_eq!(budget.available(), 8);
     Ok(())
 }
 
@@ -35,19 +44,22 @@
 fn connections_idle_since_before_an_instant_are_closed() -> std::io::Result<()> {
     let host = TcpListener::bind(("127.0.0.1", 0))?;
     let (addr, budget) = (host.local_addr()?, Semaphore::new(9));
-    let pool = Pool::new(Duration::ZERO, Duration::from_secs(86_400));
+    let pool = pool(Duration::ZERO);
     let mut far = Vec::new();
-    let mut idles = || -> std::io::Result<()> {
+    let mut add_idle = || -> std::io::Result<()> {
         let near = TcpStream::connect(addr)?;
         far.push(host.accept()?.0);
-        let _permit = budget.take().expect("a descriptor");
-        pool.put(addr, HostConnection { stream: Async::new(near)?, side: HostCodec::default(), _permit });
+        let _descriptor = budget.acquire_now().expect("a descriptor");
+        pool.check_in(
+            addr,
+            HostConnection { stream: Async::new(near)?, codec: HostCodec::default(), _descriptor },
+        );
         Ok(())
     };
-    idles()?;
+    add_idle()?;
     let restarted = Instant::now();
-    idles()?;
-    pool.close_older(addr, restarted);
-    assert_eq!((pool.len(), budget.left()), (1, 8));
+    add_idle()?;
+    pool.close_idle_since_before(addr, restarted);
+    assert_eq!((pool.len(), budget.available()), (1, 8));
     Ok(())
 }
--- a/crates/router/src/transport/semaphore.rs
+++ b/crates/router/src/transport/semaphore.rs
@@ -1,44 +1,44 @@
-//! Semaphores: what there is only so much of, descriptors and places for large statements.
+//! Counting semaphores for what is limited: descriptors, rejections in progress, large statements.
 
 use async_io::Timer;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often one who waits looks again.
-pub const LOOK_AGAIN: Duration = Duration::from_millis(5);
+/// How long a task waits before it checks again for something that a limit or the system did not give it.
+pub const RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What may still be taken.
+/// A number of permits that may be out at a time.
 pub struct Semaphore(Rc<Cell<usize>>);
 
-/// One that was taken; given back when dropped.
+/// A permit that was acquired; released on drop.
 pub struct Permit(Rc<Cell<usize>>);
 
 impl Semaphore {
-    /// So many in all.
-    pub fn new(sockets: usize) -> Semaphore {
-        Semaphore(Rc::new(Cell::new(sockets)))
+    /// A semaphore with so many permits.
+    pub fn new(permits: usize) -> Semaphore {
+        Semaphore(Rc::new(Cell::new(permits)))
     }
 
-    /// How many are left.
-    pub fn left(&self) -> usize {
+    /// How many permits can still be acquired.
+    pub fn available(&self) -> usize {
         self.0.get()
     }
 
-    /// Takes one, waiting until there is one.
-    pub async fn wait(&self) -> Permit {
+    /// Acquires a permit, waiting until one is released.
+    pub async fn acquire(&self) -> Permit {
         loop {
-            match self.take() {
+            match self.acquire_now() {
                 Some(permit) => return permit,
-                None => drop(Timer::after(LOOK_AGAIN).await),
+                None => drop(Timer::after(RETRY_INTERVAL).await),
             }
         }
     }
 
-    /// Takes one, if any is left.
-    pub fn take(&self) -> Option<Permit> {
-        let left = self.0.get().checked_sub(1)?;
-        self.0.set(left);
+    /// Acquires a permit, if one is available.
+    pub fn acquire_now(&self) -> Option<Permit> {
+        let remaining = self.0.get().checked_sub(1)?;
+        self.0.set(remaining);
         Some(Permit(Rc::clone(&self.0)))
     }
 }
--- a/crates/router/tests/pipelines.rs
+++ b/crates/router/tests/pipelines.rs
@@ -220,7 +220,7 @@
     let path = config(&known, new.addr, 64, SETTINGS);
     std::fs::copy(path, router.config()).unwrap();
     router.signal("HUP").unwrap();
-    router.wait_for_log("discovery is at").unwrap();
+    router.wait_for_log("discovery has moved").unwrap();
     send(&mut client, 200, 400);
     assert!(in_order(&mut client, "write", 7, 400) > 300);
     drop(crowd);
@@ -369,7 +369,7 @@
         router.signal("HUP").unwrap();
     }
     all_serve(&routers, "after a reload");
-    routers.iter().for_each(|r| drop(r.wait_for_log("discovery is at").unwrap()));
+    routers.iter().for_each(|r| drop(r.wait_for_log("discovery has moved").unwrap()));
     all_serve(&routers, "with the list come whole");
 }
 
