--- a/crates/fleet/src/swim/mod.rs
+++ b/crates/fleet/src/swim/mod.rs
@@ -90,7 +90,7 @@
     /// When the next period begins.
     next_period: Time,
     leaving: bool,
-    random: u64,
+    rng: fastrand::Rng,
 }
 
 impl Swim {
@@ -110,11 +110,11 @@
             health_score: 0,
             next_period: now,
             leaving: false,
-            random: seed,
+            rng: fastrand::Rng::with_seed(seed),
         };
         swim.set_roster(now, roster);
         // Routers that start together do not ping at the same time.
-        swim.next_period = now.plus(PERIOD.times(swim.random_fraction()));
+        swim.next_period = now.plus(PERIOD.times(swim.rng.f64()));
         swim.gossip.push(swim.own_update(PeerState::Alive));
         swim
     }
@@ -129,15 +129,6 @@
         self.probe_order.clear();
     }
 
-    fn random_fraction(&mut self) -> f64 {
-        self.random = self.random.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
-        (self.random >> 40) as f64 / (1u64 << 24) as f64
-    }
-
-    fn random_index(&mut self, len: usize) -> usize {
-        (self.random_fraction() * len as f64) as usize % len
-    }
-
     /// What is known of the peers, by id.
     pub fn peers(&self) -> impl Iterator<Item = (NodeId, &PeerView)> {
         self.peers.iter().map(|(id, view)| (*id, view))
@@ -359,7 +350,7 @@
         let update = self.own_update(PeerState::Left);
         let alive: Vec<NodeId> = self.alive().collect();
         for _ in 0..LEAVE_REPORTS.min(alive.len()) {
-            let to = alive[self.random_index(alive.len())];
+            let to = alive[self.rng.usize(..alive.len())];
             outputs.push(SwimOutput::Send { to, message: Message::Gossip(vec![update]) });
         }
     }
@@ -424,7 +415,7 @@
         let Probe { number, target, .. } = *probe;
         let mut others: Vec<NodeId> = self.alive().filter(|id| *id != self.me && *id != target).collect();
         for _ in 0..INDIRECT_PROBES.min(others.len()) {
-            let index = self.random_index(others.len());
+            let index = self.rng.usize(..others.len());
             let message = Message::PingRequest { number, target };
             outputs.push(SwimOutput::Send { to: others.swap_remove(index), message });
         }
@@ -481,17 +472,14 @@
         if inactive.is_empty() || !is_turn {
             return None;
         }
-        Some(inactive[self.random_index(inactive.len())])
+        Some(inactive[self.rng.usize(..inactive.len())])
     }
 
     /// The next active peer, in an order that is shuffled for each pass over all of them.
     fn next_target(&mut self) -> Option<NodeId> {
         if self.probe_order.is_empty() {
             self.probe_order = self.peers.keys().copied().collect();
-            for i in (1..self.probe_order.len()).rev() {
-                let j = self.random_index(i + 1);
-                self.probe_order.swap(i, j);
-            }
+            self.rng.shuffle(&mut self.probe_order);
         }
         while let Some(target) = self.probe_order.pop() {
             if self.peers.get(&target).is_some_and(PeerView::is_active) {
