--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -1,8 +1,10 @@
-//! Limits over all routers, with processes of the program, broken links between them, and hosts that count.
+//! Limits over all routers, with processes of the program, faulty links between them, and hosts that record
+//! what they receive.
 
 use basalthill_standin::harness::{
     rate_excess, ClientTotals, FleetHarness, HarnessConfig, HostBehavior, PacedClients,
 };
+use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::atomic::Ordering;
@@ -15,12 +17,12 @@
 /// also on a machine that is busy with other tests.
 const SPREAD_S: f64 = 0.25;
 
-fn rig(routers: usize, limits: &str, work_ms: u64) -> FleetHarness {
-    let work = Duration::from_millis(work_ms);
-    rig_of(HarnessConfig { service_time: work, ..setup(routers, limits) })
+fn start_routers(routers: usize, limits: &str, service_time_ms: u64) -> FleetHarness {
+    let service_time = Duration::from_millis(service_time_ms);
+    start_harness(HarnessConfig { service_time, ..harness_config(routers, limits) })
 }
 
-fn setup(routers: usize, limits: &str) -> HarnessConfig {
+fn harness_config(routers: usize, limits: &str) -> HarnessConfig {
     HarnessConfig {
         routers,
         hosts: 3,
@@ -33,93 +35,93 @@
     }
 }
 
-fn rig_of(setup: HarnessConfig) -> FleetHarness {
-    FleetHarness::start(Path::new(PROGRAM), Path::new(env!("CARGO_TARGET_TMPDIR")), &setup).expect("a fleet")
+fn start_harness(config: HarnessConfig) -> FleetHarness {
+    FleetHarness::start(Path::new(PROGRAM), Path::new(env!("CARGO_TARGET_TMPDIR")), &config).expect("a fleet")
 }
 
-fn addrs(rig: &FleetHarness) -> Vec<SocketAddr> {
-    rig.routers.iter().map(|r| r.addr).collect()
+fn addrs(harness: &FleetHarness) -> Vec<SocketAddr> {
+    harness.routers.iter().map(|r| r.addr).collect()
 }
 
-fn sleep(ms: u64) {
+fn sleep_ms(ms: u64) {
     std::thread::sleep(Duration::from_millis(ms));
 }
 
-fn rate(came: &[Instant], from: Instant, until: Instant) -> f64 {
-    let within = came.iter().filter(|at| **at >= from && **at < until).count();
+fn rate(arrivals: &[Instant], from: Instant, until: Instant) -> f64 {
+    let within = arrivals.iter().filter(|at| **at >= from && **at < until).count();
     within as f64 / (until - from).as_secs_f64()
 }
 
-const RATE: &str = r#"limit "acme" tenant="acme" per-s=300 burst=300 alone-percent=10"#;
+const RATE_LIMIT: &str = r#"limit "acme" tenant="acme" per-s=300 burst=300 alone-percent=10"#;
 
 #[test]
-fn eight_routers_keep_a_rate_through_a_split_a_kill_and_a_freeze() {
-    let mut rig = rig(8, RATE, 0);
-    let clients = PacedClients::start(&addrs(&rig), 2, "c=report,t=acme,d=1500,cluster=2", 1);
+fn eight_routers_keep_a_rate_through_a_partition_a_kill_and_a_suspension() {
+    let mut harness = start_routers(8, RATE_LIMIT, 0);
+    let clients = PacedClients::start(&addrs(&harness), 2, "c=report,t=acme,d=1500,cluster=2", 1);
     (0..8).for_each(|n| clients.set_rate(n, if n < 2 { 250.0 } else { 30.0 }));
-    sleep(8000);
-    let whole = Instant::now();
-    sleep(4000);
-    rig.partition(&[(0..4).collect(), (4..8).collect()]);
-    sleep(6000);
-    rig.heal();
+    sleep_ms(8000);
+    let steady_since = Instant::now();
+    sleep_ms(4000);
+    harness.partition(&[(0..4).collect(), (4..8).collect()]);
+    sleep_ms(6000);
+    harness.heal();
     let healed = Instant::now();
-    sleep(5000);
-    rig.kill(3).expect("a kill");
-    rig.set_paused(0, true).expect("a stop");
-    sleep(5000);
-    rig.set_paused(0, false).expect("a go");
-    rig.restart(3).expect("a start");
-    sleep(4000);
-    let came = rig.arrivals("t=acme");
-    let over = rate_excess(&came, PER_S, BURST + PER_S * SPREAD_S);
-    let before = rate(&came, whole, whole + Duration::from_secs(4));
-    let after = rate(&came, healed + Duration::from_secs(2), healed + Duration::from_secs(5));
-    let ClientTotals { served, rejected: refused, failed } = clients.totals();
-    println!("before {before:.0}/s after {after:.0}/s over {over:.1} {served} {refused} {failed}");
-    println!("{}", rig.status(Path::new(PROGRAM), 1).expect("a status"));
-    assert!(over <= 0.0, "{over} over");
+    sleep_ms(5000);
+    harness.kill(3).expect("a kill");
+    harness.set_paused(0, true).expect("a stop");
+    sleep_ms(5000);
+    harness.set_paused(0, false).expect("a go");
+    harness.restart(3).expect("a start");
+    sleep_ms(4000);
+    let arrivals = harness.arrivals("t=acme");
+    let excess = rate_excess(&arrivals, PER_S, BURST + PER_S * SPREAD_S);
+    let before = rate(&arrivals, steady_since, steady_since + Duration::from_secs(4));
+    let after = rate(&arrivals, healed + Duration::from_secs(2), healed + Duration::from_secs(5));
+    let ClientTotals { served, rejected, failed } = clients.totals();
+    println!("before {before:.0}/s after {after:.0}/s excess {excess:.1} {served} {rejected} {failed}");
+    println!("{}", harness.status(Path::new(PROGRAM), 1).expect("a status"));
+    assert!(excess <= 0.0, "{excess} over the limit");
     // What is used is measured by the lab; on a machine that is busy with other tests it is less.
-    assert!(before >= 0.8 * PER_S, "{before} a second before the split");
+    assert!(before >= 0.8 * PER_S, "{before} a second before the partition");
     assert!(after >= 0.8 * PER_S, "{after} a second two seconds after it healed");
-    assert!(refused > 500);
+    assert!(rejected > 500);
 }
 
-const PLACES: &str = r#"limit "hosts" each-member=#true at-once=6 alone-percent=10"#;
+const CONCURRENCY_LIMIT: &str = r#"limit "hosts" each-member=#true at-once=6 alone-percent=10"#;
 
 #[test]
-fn no_host_has_more_at_a_time_than_all_routers_may_send_it() {
-    let mut rig = rig(8, PLACES, 40);
-    let clients = PacedClients::start(&addrs(&rig), 4, "c=report,t=acme,d=1400,cluster=2", 2);
+fn no_host_exceeds_the_concurrency_limit_over_all_routers() {
+    let mut harness = start_routers(8, CONCURRENCY_LIMIT, 40);
+    let clients = PacedClients::start(&addrs(&harness), 4, "c=report,t=acme,d=1400,cluster=2", 2);
     (0..8).for_each(|n| clients.set_rate(n, if n < 2 { 120.0 } else { 15.0 }));
-    sleep(9000);
-    let whole = Instant::now();
-    sleep(3000);
-    rig.partition(&[(0..3).collect(), (3..8).collect()]);
-    sleep(4000);
-    rig.kill(0).expect("a kill");
-    rig.restart(0).expect("a start");
-    rig.set_paused(1, true).expect("a stop");
-    rig.heal();
-    sleep(4000);
-    rig.set_paused(1, false).expect("a go");
-    sleep(3000);
-    let came = rig.arrivals("t=acme");
-    let before = rate(&came, whole, whole + Duration::from_secs(3));
-    let most: Vec<usize> = rig.hosts.iter().map(|h| h.max_concurrent.load(Ordering::Relaxed)).collect();
-    println!("{before:.0}/s most at once {most:?} had {:?}", clients.totals());
-    println!("{}", rig.status(Path::new(PROGRAM), 2).expect("a status"));
+    sleep_ms(9000);
+    let steady_since = Instant::now();
+    sleep_ms(3000);
+    harness.partition(&[(0..3).collect(), (3..8).collect()]);
+    sleep_ms(4000);
+    harness.kill(0).expect("a kill");
+    harness.restart(0).expect("a start");
+    harness.set_paused(1, true).expect("a stop");
+    harness.heal();
+    sleep_ms(4000);
+    harness.set_paused(1, false).expect("a go");
+    sleep_ms(3000);
+    let arrivals = harness.arrivals("t=acme");
+    let before = rate(&arrivals, steady_since, steady_since + Duration::from_secs(3));
+    let most: Vec<usize> = harness.hosts.iter().map(|h| h.max_concurrent.load(Ordering::Relaxed)).collect();
+    println!("{before:.0}/s most at once {most:?} totals {:?}", clients.totals());
+    println!("{}", harness.status(Path::new(PROGRAM), 2).expect("a status"));
     assert!(most.iter().all(|m| *m <= 6), "{most:?} at once");
-    // 3 hosts of 6 places, 40 ms a statement: 450 a second is all there is.
+    // 3 hosts of 6 slots, 40 ms a statement: 450 a second is all there is.
     assert!(before >= 100.0, "{before} a second");
 }
 
 #[test]
-fn noise_and_strangers_change_nothing_for_requests() {
-    let rig = rig(3, RATE, 0);
-    let clients = PacedClients::start(&addrs(&rig), 2, "c=report,t=acme,d=1400,cluster=2", 3);
+fn forged_and_foreign_datagrams_do_not_slow_requests() {
+    let harness = start_routers(3, RATE_LIMIT, 0);
+    let clients = PacedClients::start(&addrs(&harness), 2, "c=report,t=acme,d=1400,cluster=2", 3);
     (0..3).for_each(|n| clients.set_rate(n, 60.0));
-    sleep(6000);
+    sleep_ms(6000);
     let p99 = || {
         let mut all: Vec<u32> = clients
             .counts
@@ -130,10 +132,10 @@
         all[all.len() * 99 / 100]
     };
     let _ = p99();
-    sleep(2000);
+    sleep_ms(2000);
     let quiet = p99();
-    // What looks like a datagram of ours up to its signature, and what does not, as fast as it goes out.
-    let to = rig.fleet_addr(0).expect("an address");
+    // Some look like datagrams of the fleet up to their signature, some do not; sent as fast as they go out.
+    let to = harness.fleet_addr(0).expect("an address");
     let socket = std::net::UdpSocket::bind("127.0.0.1:0").expect("a socket");
     let until = Instant::now() + Duration::from_secs(2);
     let mut noise = [1u8; 300];
@@ -146,86 +148,87 @@
         }
         std::thread::sleep(Duration::from_micros(800));
     }
-    let loud = p99();
-    sleep(1000);
-    let status = rig.status(Path::new(PROGRAM), 0).expect("a status");
-    println!("p99 {quiet} us, {loud} us with {sent} datagrams of noise\n{status}");
+    let noisy = p99();
+    sleep_ms(1000);
+    let status = harness.status(Path::new(PROGRAM), 0).expect("a status");
+    println!("p99 {quiet} us, {noisy} us with {sent} datagrams of noise\n{status}");
     let dropped = |why: &str| {
         let of = |l: &str| l.strip_prefix("datagrams dropped ")?.split_once(": ")?.0.parse::<u64>().ok();
         status.lines().filter(|l| l.ends_with(why)).find_map(of).unwrap_or(0)
     };
     assert!(dropped("forged") > sent / 10 && dropped("version") > sent / 10, "{status}");
     assert!(status.contains("alive 3"), "{status}");
-    assert!(loud < 20 * quiet.max(5000), "p99 {quiet} us, {loud} us under noise");
+    assert!(noisy < 20 * quiet.max(5000), "p99 {quiet} us, {noisy} us under noise");
     let ClientTotals { served, failed, .. } = clients.totals();
     assert!(served > 1000 && failed == 0, "{served} served, {failed} failed");
 }
 
 #[test]
-fn a_limit_lowered_by_sighup_holds_once_all_have_read_it() {
-    let rig = rig(4, RATE, 0);
-    let clients = PacedClients::start(&addrs(&rig), 2, "c=report,t=acme,d=1400,cluster=2", 4);
+fn a_limit_lowered_by_sighup_holds_once_all_routers_have_reloaded() {
+    let harness = start_routers(4, RATE_LIMIT, 0);
+    let clients = PacedClients::start(&addrs(&harness), 2, "c=report,t=acme,d=1400,cluster=2", 4);
     (0..4).for_each(|n| clients.set_rate(n, 150.0));
-    sleep(7000);
+    sleep_ms(7000);
     let lower = |n: usize| {
-        let path = rig.settings[n].as_ref().expect("settings");
+        let path = harness.settings[n].as_ref().expect("settings");
         let text = std::fs::read_to_string(path).expect("a file");
         std::fs::write(path, text.replace("per-s=300 burst=300", "per-s=100 burst=100")).expect("written");
-        rig.routers[n].signal("HUP").expect("a signal");
+        harness.routers[n].signal("HUP").expect("a signal");
     };
     (0..2).for_each(lower);
-    sleep(2000);
-    let mixed = rig.status(Path::new(PROGRAM), 0).expect("a status");
+    sleep_ms(2000);
+    let mixed = harness.status(Path::new(PROGRAM), 0).expect("a status");
     assert!(mixed.contains("withheld: other limits"), "{mixed}");
     (2..4).for_each(lower);
-    sleep(3500);
+    sleep_ms(3500);
     let lowered = Instant::now();
-    sleep(5000);
-    let came: Vec<Instant> = rig.arrivals("t=acme").into_iter().filter(|at| *at > lowered).collect();
-    let over = rate_excess(&came, 100.0, 100.0 + 100.0 * SPREAD_S);
-    let now = rate(&came, lowered, lowered + Duration::from_secs(5));
-    assert!(over <= 0.0, "{over} over");
+    sleep_ms(5000);
+    let arrivals: Vec<Instant> = harness.arrivals("t=acme").into_iter().filter(|at| *at > lowered).collect();
+    let excess = rate_excess(&arrivals, 100.0, 100.0 + 100.0 * SPREAD_S);
+    let now = rate(&arrivals, lowered, lowered + Duration::from_secs(5));
+    assert!(excess <= 0.0, "{excess} over the limit");
     assert!(now >= 70.0, "{now} a second");
 }
 
 #[test]
-fn the_status_needs_the_key_and_a_router_has_to_be_on_its_own_list() {
-    let rig = rig(2, RATE, 0);
+fn the_status_requires_the_key_and_a_router_must_be_on_its_own_roster() {
+    let harness = start_routers(2, RATE_LIMIT, 0);
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
-    let settings = rig.settings[0].clone().expect("settings");
+    let settings = harness.settings[0].clone().expect("settings");
     let text = std::fs::read_to_string(&settings).expect("a file");
-    let other = text.replace("51e0a8c97b3d2f66", "61e0a8c97b3d2f66");
-    let other =
-        basalthill_standin::router_process::write_unique_file(folder, "other.kdl", &other).expect("a file");
-    let at = rig.fleet_addr(0).expect("an address").to_string();
-    let ask = |settings: &Path| {
+    let other_key = text.replace("51e0a8c97b3d2f66", "61e0a8c97b3d2f66");
+    let other_settings =
+        basalthill_standin::router_process::write_unique_file(folder, "other.kdl", &other_key)
+            .expect("a file");
+    let at = harness.fleet_addr(0).expect("an address").to_string();
+    let request_status = |settings: &Path| {
         let mut command = std::process::Command::new(PROGRAM);
         let output = command.args(["fleet", "--at", &at, "--settings"]).arg(settings).output();
         output.expect("an answer")
     };
-    assert!(ask(&settings).status.success());
-    let denied = ask(&other);
+    assert!(request_status(&settings).status.success());
+    let denied = request_status(&other_settings);
     assert!(!denied.status.success());
     assert!(String::from_utf8_lossy(&denied.stderr).contains("does not answer"));
     let mut command = std::process::Command::new(PROGRAM);
-    command.args(["check-config", "--config"]).arg(rig.config()).arg("--settings").arg(&settings);
+    command.args(["check-config", "--config"]).arg(harness.config()).arg("--settings").arg(&settings);
     command.env("BALANCER_NAME", "n9").env("BALANCER_LISTEN", "127.0.0.1:1");
     let output = command.env("BALANCER_DISCOVERY", "127.0.0.1:1").output().expect("an answer");
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert_eq!(output.status.code(), Some(2), "{said}");
-    assert!(said.contains("fleet.router: \"n9\", this one, is not on the list"), "{said}");
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert_eq!(output.status.code(), Some(2), "{stderr}");
+    assert!(stderr.contains("fleet.router: \"n9\", this one, is not on the list"), "{stderr}");
 }
 
-/// When statements came whose id had come before.
-fn repeated(rig: &FleetHarness) -> Vec<Instant> {
+/// When statements arrived whose id had arrived before.
+fn retries_at(harness: &FleetHarness) -> Vec<Instant> {
     let mut all = Vec::new();
-    for host in &rig.hosts {
+    for host in &harness.hosts {
         let seen = host.host.seen.lock();
         let id = |text: &str| Some(text.split("id=").nth(1)?[..16].to_string());
         all.extend(seen.statements.iter().filter_map(|s| Some((s.received_at, id(&s.text)?))));
     }
     all.sort_unstable();
-    let mut known = std::collections::BTreeSet::new();
+    let mut known = BTreeSet::new();
     all.into_iter().filter(|(_, id)| !known.insert(id.clone())).map(|(at, _)| at).collect()
 }
 
@@ -233,62 +236,83 @@
 fn retries_and_probes_of_all_routers_stay_within_their_budgets() {
     let limits = r#"limit "again" budget="retries" per-s=20
                     limit "probes" budget="probes" per-s=8 burst=8"#;
-    let rig = rig_of(HarnessConfig { host_behavior: HostBehavior::FailSome, ..setup(8, limits) });
-    let clients = PacedClients::start(&addrs(&rig), 2, "c=report,t=acme,d=1400,cluster=2", 5);
+    let harness =
+        start_harness(HarnessConfig { host_behavior: HostBehavior::FailSome, ..harness_config(8, limits) });
+    let clients = PacedClients::start(&addrs(&harness), 2, "c=report,t=acme,d=1400,cluster=2", 5);
     (0..8).for_each(|n| clients.set_rate(n, if n < 2 { 60.0 } else { 10.0 }));
-    sleep(12_000);
-    let (again, probes) = (repeated(&rig), rig.arrivals("SHOW vitals"));
-    let ClientTotals { served, rejected: refused, failed } = clients.totals();
-    let probed = probes.len();
-    println!("{} repeated, {probed} probes, {served} served {refused} refused {failed} failed", again.len());
-    let most = rate_excess(&again, 20.0, 20.0 + 20.0 * SPREAD_S);
-    assert!(most <= 0.0, "{most} retries over");
-    let most = rate_excess(&probes, 8.0, 8.0 + 8.0 * SPREAD_S);
-    assert!(most <= 0.0, "{most} probes over");
-    // A third of 180 a second fails: what the budget allows is used, the rest refused or failed at once.
-    assert!(again.len() > 60, "{} retries", again.len());
-    assert!(refused + failed > 200, "{refused} refused, {failed} failed");
+    sleep_ms(12_000);
+    let retries = retries_at(&harness);
+    let probes = harness.arrivals("SHOW vitals");
+    let ClientTotals { served, rejected, failed } = clients.totals();
+    println!(
+        "{} retries, {} probes, {served} served {rejected} rejected {failed} failed",
+        retries.len(),
+        probes.len()
+    );
+    let excess = rate_excess(&retries, 20.0, 20.0 + 20.0 * SPREAD_S);
+    assert!(excess <= 0.0, "{excess} retries over");
+    let excess = rate_excess(&probes, 8.0, 8.0 + 8.0 * SPREAD_S);
+    assert!(excess <= 0.0, "{excess} probes over");
+    // A third of 180 a second fails: what the budget allows is used, the rest is rejected or fails at once.
+    assert!(retries.len() > 60, "{} retries", retries.len());
+    assert!(rejected + failed > 200, "{rejected} rejected, {failed} failed");
 }
 
 #[test]
 fn connects_of_all_routers_stay_within_their_budget() {
     let limits = r#"limit "new" budget="connects" per-s=60"#;
-    let rig = rig_of(HarnessConfig { host_behavior: HostBehavior::Close, ..setup(8, limits) });
-    let clients = PacedClients::start(&addrs(&rig), 2, "c=report,t=acme,d=1400,cluster=2", 6);
+    let harness =
+        start_harness(HarnessConfig { host_behavior: HostBehavior::Close, ..harness_config(8, limits) });
+    let clients = PacedClients::start(&addrs(&harness), 2, "c=report,t=acme,d=1400,cluster=2", 6);
     (0..8).for_each(|n| clients.set_rate(n, if n < 2 { 40.0 } else { 8.0 }));
-    sleep(12_000);
+    sleep_ms(12_000);
     let mut accepted: Vec<Instant> =
-        rig.hosts.iter().flat_map(|h| h.host.seen.lock().accepted_at.clone()).collect();
+        harness.hosts.iter().flat_map(|h| h.host.seen.lock().accepted_at.clone()).collect();
     accepted.sort_unstable();
-    let ClientTotals { served, rejected: refused, failed } = clients.totals();
-    println!("{} connects, {served} served, {refused} refused, {failed} failed", accepted.len());
-    let most = rate_excess(&accepted, 60.0, 60.0 + 60.0 * SPREAD_S);
-    assert!(most <= 0.0, "{most} connects over");
-    assert!(served > 250 && refused > 200, "{served} served, {refused} refused");
+    let ClientTotals { served, rejected, failed } = clients.totals();
+    println!("{} connects, {served} served, {rejected} rejected, {failed} failed", accepted.len());
+    let excess = rate_excess(&accepted, 60.0, 60.0 + 60.0 * SPREAD_S);
+    assert!(excess <= 0.0, "{excess} connects over");
+    assert!(served > 250 && rejected > 200, "{served} served, {rejected} rejected");
 }
 
-/// Inodes of a process's UDP sockets, and names of its threads.
-fn process(id: u32) -> (usize, Vec<String>) {
-    let udp = std::fs::read_to_string(format!("/proc/{id}/net/udp")).unwrap_or_default();
-    let bound: Vec<&str> = udp.lines().skip(1).filter_map(|l| l.split_whitespace().nth(9)).collect();
-    let fds = std::fs::read_dir(format!("/proc/{id}/fd")).expect("descriptors").flatten();
-    let links = fds.filter_map(|fd| std::fs::read_link(fd.path()).ok());
+/// What a process has open.
+#[derive(Debug)]
+struct ProcessResources {
+    udp_sockets: usize,
+    threads: Vec<String>,
+}
+
+impl ProcessResources {
+    fn has_fleet_thread(&self) -> bool {
+        self.threads.iter().any(|name| name == "fleet")
+    }
+}
+
+/// The UDP sockets of a process, by the inodes of its descriptors, and the names of its threads.
+fn process_resources(pid: u32) -> ProcessResources {
+    let udp = std::fs::read_to_string(format!("/proc/{pid}/net/udp")).unwrap_or_default();
+    let bound: Vec<&str> = udp.lines().skip(1).filter_map(|line| line.split_whitespace().nth(9)).collect();
+    let descriptors = std::fs::read_dir(format!("/proc/{pid}/fd")).expect("descriptors").flatten();
+    let links = descriptors.filter_map(|descriptor| std::fs::read_link(descriptor.path()).ok());
     let inode = |link: std::path::PathBuf| {
         Some(link.to_str()?.strip_prefix("socket:[")?.strip_suffix(']')?.to_string())
     };
-    let sockets: std::collections::BTreeSet<String> =
+    let sockets: BTreeSet<String> =
         links.filter_map(inode).filter(|inode| bound.contains(&inode.as_str())).collect();
-    let tasks = std::fs::read_dir(format!("/proc/{id}/task")).expect("threads").flatten();
-    let names = tasks.filter_map(|t| std::fs::read_to_string(t.path().join("comm")).ok());
-    (sockets.len(), names.map(|n| n.trim().to_string()).collect())
+    let tasks = std::fs::read_dir(format!("/proc/{pid}/task")).expect("threads").flatten();
+    let names = tasks.filter_map(|task| std::fs::read_to_string(task.path().join("comm")).ok());
+    let threads = names.map(|name| name.trim().to_string()).collect();
+    ProcessResources { udp_sockets: sockets.len(), threads }
 }
 
 #[test]
-fn without_a_fleet_there_is_no_socket_and_no_thread_for_it() {
-    let on = rig(1, RATE, 0);
-    let off = rig_of(HarnessConfig { limits: None, ..setup(1, "") });
-    let (with, without) = (process(on.routers[0].pid()), process(off.routers[0].pid()));
-    assert!(with.0 == 1 && with.1.iter().any(|n| n == "fleet"), "{with:?}");
-    assert!(without.0 == 0 && !without.1.iter().any(|n| n == "fleet"), "{without:?}");
-    assert_eq!(without.1.len() + 1, with.1.len());
+fn without_fleet_settings_there_is_no_fleet_socket_or_thread() {
+    let on = start_routers(1, RATE_LIMIT, 0);
+    let off = start_harness(HarnessConfig { limits: None, ..harness_config(1, "") });
+    let with_fleet = process_resources(on.routers[0].pid());
+    let without_fleet = process_resources(off.routers[0].pid());
+    assert!(with_fleet.udp_sockets == 1 && with_fleet.has_fleet_thread(), "{with_fleet:?}");
+    assert!(without_fleet.udp_sockets == 0 && !without_fleet.has_fleet_thread(), "{without_fleet:?}");
+    assert_eq!(without_fleet.threads.len() + 1, with_fleet.threads.len());
 }
