--- a/crates/fleet/src/limit.rs
+++ b/crates/fleet/src/limit.rs
@@ -56,7 +56,7 @@
     Concurrent(u32),
 }
 
-/// The units that a rate is divided into: quotas are whole numbers of millionths.
+/// The units that a rate is divided into: quotas are integers of millionths.
 pub const RATE_UNITS: u64 = 1_000_000;
 
 impl Bounds {
--- a/crates/fleet/tests/limits.rs
+++ b/crates/fleet/tests/limits.rs
@@ -56,7 +56,7 @@
     within.count() as f64 / (until - from)
 }
 
-fn assert_limits_hold(fleet: &SimulatedFleet) {
+fn assert_never_exceeded(fleet: &SimulatedFleet) {
     let times = fleet.observations.admitted.iter().map(|a| a.at).collect();
     let excess = rate_excess(times, PER_S, BURST);
     assert!(excess <= 1e-6, "{excess} over the rate");
@@ -86,7 +86,7 @@
         fleet.demand(n, per_s, per_s / 4.0);
     }
     fleet.run_until(seconds(20.0));
-    assert_limits_hold(&fleet);
+    assert_never_exceeded(&fleet);
     let used = utilization(&fleet, 8.0, 20.0);
     assert!(used >= 0.95, "{used} of the rate is used");
 }
@@ -115,7 +115,7 @@
     (1..24).for_each(|n| fleet.demand(n, 2.0, 0.2));
     fleet.demand(0, 500.0, 30.0);
     fleet.run_until(seconds(20.0));
-    assert_limits_hold(&fleet);
+    assert_never_exceeded(&fleet);
     let used = utilization(&fleet, 8.0, 20.0);
     assert!(used >= 0.9, "{used} of the rate is used");
 }
@@ -128,7 +128,7 @@
     fleet.demand(0, 0.0, 0.0);
     fleet.demand(1, 600.0, 0.0);
     fleet.run_until(seconds(25.0));
-    assert_limits_hold(&fleet);
+    assert_never_exceeded(&fleet);
     let (before, after) = (utilization(&fleet, 8.0, 15.0), utilization(&fleet, 17.0, 25.0));
     assert!(before >= 0.85 && after >= 0.85, "{before} and {after} of the rate are used");
 }
@@ -147,7 +147,7 @@
         fleet.run_until(seconds(32.0));
         fleet.links.cut.clear();
         fleet.run_until(seconds(42.0));
-        assert_limits_hold(&fleet);
+        assert_never_exceeded(&fleet);
         let (before, split, after) = (
             utilization(&fleet, 6.0, 12.0),
             utilization(&fleet, 22.0, 32.0),
@@ -171,7 +171,7 @@
         }
         fleet.run_until(seconds(f64::from(second) + 1.0));
     }
-    assert_limits_hold(&fleet);
+    assert_never_exceeded(&fleet);
     assert!(utilization(&fleet, 10.0, 30.0) > 0.5);
 }
 
@@ -185,7 +185,7 @@
     let without = utilization(&fleet, 20.0, 25.0);
     (0..3).for_each(|n| fleet.start(n));
     fleet.run_until(seconds(40.0));
-    assert_limits_hold(&fleet);
+    assert_never_exceeded(&fleet);
     let again = utilization(&fleet, 32.0, 40.0);
     // Of three of eight, the reserve lies idle: a tenth of the quota.
     assert!(without >= 0.9 * (1.0 - 0.1 * 3.0 / 8.0), "{without} is used without the three");
@@ -204,7 +204,7 @@
         fleet.run_until(seconds(13.0 + 3.0 * f64::from(n)));
     }
     fleet.run_until(seconds(45.0));
-    assert_limits_hold(&fleet);
+    assert_never_exceeded(&fleet);
     // Its last incarnation borrows again, though lenders have answered requests of earlier ones by its name.
     let used = utilization(&fleet, 38.0, 45.0);
     assert!(used >= 0.85, "{used} of the rate is used");
@@ -219,7 +219,7 @@
     fleet.run_until(seconds(18.0));
     fleet.links.cut.clear();
     fleet.run_until(seconds(25.0));
-    assert_limits_hold(&fleet);
+    assert_never_exceeded(&fleet);
     let (at_once, later) = (utilization(&fleet, 18.0, 20.0), utilization(&fleet, 20.0, 25.0));
     assert!(at_once >= 0.88 && later >= 0.92, "{at_once} at once, {later} after two seconds");
 }
@@ -270,7 +270,7 @@
         fleet.resume(0);
     }
     fleet.run_until(seconds(60.0));
-    assert_limits_hold(&fleet);
+    assert_never_exceeded(&fleet);
     assert!(utilization(&fleet, 54.0, 60.0) >= 0.9);
 }
 
@@ -284,7 +284,7 @@
     fleet.run_until(seconds(9.0));
     fleet.start(0);
     fleet.run_until(seconds(25.0));
-    assert_limits_hold(&fleet);
+    assert_never_exceeded(&fleet);
     let lines = fleet.status_lines(1);
     assert!(lines.iter().any(|l| l.starts_with("member n0 alive")), "{lines:?}");
     let own = fleet.observations.admitted.iter().filter(|a| a.router == 0 && a.at > seconds(18.0)).count();
@@ -310,7 +310,7 @@
     fleet.links.delay_us = 100..150_000;
     demand_twice_the_limit(&mut fleet, 12);
     fleet.run_until(seconds(30.0));
-    assert_limits_hold(&fleet);
+    assert_never_exceeded(&fleet);
     let used = utilization(&fleet, 10.0, 30.0);
     assert!(used > 0.8, "{used} of the rate is used");
 }
@@ -324,7 +324,7 @@
     less.limits[0].bounds = Bounds::Rate { per_s: PER_S / 2.0, burst: BURST / 2.0 };
     (0..4).for_each(|n| fleet.reload(n, less.clone()));
     fleet.run_until(seconds(20.0));
-    assert_limits_hold(&fleet);
+    assert_never_exceeded(&fleet);
     let logged = |fleet: &SimulatedFleet, part: &str| {
         fleet.observations.log_lines.iter().any(|l| l.text.contains(part))
     };
@@ -363,14 +363,14 @@
         let others = (0..8).filter(|n| *n != isolated).collect();
         fleet.links.partition(&[vec![isolated], others]);
         fleet.run_until(seconds(25.0));
-        assert_limits_hold(&fleet);
+        assert_never_exceeded(&fleet);
         let whose = format!("n{isolated} is gone; its share is held here");
         assert!(fleet.observations.log_lines.iter().any(|l| l.text.contains(&whose)));
     }
 }
 
 #[test]
-fn a_router_added_to_the_roster_gets_its_quota_and_the_limit_holds() {
+fn a_router_added_to_the_roster_gets_its_quota_and_the_limit_is_not_exceeded() {
     let mut fleet = SimulatedFleet::new(config(9), Some(LimitKey::global("acme")), None, MAX_USE, 15);
     fleet.set_plan(config(8));
     (0..8).for_each(|n| fleet.start(n));
@@ -384,7 +384,7 @@
         fleet.run_until(seconds(8.0 + 0.2 * n as f64));
     });
     fleet.run_until(seconds(30.0));
-    assert_limits_hold(&fleet);
+    assert_never_exceeded(&fleet);
     assert!(utilization(&fleet, 20.0, 30.0) >= 0.95);
     assert!(fleet.observations.log_lines.iter().any(|l| l.text.contains("another list of names")));
     let ninth = fleet.observations.admitted.iter().filter(|a| a.router == 8 && a.at > seconds(20.0)).count();
@@ -402,7 +402,7 @@
     assert_eq!(left, 7);
     fleet.run_until(seconds(18.0));
     assert!(!fleet.observations.log_lines.iter().any(|l| l.text.contains("n0 is dead")));
-    assert_limits_hold(&fleet);
+    assert_never_exceeded(&fleet);
     let used = utilization(&fleet, 13.0, 18.0);
     assert!(used >= 0.9, "{used} of the rate is used");
 }
@@ -449,7 +449,7 @@
     let counts = fleet.fleet(1).map(|f| f.counters().clone()).unwrap_or_default();
     assert!(counts.dropped.get(&DropReason::UnknownPeer).is_some_and(|n| *n > 10), "{counts:?}");
     fleet.run_until(seconds(20.0));
-    assert_limits_hold(&fleet);
+    assert_never_exceeded(&fleet);
 }
 
 #[derive(Clone, Debug)]
@@ -483,7 +483,7 @@
     #![proptest_config(ProptestConfig { cases: 16, ..ProptestConfig::default() })]
 
     #[test]
-    fn limits_hold_under_random_faults(
+    fn limits_are_never_exceeded_under_random_faults(
         routers in prop_oneof![4 => 3..9usize, 1 => 9..41usize],
         seed in any::<u64>(),
         faults in prop::collection::vec((50..2500u64, fault()), 1..24),
@@ -519,6 +519,6 @@
             }
         }
         fleet.run_until(fleet.now.plus(seconds(3.0)));
-        assert_limits_hold(&fleet);
+        assert_never_exceeded(&fleet);
     }
 }
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn a_limit_lowered_by_sighup_holds_once_all_routers_have_reloaded() {
+fn a_limit_lowered_by_sighup_applies_once_all_routers_have_reloaded() {
     let harness = start_routers(4, RATE_LIMIT, 0);
     let clients = PacedClients::start(&addrs(&harness), 2, "c=report,t=acme,d=1400,cluster=2", 4);
     (0..4).for_each(|n| clients.set_rate(n, 150.0));
