--- a/crates/fleet/src/fleet/accounts.rs
+++ b/crates/fleet/src/fleet/accounts.rs
@@ -2,18 +2,24 @@
 
 use super::config::FleetConfig;
 use super::outbox::Outbox;
-use crate::account::QuotaAccount;
+use super::quota_leases::ValidLease;
+use crate::account::{AccountConfig, QuotaAccount};
 use crate::hash::rendezvous_winner;
-use crate::limit::{LimitKey, Subject};
+use crate::limit::{Bounds, Limit, LimitKey, Subject};
 use crate::packet::Message;
 use crate::roster::NodeId;
 use crate::swim::Swim;
+use crate::timing::Timing;
 use basalthill_policy::api::Time;
 use std::collections::BTreeMap;
 
 /// The most accounts of members that peers report on but this router does not know.
 const MAX_UNKNOWN_MEMBER_ACCOUNTS: usize = 4096;
 
+/// Accounts that are opened later begin with larger request numbers, one more for each of these spans, in
+/// nanoseconds. An account sends one request a round, far fewer than that.
+const REQUEST_NUMBER_SPAN_NS: u64 = 10_000_000;
+
 /// The coordinator of a limit while the membership is the same.
 #[derive(Clone, Copy, Debug)]
 struct ElectedCoordinator {
@@ -89,12 +95,41 @@
                 return None;
             }
             let slots_free_at = self.started_at.plus(config.max_use);
-            let account = config.account_config(now, limit, key, self.me, self.started_at, slots_free_at);
-            self.accounts.insert(key, QuotaAccount::new(now, account));
+            let account = self.new_account(now, config, limit, key, slots_free_at);
+            self.accounts.insert(key, account);
         }
         self.settled(now, key)
     }
 
+    /// A new account of a limit. Slots that an earlier incarnation occupied are free from `slots_free_at` on.
+    fn new_account(
+        &self,
+        now: Time,
+        config: &FleetConfig,
+        limit: &Limit,
+        key: LimitKey,
+        slots_free_at: Time,
+    ) -> QuotaAccount {
+        let is_rate = matches!(limit.bounds, Bounds::Rate { .. });
+        // Tokens are spent at once: their reserve counts at once, and loans of them need not outlast any use.
+        let reserve_from = if is_rate { now } else { slots_free_at };
+        let timing = if is_rate {
+            Timing { lease: config.timing.lease, ..Timing::new(config.timing.drift, Time(0)) }
+        } else {
+            config.timing
+        };
+        let account = AccountConfig {
+            key,
+            bounds: limit.bounds,
+            reserved_units: limit.quota_split(&config.roster, key, self.me).reserved,
+            reserve_from,
+            has_standing_demand: is_rate && matches!(limit.subject, Subject::Budget(_)),
+            first_loan_number: (now.since(self.started_at).0 / REQUEST_NUMBER_SPAN_NS) as u32,
+            timing,
+        };
+        QuotaAccount::new(now, account)
+    }
+
     /// The names of the members that limits are counted at.
     pub fn members(&self) -> &[String] {
         &self.members
@@ -117,8 +152,8 @@
                 // At a start, and after a change, slots that were occupied before may still be.
                 let may_be_in_use = self.started_at == now || self.leases_from.contains_key(&key);
                 let slots_free_at = if may_be_in_use { now.plus(config.max_use) } else { now };
-                let account = config.account_config(now, limit, key, self.me, self.started_at, slots_free_at);
-                self.accounts.insert(key, QuotaAccount::new(now, account));
+                let account = self.new_account(now, config, limit, key, slots_free_at);
+                self.accounts.insert(key, account);
             }
         }
     }
@@ -152,15 +187,15 @@
         self.leases_from.get(&key).copied()
     }
 
-    /// Has every account count the quotas that this router has leases on: of these nodes, until these times.
+    /// Has every account count the quotas that this router has leases on.
     pub fn apply_leases(
         &mut self,
         now: Time,
         config: &FleetConfig,
-        leases: impl Iterator<Item = (NodeId, Time)>,
+        leases: impl Iterator<Item = ValidLease>,
     ) {
         self.leases_from.retain(|_, from| now < *from);
-        for (owner, expires_at) in leases {
+        for ValidLease { owner, expires_at } in leases {
             for (key, account) in &mut self.accounts {
                 if self.leases_from.contains_key(key) {
                     continue;
--- a/crates/fleet/src/fleet/config.rs
+++ b/crates/fleet/src/fleet/config.rs
@@ -1,16 +1,11 @@
 //! What the settings say of a fleet.
 
-use crate::account::AccountConfig;
 use crate::hash::mix_bits;
-use crate::limit::{Bounds, Limit, LimitKey, Subject};
-use crate::roster::{NodeId, Roster};
+use crate::limit::{Limit, LimitKey, Subject};
+use crate::roster::Roster;
 use crate::timing::Timing;
 use basalthill_policy::api::Time;
 
-/// Accounts that are opened later begin with larger request numbers, one more for each of these spans, in
-/// nanoseconds. An account sends one request a round, far fewer than that.
-const REQUEST_NUMBER_SPAN_NS: u64 = 10_000_000;
-
 /// What the settings say of a fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetConfig {
@@ -49,32 +44,4 @@
             _ => vec![LimitKey::global(&limit.name)],
         }
     }
-
-    /// The account of a limit at the router `me`, which started at `started_at`. Slots that an earlier
-    /// incarnation occupied are free from `slots_free_at` on.
-    pub(super) fn account_config(
-        &self,
-        now: Time,
-        limit: &Limit,
-        key: LimitKey,
-        me: NodeId,
-        started_at: Time,
-        slots_free_at: Time,
-    ) -> AccountConfig {
-        let is_rate = matches!(limit.bounds, Bounds::Rate { .. });
-        // Tokens are spent at once: their reserve counts at once, and loans of them need not outlast any use.
-        let (reserve_from, timing) = match is_rate {
-            true => (now, Timing { lease: self.timing.lease, ..Timing::new(self.timing.drift, Time(0)) }),
-            false => (slots_free_at, self.timing),
-        };
-        AccountConfig {
-            key,
-            bounds: limit.bounds,
-            reserved_units: limit.quota_split(&self.roster, key, me).reserved,
-            reserve_from,
-            has_standing_demand: is_rate && matches!(limit.subject, Subject::Budget(_)),
-            first_loan_number: (now.since(started_at).0 / REQUEST_NUMBER_SPAN_NS) as u32,
-            timing,
-        }
-    }
 }
--- a/crates/fleet/src/fleet/quota_leases.rs
+++ b/crates/fleet/src/fleet/quota_leases.rs
@@ -41,6 +41,15 @@
     }
 }
 
+/// A lease that has not expired.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ValidLease {
+    /// The node whose quotas it is on.
+    pub owner: NodeId,
+    /// When it expires.
+    pub expires_at: Time,
+}
+
 /// What the nodes that are gone were last looked for with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct GoneScan {
@@ -83,10 +92,13 @@
         self.claims.iter()
     }
 
-    /// The valid leases: the node whose quotas they are on, and when each expires.
-    pub fn valid(&self, now: Time) -> impl Iterator<Item = (NodeId, Time)> + '_ {
-        let leases = self.claims.iter().map(|(owner, claim)| (*owner, claim.expires_at()));
-        leases.filter(move |(_, expires_at)| *expires_at > now)
+    /// The leases that are valid.
+    pub fn valid(&self, now: Time) -> impl Iterator<Item = ValidLease> + '_ {
+        let lease = |(owner, claim): (&NodeId, &LeaseClaim)| {
+            let expires_at = claim.expires_at();
+            ValidLease { owner: *owner, expires_at }
+        };
+        self.claims.iter().map(lease).filter(move |lease| lease.expires_at > now)
     }
 
     /// Starts again with a claim to this router's own quotas alone, after the roster has changed. Leases
--- a/crates/fleet/src/fleet/receive.rs
+++ b/crates/fleet/src/fleet/receive.rs
@@ -222,7 +222,8 @@
                     }
                     let roster = &self.config.roster;
                     let what = describe_change(state, restarted);
-                    let (name, reporter) = (roster.name(node), roster.name(reporter));
+                    let name = roster.name(node);
+                    let reporter = roster.name(reporter);
                     effects.push(Effect::Log(format!("fleet: {name} {what}, says {reporter}")));
                 }
             }
--- a/crates/fleet/src/ledger.rs
+++ b/crates/fleet/src/ledger.rs
@@ -83,11 +83,6 @@
     pub fn next_change(&self) -> Option<Time> {
         self.expiries.first_key_value().map(|(tick, _)| Time(tick * TICK_NS))
     }
-
-    /// Whether nothing is recorded.
-    pub fn is_empty(&self) -> bool {
-        self.expiries.is_empty()
-    }
 }
 
 #[cfg(test)]
--- a/crates/fleet/src/ledger/tests.rs
+++ b/crates/fleet/src/ledger/tests.rs
@@ -15,7 +15,7 @@
     assert_eq!(ledger.minimum(Time::ms(150), Time::ms(151)), 1);
     ledger.cancel_debit(4, Time::ms(200));
     ledger.cancel_credit(5, Time::ms(300));
-    assert!(ledger.is_empty());
+    assert_eq!(ledger, Ledger::default());
 }
 
 #[test]
--- a/crates/fleet/src/swim/mod.rs
+++ b/crates/fleet/src/swim/mod.rs
@@ -23,6 +23,7 @@
 use crate::roster::{NodeId, Roster};
 use basalthill_policy::api::Time;
 use gossip::GossipQueue;
+use peer_view::Precedence;
 use probe::{Probe, RelayedPings};
 use std::collections::BTreeMap;
 
@@ -241,8 +242,8 @@
             return;
         }
         let Some(view) = self.peers.get_mut(&update.node) else { return };
-        let known = (view.incarnation, view.refutations, view.state);
-        let updated = (update.incarnation, update.refutations, Some(update.state));
+        let known = view.precedence();
+        let updated = Precedence::of(&update);
         if update.state == PeerState::Suspect && updated == known {
             let is_wanted = view.suspected_by.len() <= INDIRECT_PROBES;
             if is_wanted && view.suspected_by.insert(update.reporter) {
--- a/crates/fleet/src/swim/peer_view.rs
+++ b/crates/fleet/src/swim/peer_view.rs
@@ -5,6 +5,24 @@
 use basalthill_policy::api::Time;
 use std::collections::BTreeSet;
 
+/// The order of updates on one peer: the larger one wins.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct Precedence {
+    incarnation: u64,
+    refutations: u32,
+    state: Option<PeerState>,
+}
+
+impl Precedence {
+    pub(super) fn of(update: &MembershipUpdate) -> Precedence {
+        Precedence {
+            incarnation: update.incarnation,
+            refutations: update.refutations,
+            state: Some(update.state),
+        }
+    }
+}
+
 /// What is known of a peer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerView {
@@ -40,6 +58,10 @@
         }
     }
 
+    pub(super) fn precedence(&self) -> Precedence {
+        Precedence { incarnation: self.incarnation, refutations: self.refutations, state: self.state }
+    }
+
     /// Whether it takes part: alive, or suspected and not yet dead.
     pub(super) fn is_active(&self) -> bool {
         matches!(self.state, Some(PeerState::Alive | PeerState::Suspect))
@@ -47,7 +69,12 @@
 
     /// An update that reports this peer in another state, in the incarnation that is known.
     pub(super) fn update(&self, node: NodeId, state: PeerState, reporter: NodeId) -> MembershipUpdate {
-        let (incarnation, refutations) = (self.incarnation, self.refutations);
-        MembershipUpdate { node, incarnation, refutations, state, reporter }
+        MembershipUpdate {
+            node,
+            incarnation: self.incarnation,
+            refutations: self.refutations,
+            state,
+            reporter,
+        }
     }
 }
