--- a/crates/sim/src/lib.rs
+++ b/crates/sim/src/lib.rs
@@ -1,2 +1,5 @@
-//! The bench adapter of basalthill: frames in, decisions, frames out.
+//! The simulator's adapter of basalthill: frames in, decisions, frames out.
+
+pub mod adapter;
+mod router;
 pub mod wire;
--- a/crates/sim/tests/golden.rs
+++ b/crates/sim/tests/golden.rs
@@ -1,7 +1,7 @@
-//! Frames as the wire's pages print them, and what malformed input gets.
+//! Frames as the protocol's documentation prints them, and the errors of malformed input.
 
 use basalthill_policy::api::*;
-use basalthill_sim::wire::{reply, Decoder, Incoming};
+use basalthill_sim::wire::{encode_reply, Decoder, Incoming, InstanceAction, InstanceEvent};
 use std::io::Write;
 use std::process::{Command, Stdio};
 
@@ -41,21 +41,29 @@
    "warmWithin": 15000000000},
  "reporting": {"columns": ["x0", "x1"], "via": "probe"}, "prices": {"crossZone": 0.1, "waste": 0.2}}"#;
 
-fn hello(text: &str) -> Vec<u8> {
+/// The reply with these actions.
+fn reply(actions: &[(u32, Action)]) -> Vec<u8> {
+    let action =
+        |(instance, action): &(u32, Action)| InstanceAction { instance: *instance, action: action.clone() };
+    encode_reply(&actions.iter().map(action).collect::<Vec<_>>())
+}
+
+/// A frame in which instance 3 starts with these settings.
+fn start_frame(text: &str) -> Vec<u8> {
     let record = format!("01 00000003 0000000000000007 00000000 {:08x}", text.len());
     frame(1, &[&record], text.as_bytes())
 }
 
 #[test]
-fn an_empty_frame_and_its_reply() {
-    let (now, events) = Decoder::default().frame(&bytes("00000010 00000001f568bf90 00000000")).unwrap();
-    assert_eq!(now, Time(0x1_f568_bf90));
-    assert!(events.is_empty());
+fn an_empty_frame_gets_an_empty_reply() {
+    let frame = Decoder::default().decode(&bytes("00000010 00000001f568bf90 00000000")).unwrap();
+    assert_eq!(frame.now, Time(0x1_f568_bf90));
+    assert!(frame.events.is_empty());
     assert_eq!(reply(&[]), bytes("00000000 00000008"));
 }
 
 #[test]
-fn events_of_two_instances() {
+fn events_are_decoded_with_their_instance() {
     let records = [
         "03 00000003 000317885d3a91c4 0000 0000 91f03b7c55d20a64 0000000203b6db90 0000000000b71b00 41300000
          43ce4000 01",
@@ -64,22 +72,25 @@
     ];
     let frame = frame(0x1_f568_bf90, &records, &[]);
     assert_eq!(frame.len(), 0xb8);
-    let (_, events) = Decoder::default().frame(&frame).unwrap();
-    let [(3, Incoming::Request(r, session, token)), (3, Incoming::Event(Event::Timer(0x4d))), last] =
-        &events[..]
+    let events = Decoder::default().decode(&frame).unwrap().events;
+    let [request, timer, client_gone] = &events[..] else { panic!("{events:?}") };
+    let InstanceEvent { instance: 3, event: Incoming::Request { request: r, session, token_age } } = request
     else {
-        panic!("{events:?}");
+        panic!("{request:?}");
     };
+    assert!(matches!(timer, InstanceEvent { instance: 3, event: Incoming::Event(Event::Timer(0x4d)) }));
     assert_eq!(r.id, RequestId(0x0003_1788_5d3a_91c4));
     assert_eq!((r.class, r.tenant, r.group), (ClassId(0), TenantId(0), GroupId(11)));
     assert_eq!(*session, Some(SessionKey(0x91f0_3b7c_55d2_0a64)));
     assert_eq!(r.deadline, Time(0x2_03b6_db90));
-    assert_eq!(*token, Some(Time(412_500_000)));
-    assert!(matches!(last, (5, Incoming::Event(Event::ClientGone(RequestId(0x0003_6c8c_0e6f_2b19))))));
+    assert_eq!(*token_age, Some(Time(412_500_000)));
+    let gone = RequestId(0x0003_6c8c_0e6f_2b19);
+    assert!(matches!(client_gone,
+        InstanceEvent { instance: 5, event: Incoming::Event(Event::ClientGone(id)) } if *id == gone));
 }
 
 #[test]
-fn actions_as_printed() {
+fn actions_are_encoded_as_documented() {
     let actions = [
         (3, Action::Send(RequestId(0x0003_1788_5d3a_91c4), MemberId(0x0312_4a07), Some(Time(80_000_000)))),
         (3, Action::Timer(Time(0x1dcd_6500), 0x4d)),
@@ -94,7 +105,7 @@
 }
 
 #[test]
-fn every_other_action_has_its_code() {
+fn each_action_has_its_code() {
     let id = RequestId(9);
     let actions = [
         (1, Action::Reject(id, Some(Time(7)))),
@@ -113,14 +124,16 @@
 }
 
 #[test]
-fn a_list_and_its_use() {
+fn an_endpoint_list_is_referred_to_by_its_number() {
     let rows = bytes(
         "3f800000 03124a07 0000 00 000b 01 3f800000 0000000000000000
          00000000 2c9011f2 0000 00 000b 02 3fc00000 000000016b969d00",
     );
     let records = ["0b 00 00000000 00000002", "02 00000003 02 00000029 00"];
-    let (_, events) = Decoder::default().frame(&frame(5, &records, &rows)).unwrap();
-    let [(3, Incoming::Event(Event::Endpoints(EndpointUpdate::Cached, list)))] = &events[..] else {
+    let events = Decoder::default().decode(&frame(5, &records, &rows)).unwrap().events;
+    let [InstanceEvent { instance: 3, event: Incoming::Event(Event::Endpoints(EndpointUpdate::Cached, list)) }] =
+        &events[..]
+    else {
         panic!("{events:?}")
     };
     assert_eq!(
@@ -133,20 +146,24 @@
 }
 
 #[test]
-fn settings_notes_and_reports() {
+fn notes_and_reports_are_read_by_the_instances_settings() {
     let mut decoder = Decoder::default();
-    let (_, events) = decoder.frame(&hello(SETTINGS)).unwrap();
-    let [(3, Incoming::Start(7, set))] = &events[..] else { panic!("{events:?}") };
+    let events = decoder.decode(&start_frame(SETTINGS)).unwrap().events;
+    let [InstanceEvent { instance: 3, event: Incoming::Start { seed: 7, deployment } }] = &events[..] else {
+        panic!("{events:?}")
+    };
     assert_eq!(
-        (set.settings.classes[0].effect, set.settings.classes[0].scope),
+        (deployment.settings.classes[0].effect, deployment.settings.classes[0].scope),
         (Effect::IdempotentByKey, KeyScope::Group)
     );
-    assert_eq!(set.settings.when_behind, WhenBehind::Reject);
-    assert!(set.settings.probe_positions && set.settings.probe_roles);
+    assert_eq!(deployment.settings.when_behind, WhenBehind::Reject);
+    assert!(deployment.settings.probe_positions && deployment.settings.probe_roles);
     let outcome = "05 00000003 0000000000000009 0001 00000004 0064 00000000011a49a0 01 0000638e
          02 40c6872b 3f800000 00000000 00000000";
-    let (_, events) = decoder.frame(&frame(5, &[outcome], &[])).unwrap();
-    let [(3, Incoming::Event(Event::Outcome(o)))] = &events[..] else { panic!("{events:?}") };
+    let events = decoder.decode(&frame(5, &[outcome], &[])).unwrap().events;
+    let [InstanceEvent { instance: 3, event: Incoming::Event(Event::Outcome(o)) }] = &events[..] else {
+        panic!("{events:?}")
+    };
     assert_eq!((o.status, o.ended, o.attempt), (Status::Ok, true, Attempt(1)));
     let position = Time(1_000_000_000).plus(Time::ms(0x638e / 4));
     assert_eq!(o.replication, ReplicationState { position: Some(position), role: Some(Role::Replica) });
@@ -155,18 +172,19 @@
 }
 
 #[test]
-fn malformed_frames_are_told_apart() {
-    let mut d = Decoder::default();
+fn each_malformed_frame_has_its_error() {
+    let mut decoder = Decoder::default();
+    let mut error = |frame: &[u8]| decoder.decode(frame).unwrap_err().to_string();
     let long = bytes("00000010 0000000000000000 00000001");
-    assert!(d.frame(&long).unwrap_err().contains("can't hold 1 records"));
+    assert!(error(&long).contains("can't hold 1 records"));
     let unknown = frame(1, &["63 00000001"], &[]);
-    assert_eq!(d.frame(&unknown).unwrap_err(), "record 0: event code 99 is unknown");
+    assert_eq!(error(&unknown), "record 0: event code 99 is unknown");
     let list = frame(1, &["02 00000003 01 00000001 05"], &[]);
-    assert_eq!(d.frame(&list).unwrap_err(), "record 0: list 5 was never sent");
+    assert_eq!(error(&list), "record 0: list 5 was never sent");
     let rows = frame(1, &["0b 00 00000000 00000002"], &[0; 30]);
-    assert!(d.frame(&rows).unwrap_err().contains("past the tail"));
-    assert!(d.frame(&hello("{")).unwrap_err().contains("settings: "));
-    assert!(d.frame(&hello(&SETTINGS.replace("mutate", "odd"))).unwrap_err().contains("\"odd\" is unknown"));
+    assert!(error(&rows).contains("past the tail"));
+    assert!(error(&start_frame("{")).contains("settings: "));
+    assert!(error(&start_frame(&SETTINGS.replace("mutate", "odd"))).contains("\"odd\" is unknown"));
     assert!(Decoder::frame_len([0, 0, 0, 3]).is_err());
 }
 
@@ -184,8 +202,8 @@
 }
 
 #[test]
-fn the_adapter_answers_each_frame_and_ends_with_its_input() {
-    let mut input = hello(SETTINGS);
+fn each_frame_gets_a_reply_and_the_adapter_ends_with_its_input() {
+    let mut input = start_frame(SETTINGS);
     input.extend(frame(2, &[], &[]));
     let (out, err, ok) = adapter(&input);
     assert!(ok && err.is_empty());
@@ -193,9 +211,9 @@
 }
 
 #[test]
-fn malformed_input_gets_one_plain_line_and_no_reply() {
+fn malformed_input_gets_one_line_and_no_reply() {
     for input in [
-        hello("not json"),
+        start_frame("not json"),
         bytes("00000020 00000000"),
         bytes("0000"),
         frame(1, &["07 00000003 0000000000000001"], &[]),
@@ -208,15 +226,15 @@
 }
 
 #[test]
-fn a_killed_instance_may_start_anew_in_the_same_frame() {
+fn a_killed_instance_may_restart_in_the_same_frame() {
     let start = format!("01 00000003 0000000000000008 00000000 {:08x}", SETTINGS.len());
-    let ask =
+    let request =
         "03 00000003 0000000000000009 0000 0000 0000000000000001 00000000ffffffff 0000000000000000 00000000
          00000000 00";
-    let mut input = hello(SETTINGS);
+    let mut input = start_frame(SETTINGS);
     input.extend(frame(
         2,
-        &[ask, "0a 00000003", &start, "06 00000003 0000000000000009"],
+        &[request, "0a 00000003", &start, "06 00000003 0000000000000009"],
         SETTINGS.as_bytes(),
     ));
     let (out, err, ok) = adapter(&input);
