--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -20,8 +20,8 @@
     /// What a key holds is unsound.
     #[error("{key}: {problem}")]
     Invalid {
-        /// The key's path, like `settings.familyInfo.consistency[2]`; with file, line and column where they are
-        /// known.
+        /// The key's path, like `settings.familyInfo.consistency[2]`; with file, line and column where they
+        /// are known.
         key: String,
         /// What is wrong with it.
         problem: Problem,
@@ -106,7 +106,7 @@
     /// An array without an entry.
     #[error("must not be empty")]
     Empty,
-    /// No whole number in the range.
+    /// No integer in the range.
     #[error("must be a whole number from {min} to {max}, not {value}")]
     NotAnInteger {
         /// The value as written.
--- a/crates/config/src/local_settings/kdl_reader.rs
+++ b/crates/config/src/local_settings/kdl_reader.rs
@@ -104,7 +104,7 @@
         entry.value().as_bool().ok_or_else(|| self.entry_error(entry, key, problem))
     }
 
-    /// A whole number.
+    /// An integer.
     pub(super) fn integer(
         &self,
         node: &KdlNode,
@@ -123,7 +123,7 @@
         }
     }
 
-    /// A number, whole or not.
+    /// A number, integer or float.
     pub(super) fn number(
         &self,
         node: &KdlNode,
--- a/crates/config/src/local_settings/mod.rs
+++ b/crates/config/src/local_settings/mod.rs
@@ -19,8 +19,8 @@
 pub struct LocalSettings {
     /// How sessions are kept consistent.
     pub sessions: Option<SessionSettings>,
-    /// A client whose connection the router closes between two requests gets a notice before: what it has sent
-    /// since then was not read.
+    /// A client whose connection the router closes between two requests gets a notice before: what it has
+    /// sent since then was not read.
     pub close_notice: bool,
     /// The routers that talk to each other, and what they limit together.
     pub fleet: Option<FleetSettings>,
--- a/crates/config/src/router/mod.rs
+++ b/crates/config/src/router/mod.rs
@@ -19,8 +19,8 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The key of errors that concern a file as a whole.
-const WHOLE_FILE: &str = "(file)";
+/// The key of errors that concern a file and no key inside it.
+const FILE_KEY: &str = "(file)";
 
 /// A router's configuration, checked.
 #[derive(Debug)]
@@ -124,10 +124,10 @@
     phase: LoadPhase,
 ) -> Result<RouterConfig, ConfigError> {
     let value: Value = serde_json::from_slice(text)
-        .map_err(|error| ConfigError::invalid(WHOLE_FILE, Problem::Syntax(error.to_string())))?;
+        .map_err(|error| ConfigError::invalid(FILE_KEY, Problem::Syntax(error.to_string())))?;
     if !value.is_object() {
         let problem = Problem::WrongType { expected: "a JSON object" };
-        return Err(ConfigError::invalid(WHOLE_FILE, problem));
+        return Err(ConfigError::invalid(FILE_KEY, problem));
     }
     let file: RouterJson = from_json(value)?;
     let mut sources = Sources { variable, phase, overridden_keys: Vec::new() };
--- a/crates/config/src/router/resource_limits.rs
+++ b/crates/config/src/router/resource_limits.rs
@@ -44,8 +44,8 @@
         self.memory_bytes() / SESSION_TABLE_DIVISOR
     }
 
-    /// How many statements past [`LARGE_STATEMENT_LEN`](super::LARGE_STATEMENT_LEN) may be received at a time.
-    /// One may stand in memory twice while it is taken over.
+    /// How many statements past [`LARGE_STATEMENT_LEN`](super::LARGE_STATEMENT_LEN) may be received at a
+    /// time. One may stand in memory twice while it is taken over.
     pub fn max_large_statements(&self) -> usize {
         (self.memory_bytes() / LARGE_STATEMENTS_DIVISOR / (2 * MAX_STATEMENT_LEN)).max(1)
     }
--- a/crates/router/src/program/logging/mod.rs
+++ b/crates/router/src/program/logging/mod.rs
@@ -82,7 +82,7 @@
     LogGuard { _writer: Some(writer) }
 }
 
-/// The whole stack: target and level, then the rate limit, then the lines for `lines`.
+/// The complete stack: target and level, then the rate limit, then the lines for `lines`.
 fn subscriber<W>(
     level: LogLevel,
     format: LogFormat,
--- a/crates/router/src/program/logging/rate_limit.rs
+++ b/crates/router/src/program/logging/rate_limit.rs
@@ -7,7 +7,8 @@
 use tracing::{Event, Subscriber};
 use tracing_subscriber::layer::{Context, Layer};
 
-/// The span of time that [`MAX_LINES_PER_SECOND`] counts for. It begins with the first line after the last one.
+/// The span of time that [`MAX_LINES_PER_SECOND`] counts for. It begins with the first line after the last
+/// one.
 const WINDOW: Duration = Duration::from_secs(1);
 
 /// Admits [`MAX_LINES_PER_SECOND`] lines in each second, and counts the lines that were dropped since one was
@@ -57,7 +58,7 @@
 }
 
 impl RateLimitLayer {
-    /// A layer that asks this limiter.
+    /// A layer with this limiter.
     pub(super) fn new(limiter: Arc<RateLimiter>) -> RateLimitLayer {
         RateLimitLayer { limiter }
     }
--- a/crates/router/src/program/logging/tests.rs
+++ b/crates/router/src/program/logging/tests.rs
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn the_limit_holds_for_each_second_and_what_is_dropped_is_counted() {
+fn each_second_has_its_limit_and_dropped_lines_are_counted() {
     let (limiter, start) = (RateLimiter::default(), Instant::now());
     let admitted = |after_ms: u64, lines: u32| {
         let now = start + Duration::from_millis(after_ms);
--- a/crates/router/src/program/logging/writer.rs
+++ b/crates/router/src/program/logging/writer.rs
@@ -1,7 +1,7 @@
 //! The thread that writes the log, and the bounded queue before it.
 //!
-//! Standard error may be a pipe that nobody reads: the thread waits for it, the router never does. A line that
-//! finds the queue full is dropped and counted.
+//! Standard error may be a pipe that nobody reads: the thread waits for it, the router never does. A line
+//! that finds the queue full is dropped and counted.
 
 use super::rate_limit::RateLimiter;
 use std::io::{self, Write};
@@ -47,7 +47,8 @@
     }
 }
 
-/// The way to the writing thread; dropping it waits, for [`FLUSH_TIMEOUT`] at most, until the queue is written.
+/// The way to the writing thread; dropping it waits, for [`FLUSH_TIMEOUT`] at most, until the queue is
+/// written.
 #[derive(Debug)]
 pub(super) struct WriterThread {
     sender: SyncSender<Message>,
@@ -62,7 +63,7 @@
     }
 }
 
-/// The queue of lines. Each call of `write` takes one whole line.
+/// The queue of lines. Each call of `write` takes one complete line.
 #[derive(Clone, Debug)]
 pub(super) struct LineQueue {
     sender: SyncSender<Message>,
--- a/crates/router/src/program/ready.rs
+++ b/crates/router/src/program/ready.rs
@@ -10,7 +10,7 @@
 /// Limit on connecting, and on each read of the answer.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Bytes read at a time; the whole answer is shorter.
+/// Bytes read at a time; the complete answer is shorter.
 const READ_BUFFER_LEN: usize = 1024;
 
 /// Why a router does not count as ready.
--- a/crates/router/src/program/serve.rs
+++ b/crates/router/src/program/serve.rs
@@ -23,7 +23,8 @@
 const RELOAD_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// The pause after the system failed a call for signals.
 const SIGNAL_RETRY_DELAY: Duration = Duration::from_millis(5);
-/// So many failures of it in a row are an ordinary disturbance; more are logged as a warning, at powers of two.
+/// So many failures of it in a row are an ordinary disturbance; more are logged as a warning, at powers of
+/// two.
 const QUIET_SIGNAL_FAILURES: u32 = 16;
 
 /// Serves until a signal to stop.
@@ -166,8 +167,8 @@
     reload: Option<Reload>,
 }
 
-/// What the signals ask for, as commands to the running router. Another SIGHUP during a reload starts it anew,
-/// so that the newest file counts.
+/// The commands to the running router that the signals stand for. Another SIGHUP during a reload starts it
+/// anew, so that the newest file counts.
 fn commands(
     signals: Signals,
     files: ConfigFiles,
--- a/crates/router/src/protocol/client.rs
+++ b/crates/router/src/protocol/client.rs
@@ -1,7 +1,7 @@
 //! The side towards clients: bytes in, requests out; and the messages that clients get.
 //!
-//! [`ClientCodec`] takes messages apart as they arrive, each with the time of its last byte: a client's deadline
-//! counts from there, however many commands stand before it.
+//! [`ClientCodec`] takes messages apart as they arrive, each with the time of its last byte: a client's
+//! deadline counts from there, however many commands stand before it.
 
 use basalthill_config::router::MAX_STATEMENT_LEN;
 use basalthill_policy::api::Time;
@@ -30,7 +30,7 @@
 const GSS_MINOR: u32 = 5680;
 /// The major version of the protocol that is served.
 const SERVED_MAJOR: u32 = 3;
-/// Startup options with this prefix ask for extensions of the protocol.
+/// Startup options with this prefix request extensions of the protocol.
 const EXTENSION_PREFIX: &[u8] = b"_pq_.";
 
 /// What a client gets when its connection is opened, and a cancel request has to carry.
@@ -119,7 +119,8 @@
         }
     }
 
-    /// Takes in the rest of the message that has begun, and nothing behind it; returns how many bytes that was.
+    /// Takes in the rest of the message that has begun, and nothing behind it; returns how many bytes that
+    /// was.
     pub fn finish_message(&mut self, bytes: &[u8], arrived_at: Time) -> usize {
         let queued_before = self.queue.len();
         let mut fed = 0;
@@ -250,8 +251,8 @@
     Some(CancelKey { process, secret })
 }
 
-/// Whether a startup message asks for extensions of the protocol among its options: names and values, up to an
-/// empty name.
+/// Whether a startup message requests extensions of the protocol among its options: names and values, up to
+/// an empty name.
 fn startup_has_extensions(options: &[u8]) -> Result<bool, ProtocolError> {
     let mut has_extensions = false;
     let mut rest = options;
--- a/crates/router/src/protocol/host.rs
+++ b/crates/router/src/protocol/host.rs
@@ -183,8 +183,8 @@
     }
 }
 
-/// Checks the next message by its header, before its body has arrived: one that can't be right would be waited
-/// for in vain.
+/// Checks the next message by its header, before its body has arrived: one that can't be right would be
+/// waited for in vain.
 fn check_header(unread: &[u8]) -> Result<(), ProtocolError> {
     let Some(&[kind, a, b, c, d]) = unread.first_chunk::<HEADER_LEN>() else {
         return match unread.first().is_none_or(|kind| HOST_MESSAGE_KINDS.contains(kind)) {
@@ -325,8 +325,8 @@
 }
 
 impl ReportedState {
-    /// Takes the body of a ParameterStatus; one that can't be read reports nothing, and the answer is no worse
-    /// for it.
+    /// Takes the body of a ParameterStatus; one that can't be read reports nothing, and the answer is no
+    /// worse for it.
     fn record(&mut self, body: &[u8]) {
         let Some((name, rest)) = read_cstring(body) else { return };
         let Some((value, _)) = read_cstring(rest) else { return };
--- a/crates/router/tests/program.rs
+++ b/crates/router/tests/program.rs
@@ -312,14 +312,14 @@
         |part: &str| lines.find(|line| line.as_ref().unwrap().contains(part)).unwrap().unwrap();
     let addr = log_line_with("listens on").split_once("listens on ").unwrap().1.parse().unwrap();
     let mut client = Client::connect(addr).unwrap();
-    let whole = text(two.addr, "n1", SETTINGS);
+    let complete = text(two.addr, "n1", SETTINGS);
     let unsound = [
-        (whole[..whole.len() / 2].to_string(), "(file)"),
+        (complete[..complete.len() / 2].to_string(), "(file)"),
         (
             text(two.addr, "n1", &SETTINGS.replace("\"strong\"", "\"odd\"")),
             "settings.familyInfo.consistency[2]",
         ),
-        (whole.replace(&two.addr.to_string(), "nowhere"), "discovery"),
+        (complete.replace(&two.addr.to_string(), "nowhere"), "discovery"),
     ];
     for (text, key) in unsound {
         std::fs::write(&path, text).unwrap();
--- a/crates/sim/src/router.rs
+++ b/crates/sim/src/router.rs
@@ -56,8 +56,8 @@
         self.handle(now, Event::Request(request), out);
     }
 
-    /// The floor that its session gives a request; none for a class that the deployment does not have. A write
-    /// is tracked where the router remembers sessions.
+    /// The floor that its session gives a request; none for a class that the deployment does not have. A
+    /// write is tracked where the router remembers sessions.
     fn session_floor(
         &mut self,
         now: Time,
--- a/crates/sim/src/wire/decoder.rs
+++ b/crates/sim/src/wire/decoder.rs
@@ -33,7 +33,7 @@
 /// The column of a load report with the role: 1 for the primary.
 const ROLE_COLUMN: &str = "x1";
 
-/// Decodes frames. It keeps the numbered endpoint lists, which belong to the whole process, and what each
+/// Decodes frames. It keeps the numbered endpoint lists, which all instances use, and what each
 /// instance's load reports mean.
 #[derive(Default)]
 pub struct Decoder {
@@ -50,7 +50,7 @@
 }
 
 impl Decoder {
-    /// The size of the whole frame, from its first four bytes.
+    /// The size of a frame in bytes, from its first four.
     pub fn frame_len(length_field: [u8; 4]) -> Result<usize, FrameError> {
         let len = u32::from_be_bytes(length_field) as usize;
         match len < FRAME_HEADER_LEN {
--- a/crates/sim/tests/golden.rs
+++ b/crates/sim/tests/golden.rs
@@ -131,11 +131,11 @@
     );
     let records = ["0b 00 00000000 00000002", "02 00000003 02 00000029 00"];
     let events = Decoder::default().decode(&frame(5, &records, &rows)).unwrap().events;
-    let [InstanceEvent { instance: 3, event: Incoming::Event(Event::Endpoints(EndpointUpdate::Cached, list)) }] =
-        &events[..]
+    let [InstanceEvent { instance: 3, event: Incoming::Event(Event::Endpoints(update, list)) }] = &events[..]
     else {
         panic!("{events:?}")
     };
+    assert_eq!(*update, EndpointUpdate::Cached);
     assert_eq!(
         (list[0].member, list[0].primary, list[0].state),
         (MemberId(0x0312_4a07), true, EndpointState::Ready)
