--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -2,33 +2,79 @@
 //!
 //!     cargo run --example toy -- serve [DISCOVERY [LAG]]
 //!
-//! It goes on until interrupted. Discovery's address is that of `examples/router.json` unless given; replicas
+//! It runs until interrupted. Discovery's address is that of `examples/router.json` unless given; replicas
 //! follow LAG milliseconds behind.
 
 use basalthill_standin::discovery::{endpoint_list, Discovery};
 use basalthill_standin::group::{Group, GroupBehavior, StaleRead};
-use std::net::SocketAddr;
+use std::net::{AddrParseError, SocketAddr};
+use std::num::ParseIntError;
 use std::process::ExitCode;
 
+/// Where `examples/router.json` expects discovery.
 const DISCOVERY: &str = "127.0.0.1:6500";
+/// The group that statements name (`cluster=1`).
 const GROUP: u32 = 1;
-/// How long a replica takes to apply what was written.
+/// The primary and its replicas.
+const MEMBERS: usize = 3;
+/// How long a replica takes to apply what was written, in milliseconds.
 const LAG_MS: u64 = 5;
 
-fn deployment(discovery: SocketAddr, lag_ms: u64) -> std::io::Result<()> {
-    let manner = GroupBehavior {
-        lag_ms,
+/// Why the deployment did not start.
+#[derive(Debug, thiserror::Error)]
+enum ToyError {
+    #[error("usage: toy serve [DISCOVERY [LAG]]")]
+    Usage,
+    #[error("{text}: {error}")]
+    Address { text: String, error: AddrParseError },
+    #[error("{text}: {error}")]
+    Lag { text: String, error: ParseIntError },
+    #[error(transparent)]
+    Io(#[from] std::io::Error),
+}
+
+/// The command line, with defaults for what it leaves out.
+struct Arguments {
+    discovery: SocketAddr,
+    lag_ms: u64,
+}
+
+impl Arguments {
+    fn parse(words: &[String]) -> Result<Arguments, ToyError> {
+        let words: Vec<&str> = words.iter().map(String::as_str).collect();
+        let (discovery, lag_ms) = match words[..] {
+            ["serve"] => (DISCOVERY, LAG_MS),
+            ["serve", discovery] => (discovery, LAG_MS),
+            ["serve", discovery, lag] => (discovery, parse_lag(lag)?),
+            _ => return Err(ToyError::Usage),
+        };
+        Ok(Arguments { discovery: parse_address(discovery)?, lag_ms })
+    }
+}
+
+fn parse_address(text: &str) -> Result<SocketAddr, ToyError> {
+    text.parse().map_err(|error| ToyError::Address { text: text.into(), error })
+}
+
+fn parse_lag(text: &str) -> Result<u64, ToyError> {
+    text.parse().map_err(|error| ToyError::Lag { text: text.into(), error })
+}
+
+/// Starts the deployment, prints where its members listen, and keeps it running.
+fn serve(arguments: &Arguments) -> Result<(), ToyError> {
+    let behavior = GroupBehavior {
+        lag_ms: arguments.lag_ms,
         stale_reads: StaleRead::Reject,
         annotated: false,
         ..GroupBehavior::default()
     };
-    let group = Group::start(GROUP, 3, manner)?;
+    let group = Group::start(GROUP, MEMBERS, behavior)?;
     let members = group.members();
     for member in &members {
         let role = if member.rank == "source" { "primary" } else { "replica" };
         println!("{} at {}, {role}", member.id, member.addr);
     }
-    let discovery = Discovery::start_at(discovery, endpoint_list(1, true, &members))?;
+    let discovery = Discovery::start_at(arguments.discovery, endpoint_list(1, true, &members))?;
     println!("discovery at {}", discovery.addr);
     loop {
         std::thread::park();
@@ -36,19 +82,8 @@
 }
 
 fn main() -> ExitCode {
-    let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let words: Vec<&str> = arguments.iter().map(String::as_str).collect();
-    let address = |at: &str| at.parse().map_err(|e| std::io::Error::other(format!("{at}: {e}")));
-    let done = match words[..] {
-        ["serve"] => address(DISCOVERY).and_then(|discovery| deployment(discovery, LAG_MS)),
-        ["serve", discovery] => address(discovery).and_then(|discovery| deployment(discovery, LAG_MS)),
-        ["serve", discovery, lag] => {
-            let lag = lag.parse().map_err(|e| std::io::Error::other(format!("{lag}: {e}")));
-            lag.and_then(|lag| deployment(address(discovery)?, lag))
-        }
-        _ => Err(std::io::Error::other("usage: toy serve [DISCOVERY [LAG]]")),
-    };
-    match done {
+    let words: Vec<String> = std::env::args().skip(1).collect();
+    match Arguments::parse(&words).and_then(|arguments| serve(&arguments)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("toy: {e}");
