--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings, statements and lists that the tests share.
+//! Settings, statements and lists for the tests.
 #![allow(dead_code)]
 
 pub mod served;
@@ -13,16 +13,18 @@
 pub use basalthill_standin::SETTINGS;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Sessions as the platform means them.
+/// Sessions whose floors come with the requests.
 pub fn sessions() -> Sessions {
     Sessions::new(Time::ms(1), PlatformFloors::FromRequest, None, 0, 0)
 }
 
+/// The stand-ins' settings.
 pub fn site() -> Deployment {
     read(SETTINGS.as_bytes()).expect("sound settings")
 }
 
-/// A statement of a class for group 2; writes for the class `write`.
+/// The text of a statement of a class for group 2, a write for the class `write`; `more` is appended to its
+/// comment.
 pub fn statement_text(class: &str, more: &str) -> String {
     let comment = format!("/* id=9b1f03aa5c7e2d41,c={class},t=acme,d=480,cluster=2{more} */");
     match class {
@@ -31,7 +33,7 @@
     }
 }
 
-/// A statement with an id of its own, unless `more` names one.
+/// A parsed statement with an id of its own, unless `more` names one.
 pub fn statement(class: &str, more: &str) -> Box<Statement> {
     static COUNT: AtomicU64 = AtomicU64::new(0);
     let id = format!("id={:016x}", COUNT.fetch_add(1, Ordering::Relaxed));
--- a/crates/router/tests/common/served.rs
+++ b/crates/router/tests/common/served.rs
@@ -1,4 +1,4 @@
-//! The whole router in a thread of its own, on loopback against stand-ins.
+//! The complete router in a thread of its own, on loopback against stand-ins.
 
 use super::SETTINGS;
 use async_io::Async;
@@ -15,20 +15,25 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 
-/// So little that one large statement at a time is read on.
+/// So little that only one large statement at a time may be read.
 const MEMORY_MB: u64 = 1;
 
-/// A router in a thread of its own; it is stopped and awaited at the end.
+/// A router in a thread of its own; it is stopped and joined on drop.
 pub struct RouterThread {
+    /// Where it listens.
     pub addr: SocketAddr,
-    stop: Option<TcpStream>,
-    again: Sender<RouterConfig>,
+    /// A byte announces a configuration to reload; closed, it is the signal to stop.
+    control: Option<TcpStream>,
+    reloads: Sender<RouterConfig>,
     config: String,
     thread: Option<JoinHandle<()>>,
+    /// Whether it has stopped.
     pub stopped: Arc<Watched<bool>>,
 }
 
 impl RouterThread {
+    /// Starts a router with a list of members, or `null`, the address of discovery, a number of descriptors
+    /// and the deployment's settings.
     pub fn start(known: &str, discovery: SocketAddr, sockets: usize, settings: &str) -> RouterThread {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
         let addr = listener.local_addr().unwrap();
@@ -38,15 +43,14 @@
             "known":{known},"settings":{settings}}}"#
         );
         let config = parse(text.as_bytes(), |_| None, LoadPhase::Startup).unwrap();
-        let door = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
-        let stop = TcpStream::connect(door.local_addr().unwrap()).unwrap();
-        let stopped = door.accept().unwrap().0;
-        let (again, configs) = channel::<RouterConfig>();
-        let stopped_signal = Arc::new(Watched::default());
-        let tell = Arc::clone(&stopped_signal);
+        let control_listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
+        let control = TcpStream::connect(control_listener.local_addr().unwrap()).unwrap();
+        let controlled = control_listener.accept().unwrap().0;
+        let (reloads, configs) = channel::<RouterConfig>();
+        let stopped = Arc::new(Watched::default());
+        let thread_stopped = Arc::clone(&stopped);
         let thread = std::thread::spawn(move || {
-            // Each byte announces a configuration read again; the end of the stream is the signal to stop.
-            let commands = stream::unfold(Async::new(stopped).unwrap(), |mut s| async {
+            let commands = stream::unfold(Async::new(controlled).unwrap(), |mut s| async {
                 let n = s.read(&mut [0]).await.unwrap();
                 let command = if n == 0 {
                     ControlCommand::Stop
@@ -56,44 +60,47 @@
                 Some((command, s))
             });
             transport::serve(listener, config, commands).unwrap();
-            tell.change(|o| *o = true);
+            thread_stopped.change(|stopped| *stopped = true);
         });
-        RouterThread {
-            addr,
-            stop: Some(stop),
-            again,
-            config: text,
-            thread: Some(thread),
-            stopped: stopped_signal,
-        }
+        RouterThread { addr, control: Some(control), reloads, config: text, thread: Some(thread), stopped }
     }
 
-    /// Has the router read a configuration again that names another discovery.
+    /// Has the router reload its configuration with another address of discovery.
     pub fn reload_with_discovery(&self, from: SocketAddr, to: SocketAddr) {
         let text =
             self.config.replace(&format!("\"discovery\":\"{from}\""), &format!("\"discovery\":\"{to}\""));
-        self.again.send(parse(text.as_bytes(), |_| None, LoadPhase::Reload).unwrap()).unwrap();
-        self.stop.as_ref().unwrap().write_all(&[0]).unwrap();
+        let config = parse(text.as_bytes(), |_| None, LoadPhase::Reload).unwrap();
+        self.reloads.send(config).unwrap();
+        self.control.as_ref().unwrap().write_all(&[0]).unwrap();
     }
 
-    /// One primary, with discovery telling the same.
+    /// A router with one primary, which discovery also lists.
     pub fn with_primary(host: &Host) -> RouterThread {
         RouterThread::with_descriptors(host, 256)
     }
 
-    /// The same with so many descriptors.
+    /// The same with a number of descriptors.
     pub fn with_descriptors(host: &Host, sockets: usize) -> RouterThread {
-        let known = endpoint_list(1, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]);
+        let known = primary_list(1, host.addr);
         let discovery = Discovery::start(known.clone()).unwrap();
         RouterThread::start(&known, discovery.addr, sockets, SETTINGS)
     }
 
+    /// A router with one primary and these settings of the deployment.
+    pub fn with_settings(host: SocketAddr, settings: &str) -> RouterThread {
+        let known = primary_list(1, host);
+        let discovery = Discovery::start(known.clone()).unwrap();
+        RouterThread::start(&known, discovery.addr, 256, settings)
+    }
+
+    /// A client that is connected and ready for a query.
     pub fn client(&self) -> Client {
         Client::connect(self.addr).unwrap()
     }
 
+    /// Sends the signal to stop.
     pub fn stop(&mut self) {
-        drop(self.stop.take());
+        drop(self.control.take());
     }
 }
 
@@ -106,11 +113,17 @@
     }
 }
 
+/// The list of one primary at an address.
+pub fn primary_list(version: u64, addr: SocketAddr) -> String {
+    endpoint_list(version, true, &[Endpoint::new("s-1", addr, 2, "active", "source")])
+}
+
+/// What a primary reports of itself beside an answer.
 pub fn primary_report() -> ParameterStatuses {
     vec![("rank", "source".into()), ("as_of", unix_ms().to_string())]
 }
 
-/// A primary that answers probes and gives statements to `answers`.
+/// A primary that answers health checks by itself and statements by `answers`.
 pub fn primary_host(answers: impl Fn(&str) -> Reply + Send + Sync + 'static) -> Host {
     Host::start(move |text| match text {
         "SHOW vitals" => (Reply::Row(format!("x0={}.0,x1=1", unix_ms() / 1000).into_bytes()), Vec::new()),
@@ -119,15 +132,17 @@
     .unwrap()
 }
 
-/// An address at which nobody listens: a port that only the machine's owner could open.
+/// An address at which nobody listens: a privileged port.
 pub fn unreachable_address() -> SocketAddr {
     (Ipv4Addr::LOCALHOST, 1).into()
 }
 
+/// The answer with a row of one value.
 pub fn row(value: &[u8]) -> Answer {
     Answer::Row(value.to_vec())
 }
 
+/// The SQLSTATE of an error.
 pub fn error_code(answer: &Answer) -> &str {
     match answer {
         Answer::Error(code, _) => code,
--- a/crates/router/tests/list_moments.rs
+++ b/crates/router/tests/discovery_faults.rs
@@ -1,23 +1,23 @@
-//! Rare moments of the list: watches that fall silent, drip, end or hang, discovery that is away and comes
-//! back or moves, lists that are old or came late. A host's own record judges.
+//! Faults of discovery: watches that fall silent, drip, end or hang, discovery that is unreachable and
+//! recovers or moves, lists that are old or late. The assertions are on what the hosts have received.
 
 mod common;
 
 use basalthill_standin::client::{Answer, Client};
 use basalthill_standin::discovery::{endpoint_list, Discovery, Endpoint, ResponseMode};
 use basalthill_standin::host::{Host, Reply};
-use common::served::{primary_host, row, RouterThread};
+use common::served::{primary_host, primary_list, row, RouterThread};
 use common::{statement_text, SETTINGS};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// What discovery has counts as told this long after it could be reached.
-const TOLD: Duration = Duration::from_secs(6);
-/// The settings' grace after that, and the slack of the rules.
+/// A list counts as received this long after discovery could be reached.
+const LIST_DEADLINE: Duration = Duration::from_secs(6);
+/// The settings' drain grace after that, and the tolerance of the rules.
 const GRACE: Duration = Duration::from_millis(1050);
 
-/// A primary, and the one that takes its place.
-fn pair() -> (Host, Host) {
+/// A primary, and the one that replaces it.
+fn primary_and_successor() -> (Host, Host) {
     (primary_host(|_| Reply::Row(b"one".to_vec())), primary_host(|_| Reply::Row(b"two".to_vec())))
 }
 
@@ -29,14 +29,14 @@
     endpoint_list(version, full, &members)
 }
 
-/// Writes again and again, up to the first that the other member serves and for `after` beyond that; how long
-/// that took. A router with no descriptor to spare may close the connection: the next is opened.
-fn writes(addr: SocketAddr, after: Duration) -> Duration {
+/// Writes until the successor serves, and for `after` beyond that; how long the former took. A router without
+/// a free descriptor may close the connection: the next one is opened.
+fn time_until_failover(addr: SocketAddr, after: Duration) -> Duration {
     let (began, mut moved) = (Instant::now(), None);
     let mut client = None;
     let mut count = 0;
     while moved.is_none_or(|m: Duration| began.elapsed() < m + after) {
-        assert!(began.elapsed() < 2 * TOLD, "the drain is never acted on");
+        assert!(began.elapsed() < 2 * LIST_DEADLINE, "the drain never takes effect");
         count += 1;
         let text = statement_text("write", "").replace("id=9", &format!("id={count:x}a"));
         let mut at = client.take().or_else(|| Client::connect(addr).ok());
@@ -54,68 +54,68 @@
     moved.unwrap()
 }
 
-/// When the last write came that a host saw.
+/// When a host received its last write.
 fn last_write(host: &Host) -> Option<Instant> {
     let seen = host.seen.lock();
     let writes = seen.statements.iter().filter(|s| s.text.contains("INSERT"));
     writes.map(|s| s.received_at).max()
 }
 
-/// The first watch drips while discovery learns of a drain, and the calls after it go as told; clients hold
-/// all the descriptors that they can get. The drain is acted on in time, and the host's record shows it.
-fn drain_after(calls: &[ResponseMode]) {
-    let (one, two) = pair();
-    let known = endpoint_list(1, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
+/// The first watch drips while discovery learns of a drain, and the calls after it fail as given; clients
+/// occupy all the descriptors that they can get. The drain takes effect in time, by the host's own record.
+fn assert_drain_takes_effect_after(calls: &[ResponseMode]) {
+    let (one, two) = primary_and_successor();
+    let known = primary_list(1, one.addr);
     let discovery = Discovery::start(known.clone()).unwrap();
     discovery.state.change(|t| t.next_responses.push_back(ResponseMode::Drip));
-    let served = RouterThread::start(&known, discovery.addr, 64, SETTINGS);
-    assert_eq!(served.client().query(&statement_text("write", "")).unwrap(), row(b"one"));
-    let held: Vec<_> = (0..80).map(|_| Client::connect_without_startup(served.addr).unwrap()).collect();
-    // From now on discovery has it, and could tell.
+    let router = RouterThread::start(&known, discovery.addr, 64, SETTINGS);
+    assert_eq!(router.client().query(&statement_text("write", "")).unwrap(), row(b"one"));
+    let clients: Vec<_> = (0..80).map(|_| Client::connect_without_startup(router.addr).unwrap()).collect();
+    // From now on discovery has the drain, and could send it.
     discovery.state.change(|t| t.next_responses.extend(calls));
     discovery.restart_watches(drained(2, true, &one, &two));
     let had = Instant::now();
-    let moved = writes(served.addr, GRACE);
-    assert!(moved < TOLD, "{calls:?}: {moved:?}");
+    let moved = time_until_failover(router.addr, GRACE);
+    assert!(moved < LIST_DEADLINE, "{calls:?}: {moved:?}");
     let last = last_write(&one).unwrap();
-    assert!(last < had + TOLD + GRACE, "{calls:?}: {:?}", last - had);
-    drop(held);
+    assert!(last < had + LIST_DEADLINE + GRACE, "{calls:?}: {:?}", last - had);
+    drop(clients);
 }
 
 #[test]
 fn a_watch_that_drips_an_incomplete_line_times_out() {
-    drain_after(&[]);
+    assert_drain_takes_effect_after(&[]);
 }
 
 #[test]
 fn a_drain_takes_effect_in_time_after_a_silent_and_a_refused_call() {
-    drain_after(&[ResponseMode::Silent, ResponseMode::Closed]);
+    assert_drain_takes_effect_after(&[ResponseMode::Silent, ResponseMode::Closed]);
 }
 
 #[test]
 fn a_drain_takes_effect_in_time_after_a_refused_call_and_one_cut_after_its_head() {
-    drain_after(&[ResponseMode::Closed, ResponseMode::HeadOnly]);
+    assert_drain_takes_effect_after(&[ResponseMode::Closed, ResponseMode::HeadOnly]);
 }
 
 #[test]
 fn a_drain_takes_effect_in_time_after_two_refused_calls_and_a_silent_one() {
-    drain_after(&[ResponseMode::Closed, ResponseMode::Closed, ResponseMode::Silent]);
+    assert_drain_takes_effect_after(&[ResponseMode::Closed, ResponseMode::Closed, ResponseMode::Silent]);
 }
 
-/// Discovery is away for so long that calls are far apart; at its return the drain is there.
+/// Discovery is unreachable for so long that calls are far apart; as it recovers, it has the drain.
 #[test]
 fn discovery_that_recovers_is_followed_at_once() {
-    let (one, two) = pair();
-    let known = endpoint_list(1, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
+    let (one, two) = primary_and_successor();
+    let known = primary_list(1, one.addr);
     let nobody = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = nobody.local_addr().unwrap();
     drop(nobody);
-    let served = RouterThread::start(&known, addr, 64, SETTINGS);
-    assert_eq!(served.client().query(&statement_text("write", "")).unwrap(), row(b"one"));
+    let router = RouterThread::start(&known, addr, 64, SETTINGS);
+    assert_eq!(router.client().query(&statement_text("write", "")).unwrap(), row(b"one"));
     std::thread::sleep(Duration::from_millis(2500));
     let _discovery = Discovery::start_at(addr, drained(2, true, &one, &two)).unwrap();
     let had = Instant::now();
-    let moved = writes(served.addr, GRACE);
+    let moved = time_until_failover(router.addr, GRACE);
     assert!(moved < Duration::from_secs(2), "{moved:?}");
     assert!(last_write(&one).unwrap() < had + Duration::from_secs(2) + GRACE);
 }
@@ -123,67 +123,67 @@
 /// The old address hangs and the first call to the new one is never answered.
 #[test]
 fn a_new_discovery_address_is_followed_in_time_though_its_first_call_is_lost() {
-    let (one, two) = pair();
-    let known = endpoint_list(70, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
+    let (one, two) = primary_and_successor();
+    let known = primary_list(70, one.addr);
     let old = Discovery::start(known.clone()).unwrap();
     old.state.change(|t| t.next_responses.extend([ResponseMode::Silent; 8]));
     let new = Discovery::start(drained(3, true, &one, &two)).unwrap();
     new.state.change(|t| t.next_responses.push_back(ResponseMode::Silent));
-    let served = RouterThread::start(&known, old.addr, 64, SETTINGS);
-    assert_eq!(served.client().query(&statement_text("write", "")).unwrap(), row(b"one"));
-    let held: Vec<_> = (0..80).map(|_| Client::connect_without_startup(served.addr).unwrap()).collect();
-    served.reload_with_discovery(old.addr, new.addr);
-    let moved = writes(served.addr, Duration::from_millis(1));
+    let router = RouterThread::start(&known, old.addr, 64, SETTINGS);
+    assert_eq!(router.client().query(&statement_text("write", "")).unwrap(), row(b"one"));
+    let clients: Vec<_> = (0..80).map(|_| Client::connect_without_startup(router.addr).unwrap()).collect();
+    router.reload_with_discovery(old.addr, new.addr);
+    let moved = time_until_failover(router.addr, Duration::from_millis(1));
     assert!(moved < Duration::from_secs(4), "{moved:?} after the signal");
-    drop(held);
+    drop(clients);
 }
 
-/// The agent had the drain before the process started, so it counts as told from then on, also where the
-/// first call was lost: nothing of its grace is left when the list comes.
+/// Discovery had the drain before the process started, so the drain counts from then on, also where the first
+/// call was lost: nothing of its grace is left when the list arrives.
 #[test]
 fn a_drain_from_before_the_start_has_no_grace_left_when_it_arrives_late() {
     let one = primary_host(|_| Reply::Row(b"one".to_vec()));
-    let known = endpoint_list(1, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
+    let known = primary_list(1, one.addr);
     let discovery =
         Discovery::start(endpoint_list(2, true, &[Endpoint::new("s-1", one.addr, 2, "leaving", "source")]))
             .unwrap();
     discovery.state.change(|t| t.next_responses.push_back(ResponseMode::Silent));
-    let served = RouterThread::start(&known, discovery.addr, 64, SETTINGS);
-    assert_eq!(served.client().query(&statement_text("write", "")).unwrap(), row(b"one"));
+    let router = RouterThread::start(&known, discovery.addr, 64, SETTINGS);
+    assert_eq!(router.client().query(&statement_text("write", "")).unwrap(), row(b"one"));
     discovery.state.wait(|t| (t.requests.len() >= 2).then_some(())).unwrap();
-    let told = Instant::now();
-    while told.elapsed() < GRACE {
-        let _ = served.client().query(&statement_text("write", ""));
+    let called_again = Instant::now();
+    while called_again.elapsed() < GRACE {
+        let _ = router.client().query(&statement_text("write", ""));
     }
-    // A moment for the list to come, and for what was on its way.
+    // A moment for the list to arrive, and for writes that were on their way.
     let last = last_write(&one).unwrap();
-    assert!(last < told + GRACE / 2, "{:?} after it was told", last - told);
+    assert!(last < called_again + GRACE / 2, "{:?} after the second call", last - called_again);
 }
 
-/// Where all routers ask one discovery in turn, a whole list for each that is turned away would be more than
-/// it can give: what is known stays known, and the next call asks for what has changed.
+/// Where one discovery serves all routers in turn, a full list for each rejected call would be more than it
+/// can send: what is known stays known, and the next call requests changes only.
 #[test]
 fn a_rejected_call_is_repeated_for_changes_only() {
-    let (one, two) = pair();
-    let known = endpoint_list(7, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
+    let (one, two) = primary_and_successor();
+    let known = primary_list(7, one.addr);
     let discovery = Discovery::start(drained(8, false, &one, &two)).unwrap();
     discovery.state.change(|t| t.next_responses.extend([ResponseMode::Unavailable; 3]));
     let settings = SETTINGS.replace("\"automatic\"", "\"subscribe\"");
-    let served = RouterThread::start(&known, discovery.addr, 64, &settings);
+    let router = RouterThread::start(&known, discovery.addr, 64, &settings);
     let requests = discovery.state.wait(|t| (t.requests.len() >= 4).then(|| t.requests.clone())).unwrap();
     assert!(requests.iter().all(|r| r.contains("watch=1") && r.contains("from=7")), "{requests:?}");
-    writes(served.addr, 2 * GRACE);
-    assert!(two.statement_count("INSERT") > 0, "the change is acted on");
+    time_until_failover(router.addr, 2 * GRACE);
+    assert!(two.statement_count("INSERT") > 0, "the change takes effect");
 }
 
 #[test]
 fn an_indented_list_is_read() {
-    let (one, two) = pair();
-    let known = endpoint_list(1, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
+    let (one, two) = primary_and_successor();
+    let known = primary_list(1, one.addr);
     let discovery = Discovery::start(drained(2, true, &one, &two)).unwrap();
     discovery.state.change(|t| t.next_responses.extend([ResponseMode::Indented; 8]));
-    let served = RouterThread::start(&known, discovery.addr, 64, SETTINGS);
-    assert!(writes(served.addr, Duration::from_millis(1)) < Duration::from_secs(2));
-    let mut client = served.client();
+    let router = RouterThread::start(&known, discovery.addr, 64, SETTINGS);
+    assert!(time_until_failover(router.addr, Duration::from_millis(1)) < Duration::from_secs(2));
+    let mut client = router.client();
     assert!(matches!(client.query(&statement_text("write", "")), Ok(Answer::Row(_))));
 }
--- a/crates/router/tests/pipelines.rs
+++ b/crates/router/tests/pipelines.rs
@@ -1,5 +1,5 @@
-//! Clients that write many commands before they read an answer, through the real program: each command has
-//! its answer, whole and in order, whatever happens to the router meanwhile.
+//! Pipelining through the real program: clients write many commands before they read an answer. Each command
+//! has its answer, complete and in order, whatever happens to the router meanwhile.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use basalthill_standin::host::{Host, Reply};
 use basalthill_standin::router_process::{write_unique_file, RouterOptions, RouterProcess};
 use basalthill_standin::TIMEOUT;
-use common::served::{error_code, unreachable_address};
+use common::served::{error_code, primary_list, unreachable_address};
 use common::{statement_text, SETTINGS};
 use std::io::{Read, Write};
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A value that tells whose it is, of so many bytes.
+/// A value of `bytes` bytes that names the request that it belongs to.
 fn value(id: &str, bytes: usize) -> Vec<u8> {
     id.bytes().cycle().take(bytes.max(id.len())).collect()
 }
@@ -26,9 +26,9 @@
     text.split("id=").nth(1).map_or("", |rest| &rest[..16])
 }
 
-/// A primary whose answers tell their requests, of so many bytes for reads.
+/// A primary whose answers name their requests, of `bytes` bytes for reads.
 fn primary(bytes: usize) -> Host {
-    let telling = || vec![("rank", "source".into()), ("as_of", basalthill_standin::unix_ms().to_string())];
+    let report = || vec![("rank", "source".into()), ("as_of", basalthill_standin::unix_ms().to_string())];
     let answer = move |text: &str| match text {
         "SHOW vitals" => {
             Reply::Row(format!("x0={}.0,x1=1", basalthill_standin::unix_ms() / 1000).into_bytes())
@@ -36,10 +36,10 @@
         text if text.contains("INSERT") => Reply::Row(id_of(text).as_bytes().to_vec()),
         text => Reply::Row(value(id_of(text), bytes)),
     };
-    Host::start(move |text| (answer(text), telling())).unwrap()
+    Host::start(move |text| (answer(text), report())).unwrap()
 }
 
-/// A statement of its own id, whose client waits for a minute.
+/// A statement with its own id and a deadline of a minute.
 fn statement(class: &str, who: u32, n: usize) -> String {
     let id = format!("{who:08x}{n:08x}");
     statement_text(class, "").replace("9b1f03aa5c7e2d41", &id).replace("d=480", "d=60000")
@@ -59,32 +59,32 @@
     RouterProcess::start(name, RouterOptions { program, config, settings: None, discovery }).unwrap()
 }
 
-/// A router with one primary, and discovery.
-fn one(host: &Host, sockets: usize) -> RouterProcess {
-    let known = endpoint_list(1, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]);
+/// A router with one primary, which discovery also lists.
+fn router_of(host: &Host, sockets: usize) -> RouterProcess {
+    let known = primary_list(1, host.addr);
     let discovery = Discovery::start(known.clone()).unwrap();
     router("n1", &known, discovery.addr, sockets, SETTINGS)
 }
 
-/// Reads so many answers, each the row of its own request or a refusal; how many were rows.
-fn in_order(client: &mut Client, class: &str, who: u32, count: usize) -> usize {
+/// Reads `count` answers, each the row of its own request or a rejection; how many were rows.
+fn read_in_order(client: &mut Client, class: &str, who: u32, count: usize) -> usize {
     let mut rows = 0;
     for n in 0..count {
         match client.read_answer().unwrap_or_else(|e| panic!("{who}: no answer to command {n}: {e}")) {
             Answer::Row(row) => {
                 let id = format!("{who:08x}{n:08x}");
                 assert!(row.starts_with(id.as_bytes()), "{class}: {n} has another's answer");
-                assert!(row == value(&id, row.len()), "{class}: {n} is not whole");
+                assert!(row == value(&id, row.len()), "{class}: {n} is incomplete");
                 rows += 1;
             }
-            refused => assert_eq!(error_code(&refused), "53300", "{class}, {n}"),
+            rejection => assert_eq!(error_code(&rejection), "53300", "{class}, {n}"),
         }
     }
     rows
 }
 
-/// Asks as an ordinary client does while `busy` holds; the longest time that it took.
-fn ordinary(addr: SocketAddr, busy: &Arc<AtomicBool>) -> std::thread::JoinHandle<Duration> {
+/// Sends requests one by one while `busy` is set; the longest time that one took.
+fn spawn_ordinary_client(addr: SocketAddr, busy: &Arc<AtomicBool>) -> std::thread::JoinHandle<Duration> {
     let busy = Arc::clone(busy);
     std::thread::spawn(move || {
         let (mut longest, mut n) = (Duration::ZERO, 0);
@@ -99,10 +99,10 @@
     })
 }
 
-/// Waits until something holds.
-fn until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits until a condition is true.
+fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let began = Instant::now();
-    while !holds() {
+    while !condition() {
         assert!(began.elapsed() < TIMEOUT, "{what}");
         std::thread::sleep(Duration::from_millis(20));
     }
@@ -111,11 +111,11 @@
 #[test]
 fn hundreds_of_pipelined_commands_are_answered_without_delaying_other_clients() {
     let host = primary(40_000);
-    let router = one(&host, 256);
+    let router = router_of(&host, 256);
     drop(Client::connect(router.addr).unwrap());
     let (descriptors, memory) = (router.descriptors().unwrap(), router.resident_kib().unwrap());
     let busy = Arc::new(AtomicBool::new(true));
-    let others = ordinary(router.addr, &busy);
+    let others = spawn_ordinary_client(router.addr, &busy);
     let addr = router.addr;
     let pipelines = [("report", 1, 0), ("write", 2, 20_000)].map(|(class, who, bytes)| {
         std::thread::spawn(move || {
@@ -124,10 +124,10 @@
             let commands: Vec<u8> =
                 (0..500).flat_map(|n| query(&statement(class, who, n).replace("9f03", &large))).collect();
             client.stream.write_all(&commands).unwrap();
-            in_order(&mut client, class, who, 500)
+            read_in_order(&mut client, class, who, 500)
         })
     });
-    // One that takes a byte at a time.
+    // One that reads a byte at a time.
     let slow = std::thread::spawn(move || {
         let mut client = Client::connect(addr).unwrap();
         let commands: Vec<u8> = (0..20).flat_map(|n| query(&statement("write", 3, n))).collect();
@@ -148,15 +148,15 @@
     busy.store(false, Ordering::Relaxed);
     let longest = others.join().unwrap();
     assert!(longest < Duration::from_secs(1), "others wait for {longest:?}");
-    until("descriptors return", || router.descriptors().unwrap() <= descriptors + 24);
+    wait_until("descriptors return", || router.descriptors().unwrap() <= descriptors + 24);
     let grown = router.resident_kib().unwrap().saturating_sub(memory);
-    assert!(grown < 16 * 1024, "{grown} KiB are kept");
+    assert!(grown < 16 * 1024, "{grown} KiB are not released");
 }
 
 #[test]
 fn complete_requests_before_shutdown_are_answered_to_slow_readers() {
     let host = primary(20_000);
-    let mut router = one(&host, 256);
+    let mut router = router_of(&host, 256);
     let mut clients: Vec<Client> = (0..4).map(|_| Client::connect(router.addr).unwrap()).collect();
     for (who, client) in (0..).zip(&mut clients) {
         let commands: Vec<u8> = (0..60).flat_map(|n| query(&statement("write", who, n))).collect();
@@ -167,7 +167,7 @@
     }
     router.signal("TERM").unwrap();
     for (who, client) in (0..).zip(&mut clients) {
-        in_order(client, "write", who, 60);
+        read_in_order(client, "write", who, 60);
         assert!(client.is_closed());
     }
     assert!(router.wait_for_exit().unwrap().success());
@@ -178,18 +178,18 @@
     let host = Host::start(|text| match text {
         "SHOW vitals" => (Reply::Row(b"x1=1".to_vec()), Vec::new()),
         text => {
-            std::thread::sleep(Duration::from_millis(4)); // its work
+            std::thread::sleep(Duration::from_millis(4)); // processing time
             (Reply::Row(id_of(text).as_bytes().to_vec()), vec![("rank", "source".into())])
         }
     })
     .unwrap();
-    let mut router = one(&host, 256);
+    let mut router = router_of(&host, 256);
     let mut client = Client::connect(router.addr).unwrap();
     let commands: Vec<u8> = (0..400).flat_map(|n| query(&statement("write", 6, n))).collect();
     client.stream.write_all(&commands).unwrap();
     host.wait_for_statement("INSERT").unwrap();
     router.signal("TERM").unwrap();
-    in_order(&mut client, "write", 6, 400);
+    read_in_order(&mut client, "write", 6, 400);
     assert!(client.is_closed());
     assert!(router.wait_for_exit().unwrap().success());
 }
@@ -197,7 +197,7 @@
 #[test]
 fn a_pipeline_continues_during_evictions_and_a_discovery_change() {
     let (one, two) = (primary(2_000), primary(2_000));
-    let known = endpoint_list(1, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
+    let known = primary_list(1, one.addr);
     let drained = endpoint_list(
         5,
         true,
@@ -214,7 +214,7 @@
         client.stream.write_all(&commands).unwrap();
     };
     send(&mut client, 0, 200);
-    // Twenty may come; all but the busy one make room.
+    // Twenty may connect; all but the busy one are evicted.
     let crowd: Vec<Client> =
         (0..60).filter_map(|_| Client::connect_without_startup(router.addr).ok()).collect();
     let path = config(&known, new.addr, 64, SETTINGS);
@@ -222,9 +222,9 @@
     router.signal("HUP").unwrap();
     router.wait_for_log("discovery has moved").unwrap();
     send(&mut client, 200, 400);
-    assert!(in_order(&mut client, "write", 7, 400) > 300);
+    assert!(read_in_order(&mut client, "write", 7, 400) > 300);
     drop(crowd);
-    until("requests go to the new primary", || {
+    wait_until("requests go to the new primary", || {
         let mut client = Client::connect(router.addr).unwrap();
         let before = two.statement_count("INSERT");
         matches!(client.query(&statement("write", 8, 0)), Ok(Answer::Row(_)))
@@ -232,25 +232,25 @@
     });
 }
 
-/// What came of the requests that a client wrote whole on connections that were accepted.
+/// The outcomes of requests that a client wrote completely on accepted connections.
 #[derive(Default)]
-struct Fate {
+struct PipelineCounts {
     answered: usize,
     closed: usize,
     late: usize,
 }
 
-/// Writes pipelines to a router that comes and goes, on one connection after the other.
-fn pipelines(addr: SocketAddr, who: u32, busy: &AtomicBool) -> Fate {
-    let mut fate = Fate::default();
+/// Writes pipelines to a router that is killed and restarted, on one connection after the other.
+fn pipelines(addr: SocketAddr, who: u32, busy: &AtomicBool) -> PipelineCounts {
+    let mut counts = PipelineCounts::default();
     let mut n = 0;
     while busy.load(Ordering::Relaxed) {
         let Ok(mut client) = Client::connect_without_startup(addr) else {
             std::thread::sleep(Duration::from_millis(5));
             continue;
         };
-        // In the same write as its startup, as the protocol allows.
-        let patience = Duration::from_millis(700);
+        // In the same write as the startup message, as the protocol allows.
+        let timeout = Duration::from_millis(700);
         let commands: Vec<u8> = (n..n + 12)
             .flat_map(|n| {
                 let class = if n % 3 == 0 { "write" } else { "status" };
@@ -265,24 +265,24 @@
         }
         for _ in 0..12 {
             match client.read_answer() {
-                Ok(_) => fate.answered += 1,
+                Ok(_) => counts.answered += 1,
                 Err(_) => {
-                    fate.closed += 1;
+                    counts.closed += 1;
                     break;
                 }
             }
-            // Half a second after its time a request is lost; the machine may be busy for another second.
-            fate.late += usize::from(began.elapsed() > patience + Duration::from_millis(1500));
+            // An answer half a second after the deadline is lost; the machine may be busy for another second.
+            counts.late += usize::from(began.elapsed() > timeout + Duration::from_millis(1500));
         }
         n += 12;
     }
-    fate
+    counts
 }
 
 #[test]
 fn ten_routers_killed_under_pipelines_answer_every_request_in_time() {
     let host = primary(500);
-    let good = endpoint_list(1, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]);
+    let good = primary_list(1, host.addr);
     let old = endpoint_list(
         1,
         true,
@@ -317,18 +317,18 @@
         .collect();
     assert!(ready.iter().filter(|t| **t < Duration::from_secs(10)).count() >= 9, "{ready:?}");
     busy.store(false, Ordering::Relaxed);
-    let fates: Vec<Fate> = clients.into_iter().map(|c| c.join().unwrap()).collect();
-    let sum = |f: fn(&Fate) -> usize| fates.iter().map(f).sum::<usize>();
+    let counts: Vec<PipelineCounts> = clients.into_iter().map(|c| c.join().unwrap()).collect();
+    let sum = |f: fn(&PipelineCounts) -> usize| counts.iter().map(f).sum::<usize>();
     assert_eq!(sum(|f| f.late), 0, "of {} answered", sum(|f| f.answered));
-    assert!(fates.iter().all(|f| f.answered > 0 && f.closed <= 2), "one connection ends with each kill");
+    assert!(counts.iter().all(|f| f.answered > 0 && f.closed <= 2), "one connection ends with each kill");
 }
 
 #[test]
 fn thirty_routers_with_warming_up_hosts_serve_after_restart_and_reload() {
     let host = primary(100);
     let now = basalthill_standin::unix_ms();
-    let cold = |text: String| text.replace("\"started_ms\":0", &format!("\"started_ms\":{now}"));
-    let known = cold(endpoint_list(1, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]));
+    let just_started = |text: String| text.replace("\"started_ms\":0", &format!("\"started_ms\":{now}"));
+    let known = just_started(primary_list(1, host.addr));
     let discovery = Discovery::start(known.clone()).unwrap();
     let settings = SETTINGS.replace("\"balancers\": 2", "\"balancers\": 30");
     let mut routers: Vec<RouterProcess> =
@@ -358,7 +358,7 @@
     routers.iter_mut().for_each(|r| r.restart().unwrap());
     all_serve(&routers, "restarted, and the list silent");
     discovery.state.change(|t| t.silent = false);
-    let moved = Discovery::start(cold(endpoint_list(
+    let moved = Discovery::start(just_started(endpoint_list(
         9,
         true,
         &[Endpoint::new("s-1", host.addr, 2, "active", "source")],
@@ -370,10 +370,10 @@
     }
     all_serve(&routers, "after a reload");
     routers.iter().for_each(|r| drop(r.wait_for_log("discovery has moved").unwrap()));
-    all_serve(&routers, "with the list come whole");
+    all_serve(&routers, "with the full list");
 }
 
-/// No list is bounded by a fixed number: 1,024 hosts, indented over many lines, and as many routers.
+/// No list is bounded by a fixed number: 1024 hosts, indented over many lines, and as many routers.
 #[test]
 fn a_list_of_1024_hosts_is_accepted_and_uses_little_memory_when_idle() {
     let host = primary(100);
@@ -398,7 +398,7 @@
     let mut client = Client::connect(router.addr).unwrap();
     assert_eq!(client.query("").unwrap(), Answer::Empty);
     let mut n = 0;
-    until("the last of them serves", || {
+    wait_until("the last of them serves", || {
         n += 1;
         matches!(client.query(&statement("write", 5, n)).unwrap(), Answer::Row(_))
     });
--- a/crates/router/tests/platform.rs
+++ b/crates/router/tests/platform.rs
@@ -1,5 +1,5 @@
-//! What the platform asks of the one process that `run` starts, held without the platform: what it loads,
-//! which calls it can do without, what it starts, and that it rests when nothing is asked of it.
+//! The platform's requirements on the process, tested without the platform: which libraries it loads, which
+//! system calls it can do without, what it starts, and that it is idle without requests.
 
 use basalthill_standin::client::{query, Answer, Client};
 use basalthill_standin::deployment::Deployment;
@@ -40,8 +40,8 @@
     assert!(others.is_empty(), "it loads {others:?} too, which has to be there");
 }
 
-/// A filter for this thread and all that it starts. Each rule's calls answer with the error.
-fn refuse(error: i32, calls: Vec<(i64, Vec<SeccompRule>)>) {
+/// Installs a filter for this thread and all that it starts: calls that match a rule fail with the error.
+fn deny_system_calls(error: i32, calls: Vec<(i64, Vec<SeccompRule>)>) {
     let (rules, arch) = (BTreeMap::from_iter(calls), std::env::consts::ARCH.try_into().unwrap());
     let filter =
         SeccompFilter::new(rules, SeccompAction::Allow, SeccompAction::Errno(error as u32), arch).unwrap();
@@ -49,20 +49,20 @@
     seccompiler::apply_filter(&program).unwrap();
 }
 
-/// A rule that holds if an argument, under a mask, has a value or has not.
+/// A rule that matches if an argument, under a mask, equals a value or differs from it.
 fn rule(argument: u8, mask: u64, same: bool, value: u64) -> Vec<SeccompRule> {
     let op = if same { SeccompCmpOp::MaskedEq(mask) } else { SeccompCmpOp::Ne };
     let condition = SeccompCondition::new(argument, SeccompCmpArgLen::Dword, op, value).unwrap();
     vec![SeccompRule::new(vec![condition]).unwrap()]
 }
 
-/// What the bench's library refuses on the days of the whole fleet. A process may be begun as `posix_spawn`
-/// does (the tests begin the router so), but not by a plain fork; nothing but IPv4 has sockets.
+/// Denies what the platform's own library denies. A process may be started as `posix_spawn` does (the tests
+/// start the router so), but not by a plain fork; there are no sockets but those of IPv4.
 fn as_on_the_platform() {
     let (thread, vfork) = (libc::CLONE_THREAD as u64, libc::CLONE_VFORK as u64);
     let fork = rule(0, thread | vfork, true, 0);
-    refuse(libc::EAFNOSUPPORT, vec![(libc::SYS_socket, rule(0, 0, false, libc::AF_INET as u64))]);
-    refuse(libc::EINVAL, vec![(libc::SYS_splice, vec![])]);
+    deny_system_calls(libc::EAFNOSUPPORT, vec![(libc::SYS_socket, rule(0, 0, false, libc::AF_INET as u64))]);
+    deny_system_calls(libc::EINVAL, vec![(libc::SYS_splice, vec![])]);
     let calls = [
         libc::SYS_io_uring_setup,
         libc::SYS_io_uring_enter,
@@ -71,7 +71,7 @@
         libc::SYS_clone3,
     ];
     let calls = calls.into_iter().map(|call| (call, vec![]));
-    refuse(libc::ENOSYS, calls.chain([(libc::SYS_clone, fork)]).collect());
+    deny_system_calls(libc::ENOSYS, calls.chain([(libc::SYS_clone, fork)]).collect());
 }
 
 /// The state of each thread of a process, by its id.
@@ -84,14 +84,14 @@
     tasks.filter_map(|t| Some((t.file_name().into_string().ok()?, state(&t.path())?))).collect()
 }
 
-/// The processes that another has started.
+/// The child processes of a process.
 fn children(id: u32) -> Vec<String> {
     let stats = fs::read_dir("/proc").unwrap().flatten().map(|d| d.path().join("stat"));
     let parent = |stat: &str| stat.rsplit_once(") ")?.1.split(' ').nth(1)?.parse::<u32>().ok();
     stats.filter_map(|s| fs::read_to_string(s).ok()).filter(|s| parent(s) == Some(id)).collect()
 }
 
-fn ask(world: &Deployment, n: usize) {
+fn send_read(world: &Deployment, n: usize) {
     let mut client = Client::connect(world.routers[0].addr).unwrap();
     let text = format!("SELECT v FROM records WHERE k = 'a' /* id=a{n},c=view,t=acme,d=900,cluster=2 */");
     assert!(matches!(client.query(&text), Ok(Answer::Row(_))), "request {n}");
@@ -99,14 +99,14 @@
 
 #[test]
 fn it_serves_reloads_and_stops_without_the_system_calls_that_the_platform_denies() {
-    let play = || {
+    let serve_reload_and_stop = || {
         as_on_the_platform();
         assert!(std::net::TcpListener::bind("[::1]:0").is_err(), "the filter is in force");
         assert!(std::os::unix::net::UnixDatagram::unbound().is_err(), "the filter is in force");
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
         let mut world =
             Deployment::start(Path::new(PROGRAM), folder, 1, GroupBehavior::default(), None).unwrap();
-        ask(&world, 0);
+        send_read(&world, 0);
         let load = SessionLoad {
             mode: ConnectionMode::Pooled,
             sessions: 16,
@@ -121,21 +121,21 @@
         assert!(threads(id).len() <= 8, "{:?}", threads(id));
         world.routers[0].signal("HUP").unwrap();
         assert!(world.routers[0].wait_for_log("configuration: read again").is_some());
-        ask(&world, 1);
+        send_read(&world, 1);
         assert!(children(id).is_empty(), "{:?}", children(id));
         world.routers[0].stop_and_restart().unwrap();
         assert!(world.routers[0].wait_for_log("stopped").is_some());
-        ask(&world, 2);
+        send_read(&world, 2);
     };
-    // A thread of its own: the filter stays with it, and with what it starts.
-    std::thread::spawn(play).join().unwrap();
+    // In a thread of its own: the filter stays with it, and with what it starts.
+    std::thread::spawn(serve_reload_and_stop).join().unwrap();
 }
 
 #[test]
 fn an_idle_router_has_no_running_thread() {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let world = Deployment::start(Path::new(PROGRAM), folder, 1, GroupBehavior::default(), None).unwrap();
-    ask(&world, 0);
+    send_read(&world, 0);
     let (id, until) = (world.routers[0].pid(), Instant::now() + TIMEOUT);
     let mut seen = BTreeMap::new();
     while seen.values().any(|waits| !waits) || seen.is_empty() {
@@ -166,8 +166,8 @@
     assert!(after < before + 1024, "{before} KiB after 3,000 reads, {after} KiB after 12,000");
 }
 
-/// Clients that send without reading, some that say nothing, and one whose value is long and comes slowly.
-fn rude(addr: std::net::SocketAddr) -> Vec<Client> {
+/// Clients that send without reading, some that are silent, and some that send half a large statement.
+fn misbehaving_clients(addr: std::net::SocketAddr) -> Vec<Client> {
     let mut clients: Vec<Client> = (0..24).map(|_| Client::connect(addr).unwrap()).collect();
     for client in &mut clients[..8] {
         client.stream.set_write_timeout(Some(Duration::from_millis(20))).unwrap();
@@ -186,27 +186,27 @@
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let world = Deployment::start(Path::new(PROGRAM), folder, 1, GroupBehavior::default(), None).unwrap();
     let router = &world.routers[0];
-    let held = || fs::read_dir(format!("/proc/{}/fd", router.pid())).unwrap().count();
-    ask(&world, 0);
-    drop(rude(router.addr));
+    let open_descriptors = || fs::read_dir(format!("/proc/{}/fd", router.pid())).unwrap().count();
+    send_read(&world, 0);
+    drop(misbehaving_clients(router.addr));
     let (mut before, mut n) = ((0, 0), 0);
     for round in 0..4 {
-        let clients = rude(router.addr);
+        let clients = misbehaving_clients(router.addr);
         for _ in 0..20 {
             n += 1;
             let began = Instant::now();
-            ask(&world, n);
+            send_read(&world, n);
             assert!(began.elapsed() < Duration::from_millis(900), "{:?}", began.elapsed());
         }
         drop(clients);
         let until = Instant::now() + TIMEOUT;
-        // Clients have gone; what idles towards hosts may stay.
-        while round > 0 && held() > before.0 + 8 {
-            assert!(Instant::now() < until, "{} descriptors, {} before", held(), before.0);
+        // The clients have gone; idle connections to hosts may stay.
+        while round > 0 && open_descriptors() > before.0 + 8 {
+            assert!(Instant::now() < until, "{} descriptors, {} before", open_descriptors(), before.0);
             std::thread::sleep(Duration::from_millis(5));
         }
         if round == 0 {
-            before = (held(), router.resident_kib().unwrap());
+            before = (open_descriptors(), router.resident_kib().unwrap());
         }
     }
     let after = router.resident_kib().unwrap();
--- a/crates/router/tests/reconnect.rs
+++ b/crates/router/tests/reconnect.rs
@@ -1,5 +1,5 @@
-//! Many clients of one router lose it, against the program itself: they arrive at the others spread over
-//! their slack, nothing reaches a host after its deadline, and no write runs twice.
+//! Many clients lose their router, against the program itself: they reconnect to the others spread over their
+//! slack, nothing reaches a host after its deadline, and no write runs twice.
 
 use basalthill_client::{Client, Config, Request, RequestOutcome, Runtime};
 use basalthill_standin::deployment::Deployment;
@@ -13,7 +13,7 @@
 
 static CONNECTS: Mutex<Vec<Instant>> = Mutex::new(Vec::new());
 
-/// Notes the moment of each connect.
+/// Records the moment of each connect.
 struct Recorder;
 
 impl metrics::CounterFn for Recorder {
@@ -41,7 +41,7 @@
     }
 }
 
-/// A write under a key of its own that tells its deadline, in microseconds from `zero`.
+/// A write under a key of its own that names its deadline, in microseconds from `zero`.
 fn write(client: u64, n: u64, zero: Instant) -> Request {
     let deadline = Instant::now() + 900 * MS;
     let key = format!("{client}-{n}-{}", (deadline - zero).as_micros());
@@ -62,18 +62,18 @@
     let round = |n: u64, gap: Duration| {
         let clients = &clients;
         std::thread::scope(|scope| {
-            let asks = (0..CLIENTS).map(|c| {
+            let requests = (0..CLIENTS).map(|c| {
                 scope.spawn(move || {
                     std::thread::sleep(gap.mul_f64(fastrand::Rng::with_seed(c).u64(..1000) as f64 / 1000.0));
                     clients[c as usize].execute_blocking(write(c, n, zero)).outcome
                 })
             });
-            let asks: Vec<_> = asks.collect();
-            asks.into_iter().map(|a| a.join().unwrap()).collect::<Vec<RequestOutcome>>()
+            let requests: Vec<_> = requests.collect();
+            requests.into_iter().map(|a| a.join().unwrap()).collect::<Vec<RequestOutcome>>()
         })
     };
-    // All have a connection; about half of them lose it, all at the same moment, and all ask right after
-    // that.
+    // All have a connection; about half of them lose it, all at the same moment, and all send a request right
+    // after that.
     let served =
         |ends: &[RequestOutcome]| ends.iter().filter(|e| matches!(e, RequestOutcome::Served(_))).count();
     assert_eq!(served(&round(0, 100 * MS)), CLIENTS as usize);
@@ -93,14 +93,14 @@
         connects.len(),
         (0..6).map(|n| within(n * 100, n * 100 + 100)).collect::<Vec<_>>()
     );
-    // One that wrote into the very moment of the death does not know; nobody else goes without.
+    // The outcome of a request written at the very moment of the kill is unknown; all others are served.
     let unknown = ends.iter().filter(|e| **e == RequestOutcome::MayHaveRun).count();
     assert_eq!(served(&ends) + unknown, CLIENTS as usize, "{} served, {unknown} unknown", served(&ends));
     assert!(unknown < 16, "{unknown}");
-    assert!(connects.len() > 40, "so many have lost theirs: {}", connects.len());
+    assert!(connects.len() > 40, "about half of them reconnect: {}", connects.len());
     let most = (0..60).map(|n| within(n * 10, n * 10 + 50)).max().unwrap();
     assert!(most * 3 < connects.len(), "{most} of {} within 50 ms", connects.len());
-    // It comes back: nobody runs there at once.
+    // It recovers: the clients do not all reconnect at once.
     world.routers[0].restart().unwrap();
     let returned = Instant::now();
     assert_eq!(served(&round(2, 300 * MS)), CLIENTS as usize);
--- a/crates/router/tests/local_calls.rs
+++ b/crates/router/tests/system_call_faults.rs
@@ -1,6 +1,6 @@
-//! Calls to the router's own system that fail for a moment: interrupted by signals, short of buffers or of
-//! descriptors. They are no end of a connection, no failure of a member, and no signal to stop. And the
-//! system's clock, which may be set while the router runs.
+//! System calls that fail transiently: interrupted by signals, for want of buffers or of descriptors. They
+//! are no end of a connection, no fault of a member, and no signal to stop. And the system's clock, which may
+//! be set while the router runs.
 
 mod common;
 
@@ -18,29 +18,32 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-fn read(n: usize) -> String {
+fn read_statement(n: usize) -> String {
     format!("SELECT v FROM records WHERE k = 'a{n}' /* id=a{n},c=view,t=acme,d=900,cluster=2 */")
 }
 
-/// Clients ask one after the other and many at once, through a router whose calls fail; it reads its file
-/// again, and stops in order.
-fn serves_all(calls: &[(&str, i32, u32)]) {
+/// Clients send requests one by one and pipelined, through a router whose system calls fail; it reloads its
+/// configuration and shuts down gracefully.
+fn assert_all_requests_are_served(calls: &[(&str, i32, u32)]) {
     let mut world =
         Deployment::start(&failing(calls), Path::new(FOLDER), 1, GroupBehavior::default(), None).unwrap();
     let addr = world.routers[0].addr;
     for n in 0..20 {
         let mut client = Client::connect(addr).unwrap();
-        let asked = [10 * n, 10 * n + 1, 10 * n + 2].map(read);
-        assert!(matches!(client.query(&asked[0]), Ok(Answer::Row(_))), "{calls:?}, client {n}");
-        asked[1..].iter().for_each(|text| client.send(text).unwrap());
-        for _ in 1..asked.len() {
+        let statements = [10 * n, 10 * n + 1, 10 * n + 2].map(read_statement);
+        assert!(matches!(client.query(&statements[0]), Ok(Answer::Row(_))), "{calls:?}, client {n}");
+        statements[1..].iter().for_each(|text| client.send(text).unwrap());
+        for _ in 1..statements.len() {
             assert!(matches!(client.read_answer(), Ok(Answer::Row(_))), "{calls:?}, client {n}, in a row");
         }
     }
     let router = &mut world.routers[0];
     router.signal("HUP").unwrap();
     assert!(router.wait_for_log("configuration: read again").is_some(), "{calls:?}");
-    assert!(matches!(Client::connect(addr).unwrap().query(&read(900)), Ok(Answer::Row(_))), "{calls:?}");
+    assert!(
+        matches!(Client::connect(addr).unwrap().query(&read_statement(900)), Ok(Answer::Row(_))),
+        "{calls:?}"
+    );
     router.signal("TERM").unwrap();
     assert_eq!(router.wait_for_exit().unwrap().code(), Some(0), "{calls:?}");
 }
@@ -48,28 +51,34 @@
 #[test]
 fn interrupted_system_calls_lose_no_request() {
     let calls = ["read", "recv", "send", "writev", "accept4"];
-    serves_all(&calls.map(|name| (name, libc::EINTR, 3)));
+    assert_all_requests_are_served(&calls.map(|name| (name, libc::EINTR, 3)));
 }
 
 #[test]
 fn system_calls_without_buffers_lose_no_request() {
     let (memory, buffers) = (libc::ENOMEM, libc::ENOBUFS);
-    serves_all(&[("recv", memory, 7), ("send", buffers, 7), ("writev", buffers, 7), ("accept4", memory, 3)]);
+    assert_all_requests_are_served(&[
+        ("recv", memory, 7),
+        ("send", buffers, 7),
+        ("writev", buffers, 7),
+        ("accept4", memory, 3),
+    ]);
 }
 
-/// Its descriptors end before its own count of them does, as clients hold them; then they leave.
+/// The system's limit of descriptors is reached before the router's own budget, as clients occupy them; then
+/// they disconnect.
 #[test]
 fn descriptor_exhaustion_is_waited_out_and_is_no_fault_of_a_member() {
     let world =
         Deployment::start(&program("ulimit -n 64"), Path::new(FOLDER), 1, GroupBehavior::default(), None)
             .unwrap();
     let router = &world.routers[0];
-    let (mut asking, mut other) =
+    let (mut waiting, mut other) =
         (Client::connect(router.addr).unwrap(), Client::connect(router.addr).unwrap());
-    assert!(asking.query("").is_ok());
-    // More than fit: what idles towards members makes room for them.
+    assert!(waiting.query("").is_ok());
+    // More than the limit: idle connections to members are closed for them.
     let crowd: Vec<_> = (0..80).map(|_| TcpStream::connect(router.addr).unwrap()).collect();
-    // The router goes on serving meanwhile, as long as several attempts and probes would take.
+    // The router goes on serving meanwhile, for as long as several attempts and health checks would take.
     let mut serve_others = || {
         let began = Instant::now();
         while began.elapsed() < Duration::from_millis(300) {
@@ -79,29 +88,29 @@
     serve_others();
     assert!(router.descriptors().unwrap() >= 64);
     let write = "INSERT INTO records (k, v) VALUES ('a', '\\x01') RETURNING v";
-    asking.send(&format!("{write} /* id=a1,c=write,t=acme,d=1500,cluster=2 */")).unwrap();
+    waiting.send(&format!("{write} /* id=a1,c=write,t=acme,d=1500,cluster=2 */")).unwrap();
     serve_others();
     drop(crowd);
-    let answer = asking.read_answer();
+    let answer = waiting.read_answer();
     assert!(matches!(answer, Ok(Answer::Row(_))), "{answer:?}");
 }
 
-/// The system's clock is wrong by so much as the router starts, and is then set right. Reads of data that may
-/// be half a second old go past a replica that is 0.8 s behind (not ejected: that takes a second), until it
-/// has caught up.
-fn reads_what_is_fresh_enough(ahead_ms: i64) {
-    let wall = write_unique_file(Path::new(FOLDER), "wall-ahead", "").unwrap();
-    std::fs::write(&wall, ahead_ms.to_ne_bytes()).unwrap();
-    let lines = format!("export WALL_AHEAD={} LD_PRELOAD={}", wall.display(), library().display());
+/// The system's clock is off by `ahead_ms` as the router starts, and is then set right. Reads with a
+/// staleness bound of half a second skip a replica that is 0.8 s behind (not ejected: that takes a second),
+/// until it has caught up.
+fn assert_reads_stay_fresh_after_clock_set(ahead_ms: i64) {
+    let clock_offset = write_unique_file(Path::new(FOLDER), "wall-ahead", "").unwrap();
+    std::fs::write(&clock_offset, ahead_ms.to_ne_bytes()).unwrap();
+    let lines = format!("export WALL_AHEAD={} LD_PRELOAD={}", clock_offset.display(), library().display());
     let lag = Arc::new(AtomicU64::new(800));
     let host = |name: &'static str, rank: &'static str, lag: Arc<AtomicU64>| {
-        let tells = move |text: &str| {
+        let answer = move |text: &str| {
             let as_of = unix_ms() - lag.load(Ordering::SeqCst);
             let vitals = format!("x0={},x1={}", as_of as f64 / 1000.0, u8::from(rank == "source"));
             let value = if text == "SHOW vitals" { vitals } else { name.into() };
             (Reply::Row(value.into_bytes()), vec![("rank", rank.into()), ("as_of", as_of.to_string())])
         };
-        Host::start(tells).unwrap()
+        Host::start(answer).unwrap()
     };
     let (first, second) = (host("first", "source", Arc::default()), host("second", "copy", Arc::clone(&lag)));
     let known = endpoint_list(
@@ -123,20 +132,20 @@
     };
     let router = RouterProcess::start("n1", start).unwrap();
     let mut client = Client::connect(router.addr).unwrap();
-    assert!(matches!(client.query(&read(0)), Ok(Answer::Row(_))));
-    std::fs::write(&wall, 0i64.to_ne_bytes()).unwrap();
+    assert!(matches!(client.query(&read_statement(0)), Ok(Answer::Row(_))));
+    std::fs::write(&clock_offset, 0i64.to_ne_bytes()).unwrap();
     for n in 1..40 {
         assert_eq!(
-            client.query(&read(n)).unwrap(),
+            client.query(&read_statement(n)).unwrap(),
             Answer::Row(b"first".to_vec()),
             "read {n}, {ahead_ms} ms"
         );
     }
-    // It has caught up, and a probe finds it so.
+    // It has caught up, and a health check finds it so.
     lag.store(0, Ordering::SeqCst);
     let until = Instant::now() + TIMEOUT;
     for n in 100.. {
-        match client.query(&read(n)).unwrap() {
+        match client.query(&read_statement(n)).unwrap() {
             Answer::Row(value) if value == b"second" => break,
             other => assert!(Instant::now() < until, "{other:?}"),
         }
@@ -145,10 +154,10 @@
 
 #[test]
 fn after_a_slow_system_clock_is_set_reads_keep_their_staleness_bound() {
-    reads_what_is_fresh_enough(-10_000);
+    assert_reads_stay_fresh_after_clock_set(-10_000);
 }
 
 #[test]
 fn after_a_fast_system_clock_is_set_replicas_serve_again() {
-    reads_what_is_fresh_enough(10_000);
+    assert_reads_stay_fresh_after_clock_set(10_000);
 }
--- a/crates/router/tests/transport.rs
+++ b/crates/router/tests/transport.rs
@@ -1,4 +1,4 @@
-//! The whole router on loopback against stand-ins.
+//! The complete router on loopback against stand-ins.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use basalthill_standin::discovery::{endpoint_list, Discovery, Endpoint};
 use basalthill_standin::host::{self, Reply};
 use basalthill_standin::TIMEOUT;
-use common::served::{error_code, primary_host, row, unreachable_address, RouterThread};
+use common::served::{error_code, primary_host, primary_list, row, unreachable_address, RouterThread};
 use common::{statement_text, SETTINGS};
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
@@ -15,8 +15,8 @@
 #[test]
 fn a_statement_is_forwarded_unchanged_except_for_its_remaining_time() {
     let host = primary_host(|_| Reply::Row(b"\x9f\x03".to_vec()));
-    let served = RouterThread::with_primary(&host);
-    let mut client = Client::connect_without_startup(served.addr).unwrap();
+    let router = RouterThread::with_primary(&host);
+    let mut client = Client::connect_without_startup(router.addr).unwrap();
     // Startup and the first query in one segment.
     client.stream.write_all(&[startup(), query(&statement_text("write", ""))].concat()).unwrap();
     client.read_until_ready().unwrap();
@@ -31,8 +31,8 @@
 #[test]
 fn split_and_pipelined_queries_are_answered_in_order() {
     let host = primary_host(|text| Reply::Row(text.split("id=").nth(1).unwrap().as_bytes()[..1].to_vec()));
-    let served = RouterThread::with_primary(&host);
-    let mut client = served.client();
+    let router = RouterThread::with_primary(&host);
+    let mut client = router.client();
     let numbered = |n: u8| statement_text("status", "").replace("id=9", &format!("id={n}"));
     let all: Vec<u8> =
         [query(&numbered(1)), query(""), query(&numbered(2)), query("SELECT 1"), query(&numbered(3))]
@@ -51,8 +51,8 @@
 #[test]
 fn encryption_is_declined_and_a_protocol_violation_closes_the_connection() {
     let host = primary_host(|_| Reply::Row(b"x".to_vec()));
-    let served = RouterThread::with_primary(&host);
-    let mut client = Client::connect_without_startup(served.addr).unwrap();
+    let router = RouterThread::with_primary(&host);
+    let mut client = Client::connect_without_startup(router.addr).unwrap();
     client.stream.write_all(&[0, 0, 0, 8, 4, 210, 22, 47]).unwrap();
     let mut no = [0];
     client.stream.read_exact(&mut no).unwrap();
@@ -62,7 +62,7 @@
     assert_eq!(client.query("").unwrap(), Answer::Empty);
     client.stream.write_all(b"X\0\0\0\x04").unwrap();
     assert!(client.is_closed());
-    let mut client = Client::connect_without_startup(served.addr).unwrap();
+    let mut client = Client::connect_without_startup(router.addr).unwrap();
     client.stream.write_all(b"GET / HTTP/1.1\r\n\r\n").unwrap();
     assert_eq!(error_code(&client.read_answer().unwrap()), "08P01");
     assert!(client.is_closed());
@@ -71,16 +71,16 @@
 #[test]
 fn a_host_connection_lost_after_the_last_byte_fails_the_write_without_retry() {
     let host = primary_host(|_| Reply::Close);
-    let served = RouterThread::with_primary(&host);
-    assert_eq!(error_code(&served.client().query(&statement_text("write", "")).unwrap()), "58000");
+    let router = RouterThread::with_primary(&host);
+    assert_eq!(error_code(&router.client().query(&statement_text("write", "")).unwrap()), "58000");
     assert_eq!(host.statement_count("INSERT"), 1);
 }
 
 #[test]
 fn a_fatal_53300_from_a_host_means_the_request_did_not_run() {
     let host = primary_host(|_| Reply::Fatal("53300"));
-    let served = RouterThread::with_primary(&host);
-    let answer = served.client().query(&statement_text("write", "")).unwrap();
+    let router = RouterThread::with_primary(&host);
+    let answer = router.client().query(&statement_text("write", "")).unwrap();
     let Answer::Error(code, Some(after)) = answer else { panic!("{answer:?}") };
     assert_eq!(code, "53300");
     assert!(after.parse::<u64>().unwrap() > 0);
@@ -88,17 +88,15 @@
 
 #[test]
 fn a_refused_host_connection_means_the_request_did_not_run() {
-    let known = endpoint_list(1, true, &[Endpoint::new("s-1", unreachable_address(), 2, "active", "source")]);
-    let discovery = Discovery::start(known.clone()).unwrap();
-    let served = RouterThread::start(&known, discovery.addr, 256, SETTINGS);
-    assert_eq!(error_code(&served.client().query(&statement_text("write", "")).unwrap()), "53300");
+    let router = RouterThread::with_settings(unreachable_address(), SETTINGS);
+    assert_eq!(error_code(&router.client().query(&statement_text("write", "")).unwrap()), "53300");
 }
 
 #[test]
 fn a_malformed_host_response_is_never_forwarded() {
     let host = primary_host(|_| Reply::Raw(b"D\0\0\0\x08\0\x01\0\0Z\0\0\0\x05I".to_vec()));
-    let served = RouterThread::with_primary(&host);
-    assert_eq!(error_code(&served.client().query(&statement_text("write", "")).unwrap()), "58000");
+    let router = RouterThread::with_primary(&host);
+    assert_eq!(error_code(&router.client().query(&statement_text("write", "")).unwrap()), "58000");
     assert_eq!(host.statement_count("INSERT"), 1);
 }
 
@@ -108,8 +106,8 @@
         true => Reply::RowOnRelease(b"late".to_vec()),
         false => Reply::Row(b"good".to_vec()),
     });
-    let served = RouterThread::with_primary(&host);
-    let mut client = served.client();
+    let router = RouterThread::with_primary(&host);
+    let mut client = router.client();
     let short = statement_text("write", "").replace("id=9", "id=1").replace("d=480", "d=120");
     assert_eq!(error_code(&client.query(&short).unwrap()), "58000");
     host.release();
@@ -128,12 +126,12 @@
         true => Reply::RowThenClose(b"last".to_vec()),
         false => Reply::Row(b"x".to_vec()),
     });
-    let served = RouterThread::with_primary(&host);
-    let mut client = served.client();
+    let router = RouterThread::with_primary(&host);
+    let mut client = router.client();
     for _ in 0..5 {
         assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"x"));
     }
-    // A second may have been opened for the probe at the start.
+    // A second may have been opened for the health check at the start.
     let accepted = host.seen.lock().accepted;
     assert!(accepted <= 2, "{accepted} connections for five requests, one after another");
     for _ in 0..10 {
@@ -151,13 +149,11 @@
 #[test]
 fn idle_host_connections_are_closed_before_the_configured_timeout() {
     let host = primary_host(|_| Reply::Row(b"x".to_vec()));
-    let known = endpoint_list(1, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]);
-    let discovery = Discovery::start(known.clone()).unwrap();
-    // Probes would keep a connection busy.
+    // Health checks would keep a connection busy.
     let settings = SETTINGS.replace("\"connIdle\": 15000000000", "\"connIdle\": 1000000000");
     let settings = settings.replace("\"probes\": true", "\"probes\": false");
-    let served = RouterThread::start(&known, discovery.addr, 256, &settings);
-    assert_eq!(served.client().query(&statement_text("write", "")).unwrap(), row(b"x"));
+    let router = RouterThread::with_settings(host.addr, &settings);
+    assert_eq!(router.client().query(&statement_text("write", "")).unwrap(), row(b"x"));
     assert_eq!(host.seen.lock().open, 1);
     assert!(host.seen.wait(|s| (s.open == 0).then_some(())).is_some());
 }
@@ -165,8 +161,8 @@
 #[test]
 fn a_disconnected_clients_read_is_aborted_at_the_host() {
     let host = primary_host(|_| Reply::NoAnswer);
-    let served = RouterThread::with_primary(&host);
-    let mut client = served.client();
+    let router = RouterThread::with_primary(&host);
+    let mut client = router.client();
     client.send(&statement_text("status", "").replace("d=480", "d=9000")).unwrap();
     host.wait_for_statement("SELECT v").unwrap();
     let open = host.seen.lock().open;
@@ -179,8 +175,8 @@
     let value: Vec<u8> = (0..65536u32).map(|n| n as u8).collect();
     let big = value.clone();
     let host = primary_host(move |_| Reply::Row(big.clone()));
-    let served = RouterThread::with_primary(&host);
-    let mut clients: Vec<Client> = (0..4).map(|_| served.client()).collect();
+    let router = RouterThread::with_primary(&host);
+    let mut clients: Vec<Client> = (0..4).map(|_| router.client()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&statement_text("write", "").replace("id=9", &format!("id={n}"))).unwrap();
     }
@@ -194,9 +190,9 @@
 #[test]
 fn clients_beyond_the_descriptor_budget_are_rejected_cleanly() {
     let host = primary_host(|_| Reply::RowOnRelease(b"x".to_vec()));
-    let served = RouterThread::with_descriptors(&host, 48);
-    // 24 are kept back; of the other 24 half are for clients, and the members have the rest.
-    let mut clients: Vec<Client> = (0..12).map(|_| served.client()).collect();
+    let router = RouterThread::with_descriptors(&host, 48);
+    // 24 are reserved; of the other 24 half are for clients, and the members have the rest.
+    let mut clients: Vec<Client> = (0..12).map(|_| router.client()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         client
             .send(
@@ -205,73 +201,80 @@
             .unwrap();
         host.wait_for_statement(&format!("id={n}")).unwrap();
     }
-    let mut newcomer = Client::connect_without_startup(served.addr).unwrap();
+    let mut newcomer = Client::connect_without_startup(router.addr).unwrap();
     newcomer.stream.write_all(&startup()).unwrap();
     assert_eq!(error_code(&newcomer.read_answer().unwrap()), "53300");
     assert!(newcomer.is_closed());
     host.release();
     for client in &mut clients {
-        assert_eq!(client.read_answer().unwrap(), row(b"x"), "those that are in stay");
+        assert_eq!(client.read_answer().unwrap(), row(b"x"), "admitted clients stay");
     }
     let until = Instant::now() + TIMEOUT;
-    let newcomer = std::iter::from_fn(|| (Instant::now() < until).then(|| Client::connect(served.addr)));
-    let mut newcomer = newcomer.flatten().next().expect("one that is quiet makes room");
+    let newcomer = std::iter::from_fn(|| (Instant::now() < until).then(|| Client::connect(router.addr)));
+    let mut newcomer = newcomer.flatten().next().expect("an idle client is evicted");
     assert_eq!(newcomer.query(&statement_text("write", "")).unwrap(), row(b"x"));
 }
 
 #[test]
 fn idle_clients_are_evicted_for_new_connections() {
     let host = primary_host(|_| Reply::Row(b"x".to_vec()));
-    let served = RouterThread::with_descriptors(&host, 64);
-    // Of 64 descriptors clients use 21 together; a router that lets them all hold on would be full by then.
-    let mut held: Vec<Client> = (0..60)
+    let router = RouterThread::with_descriptors(&host, 64);
+    // Of 64 descriptors clients use 21 together: a router that evicted nobody would have none left by then.
+    let mut clients: Vec<Client> = (0..60)
         .map(|_| {
-            let mut client = served.client();
+            let mut client = router.client();
             assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"x"));
             client
         })
         .collect();
-    let last = held.split_off(40);
-    assert!(held.iter_mut().all(Client::is_closed), "the quiet ones that came first have made room");
+    let last = clients.split_off(40);
+    assert!(
+        clients.iter_mut().all(Client::is_closed),
+        "the clients that have been idle for longest are evicted"
+    );
     for mut client in last.into_iter().skip(12) {
-        assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"x"), "the latest are kept");
+        assert_eq!(
+            client.query(&statement_text("write", "")).unwrap(),
+            row(b"x"),
+            "the latest stay connected"
+        );
     }
 }
 
 #[test]
 fn a_client_mid_request_is_not_evicted_while_others_are_idle() {
-    // Found on a long day: of requests written in pieces, those beside a crowd lost their connections,
-    // and the request was lost where its last piece had been written by then.
+    // Found in a long run: among many clients, those that wrote a request in pieces lost their connections,
+    // and the request with it where its last piece had been written by then.
     let host = primary_host(|_| Reply::Row(b"x".to_vec()));
-    let served = RouterThread::with_descriptors(&host, 64);
-    let asks =
+    let router = RouterThread::with_descriptors(&host, 64);
+    let send_write =
         |client: &mut Client| assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"x"));
-    let mut slow = [served.client(), served.client()];
-    asks(&mut slow[0]);
-    // One has asked before, the other has not; each has written half of its request.
-    let whole = query(&statement_text("write", ""));
-    slow.iter_mut().for_each(|c| c.stream.write_all(&whole[..40]).unwrap());
-    let held: Vec<Client> = (0..60)
+    let mut slow = [router.client(), router.client()];
+    send_write(&mut slow[0]);
+    // One has sent a request before, the other has not; each has written half of its next one.
+    let request = query(&statement_text("write", ""));
+    slow.iter_mut().for_each(|c| c.stream.write_all(&request[..40]).unwrap());
+    let clients: Vec<Client> = (0..60)
         .map(|_| {
-            let mut client = served.client();
-            asks(&mut client);
+            let mut client = router.client();
+            send_write(&mut client);
             client
         })
         .collect();
     for client in &mut slow {
-        client.stream.write_all(&whole[40..]).unwrap();
+        client.stream.write_all(&request[40..]).unwrap();
         assert_eq!(client.read_answer().unwrap(), row(b"x"));
     }
-    drop(held);
+    drop(clients);
 }
 
 #[test]
 fn silent_connections_are_evicted_and_time_out() {
     let host = primary_host(|_| Reply::Row(b"x".to_vec()));
-    let served = RouterThread::with_descriptors(&host, 48);
+    let router = RouterThread::with_descriptors(&host, 48);
     let began = Instant::now();
     let mut silent: Vec<Client> =
-        (0..100).map(|_| Client::connect_without_startup(served.addr).unwrap()).collect();
+        (0..100).map(|_| Client::connect_without_startup(router.addr).unwrap()).collect();
     // One sends half a startup message, one half a query, one a byte now and then.
     silent[97].stream.write_all(&startup()[..20]).unwrap();
     silent[98]
@@ -286,11 +289,11 @@
         })
     });
     for _ in 0..20 {
-        let mut client = served.client();
+        let mut client = router.client();
         assert_eq!(
             client.query(&statement_text("write", "")).unwrap(),
             row(b"x"),
-            "those that ask are served"
+            "clients with requests are served"
         );
     }
     for client in &mut silent {
@@ -302,8 +305,8 @@
 #[test]
 fn invalid_commands_are_answered_in_order_and_then_close_the_connection() {
     let host = primary_host(|_| Reply::Row(b"x".to_vec()));
-    let served = RouterThread::with_primary(&host);
-    let mut client = served.client();
+    let router = RouterThread::with_primary(&host);
+    let mut client = router.client();
     let wrong = [
         "SELECT 1".to_string(),
         statement_text("write", "").replace("d=480", "d=soon"),
@@ -317,15 +320,15 @@
     }
     assert_eq!(error_code(&client.read_answer().unwrap()), "08P01");
     assert!(client.is_closed());
-    assert_eq!(served.client().query(&statement_text("write", "")).unwrap(), row(b"x"));
-    assert_eq!(host.statement_count("INSERT"), 1, "none of them has reached a member");
+    assert_eq!(router.client().query(&statement_text("write", "")).unwrap(), row(b"x"));
+    assert_eq!(host.statement_count("INSERT"), 1, "no invalid command has reached a member");
 }
 
 #[test]
 fn a_60_mb_statement_is_rejected_by_its_header() {
     let host = primary_host(|_| Reply::Row(b"x".to_vec()));
-    let served = RouterThread::with_primary(&host);
-    let mut client = served.client();
+    let router = RouterThread::with_primary(&host);
+    let mut client = router.client();
     let mut stream = client.stream.try_clone().unwrap();
     let sender = std::thread::spawn(move || {
         let size = 60 << 20;
@@ -334,66 +337,66 @@
     });
     assert_eq!(error_code(&client.read_answer().unwrap()), "08P01");
     let _ = sender.join().unwrap();
-    assert_eq!(served.client().query(&statement_text("write", "")).unwrap(), row(b"x"));
+    assert_eq!(router.client().query(&statement_text("write", "")).unwrap(), row(b"x"));
 }
 
 #[test]
 fn shutdown_answers_open_requests_and_serves_new_connections_for_a_grace_period() {
     let host = primary_host(|text| match text.contains("id=1") {
-        true => Reply::RowOnRelease(b"held".to_vec()),
+        true => Reply::RowOnRelease(b"released".to_vec()),
         false => Reply::Row(b"x".to_vec()),
     });
-    let mut served = RouterThread::with_primary(&host);
-    let (mut idle, mut busy) = (served.client(), served.client());
+    let mut router = RouterThread::with_primary(&host);
+    let (mut idle, mut busy) = (router.client(), router.client());
     busy.send(&statement_text("write", "").replace("id=9", "id=1").replace("d=480", "d=2900")).unwrap();
     host.wait_for_statement("id=1").unwrap();
-    served.stop();
-    // Connections still come for a while, and those that are there go on being served.
-    assert_eq!(served.client().query(&statement_text("write", "")).unwrap(), row(b"x"));
+    router.stop();
+    // New connections are accepted for a while, and existing ones go on being served.
+    assert_eq!(router.client().query(&statement_text("write", "")).unwrap(), row(b"x"));
     assert_eq!(idle.query(&statement_text("write", "")).unwrap(), row(b"x"));
-    assert!(idle.is_closed(), "then idle ones are closed");
-    assert!(!*served.stopped.lock(), "what is unanswered is waited for");
+    assert!(idle.is_closed(), "then idle connections are closed");
+    assert!(!*router.stopped.lock(), "open requests are waited for");
     host.release();
-    assert_eq!(busy.read_answer().unwrap(), row(b"held"));
+    assert_eq!(busy.read_answer().unwrap(), row(b"released"));
     assert!(busy.is_closed());
-    assert!(served.stopped.wait(|o| o.then_some(())).is_some());
-    assert!(TcpStream::connect(served.addr).is_err());
+    assert!(router.stopped.wait(|o| o.then_some(())).is_some());
+    assert!(TcpStream::connect(router.addr).is_err());
 }
 
 #[test]
 fn shutdown_fails_unanswered_requests_and_ends_in_time() {
     let host = primary_host(|_| Reply::NoAnswer);
-    let mut served = RouterThread::with_primary(&host);
-    let mut client = served.client();
+    let mut router = RouterThread::with_primary(&host);
+    let mut client = router.client();
     client.send(&statement_text("report", "").replace("d=480", "d=60000")).unwrap();
     host.wait_for_statement("SELECT v").unwrap();
-    served.stop();
+    router.stop();
     assert_eq!(error_code(&client.read_answer().unwrap()), "58000");
     assert!(client.is_closed());
-    assert!(served.stopped.wait(|o| o.then_some(())).is_some());
+    assert!(router.stopped.wait(|o| o.then_some(())).is_some());
 }
 
 #[test]
 fn list_changes_are_followed_through_malformed_lists_and_broken_watches() {
     let (one, two) =
         (primary_host(|_| Reply::Row(b"one".to_vec())), primary_host(|_| Reply::Row(b"two".to_vec())));
-    let known = endpoint_list(1, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
+    let known = primary_list(1, one.addr);
     let discovery = Discovery::start(known.clone()).unwrap();
-    let served = RouterThread::start(&known, discovery.addr, 256, SETTINGS);
-    let mut client = served.client();
+    let router = RouterThread::start(&known, discovery.addr, 256, SETTINGS);
+    let mut client = router.client();
     assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"one"));
-    // Nonsense: the list is kept, and the watch opened again, with the whole list.
+    // A malformed list: the known one stays, and the watch is opened again for the full list.
     discovery.publish("{\"version\": nonsense".into());
     let again = discovery.state.wait(|t| t.requests.get(1).cloned()).unwrap();
     assert!(again.contains("watch=1") && !again.contains("from="), "{again}");
     assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"one"));
-    // The one is replaced by another; the watch ends and begins with a whole list.
+    // The host is replaced by another; the watch ends and begins with a full list.
     discovery.restart_watches(endpoint_list(
         9,
         true,
         &[Endpoint::new("s-2", two.addr, 2, "active", "source")],
     ));
-    // For the grace after the removal the old one may still be sent writes.
+    // During the grace after the removal the old host may still be sent writes.
     let until = Instant::now() + TIMEOUT;
     let mut moved = false;
     while !moved && Instant::now() < until {
@@ -405,12 +408,10 @@
 #[test]
 fn without_a_known_list_the_router_is_ready_after_the_first_list() {
     let host = primary_host(|_| Reply::Row(b"x".to_vec()));
-    let discovery =
-        Discovery::start(endpoint_list(1, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]))
-            .unwrap();
+    let discovery = Discovery::start(primary_list(1, host.addr)).unwrap();
     discovery.state.change(|t| t.silent = true);
-    let served = RouterThread::start("null", discovery.addr, 256, SETTINGS);
-    let mut client = Client::connect_without_startup(served.addr).unwrap();
+    let router = RouterThread::start("null", discovery.addr, 256, SETTINGS);
+    let mut client = Client::connect_without_startup(router.addr).unwrap();
     client.stream.write_all(&[startup(), query("")].concat()).unwrap();
     discovery.state.wait(|t| (!t.requests.is_empty()).then_some(())).unwrap();
     discovery.state.change(|t| t.silent = false);
@@ -419,31 +420,31 @@
     assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"x"));
 }
 
-/// An open watch tells each change: whole lists beside it would take from a discovery that all routers share
-/// what others wait for.
+/// An open watch brings each change: polls of the full list beside it would take capacity from a discovery
+/// that serves all routers in turn.
 #[test]
 fn with_polled_lists_the_watch_is_the_only_call() {
     let host = primary_host(|_| Reply::Row(b"x".to_vec()));
-    let known = endpoint_list(1, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]);
+    let known = primary_list(1, host.addr);
     let discovery = Discovery::start(known.clone()).unwrap();
     let settings = SETTINGS.replace("\"automatic\"", "\"subscribe\"");
     let settings = settings.replace("\"rules\": {", "\"rules\": {\"askEvery\": 20000000, ");
-    let served = RouterThread::start(&known, discovery.addr, 256, &settings);
-    // The stand-in says nothing for longer than a watch may be silent: by its end a router that asked each 10
-    // ms would have done so two hundred times.
+    let router = RouterThread::start(&known, discovery.addr, 256, &settings);
+    // The stand-in is silent for longer than a watch may be: by its end a router that polled each 10 ms would
+    // have done so two hundred times.
     let again = discovery.state.wait(|t| t.requests.get(1).cloned()).unwrap();
     assert!(again.contains("watch=1") && again.contains("from=1"), "{again}");
-    assert_eq!(served.client().query(&statement_text("write", "")).unwrap(), row(b"x"));
+    assert_eq!(router.client().query(&statement_text("write", "")).unwrap(), row(b"x"));
 }
 
 #[test]
 fn concurrent_reads_of_large_statements_are_limited() {
     let host = primary_host(|_| Reply::Row(b"x".to_vec()));
-    let served = RouterThread::with_primary(&host);
+    let router = RouterThread::with_primary(&host);
     let large =
         |id: &str| statement_text("write", "").replace("9f03", &"9f".repeat(65_536)).replace("id=9", id);
-    // The first sends most of its statement, and no more: it holds the one place.
-    let (mut first, mut second, mut third) = (served.client(), served.client(), served.client());
+    // The first sends most of its statement, and no more: it has the one permit.
+    let (mut first, mut second, mut third) = (router.client(), router.client(), router.client());
     let part = query(&large("id=1"));
     first.stream.write_all(&part[..100_000]).unwrap();
     for _ in 0..20 {
@@ -451,7 +452,7 @@
     }
     second.send(&large("id=2")).unwrap();
     for _ in 0..20 {
-        assert_eq!(third.query(&statement_text("write", "")).unwrap(), row(b"x"), "small ones go on");
+        assert_eq!(third.query(&statement_text("write", "")).unwrap(), row(b"x"), "small statements go on");
     }
     assert_eq!(host.statement_count("id=2"), 0);
     first.stream.write_all(&part[100_000..]).unwrap();
@@ -463,38 +464,38 @@
 #[test]
 fn a_silent_watch_is_reopened_from_the_last_version() {
     let host = primary_host(|_| Reply::Row(b"x".to_vec()));
-    let known = endpoint_list(7, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]);
+    let known = primary_list(7, host.addr);
     let discovery = Discovery::start(known.clone()).unwrap();
-    let served = RouterThread::start(&known, discovery.addr, 256, SETTINGS);
-    // The stand-in writes its list, and then nothing for longer than two empty lines would take.
+    let router = RouterThread::start(&known, discovery.addr, 256, SETTINGS);
+    // The stand-in writes its list, and then nothing for longer than two keep-alives would take.
     let again = discovery.state.wait(|t| t.requests.get(1).cloned()).unwrap();
     assert!(again.contains("watch=1") && again.contains("from=7"), "{again}");
-    assert_eq!(served.client().query(&statement_text("write", "")).unwrap(), row(b"x"), "the list is kept");
+    assert_eq!(router.client().query(&statement_text("write", "")).unwrap(), row(b"x"), "the list stays");
 }
 
 #[test]
 fn malformed_answers_end_their_attempts_at_once_and_never_reach_a_client() {
-    let whole = host::row(b"x");
-    let spoilt = [
-        whole[..10].to_vec(),
-        whole[..40].to_vec(),
+    let complete = host::row(b"x");
+    let malformed = [
+        complete[..10].to_vec(),
+        complete[..40].to_vec(),
         b"-ERR what can't be read, and has no end".to_vec(),
-        [&whole[..27], b"D\xb2\xd0\x5e\x06\0\x01\xb2\xd0\x5e\0", &[7; 100_000]].concat(),
+        [&complete[..27], b"D\xb2\xd0\x5e\x06\0\x01\xb2\xd0\x5e\0", &[7; 100_000]].concat(),
     ];
-    let count = spoilt.len();
+    let count = malformed.len();
     let host = primary_host(move |text| {
-        let spoilt = spoilt.iter().enumerate().find(|(n, _)| text.contains(&format!("id=bad{n}")));
-        spoilt.map_or(Reply::Row(b"x".to_vec()), |(_, bytes)| Reply::Raw(bytes.clone()))
+        let reply = malformed.iter().enumerate().find(|(n, _)| text.contains(&format!("id=bad{n}")));
+        reply.map_or(Reply::Row(b"x".to_vec()), |(_, bytes)| Reply::Raw(bytes.clone()))
     });
-    let served = RouterThread::with_primary(&host);
-    let mut client = served.client();
+    let router = RouterThread::with_primary(&host);
+    let mut client = router.client();
     for n in 0..count {
         let began = Instant::now();
         let bad =
             statement_text("write", "").replace("id=9", &format!("id=bad{n}")).replace("d=480", "d=9000");
         assert_eq!(error_code(&client.query(&bad).unwrap()), "58000", "answer {n}");
         assert!(began.elapsed() < Duration::from_secs(3), "answer {n}: {:?}", began.elapsed());
-        // The member is as good as before, and what was spoilt meets nobody.
+        // The member serves as before, and nobody gets what was malformed.
         assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"x"), "after answer {n}");
     }
 }
@@ -503,25 +504,28 @@
 fn a_new_discovery_address_is_followed_at_once_while_the_old_one_hangs() {
     let (one, two) =
         (primary_host(|_| Reply::Row(b"one".to_vec())), primary_host(|_| Reply::Row(b"two".to_vec())));
-    let known = endpoint_list(70, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
+    let known = primary_list(70, one.addr);
     let old = Discovery::start(known.clone()).unwrap();
     old.state.change(|t| t.silent = true);
     // Its version is lower: versions of two discoveries can't be compared.
     let new =
         Discovery::start(endpoint_list(3, true, &[Endpoint::new("s-2", two.addr, 2, "active", "source")]))
             .unwrap();
-    let served = RouterThread::start(&known, old.addr, 256, SETTINGS);
+    let router = RouterThread::start(&known, old.addr, 256, SETTINGS);
     old.state.wait(|t| (!t.requests.is_empty()).then_some(())).unwrap();
-    let mut client = served.client();
+    let mut client = router.client();
     assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"one"));
     let moved = Instant::now();
-    served.reload_with_discovery(old.addr, new.addr);
-    let asked = new.state.wait(|t| t.requests.first().cloned()).unwrap();
-    assert!(asked.contains("watch=1") && !asked.contains("from="), "the whole list is asked for: {asked}");
-    // Told within moments, though the old one hangs. For the grace after the removal the old member may still
-    // be sent writes.
-    let served_by_two = (0..).find(|_| client.query(&statement_text("write", "")).unwrap() == row(b"two"));
-    assert!(served_by_two.is_some() && moved.elapsed() < Duration::from_secs(4), "{:?}", moved.elapsed());
+    router.reload_with_discovery(old.addr, new.addr);
+    let request = new.state.wait(|t| t.requests.first().cloned()).unwrap();
+    assert!(
+        request.contains("watch=1") && !request.contains("from="),
+        "the full list is requested: {request}"
+    );
+    // The new list arrives at once, though the old discovery hangs. During the grace after the removal the
+    // old member may still be sent writes.
+    let moved_to_two = (0..).find(|_| client.query(&statement_text("write", "")).unwrap() == row(b"two"));
+    assert!(moved_to_two.is_some() && moved.elapsed() < Duration::from_secs(4), "{:?}", moved.elapsed());
     new.publish(endpoint_list(
         4,
         false,
@@ -540,13 +544,13 @@
 fn an_unreachable_new_discovery_address_keeps_service_and_the_old_watch() {
     let (one, two) =
         (primary_host(|_| Reply::Row(b"one".to_vec())), primary_host(|_| Reply::Row(b"two".to_vec())));
-    let known = endpoint_list(1, true, &[Endpoint::new("s-1", one.addr, 2, "active", "source")]);
+    let known = primary_list(1, one.addr);
     let old = Discovery::start(known.clone()).unwrap();
-    let served = RouterThread::start(&known, old.addr, 256, SETTINGS);
-    let mut client = served.client();
+    let router = RouterThread::start(&known, old.addr, 256, SETTINGS);
+    let mut client = router.client();
     old.state.wait(|t| (!t.requests.is_empty()).then_some(())).unwrap();
     for _ in 0..3 {
-        served.reload_with_discovery(old.addr, unreachable_address());
+        router.reload_with_discovery(old.addr, unreachable_address());
         assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"one"));
     }
     old.publish(endpoint_list(
@@ -558,7 +562,7 @@
         ],
     ));
     assert!((0..100_000).any(|_| client.query(&statement_text("write", "")).unwrap() == row(b"two")));
-    let mut served = served;
-    served.stop();
-    assert!(served.stopped.wait(|o| o.then_some(())).is_some());
+    let mut router = router;
+    router.stop();
+    assert!(router.stopped.wait(|o| o.then_some(())).is_some());
 }
