--- a/crates/router/tests/discovery_faults.rs
+++ b/crates/router/tests/discovery_faults.rs
@@ -88,17 +88,17 @@
 }
 
 #[test]
-fn a_drain_takes_effect_in_time_after_a_silent_and_a_refused_call() {
+fn a_drain_takes_effect_in_time_after_a_silent_and_a_closed_call() {
     assert_drain_takes_effect_after(&[ResponseMode::Silent, ResponseMode::Closed]);
 }
 
 #[test]
-fn a_drain_takes_effect_in_time_after_a_refused_call_and_one_cut_after_its_head() {
+fn a_drain_takes_effect_in_time_after_a_closed_call_and_one_cut_after_its_head() {
     assert_drain_takes_effect_after(&[ResponseMode::Closed, ResponseMode::HeadOnly]);
 }
 
 #[test]
-fn a_drain_takes_effect_in_time_after_two_refused_calls_and_a_silent_one() {
+fn a_drain_takes_effect_in_time_after_two_closed_calls_and_a_silent_one() {
     assert_drain_takes_effect_after(&[ResponseMode::Closed, ResponseMode::Closed, ResponseMode::Silent]);
 }
 
--- a/crates/router/tests/transport.rs
+++ b/crates/router/tests/transport.rs
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_refused_host_connection_means_the_request_did_not_run() {
+fn an_unreachable_host_means_the_request_did_not_run() {
     let router = RouterThread::with_settings(unreachable_address(), SETTINGS);
     assert_eq!(error_code(&router.client().query(&statement_text("write", "")).unwrap()), "53300");
 }
