--- a/crates/fleet/src/account/mod.rs
+++ b/crates/fleet/src/account/mod.rs
@@ -38,7 +38,7 @@
 /// How much of the limits on a request is open.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Availability {
-    /// The fill level of the fullest-used limit's token bucket: zero if there is no token, one if nothing
+    /// The fill level of the token bucket that has least: zero if one has no token, one if nothing
     /// limits the request.
     pub fraction: f64,
     /// When there will be a token if the request is rejected, from now.
--- a/crates/fleet/src/fleet/mod.rs
+++ b/crates/fleet/src/fleet/mod.rs
@@ -162,7 +162,7 @@
         }
         self.accounts.close_changed(&old, &self.config, leases_from);
         effects.push(Effect::Log(format!(
-            "fleet: {} names, {} limits from now on; shares that have changed count after {} ms",
+            "fleet: {} names, {} limits from now on; quotas that have changed count after {} ms",
             self.config.roster.len(),
             self.config.limits.len(),
             leases_from.since(now).0 / 1_000_000
--- a/crates/fleet/src/fleet/receive.rs
+++ b/crates/fleet/src/fleet/receive.rs
@@ -87,9 +87,9 @@
         if self.links.set_mismatch(packet.from, mismatch) {
             let what = match mismatch {
                 ConfigMismatch { roster: true, .. } => {
-                    "has another list of names: neither votes nor rights pass between us"
+                    "has another list of names: neither votes nor units pass between us"
                 }
-                ConfigMismatch { limits: true, .. } => "has other limits: no rights pass between us",
+                ConfigMismatch { limits: true, .. } => "has other limits: no units pass between us",
                 _ => "has the same names and limits",
             };
             let name = self.config.roster.name(packet.from);
@@ -169,7 +169,7 @@
 
     fn log_new_lease(&self, owner: NodeId, effects: &mut Vec<Effect>) {
         effects.push(Effect::Log(if owner == self.me {
-            "fleet: this router's own share is held, with most of its guardians' votes".into()
+            "fleet: this router has the lease on its own quota, by the votes of a majority".into()
         } else {
             format!("fleet: {} is gone; its share is held here", self.config.roster.name(owner))
         }));
