--- a/crates/router/src/program/logging/mod.rs
+++ b/crates/router/src/program/logging/mod.rs
@@ -94,8 +94,12 @@
 {
     let targets = Targets::new().with_target(TARGET_PREFIX, LevelFilter::from(level));
     let line_format = LineFormat::new(format, Arc::clone(&limiter));
-    let output =
-        tracing_subscriber::fmt::layer().with_ansi(false).event_format(line_format).with_writer(lines);
+    let output = tracing_subscriber::fmt::layer()
+        .with_ansi(false)
+        // They would be written to standard error at once, and waited for.
+        .log_internal_errors(false)
+        .event_format(line_format)
+        .with_writer(lines);
     tracing_subscriber::registry().with(targets).with(RateLimitLayer::new(limiter)).with(output)
 }
 
