--- a/crates/standin/src/simulated_fleet.rs
+++ b/crates/standin/src/simulated_fleet.rs
@@ -380,7 +380,6 @@
             }
         });
         if !is_taken {
-            self.observations.permits_rejected += 1;
             return;
         }
         // It ends by itself, or its router has given it up by then: by a slow clock, a little later.
--- a/crates/standin/src/simulated_fleet/observations.rs
+++ b/crates/standin/src/simulated_fleet/observations.rs
@@ -42,8 +42,6 @@
     pub requests: u64,
     /// Permits that were taken, in order.
     pub permits: Vec<Permit>,
-    /// Requests that got no permit.
-    pub permits_rejected: u64,
     /// Datagrams sent.
     pub datagrams: u64,
     /// Their bytes.
