--- a/crates/router/src/program/mod.rs
+++ b/crates/router/src/program/mod.rs
@@ -1,8 +1,8 @@
 //! The command line of `basalthill`: its sub-commands, exit codes and log.
 
-mod ask;
 mod fleet;
 mod logging;
+mod query;
 mod ready;
 mod serve;
 
@@ -43,7 +43,7 @@
     /// Send one query through the routers, as a client with retries and a deadline; exit code 0 if it was
     /// served, 1 if not, 3 if it may have run all the same.
     #[command(visible_alias = "ask")]
-    Query(ask::Options),
+    Query(query::Options),
     /// Query a running router about its fleet: members with their states, each limit with its quotas.
     Fleet(fleet::Options),
     /// Print the version.
@@ -96,7 +96,7 @@
     }
 }
 
-/// The exit code when the configuration is unsound, or a query's arguments are.
+/// The exit code when the configuration is unsound.
 const BAD_CONFIGURATION: u8 = 2;
 
 /// Runs the program.
@@ -111,7 +111,7 @@
         },
         Command::CheckConfig(arguments) => check_config(arguments),
         Command::Ready { listen } => ready::run(listen),
-        Command::Query(options) => ask::run(options),
+        Command::Query(options) => query::run(options),
         Command::Fleet(options) => fleet::run(&options),
         Command::Version => {
             println!("basalthill {}", env!("CARGO_PKG_VERSION"));
