--- a/crates/router/src/protocol/client.rs
+++ b/crates/router/src/protocol/client.rs
@@ -7,7 +7,7 @@
 use basalthill_policy::api::Time;
 use basalthill_wire::{
     put_cstring, put_error_response, put_message, read_cstring, MessageBuffer, MessageHeader, ProtocolError,
-    Severity, READY_FOR_QUERY,
+    Severity, HEADER_LEN, READY_FOR_QUERY,
 };
 use std::collections::VecDeque;
 
@@ -17,8 +17,6 @@
 const MAX_STARTUP_LEN: usize = 10_000;
 /// Shortest startup message: its length and a version.
 const MIN_STARTUP_LEN: usize = 8;
-/// Bytes of a message before its body: the type and the length.
-const HEADER_LEN: usize = 5;
 
 /// The major version that a message in place of a startup message carries.
 const REQUEST_MAJOR: u32 = 1234;
--- a/crates/router/src/protocol/host.rs
+++ b/crates/router/src/protocol/host.rs
@@ -5,9 +5,12 @@
 
 use basalthill_wire::{
     error_code, put_cstring, put_message, read_cstring, ByteRange, MessageBuffer, MessageHeader,
-    ProtocolError,
+    ProtocolError, HEADER_LEN,
 };
 
+/// The startup message to a host.
+pub use basalthill_wire::startup_message as startup;
+
 /// Longest message body taken from a host, in bytes: a value of 64 KiB and its headers.
 pub const MAX_MESSAGE_LEN: usize = 80 * 1024;
 /// Most bytes that one answer may have in all.
@@ -19,8 +22,6 @@
 /// Longest message of parameters, notices or errors.
 const MAX_TEXT_MESSAGE_LEN: usize = 8 * 1024;
 
-/// Bytes of a message before its body: the type and the length.
-const HEADER_LEN: usize = 5;
 /// Bytes of a DataRow's body before the value: the count of columns, which is one, and the value's length.
 const ROW_HEADER_LEN: usize = 6;
 /// The length that stands for a value of null.
@@ -341,20 +342,6 @@
     }
 }
 
-/// The startup message to a host.
-pub fn startup() -> Vec<u8> {
-    const PROTOCOL_VERSION: u32 = 0x0003_0000;
-    let mut body = Vec::with_capacity(48);
-    body.extend(PROTOCOL_VERSION.to_be_bytes());
-    for word in ["user", "svc", "database", "main"] {
-        put_cstring(&mut body, word);
-    }
-    body.push(0);
-    let mut out = ((body.len() + 4) as u32).to_be_bytes().to_vec();
-    out.extend(body);
-    out
-}
-
 /// A short query of the router's own, such as a health check.
 pub fn query(text: &str) -> Vec<u8> {
     let mut out = Vec::with_capacity(text.len() + 6);
