--- a/crates/router/src/program/logging/format.rs
+++ b/crates/router/src/program/logging/format.rs
@@ -16,11 +16,6 @@
 /// The field that carries an event's message.
 const MESSAGE: &str = "message";
 
-/// Fields with this prefix say where a record of the `log` facade comes from; they are not shown as fields.
-const LOG_FACADE_PREFIX: &str = "log.";
-/// The field that carries the target of such a record.
-const LOG_FACADE_TARGET: &str = "log.target";
-
 /// Writes events as lines, each with the number of lines dropped before it.
 pub(super) struct LineFormat {
     format: LogFormat,
@@ -57,7 +52,7 @@
     timestamp: Duration,
     level: &'static str,
     /// The module that the event comes from.
-    target: String,
+    target: &'static str,
     message: String,
     /// Lines dropped since the line before this one.
     #[serde(skip_serializing_if = "is_zero")]
@@ -89,7 +84,7 @@
         let mut line = Line {
             timestamp: unix_time,
             level: event.metadata().level().as_str(),
-            target: event.metadata().target().to_string(),
+            target: event.metadata().target(),
             message: String::new(),
             dropped_lines,
             fields: Vec::new(),
@@ -120,9 +115,7 @@
     }
 
     fn set(&mut self, field: &Field, value: Value) {
-        if !field.name().starts_with(LOG_FACADE_PREFIX) {
-            self.fields.push(LineField { name: field.name(), value });
-        }
+        self.fields.push(LineField { name: field.name(), value });
     }
 }
 
@@ -146,7 +139,6 @@
     fn record_str(&mut self, field: &Field, value: &str) {
         match field.name() {
             MESSAGE => self.message = value.to_string(),
-            LOG_FACADE_TARGET => self.target = value.to_string(),
             _ => self.set(field, value.into()),
         }
     }
--- a/crates/router/src/program/logging/mod.rs
+++ b/crates/router/src/program/logging/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! A line is never waited for: it goes through a bounded queue to a thread of its own ([`writer`]). At most
 //! [`MAX_LINES_PER_SECOND`] lines go out; the number of those dropped stands in the next line. Only events of
-//! this project's crates are shown. Records of the `log` facade are taken too, so that both may be used.
+//! this project's crates are shown.
 
 mod format;
 mod rate_limit;
