--- a/crates/lab/src/client_load.rs
+++ b/crates/lab/src/client_load.rs
@@ -1,10 +1,9 @@
 //! Loads by many clients: of the library's kind, of the naive kind, and of the kind that never retries.
 
-mod connect_recorder;
 mod naive;
 mod with_library;
 
-use basalthill_standin::Rng;
+use basalthill_standin::{connect_recorder, Rng};
 use std::net::SocketAddr;
 use std::ops::Range;
 use std::sync::{Mutex, PoisonError};
--- a/crates/lab/src/client_load/connect_recorder.rs
+++ b/crates/standin/src/connect_recorder.rs
@@ -1,4 +1,7 @@
 //! Records the moment of each connect that the client library counts in its metrics.
+//!
+//! The recorder of metrics is one for each process, and so is this record: tests that use it need a process of
+//! their own.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
@@ -6,25 +9,30 @@
 /// The library's counter of connects.
 const CONNECTS_METRIC: &str = "basalthill_client_connects_total";
 
-/// Connects since [`start`]. The recorder of metrics is one for the process, so this is too.
+/// Connects since [`start`], in order.
 static CONNECTS: Mutex<Vec<Instant>> = Mutex::new(Vec::new());
 
 fn connects() -> MutexGuard<'static, Vec<Instant>> {
     CONNECTS.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Begins to record, from nothing.
+/// Begins to record, from nothing. It has no effect where another recorder of metrics is installed.
 pub fn start() {
-    // It fails where the recorder of an earlier load is still installed, which is the same.
+    // It fails where the recorder of an earlier start is still installed, which is the same.
     let _ = metrics::set_global_recorder(ConnectRecorder);
     connects().clear();
 }
 
-/// The connects since [`start`].
+/// Takes the connects since [`start`] out of the record.
 pub fn take() -> Vec<Instant> {
     std::mem::take(&mut connects())
 }
 
+/// The connects since a moment. They stay in the record.
+pub fn since(from: Instant) -> Vec<Instant> {
+    connects().iter().copied().filter(|at| *at >= from).collect()
+}
+
 /// A recorder of metrics that drops all but the connects.
 struct ConnectRecorder;
 
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -5,10 +5,12 @@
 //! - [`host`], [`group`]: a database host, and a replicated group of them with an oracle
 //! - [`discovery`]: the endpoint list over HTTP
 //! - [`client`]: a client of version 3 of the PostgreSQL protocol
+//! - [`connect_recorder`]: when the client library connects
 //! - [`router_process`], [`deployment`], [`session_load`]: router processes before a group, under sessions
 //! - [`harness`], [`paced_clients`], [`udp_proxy`]: a fleet of router processes on a network that fails
 //! - [`simulated_fleet`]: a fleet of cores in simulated time
 pub mod client;
+pub mod connect_recorder;
 pub mod deployment;
 pub mod discovery;
 mod error;
