--- a/crates/router/tests/sessions.rs
+++ b/crates/router/tests/sessions.rs
@@ -316,8 +316,8 @@
         };
         let current = read_ten(100 * (n as u32 + 1), "anne", &newest);
         assert!(current.iter().all(|read| read.value == "8"), "{current:?}");
-        // The first router has not met the new primary yet and takes it for a replica, up to its first answer;
-        // which of the two it picks first is random.
+        // The first router has not met the new primary yet and takes it for a replica up to its first answer.
+        // Which of the two it picks first is random.
         let by_primary = current.iter().filter(|read| read.by == ServedBy::Primary).count();
         assert!(by_primary <= usize::from(n == 0), "{current:?}");
         let lost = read_ten(100 * (n as u32 + 1) + 50, "bert", "");
