--- a/crates/fleet/src/loan.rs
+++ b/crates/fleet/src/loan.rs
@@ -83,8 +83,30 @@
         let next_units = self.steps.iter().skip(1).map(|step| step.units).chain([0]);
         self.steps.iter().zip(next_units).map(|(step, next)| Step { units: step.units - next, ..*step })
     }
+
+    /// Changes the schedule, and posts it to the ledger anew.
+    fn change_posted(&mut self, ledger: &mut Ledger, side: &LedgerSide, change: impl FnOnce(&mut Self)) {
+        for drop in self.drops() {
+            (side.cancel)(ledger, drop.units, drop.ends_at);
+        }
+        change(self);
+        for drop in self.drops() {
+            (side.post)(ledger, drop.units, drop.ends_at);
+        }
+    }
 }
 
+/// How a schedule's units are posted to a ledger, and how that is taken back.
+struct LedgerSide {
+    post: fn(&mut Ledger, u64, Time),
+    cancel: fn(&mut Ledger, u64, Time),
+}
+
+/// The borrower's side.
+const CREDIT: LedgerSide = LedgerSide { post: Ledger::credit, cancel: Ledger::cancel_credit };
+/// The lender's side.
+const DEBIT: LedgerSide = LedgerSide { post: Ledger::debit, cancel: Ledger::cancel_debit };
+
 /// A borrower's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LoanRequest {
@@ -137,13 +159,7 @@
     }
 
     fn change(&mut self, ledger: &mut Ledger, change: impl FnOnce(&mut StepSchedule)) {
-        for drop in self.schedule.drops() {
-            ledger.cancel_credit(drop.units, drop.ends_at);
-        }
-        change(&mut self.schedule);
-        for drop in self.schedule.drops() {
-            ledger.credit(drop.units, drop.ends_at);
-        }
+        self.schedule.change_posted(ledger, &CREDIT, change);
     }
 
     /// Removes what has expired.
@@ -225,13 +241,7 @@
     }
 
     fn change(&mut self, ledger: &mut Ledger, change: impl FnOnce(&mut StepSchedule)) {
-        for drop in self.schedule.drops() {
-            ledger.cancel_debit(drop.units, drop.ends_at);
-        }
-        change(&mut self.schedule);
-        for drop in self.schedule.drops() {
-            ledger.debit(drop.units, drop.ends_at);
-        }
+        self.schedule.change_posted(ledger, &DEBIT, change);
     }
 
     /// Removes what has expired.
--- a/crates/fleet/tests/limits.rs
+++ b/crates/fleet/tests/limits.rs
@@ -78,6 +78,22 @@
     (0..routers).for_each(|n| fleet.demand(n, 2.0 * PER_S / routers as f64, 60.0 / routers as f64));
 }
 
+/// Runs a fleet until `from`, in parts that hear nothing of each other until `until`, both in seconds, and
+/// heals the partition.
+fn run_through_partition(fleet: &mut SimulatedFleet, groups: &[Vec<usize>], from: f64, until: f64) {
+    fleet.run_until(seconds(from));
+    fleet.links.partition(groups);
+    fleet.run_until(seconds(until));
+    fleet.links.cut.clear();
+}
+
+/// Suspends a router from now on until `until`, in seconds.
+fn run_through_pause(fleet: &mut SimulatedFleet, router: usize, until: f64) {
+    fleet.pause(router);
+    fleet.run_until(seconds(until));
+    fleet.resume(router);
+}
+
 #[test]
 fn demand_of_ten_to_one_between_routers_uses_the_limit() {
     let mut fleet = start_fleet(24, 1);
@@ -142,10 +158,7 @@
     ] {
         let mut fleet = start_fleet(24, seed);
         demand_twice_the_limit(&mut fleet, 24);
-        fleet.run_until(seconds(12.0));
-        fleet.links.partition(&groups);
-        fleet.run_until(seconds(32.0));
-        fleet.links.cut.clear();
+        run_through_partition(&mut fleet, &groups, 12.0, 32.0);
         fleet.run_until(seconds(42.0));
         assert_never_exceeded(&fleet);
         let (before, split, after) = (
@@ -214,10 +227,7 @@
 fn former_coordinators_return_their_deposits_after_a_partition_heals() {
     let mut fleet = start_fleet(8, 77);
     (0..8).for_each(|n| fleet.demand(n, if n < 2 { 333.0 } else { 40.0 }, 0.0));
-    fleet.run_until(seconds(12.0));
-    fleet.links.partition(&[(0..4).collect(), (4..8).collect()]);
-    fleet.run_until(seconds(18.0));
-    fleet.links.cut.clear();
+    run_through_partition(&mut fleet, &[(0..4).collect(), (4..8).collect()], 12.0, 18.0);
     fleet.run_until(seconds(25.0));
     assert_never_exceeded(&fleet);
     let (at_once, later) = (utilization(&fleet, 18.0, 20.0), utilization(&fleet, 20.0, 25.0));
@@ -229,9 +239,7 @@
     let mut fleet = start_fleet(12, seed);
     fleet.run_until(seconds(6.0));
     for n in 0..6 {
-        fleet.pause(3);
-        fleet.run_until(seconds(6.0 + pause_s + 5.0 * f64::from(n)));
-        fleet.resume(3);
+        run_through_pause(&mut fleet, 3, 6.0 + pause_s + 5.0 * f64::from(n));
         fleet.run_until(seconds(11.0 + 5.0 * f64::from(n)));
     }
     let logged = |part: &str| fleet.observations.log_lines.iter().filter(|l| l.text.contains(part)).count();
@@ -280,9 +288,7 @@
     fleet.demand(0, 800.0, 60.0);
     for n in 0..5 {
         fleet.run_until(seconds(10.0 + 8.0 * f64::from(n)));
-        fleet.pause(0);
-        fleet.run_until(seconds(16.0 + 8.0 * f64::from(n)));
-        fleet.resume(0);
+        run_through_pause(&mut fleet, 0, 16.0 + 8.0 * f64::from(n));
     }
     fleet.run_until(seconds(60.0));
     assert_never_exceeded(&fleet);
--- a/crates/fleet/tests/model/leases.rs
+++ b/crates/fleet/tests/model/leases.rs
@@ -1,6 +1,6 @@
 //! Leases on one node's quotas: no two routers have one at a time.
 
-use crate::{advance, timing, MIN_STATES, SPAN};
+use crate::{advance, assert_properties, timing, SPAN};
 use basalthill_fleet::lease::{LeaseClaim, NodeIncarnation, VoteRequest, Voter};
 use basalthill_fleet::NodeId;
 use basalthill_policy::api::Time;
@@ -245,10 +245,7 @@
         releases,
         fault: Fault::None,
     };
-    let checker = model.checker().threads(4).spawn_bfs().join();
-    println!("leases: {} states", checker.unique_state_count());
-    checker.assert_properties();
-    assert!(checker.unique_state_count() > MIN_STATES, "{} states", checker.unique_state_count());
+    assert_properties("leases", model);
 }
 
 #[test]
--- a/crates/fleet/tests/model/loans.rs
+++ b/crates/fleet/tests/model/loans.rs
@@ -1,6 +1,6 @@
 //! Loans between a lender and a borrower: the units that the two use never exceed what the lender had.
 
-use crate::{advance, timing, MIN_STATES, SPAN};
+use crate::{advance, assert_properties, timing, SPAN};
 use basalthill_fleet::ledger::Ledger;
 use basalthill_fleet::loan::{Borrowing, Lending, LoanRequest, RequestReceipt};
 use basalthill_policy::api::Time;
@@ -225,10 +225,7 @@
         network_capacity: 2,
         ignores_drift: false,
     };
-    let checker = model.checker().threads(4).spawn_bfs().join();
-    println!("loans: {} states", checker.unique_state_count());
-    checker.assert_properties();
-    assert!(checker.unique_state_count() > MIN_STATES, "{} states", checker.unique_state_count());
+    assert_properties("loans", model);
 }
 
 #[test]
--- a/crates/fleet/tests/model/main.rs
+++ b/crates/fleet/tests/model/main.rs
@@ -7,6 +7,9 @@
 
 use basalthill_fleet::Timing;
 use basalthill_policy::api::Time;
+use stateright::{Checker, Model};
+use std::fmt::Debug;
+use std::hash::Hash;
 
 /// The steps of a clock, in nanoseconds, in one step of true time, at the rates that [`DRIFT`] allows: two
 /// thirds and four thirds.
@@ -17,6 +20,19 @@
 /// A model that is checked has more states than this, or its bounds are too narrow to show anything.
 const MIN_STATES: usize = 100_000;
 
+/// Visits all states of a model and asserts its properties.
+fn assert_properties<M>(name: &str, model: M)
+where
+    M: Model + Send + Sync + 'static,
+    M::State: Clone + Debug + Hash + PartialEq + Send + Sync,
+    M::Action: Clone + Debug + PartialEq,
+{
+    let checker = model.checker().threads(4).spawn_bfs().join();
+    println!("{name}: {} states", checker.unique_state_count());
+    checker.assert_properties();
+    assert!(checker.unique_state_count() > MIN_STATES, "{} states", checker.unique_state_count());
+}
+
 fn timing() -> Timing {
     Timing { drift: DRIFT, period: Time::ms(10), grant: SPAN, deposit: SPAN, lease: SPAN }
 }
--- a/crates/lab/src/cost.rs
+++ b/crates/lab/src/cost.rs
@@ -1,7 +1,7 @@
 //! What tokens cost a request: routers before the same kind of group, without their own settings, with floors
 //! alone and with tokens, under load in turn.
 
-use crate::results::{write_table, Table};
+use crate::results::{print_and_write_table, Table};
 use crate::sessions::Mode;
 use crate::{CommonOptions, Outcome};
 use anyhow::bail;
@@ -178,17 +178,14 @@
         heads: vec!["tokens", "CPU of the router, us a request", "median time, us", "bytes with the client"],
         rows: CASES.iter().zip(&costs).map(|((_, name), cost)| cost.row(name)).collect(),
     };
-    println!("{}", table.to_markdown());
     let TokenCost { issue_us, verify_us } = token;
-    if let Some(out) = &common.out {
-        let description = format!(
-            "Real router processes and sockets, stand-in groups, one client each: {} requests at each \
-             router, a quarter of them writes, in turns of {}. Alone, in one process: {issue_us:.2} us to \
-             make a token of one group, {verify_us:.2} us to read it.",
-            options.requests, options.turn
-        );
-        write_table(out, "cost", &description, &table)?;
-    }
+    let description = format!(
+        "Real router processes and sockets, stand-in groups, one client each: {} requests at each \
+         router, a quarter of them writes, in turns of {}. Alone, in one process: {issue_us:.2} us to \
+         make a token of one group, {verify_us:.2} us to read it.",
+        options.requests, options.turn
+    );
+    print_and_write_table(common.out.as_deref(), "cost", &description, &table)?;
     let summary = format!(
         "cpu_off_us={:.1} cpu_on_us={:.1} p50_off_us={} p50_on_us={} bytes_off={:.1} bytes_on={:.1} \
          make_us={issue_us:.2} read_us={verify_us:.2}",
--- a/crates/lab/src/fleet_limits/gossip_cost.rs
+++ b/crates/lab/src/fleet_limits/gossip_cost.rs
@@ -1,6 +1,6 @@
 //! What gossip costs a router by the fleet's size, simulated: idle, and with requests at every router.
 
-use crate::results::{write_table, Table};
+use crate::results::{print_and_write_table, Table};
 use crate::{CommonOptions, Outcome};
 use basalthill_fleet::{Bounds, FleetConfig, Limit, LimitKey, Subject, Timing};
 use basalthill_policy::api::Time;
@@ -115,14 +115,11 @@
         );
     }
     let table = Table { heads, rows };
-    println!("{}", table.to_markdown());
-    if let Some(out) = &common.out {
-        let description = format!(
-            "Simulated, one thread for all routers, seed {}: one rate, idle, and with requests at every \
-             router. CPU holds the simulation's own work and both ends of each datagram.",
-            common.seed
-        );
-        write_table(out, "fleet-cost", &description, &table)?;
-    }
+    let description = format!(
+        "Simulated, one thread for all routers, seed {}: one rate, idle, and with requests at every \
+         router. CPU holds the simulation's own work and both ends of each datagram.",
+        common.seed
+    );
+    print_and_write_table(common.out.as_deref(), "fleet-cost", &description, &table)?;
     Ok(Outcome { summary, passed: true })
 }
--- a/crates/lab/src/fleet_limits/request_overhead.rs
+++ b/crates/lab/src/fleet_limits/request_overhead.rs
@@ -2,7 +2,7 @@
 //! without, under load in turn.
 
 use super::{cpu_time, harness_config, router_addrs, start_harness, LimitMode, COMMENT, SETTLING_TIME};
-use crate::results::{write_table, Table};
+use crate::results::{print_and_write_table, Table};
 use crate::{CommonOptions, Outcome};
 use anyhow::ensure;
 use basalthill_standin::harness::{FleetHarness, HarnessConfig, PacedClients};
@@ -111,14 +111,11 @@
     let heads =
         vec!["", "served", "p50, us", "p99, us", "CPU a request, us", "CPU a second and router at rest, us"];
     let table = Table { heads, rows: vec![with_fleet.row(), without.row()] };
-    println!("{}", table.to_markdown());
-    if let Some(out) = &common.out {
-        let description =
-            "Real router processes, stand-in hosts: two pairs of routers, asked in turn for 3 s, six times \
-             each; one pair has a fleet and a limit that is never reached. What a router takes at rest is \
-             off the CPU of a request.";
-        write_table(out, "fleet-overhead", description, &table)?;
-    }
+    let description =
+        "Real router processes, stand-in hosts: two pairs of routers, asked in turn for 3 s, six times \
+         each; one pair has a fleet and a limit that is never reached. What a router takes at rest is \
+         off the CPU of a request.";
+    print_and_write_table(common.out.as_deref(), "fleet-overhead", description, &table)?;
     let (on, off) = (with_fleet.cpu_us_per_request(), without.cpu_us_per_request());
     let more = on / off - 1.0;
     Ok(Outcome { summary: format!("cpu_us_on={on:.1} cpu_us_off={off:.1} more={more:.4}"), passed: true })
--- a/crates/lab/src/fleet_limits/through_faults.rs
+++ b/crates/lab/src/fleet_limits/through_faults.rs
@@ -1,7 +1,7 @@
 //! The limit while links and routers fail at random, for each mode of keeping it.
 
 use super::{harness_config, router_addrs, start_harness, LimitMode, Options, COMMENT, PER_S, SETTLING_TIME};
-use crate::results::{write_chart, write_table, Axes, Line, Table};
+use crate::results::{write_table_and_chart, Axes, Chart, Line, Table};
 use crate::{CommonOptions, Outcome};
 use anyhow::Context;
 use basalthill_standin::harness::{rate_excess, ClientTotals, FleetHarness, PacedClients};
@@ -249,7 +249,6 @@
     table: &Table,
     lines: &[Line],
 ) -> anyhow::Result<()> {
-    let Some(out) = &common.out else { return Ok(()) };
     let description = format!(
         "Real router processes and sockets, a relay between them, stand-in hosts whose record is \
          judged: {} routers, a rate of {PER_S} requests a second with as many at once, seed {}, {} \
@@ -260,10 +259,10 @@
          spread.",
         options.routers, common.seed, options.minutes
     );
-    write_table(out, "fleet-limits", &description, table)?;
     let title = "Admitted, as a share of the limit";
     let axes = Axes { title, x: "seconds", y: "share", range: 0.0..2.0 };
-    write_chart(out, "fleet-limits", &axes, lines)
+    let chart = Chart { axes, lines };
+    write_table_and_chart(common.out.as_deref(), "fleet-limits", &description, table, &chart)
 }
 
 /// Runs the experiment. It passes if the fleet's limit was never exceeded by more than its burst and the
--- a/crates/lab/src/floor_table.rs
+++ b/crates/lab/src/floor_table.rs
@@ -1,7 +1,7 @@
 //! The bounded table of session floors against a plain ordered map, and what it loses when it overflows. All
 //! in this process, on a simulated clock.
 
-use crate::results::{write_chart, write_table, Axes, Line, Table};
+use crate::results::{write_table_and_chart, Axes, Chart, Line, Table};
 use crate::{CommonOptions, Outcome};
 use basalthill_policy::api::{GroupId, SessionKey, Time};
 use basalthill_session::{FloorTable, BUCKET_BYTES};
@@ -209,18 +209,16 @@
     println!("{}", costs.to_markdown());
     let overflow = measure_overflow(options, common.seed);
     println!("{}", overflow.table.to_markdown());
-    if let Some(out) = &common.out {
-        let description = format!(
-            "One process, no sockets: {sessions} sessions, {} writes a second by any of them, reads by any \
-             of them.\n\n{}",
-            options.writes_per_s,
-            costs.to_markdown()
-        );
-        write_table(out, "book", &description, &overflow.table)?;
-        let title = "Reads that replicas may serve as the book overflows";
-        let axes = Axes { title, x: "bytes a session", y: "share", range: 0.0..1.0 };
-        write_chart(out, "book", &axes, &overflow.lines)?;
-    }
+    let description = format!(
+        "One process, no sockets: {sessions} sessions, {} writes a second by any of them, reads by any \
+         of them.\n\n{}",
+        options.writes_per_s,
+        costs.to_markdown()
+    );
+    let title = "Reads that replicas may serve as the book overflows";
+    let axes = Axes { title, x: "bytes a session", y: "share", range: 0.0..1.0 };
+    let chart = Chart { axes, lines: &overflow.lines };
+    write_table_and_chart(common.out.as_deref(), "book", &description, &overflow.table, &chart)?;
     let Costs { add_ns, raise_ns, get_ns, bytes_per_session } = table;
     let summary = format!(
         "sessions={sessions} add_ns={add_ns:.0} raise_ns={raise_ns:.0} get_ns={get_ns:.0} \
--- a/crates/lab/src/overhead.rs
+++ b/crates/lab/src/overhead.rs
@@ -1,6 +1,6 @@
 //! What the library costs a request, against a bare loop over sockets, before a host that answers at once.
 
-use crate::results::{write_table, Table};
+use crate::results::{print_and_write_table, Table};
 use crate::{CommonOptions, Outcome, ALLOCATOR};
 use async_executor::LocalExecutor;
 use basalthill_client::{Client, Config, Request, RequestOutcome};
@@ -136,14 +136,11 @@
         "allocations a request, stand-in's too",
     ];
     let table = Table { heads, rows };
-    println!("{}", table.to_markdown());
-    if let Some(out) = &common.out {
-        let description = format!(
-            "Real sockets, one process: a stand-in that answers at once, a thread a connection, takes part \
-             of the same cores; {} requests for each row.",
-            options.requests
-        );
-        write_table(out, "overhead", &description, &table)?;
-    }
+    let description = format!(
+        "Real sockets, one process: a stand-in that answers at once, a thread a connection, takes part \
+         of the same cores; {} requests for each row.",
+        options.requests
+    );
+    print_and_write_table(common.out.as_deref(), "overhead", &description, &table)?;
     Ok(Outcome { summary: summaries.join(" "), passed: true })
 }
--- a/crates/lab/src/overload.rs
+++ b/crates/lab/src/overload.rs
@@ -2,7 +2,7 @@
 
 use crate::client_load::{run_clients, ClientKind, ClientLoad};
 use crate::host_records::count_at_hosts;
-use crate::results::{write_table, Table};
+use crate::results::{print_and_write_table, Table};
 use crate::{CommonOptions, Outcome};
 use anyhow::bail;
 use basalthill_standin::deployment::Deployment;
@@ -103,16 +103,13 @@
         "late at the hosts",
     ];
     let table = Table { heads, rows };
-    println!("{}", table.to_markdown());
-    if let Some(out) = &common.out {
-        let description = format!(
-            "Real router processes and sockets, stand-in group of three, each of which works on {} \
-             statements of 20 ms at a time: {} clients of {} reads a second, one at a time each, two \
-             routers that tell to come back after {} ms, {} s.",
-            options.slots, options.clients, options.per_s, options.come_back_ms, options.seconds
-        );
-        write_table(out, "overload", &description, &table)?;
-    }
+    let description = format!(
+        "Real router processes and sockets, stand-in group of three, each of which works on {} \
+         statements of 20 ms at a time: {} clients of {} reads a second, one at a time each, two \
+         routers that tell to come back after {} ms, {} s.",
+        options.slots, options.clients, options.per_s, options.come_back_ms, options.seconds
+    );
+    print_and_write_table(common.out.as_deref(), "overload", &description, &table)?;
     let [once, naive, library] = attempts[..] else { bail!("{} kinds in place of three", attempts.len()) };
     let summary = format!("tries_once={once:.3} tries_naive={naive:.3} tries_library={library:.3}");
     let requests_per_client = options.per_s * options.seconds as f64;
--- a/crates/lab/src/reconnect.rs
+++ b/crates/lab/src/reconnect.rs
@@ -2,7 +2,7 @@
 
 use crate::client_load::{peak, run_clients, ClientKind, ClientLoad, ClientRecord};
 use crate::host_records::count_at_hosts;
-use crate::results::{write_chart, write_table, Axes, Line, Table};
+use crate::results::{write_table_and_chart, Axes, Chart, Line, Table};
 use crate::{CommonOptions, Outcome};
 use basalthill_standin::deployment::Deployment;
 use basalthill_standin::group::GroupBehavior;
@@ -172,24 +172,22 @@
     ];
     let table = Table { heads, rows: vec![library.row("library"), naive.row("naive")] };
     println!("{}", table.to_markdown());
-    if let Some(out) = &common.out {
-        let description = format!(
-            "Real router processes and sockets, stand-in group: {} clients of {} requests a second (a third \
-             are writes that must never run twice), {} routers, one killed after 4 s and back after 7 s. \
-             Naive clients have a standing connection each, open it anew at once, and try again at once, \
-             up to three times.",
-            options.clients, options.per_s, options.routers
-        );
-        write_table(out, "reconnect", &description, &table)?;
-        let most = library.curve.iter().chain(&naive.curve).map(|p| p.1).fold(1.0, f64::max);
-        let axes = Axes {
-            title: "Connects a second: a router dies at 4 s and returns at 7 s",
-            x: "s",
-            y: "connects a second",
-            range: 0.0..most * 1.05,
-        };
-        write_chart(out, "reconnect", &axes, &[library.line("library"), naive.line("naive")])?;
-    }
+    let description = format!(
+        "Real router processes and sockets, stand-in group: {} clients of {} requests a second (a third \
+         are writes that must never run twice), {} routers, one killed after 4 s and back after 7 s. \
+         Naive clients have a standing connection each, open it anew at once, and try again at once, \
+         up to three times.",
+        options.clients, options.per_s, options.routers
+    );
+    let most = library.curve.iter().chain(&naive.curve).map(|p| p.1).fold(1.0, f64::max);
+    let axes = Axes {
+        title: "Connects a second: a router dies at 4 s and returns at 7 s",
+        x: "s",
+        y: "connects a second",
+        range: 0.0..most * 1.05,
+    };
+    let chart = Chart { axes, lines: &[library.line("library"), naive.line("naive")] };
+    write_table_and_chart(common.out.as_deref(), "reconnect", &description, &table, &chart)?;
     let recovered_ms = library.recovered_after.map_or(-1, |after| after.as_millis() as i64);
     let summary = format!(
         "clients={} peak_per_s={} naive_peak_per_s={} recovered_ms={recovered_ms} twice={} after_deadline={}",
--- a/crates/lab/src/restart.rs
+++ b/crates/lab/src/restart.rs
@@ -1,6 +1,6 @@
 //! What a snapshot buys: a router restarts gracefully while replicas are seconds behind.
 
-use crate::results::{write_table, Table};
+use crate::results::{print_and_write_table, Table};
 use crate::{CommonOptions, Outcome};
 use anyhow::bail;
 use basalthill_standin::client::{Answer, Client};
@@ -100,16 +100,13 @@
         heads: vec!["snapshot", "reads served", "by replicas"],
         rows: vec![without.row("none"), with.row("kept at the stop")],
     };
-    println!("{}", table.to_markdown());
-    if let Some(out) = &common.out {
-        let description = format!(
-            "Real router process and sockets, stand-in group: {} sessions have written through one router, \
-             which restarts in good order; replicas are {} ms behind and turn reads away. Reads right after \
-             the restart; a quarter of the sessions wrote just before it.",
-            options.sessions, options.lag_ms
-        );
-        write_table(out, "restart", &description, &table)?;
-    }
+    let description = format!(
+        "Real router process and sockets, stand-in group: {} sessions have written through one router, \
+         which restarts in good order; replicas are {} ms behind and turn reads away. Reads right after \
+         the restart; a quarter of the sessions wrote just before it.",
+        options.sessions, options.lag_ms
+    );
+    print_and_write_table(common.out.as_deref(), "restart", &description, &table)?;
     let (without, with) = (without.replica_fraction(), with.replica_fraction());
     let summary = format!("replica_share_without={without:.3} replica_share_with={with:.3}");
     Ok(Outcome { summary, passed: with >= without })
--- a/crates/lab/src/results.rs
+++ b/crates/lab/src/results.rs
@@ -38,6 +38,17 @@
     Ok(fs::write(folder.join(format!("{name}.md")), text)?)
 }
 
+/// Prints a table and, if a folder was named, writes it to `NAME.md` there, below a description.
+pub fn print_and_write_table(
+    folder: Option<&Path>,
+    name: &str,
+    description: &str,
+    table: &Table,
+) -> anyhow::Result<()> {
+    println!("{}", table.to_markdown());
+    folder.map_or(Ok(()), |folder| write_table(folder, name, description, table))
+}
+
 /// A line of a chart.
 pub struct Line {
     /// What it shows.
@@ -58,8 +69,30 @@
     pub range: Range<f64>,
 }
 
+/// A chart of lines.
+pub struct Chart<'a> {
+    /// What its axes show.
+    pub axes: Axes,
+    /// Its lines.
+    pub lines: &'a [Line],
+}
+
+/// Writes a table and a chart to `NAME.md` and `NAME.svg` in a folder, if one was named.
+pub fn write_table_and_chart(
+    folder: Option<&Path>,
+    name: &str,
+    description: &str,
+    table: &Table,
+    chart: &Chart<'_>,
+) -> anyhow::Result<()> {
+    let Some(folder) = folder else { return Ok(()) };
+    write_table(folder, name, description, table)?;
+    write_chart(folder, name, chart)
+}
+
 /// Draws lines over a logarithmic x, to `NAME.svg` in a folder.
-pub fn write_chart(folder: &Path, name: &str, axes: &Axes, lines: &[Line]) -> anyhow::Result<()> {
+fn write_chart(folder: &Path, name: &str, chart: &Chart<'_>) -> anyhow::Result<()> {
+    let Chart { axes, lines } = chart;
     fs::create_dir_all(folder)?;
     let path = folder.join(format!("{name}.svg"));
     let root = SVGBackend::new(&path, CHART_SIZE).into_drawing_area();
--- a/crates/lab/src/sessions.rs
+++ b/crates/lab/src/sessions.rs
@@ -1,7 +1,7 @@
 //! Sessions write and read through routers that are killed and restarted; an oracle knows what each read
 //! should have seen.
 
-use crate::results::{write_chart, write_table, Axes, Line, Table};
+use crate::results::{write_table_and_chart, Axes, Chart, Line, Table};
 use crate::{CommonOptions, Outcome};
 use basalthill_standin::deployment::Deployment;
 use basalthill_standin::group::{GroupBehavior, StaleRead};
@@ -170,15 +170,14 @@
     table: &Table,
     lines: &[Line],
 ) -> anyhow::Result<()> {
-    let Some(out) = &common.out else { return Ok(()) };
     let description = format!(
         "Real router processes and sockets, stand-in group: {} routers, {} sessions, replicas {} ms \
          behind (what they do with reads then: {:?}), seed {}. {}",
         options.routers, options.sessions, options.lag_ms, options.behind, common.seed, options.more
     );
-    write_table(out, &options.name, &description, table)?;
     let axes = Axes { title: "Session reads served within", x: "ms", y: "share", range: 0.0..1.0 };
-    write_chart(out, &options.name, &axes, lines)
+    let chart = Chart { axes, lines };
+    write_table_and_chart(common.out.as_deref(), &options.name, &description, table, &chart)
 }
 
 /// Runs the experiment. It passes if no read was stale, but for the mode that promises nothing.
