--- a/crates/router/tests/at_most_once.rs
+++ b/crates/router/tests/at_most_once.rs
@@ -5,18 +5,18 @@
 mod common;
 
 use basalthill_standin::client::{startup, Answer, Client};
-use basalthill_standin::discovery::{endpoint_list, Discovery, Endpoint};
+use basalthill_standin::discovery::{endpoint_list, Endpoint};
 use basalthill_standin::host::{Host, Reply};
 use basalthill_standin::{unix_ms, Watched};
-use common::served::{error_code, primary_host, primary_report, row, RouterThread};
+use common::served::{
+    error_code, primary_host, primary_report, primary_with_row, row, RouterThread, DESCRIPTORS,
+};
 use common::{statement_text, SETTINGS};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The descriptors of each router.
-const DESCRIPTORS: usize = 256;
 /// The time that each write has.
 const DEADLINE: Duration = Duration::from_millis(2900);
 /// AuthenticationOk and ReadyForQuery: a host's answer to the startup message.
@@ -37,13 +37,6 @@
     settings.replace("\"connectTimeout\": 250000000", "\"connectTimeout\": 2000000000")
 }
 
-/// A router of one host, with settings.
-fn start_router(addr: SocketAddr, settings: &str) -> RouterThread {
-    let known = endpoint_list(1, true, &[Endpoint::new("s-1", addr, 2, "active", "source")]);
-    let discovery = Discovery::start(known.clone()).unwrap();
-    RouterThread::start(&known, discovery.addr, DESCRIPTORS, settings)
-}
-
 /// A host that accepts all connections, answers health checks, and closes a connection once it has read this
 /// many bytes of a statement, or all of it. It records the statements that have arrived complete.
 struct CuttingHost {
@@ -107,7 +100,7 @@
 fn non_idempotent_write_over_cut_connections_arrives_complete_at_most_once() {
     for cut_after in [Some(64), Some(1000), Some(60_000), None] {
         let host = CuttingHost::start(cut_after);
-        let router = start_router(host.addr, SETTINGS);
+        let router = RouterThread::with_settings(host.addr, SETTINGS);
         for (n, size) in [40, 2_000, 65_536].into_iter().enumerate() {
             let statement = write(&format!("cut{n}")).replace("9f03", &"9f".repeat(size));
             let answer = router.client().query(&statement).unwrap();
@@ -135,7 +128,7 @@
         "\"effect\": \"at_most_once\"",
         "\"effect\": \"deduplicated\", \"keyScope\": \"all\", \"window\": 300000000",
     );
-    let router = start_router(host.addr, &with_long_connect_timeout(&keyed));
+    let router = RouterThread::with_settings(host.addr, &with_long_connect_timeout(&keyed));
     assert_eq!(router.client().query(&write("first")).unwrap(), row(b"x"));
     let mut client = router.client();
     client.send(&write("short")).unwrap();
@@ -154,16 +147,15 @@
 
 #[test]
 fn slow_connecting_host_does_not_delay_requests_to_other_hosts() {
-    let slow = primary_host(|_| Reply::Row(b"x".to_vec()));
-    let quick = primary_host(|_| Reply::Row(b"x".to_vec()));
+    let slow = primary_with_row(b"x");
+    let quick = primary_with_row(b"x");
     slow.seen.change(|host| host.withhold_welcome = true);
     let members = [
         Endpoint::new("s-1", quick.addr, 2, "active", "source"),
         Endpoint::new("s-2", slow.addr, 3, "active", "source"),
     ];
     let known = endpoint_list(1, true, &members);
-    let discovery = Discovery::start(known.clone()).unwrap();
-    let router = RouterThread::start(&known, discovery.addr, DESCRIPTORS, SETTINGS);
+    let (router, _discovery) = RouterThread::with_discovery(&known, DESCRIPTORS, SETTINGS);
     let send_to_slow = |n: usize| {
         let mut client = router.client();
         client.send(&write(&format!("slow{n}")).replace("cluster=2", "cluster=3")).unwrap();
@@ -186,7 +178,7 @@
 #[test]
 fn late_connection_forwards_only_the_remaining_deadline() {
     let host = primary_host(|_| Reply::RowThenClose(b"x".to_vec()));
-    let router = start_router(host.addr, &with_long_connect_timeout(SETTINGS));
+    let router = RouterThread::with_settings(host.addr, &with_long_connect_timeout(SETTINGS));
     let mut client = router.client();
     host.seen.change(|host| host.withhold_welcome = true);
     let sent_at = Instant::now();
--- a/crates/router/tests/client_edge_cases.rs
+++ b/crates/router/tests/client_edge_cases.rs
@@ -7,7 +7,7 @@
 use basalthill_standin::client::{query, startup, Client, Message};
 use basalthill_standin::host::{Host, Reply};
 use basalthill_standin::{unix_ms, Watched, TIMEOUT};
-use common::served::{error_code, primary_host, primary_report, row, RouterThread};
+use common::served::{error_code, primary_host, primary_report, primary_with_row, row, RouterThread};
 use common::{statement_text, SETTINGS};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -181,7 +181,7 @@
 
 #[test]
 fn requests_that_race_with_shutdown_are_answered_or_unread() {
-    let host = primary_host(|_| Reply::Row(b"x".to_vec()));
+    let host = primary_with_row(b"x");
     let mut router = RouterThread::with_primary(&host);
     let mut resting: Vec<Client> = (0..40).map(|_| router.client()).collect();
     let (mut half, mut sentinel) = (router.client(), router.client());
@@ -234,7 +234,7 @@
 
 #[test]
 fn clients_that_send_without_pause_do_not_delay_shutdown() {
-    let host = primary_host(|_| Reply::Row(b"x".to_vec()));
+    let host = primary_with_row(b"x");
     let mut router = RouterThread::with_primary(&host);
     let busy = Arc::new(AtomicBool::new(true));
     flood(router.addr, 3, &busy);
@@ -297,7 +297,7 @@
 /// A client that is evicted as it sends a request is served, or its request was never forwarded.
 #[test]
 fn requests_that_race_with_an_eviction_are_answered_or_unread() {
-    let host = primary_host(|_| Reply::Row(b"x".to_vec()));
+    let host = primary_with_row(b"x");
     let router = RouterThread::with_descriptors(&host, 64);
     let mut unserved = 0;
     for round in 0..40 {
--- a/crates/router/tests/common/served.rs
+++ b/crates/router/tests/common/served.rs
@@ -18,6 +18,9 @@
 /// So little that only one large statement at a time may be read.
 const MEMORY_MB: u64 = 1;
 
+/// The descriptors of a router whose test has no need of few.
+pub const DESCRIPTORS: usize = 256;
+
 /// A router in a thread of its own; it is stopped and joined on drop.
 pub struct RouterThread {
     /// Where it listens.
@@ -76,21 +79,23 @@
 
     /// A router with one primary, which discovery also lists.
     pub fn with_primary(host: &Host) -> RouterThread {
-        RouterThread::with_descriptors(host, 256)
+        RouterThread::with_descriptors(host, DESCRIPTORS)
     }
 
     /// The same with a number of descriptors.
     pub fn with_descriptors(host: &Host, sockets: usize) -> RouterThread {
-        let known = primary_list(1, host.addr);
-        let discovery = Discovery::start(known.clone()).unwrap();
-        RouterThread::start(&known, discovery.addr, sockets, SETTINGS)
+        RouterThread::with_discovery(&primary_list(1, host.addr), sockets, SETTINGS).0
     }
 
     /// A router with one primary and these settings of the deployment.
     pub fn with_settings(host: SocketAddr, settings: &str) -> RouterThread {
-        let known = primary_list(1, host);
-        let discovery = Discovery::start(known.clone()).unwrap();
-        RouterThread::start(&known, discovery.addr, 256, settings)
+        RouterThread::with_discovery(&primary_list(1, host), DESCRIPTORS, settings).0
+    }
+
+    /// A router that knows a list of members, and a discovery that has the same list.
+    pub fn with_discovery(known: &str, sockets: usize, settings: &str) -> (RouterThread, Discovery) {
+        let discovery = Discovery::start(known.into()).unwrap();
+        (RouterThread::start(known, discovery.addr, sockets, settings), discovery)
     }
 
     /// A client that is connected and ready for a query.
@@ -132,6 +137,16 @@
     .unwrap()
 }
 
+/// A primary that serves each statement with a row of this value.
+pub fn primary_with_row(value: &'static [u8]) -> Host {
+    primary_host(move |_| Reply::Row(value.to_vec()))
+}
+
+/// A primary, which serves the row `one`, and the one that replaces it, which serves the row `two`.
+pub fn primary_and_successor() -> (Host, Host) {
+    (primary_with_row(b"one"), primary_with_row(b"two"))
+}
+
 /// An address at which nobody listens: a privileged port.
 pub fn unreachable_address() -> SocketAddr {
     (Ipv4Addr::LOCALHOST, 1).into()
--- a/crates/router/tests/discovery_faults.rs
+++ b/crates/router/tests/discovery_faults.rs
@@ -5,8 +5,8 @@
 
 use basalthill_standin::client::{Answer, Client};
 use basalthill_standin::discovery::{endpoint_list, Discovery, Endpoint, ResponseMode};
-use basalthill_standin::host::{Host, Reply};
-use common::served::{primary_host, primary_list, row, RouterThread};
+use basalthill_standin::host::Host;
+use common::served::{primary_and_successor, primary_list, primary_with_row, row, RouterThread};
 use common::{statement_text, SETTINGS};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -16,11 +16,6 @@
 /// The settings' drain grace after that, and the tolerance of the rules.
 const GRACE: Duration = Duration::from_millis(1050);
 
-/// A primary, and the one that replaces it.
-fn primary_and_successor() -> (Host, Host) {
-    (primary_host(|_| Reply::Row(b"one".to_vec())), primary_host(|_| Reply::Row(b"two".to_vec())))
-}
-
 fn drained(version: u64, full: bool, one: &Host, two: &Host) -> String {
     let members = [
         Endpoint::new("s-1", one.addr, 2, "leaving", "copy"),
@@ -29,6 +24,13 @@
     endpoint_list(version, full, &members)
 }
 
+/// Discovery with a list, which answers its first calls as given.
+fn discovery_with_responses(list: String, responses: &[ResponseMode]) -> Discovery {
+    let discovery = Discovery::start(list).unwrap();
+    discovery.state.change(|t| t.next_responses.extend(responses));
+    discovery
+}
+
 /// Writes until the successor serves, and for `after` beyond that; how long the former took. A router without
 /// a free descriptor may close the connection: the next one is opened.
 fn time_until_failover(addr: SocketAddr, after: Duration) -> Duration {
@@ -66,8 +68,7 @@
 fn assert_drain_takes_effect_after(calls: &[ResponseMode]) {
     let (one, two) = primary_and_successor();
     let known = primary_list(1, one.addr);
-    let discovery = Discovery::start(known.clone()).unwrap();
-    discovery.state.change(|t| t.next_responses.push_back(ResponseMode::Drip));
+    let discovery = discovery_with_responses(known.clone(), &[ResponseMode::Drip]);
     let router = RouterThread::start(&known, discovery.addr, 64, SETTINGS);
     assert_eq!(router.client().query(&statement_text("write", "")).unwrap(), row(b"one"));
     let clients: Vec<_> = (0..80).map(|_| Client::connect_without_startup(router.addr).unwrap()).collect();
@@ -125,10 +126,8 @@
 fn a_new_discovery_address_is_followed_in_time_though_its_first_call_is_lost() {
     let (one, two) = primary_and_successor();
     let known = primary_list(70, one.addr);
-    let old = Discovery::start(known.clone()).unwrap();
-    old.state.change(|t| t.next_responses.extend([ResponseMode::Silent; 8]));
-    let new = Discovery::start(drained(3, true, &one, &two)).unwrap();
-    new.state.change(|t| t.next_responses.push_back(ResponseMode::Silent));
+    let old = discovery_with_responses(known.clone(), &[ResponseMode::Silent; 8]);
+    let new = discovery_with_responses(drained(3, true, &one, &two), &[ResponseMode::Silent]);
     let router = RouterThread::start(&known, old.addr, 64, SETTINGS);
     assert_eq!(router.client().query(&statement_text("write", "")).unwrap(), row(b"one"));
     let clients: Vec<_> = (0..80).map(|_| Client::connect_without_startup(router.addr).unwrap()).collect();
@@ -142,12 +141,10 @@
 /// call was lost: nothing of its grace is left when the list arrives.
 #[test]
 fn a_drain_from_before_the_start_has_no_grace_left_when_it_arrives_late() {
-    let one = primary_host(|_| Reply::Row(b"one".to_vec()));
+    let one = primary_with_row(b"one");
     let known = primary_list(1, one.addr);
-    let discovery =
-        Discovery::start(endpoint_list(2, true, &[Endpoint::new("s-1", one.addr, 2, "leaving", "source")]))
-            .unwrap();
-    discovery.state.change(|t| t.next_responses.push_back(ResponseMode::Silent));
+    let leaving = endpoint_list(2, true, &[Endpoint::new("s-1", one.addr, 2, "leaving", "source")]);
+    let discovery = discovery_with_responses(leaving, &[ResponseMode::Silent]);
     let router = RouterThread::start(&known, discovery.addr, 64, SETTINGS);
     assert_eq!(router.client().query(&statement_text("write", "")).unwrap(), row(b"one"));
     discovery.state.wait(|t| (t.requests.len() >= 2).then_some(())).unwrap();
@@ -166,8 +163,8 @@
 fn a_rejected_call_is_repeated_for_changes_only() {
     let (one, two) = primary_and_successor();
     let known = primary_list(7, one.addr);
-    let discovery = Discovery::start(drained(8, false, &one, &two)).unwrap();
-    discovery.state.change(|t| t.next_responses.extend([ResponseMode::Unavailable; 3]));
+    let list = drained(8, false, &one, &two);
+    let discovery = discovery_with_responses(list, &[ResponseMode::Unavailable; 3]);
     let settings = SETTINGS.replace("\"automatic\"", "\"subscribe\"");
     let router = RouterThread::start(&known, discovery.addr, 64, &settings);
     let requests = discovery.state.wait(|t| (t.requests.len() >= 4).then(|| t.requests.clone())).unwrap();
@@ -180,8 +177,8 @@
 fn an_indented_list_is_read() {
     let (one, two) = primary_and_successor();
     let known = primary_list(1, one.addr);
-    let discovery = Discovery::start(drained(2, true, &one, &two)).unwrap();
-    discovery.state.change(|t| t.next_responses.extend([ResponseMode::Indented; 8]));
+    let list = drained(2, true, &one, &two);
+    let discovery = discovery_with_responses(list, &[ResponseMode::Indented; 8]);
     let router = RouterThread::start(&known, discovery.addr, 64, SETTINGS);
     assert!(time_until_failover(router.addr, Duration::from_millis(1)) < Duration::from_secs(2));
     let mut client = router.client();
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -43,6 +43,21 @@
     harness.routers.iter().map(|r| r.addr).collect()
 }
 
+/// Starts `per_router` clients of each router, whose requests have `timeout_ms` each and come at `per_s` of
+/// the router's number a second.
+fn start_clients(
+    harness: &FleetHarness,
+    per_router: usize,
+    timeout_ms: u32,
+    seed: u64,
+    per_s: impl Fn(usize) -> f64,
+) -> PacedClients {
+    let comment = format!("c=report,t=acme,d={timeout_ms},cluster=2");
+    let clients = PacedClients::start(&addrs(harness), per_router, &comment, seed);
+    (0..harness.routers.len()).for_each(|n| clients.set_rate(n, per_s(n)));
+    clients
+}
+
 fn sleep_ms(ms: u64) {
     std::thread::sleep(Duration::from_millis(ms));
 }
@@ -57,8 +72,7 @@
 #[test]
 fn eight_routers_keep_a_rate_through_a_partition_a_kill_and_a_suspension() {
     let mut harness = start_routers(8, RATE_LIMIT, 0);
-    let clients = PacedClients::start(&addrs(&harness), 2, "c=report,t=acme,d=1500,cluster=2", 1);
-    (0..8).for_each(|n| clients.set_rate(n, if n < 2 { 250.0 } else { 30.0 }));
+    let clients = start_clients(&harness, 2, 1500, 1, |n| if n < 2 { 250.0 } else { 30.0 });
     sleep_ms(8000);
     let steady_since = Instant::now();
     sleep_ms(4000);
@@ -92,8 +106,7 @@
 #[test]
 fn no_host_exceeds_the_concurrency_limit_over_all_routers() {
     let mut harness = start_routers(8, CONCURRENCY_LIMIT, 40);
-    let clients = PacedClients::start(&addrs(&harness), 4, "c=report,t=acme,d=1400,cluster=2", 2);
-    (0..8).for_each(|n| clients.set_rate(n, if n < 2 { 120.0 } else { 15.0 }));
+    let clients = start_clients(&harness, 4, 1400, 2, |n| if n < 2 { 120.0 } else { 15.0 });
     sleep_ms(9000);
     let steady_since = Instant::now();
     sleep_ms(3000);
@@ -119,8 +132,7 @@
 #[test]
 fn forged_and_foreign_datagrams_do_not_slow_requests() {
     let harness = start_routers(3, RATE_LIMIT, 0);
-    let clients = PacedClients::start(&addrs(&harness), 2, "c=report,t=acme,d=1400,cluster=2", 3);
-    (0..3).for_each(|n| clients.set_rate(n, 60.0));
+    let clients = start_clients(&harness, 2, 1400, 3, |_| 60.0);
     sleep_ms(6000);
     let p99 = || {
         let mut all: Vec<u32> = clients
@@ -166,8 +178,7 @@
 #[test]
 fn a_limit_lowered_by_sighup_applies_once_all_routers_have_reloaded() {
     let harness = start_routers(4, RATE_LIMIT, 0);
-    let clients = PacedClients::start(&addrs(&harness), 2, "c=report,t=acme,d=1400,cluster=2", 4);
-    (0..4).for_each(|n| clients.set_rate(n, 150.0));
+    let _clients = start_clients(&harness, 2, 1400, 4, |_| 150.0);
     sleep_ms(7000);
     let lower = |n: usize| {
         let path = harness.settings[n].as_ref().expect("settings");
@@ -238,8 +249,7 @@
                     limit "probes" budget="probes" per-s=8 burst=8"#;
     let harness =
         start_harness(HarnessConfig { host_behavior: HostBehavior::FailSome, ..harness_config(8, limits) });
-    let clients = PacedClients::start(&addrs(&harness), 2, "c=report,t=acme,d=1400,cluster=2", 5);
-    (0..8).for_each(|n| clients.set_rate(n, if n < 2 { 60.0 } else { 10.0 }));
+    let clients = start_clients(&harness, 2, 1400, 5, |n| if n < 2 { 60.0 } else { 10.0 });
     sleep_ms(12_000);
     let retries = retries_at(&harness);
     let probes = harness.arrivals("SHOW vitals");
@@ -263,8 +273,7 @@
     let limits = r#"limit "new" budget="connects" per-s=60"#;
     let harness =
         start_harness(HarnessConfig { host_behavior: HostBehavior::Close, ..harness_config(8, limits) });
-    let clients = PacedClients::start(&addrs(&harness), 2, "c=report,t=acme,d=1400,cluster=2", 6);
-    (0..8).for_each(|n| clients.set_rate(n, if n < 2 { 40.0 } else { 8.0 }));
+    let clients = start_clients(&harness, 2, 1400, 6, |n| if n < 2 { 40.0 } else { 8.0 });
     sleep_ms(12_000);
     let mut accepted: Vec<Instant> =
         harness.hosts.iter().flat_map(|h| h.host.seen.lock().accepted_at.clone()).collect();
--- a/crates/router/tests/reconnect.rs
+++ b/crates/router/tests/reconnect.rs
@@ -2,45 +2,15 @@
 //! slack, nothing reaches a host after its deadline, and no write runs twice.
 
 use basalthill_client::{Client, Config, Request, RequestOutcome, Runtime};
+use basalthill_standin::connect_recorder;
 use basalthill_standin::deployment::Deployment;
 use basalthill_standin::group::GroupBehavior;
 use std::path::Path;
-use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
 const MS: Duration = Duration::from_millis(1);
 const CLIENTS: u64 = 160;
 
-static CONNECTS: Mutex<Vec<Instant>> = Mutex::new(Vec::new());
-
-/// Records the moment of each connect.
-struct Recorder;
-
-impl metrics::CounterFn for Recorder {
-    fn increment(&self, _: u64) {
-        CONNECTS.lock().unwrap().push(Instant::now());
-    }
-    fn absolute(&self, _: u64) {}
-}
-
-impl metrics::Recorder for Recorder {
-    fn describe_counter(&self, _: metrics::KeyName, _: Option<metrics::Unit>, _: metrics::SharedString) {}
-    fn describe_gauge(&self, _: metrics::KeyName, _: Option<metrics::Unit>, _: metrics::SharedString) {}
-    fn describe_histogram(&self, _: metrics::KeyName, _: Option<metrics::Unit>, _: metrics::SharedString) {}
-    fn register_counter(&self, key: &metrics::Key, _: &metrics::Metadata<'_>) -> metrics::Counter {
-        match key.name() == "basalthill_client_connects_total" {
-            true => metrics::Counter::from_arc(Arc::new(Recorder)),
-            false => metrics::Counter::noop(),
-        }
-    }
-    fn register_gauge(&self, _: &metrics::Key, _: &metrics::Metadata<'_>) -> metrics::Gauge {
-        metrics::Gauge::noop()
-    }
-    fn register_histogram(&self, _: &metrics::Key, _: &metrics::Metadata<'_>) -> metrics::Histogram {
-        metrics::Histogram::noop()
-    }
-}
-
 /// A write under a key of its own that names its deadline, in microseconds from `zero`.
 fn write(client: u64, n: u64, zero: Instant) -> Request {
     let deadline = Instant::now() + 900 * MS;
@@ -50,7 +20,7 @@
 
 #[test]
 fn clients_that_lose_a_router_reconnect_spread_over_their_slack() {
-    metrics::set_global_recorder(Recorder).unwrap();
+    connect_recorder::start();
     let program = Path::new(env!("CARGO_BIN_EXE_basalthill"));
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let mut world = Deployment::start(program, folder, 2, GroupBehavior::default(), None).unwrap();
@@ -81,8 +51,8 @@
     let died = Instant::now();
     let ends = round(1, Duration::ZERO);
     let after = |from: Instant| -> Vec<Duration> {
-        let connects = CONNECTS.lock().unwrap();
-        let mut all: Vec<Duration> = connects.iter().filter(|c| **c >= from).map(|c| *c - from).collect();
+        let connects = connect_recorder::since(from);
+        let mut all: Vec<Duration> = connects.iter().map(|c| *c - from).collect();
         all.sort();
         all
     };
--- a/crates/router/tests/routing/requests.rs
+++ b/crates/router/tests/routing/requests.rs
@@ -4,7 +4,14 @@
 use crate::harness::*;
 use basalthill_policy::api::{MemberId, Time};
 use basalthill_router::protocol::host::QueryOutcome;
-use basalthill_router::routing::{Answer, ClientId, Effect, ExchangeResult, Input, Query};
+use basalthill_router::routing::{Answer, ClientId, Effect, ExchangeId, ExchangeResult, Input, Query};
+
+/// A router that has started an attempt of client 1's request of a class.
+fn harness_with_attempt(class: &str) -> (RouterHarness, ExchangeId) {
+    let mut harness = RouterHarness::ready();
+    let id = harness.start_attempt(1, class).id;
+    (harness, id)
+}
 
 #[test]
 fn write_is_sent_to_primary_and_its_row_returned_to_client() {
@@ -51,8 +58,7 @@
 
 #[test]
 fn read_is_cancelled_when_its_client_disconnects() {
-    let mut harness = RouterHarness::ready();
-    let id = harness.start_attempt(1, "view").id;
+    let (mut harness, id) = harness_with_attempt("view");
     let effects = harness.input(Input::ClientDisconnected(ClientId(1)));
     assert!(aborts(&effects, id), "{effects:?}");
     assert!(answers(&effects).is_empty());
@@ -62,8 +68,7 @@
 
 #[test]
 fn write_is_tracked_until_it_ends_after_its_client_disconnects() {
-    let mut harness = RouterHarness::ready();
-    let id = harness.start_attempt(1, "write").id;
+    let (mut harness, id) = harness_with_attempt("write");
     harness.input(Input::ClientDisconnected(ClientId(1)));
     assert_eq!(harness.router.outstanding().requests, 1);
     let effects = harness.finish(id, row_answer(b"x"));
@@ -73,8 +78,7 @@
 
 #[test]
 fn empty_response_is_an_error_and_unknown_class_or_group_is_invalid() {
-    let mut harness = RouterHarness::ready();
-    let id = harness.start_attempt(1, "write").id;
+    let (mut harness, id) = harness_with_attempt("write");
     let effects = harness.finish(id, empty_answer());
     assert_eq!(answers(&effects), [(1, Answer::Failed)]);
     let effects = harness.send_request(2, "nonsense", "");
@@ -105,8 +109,7 @@
 
 #[test]
 fn shutdown_fails_unanswered_requests_exactly_once() {
-    let mut harness = RouterHarness::ready();
-    let id = harness.start_attempt(1, "write").id;
+    let (mut harness, id) = harness_with_attempt("write");
     assert_eq!(answers(&harness.input(Input::Shutdown)), [(1, Answer::Failed)]);
     let effects = harness.finish(id, row_answer(b"x"));
     assert!(answers(&effects).is_empty());
--- a/crates/router/tests/transport.rs
+++ b/crates/router/tests/transport.rs
@@ -6,7 +6,10 @@
 use basalthill_standin::discovery::{endpoint_list, Discovery, Endpoint};
 use basalthill_standin::host::{self, Reply};
 use basalthill_standin::TIMEOUT;
-use common::served::{error_code, primary_host, primary_list, row, unreachable_address, RouterThread};
+use common::served::{
+    error_code, primary_and_successor, primary_host, primary_list, primary_with_row, row,
+    unreachable_address, RouterThread, DESCRIPTORS,
+};
 use common::{statement_text, SETTINGS};
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
@@ -14,7 +17,7 @@
 
 #[test]
 fn a_statement_is_forwarded_unchanged_except_for_its_remaining_time() {
-    let host = primary_host(|_| Reply::Row(b"\x9f\x03".to_vec()));
+    let host = primary_with_row(b"\x9f\x03");
     let router = RouterThread::with_primary(&host);
     let mut client = Client::connect_without_startup(router.addr).unwrap();
     // Startup and the first query in one segment.
@@ -50,7 +53,7 @@
 
 #[test]
 fn encryption_is_declined_and_a_protocol_violation_closes_the_connection() {
-    let host = primary_host(|_| Reply::Row(b"x".to_vec()));
+    let host = primary_with_row(b"x");
     let router = RouterThread::with_primary(&host);
     let mut client = Client::connect_without_startup(router.addr).unwrap();
     client.stream.write_all(&[0, 0, 0, 8, 4, 210, 22, 47]).unwrap();
@@ -148,7 +151,7 @@
 
 #[test]
 fn idle_host_connections_are_closed_before_the_configured_timeout() {
-    let host = primary_host(|_| Reply::Row(b"x".to_vec()));
+    let host = primary_with_row(b"x");
     // Health checks would keep a connection busy.
     let settings = SETTINGS.replace("\"connIdle\": 15000000000", "\"connIdle\": 1000000000");
     let settings = settings.replace("\"probes\": true", "\"probes\": false");
@@ -217,7 +220,7 @@
 
 #[test]
 fn idle_clients_are_evicted_for_new_connections() {
-    let host = primary_host(|_| Reply::Row(b"x".to_vec()));
+    let host = primary_with_row(b"x");
     let router = RouterThread::with_descriptors(&host, 64);
     // Of 64 descriptors clients use 21 together: a router that evicted nobody would have none left by then.
     let mut clients: Vec<Client> = (0..60)
@@ -245,7 +248,7 @@
 fn a_client_mid_request_is_not_evicted_while_others_are_idle() {
     // Found in a long run: among many clients, those that wrote a request in pieces lost their connections,
     // and the request with it where its last piece had been written by then.
-    let host = primary_host(|_| Reply::Row(b"x".to_vec()));
+    let host = primary_with_row(b"x");
     let router = RouterThread::with_descriptors(&host, 64);
     let send_write =
         |client: &mut Client| assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"x"));
@@ -270,7 +273,7 @@
 
 #[test]
 fn silent_connections_are_evicted_and_time_out() {
-    let host = primary_host(|_| Reply::Row(b"x".to_vec()));
+    let host = primary_with_row(b"x");
     let router = RouterThread::with_descriptors(&host, 48);
     let began = Instant::now();
     let mut silent: Vec<Client> =
@@ -304,7 +307,7 @@
 
 #[test]
 fn invalid_commands_are_answered_in_order_and_then_close_the_connection() {
-    let host = primary_host(|_| Reply::Row(b"x".to_vec()));
+    let host = primary_with_row(b"x");
     let router = RouterThread::with_primary(&host);
     let mut client = router.client();
     let wrong = [
@@ -326,7 +329,7 @@
 
 #[test]
 fn a_60_mb_statement_is_rejected_by_its_header() {
-    let host = primary_host(|_| Reply::Row(b"x".to_vec()));
+    let host = primary_with_row(b"x");
     let router = RouterThread::with_primary(&host);
     let mut client = router.client();
     let mut stream = client.stream.try_clone().unwrap();
@@ -378,11 +381,8 @@
 
 #[test]
 fn list_changes_are_followed_through_malformed_lists_and_broken_watches() {
-    let (one, two) =
-        (primary_host(|_| Reply::Row(b"one".to_vec())), primary_host(|_| Reply::Row(b"two".to_vec())));
-    let known = primary_list(1, one.addr);
-    let discovery = Discovery::start(known.clone()).unwrap();
-    let router = RouterThread::start(&known, discovery.addr, 256, SETTINGS);
+    let (one, two) = primary_and_successor();
+    let (router, discovery) = RouterThread::with_discovery(&primary_list(1, one.addr), DESCRIPTORS, SETTINGS);
     let mut client = router.client();
     assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"one"));
     // A malformed list: the known one stays, and the watch is opened again for the full list.
@@ -407,10 +407,10 @@
 
 #[test]
 fn without_a_known_list_the_router_is_ready_after_the_first_list() {
-    let host = primary_host(|_| Reply::Row(b"x".to_vec()));
+    let host = primary_with_row(b"x");
     let discovery = Discovery::start(primary_list(1, host.addr)).unwrap();
     discovery.state.change(|t| t.silent = true);
-    let router = RouterThread::start("null", discovery.addr, 256, SETTINGS);
+    let router = RouterThread::start("null", discovery.addr, DESCRIPTORS, SETTINGS);
     let mut client = Client::connect_without_startup(router.addr).unwrap();
     client.stream.write_all(&[startup(), query("")].concat()).unwrap();
     discovery.state.wait(|t| (!t.requests.is_empty()).then_some(())).unwrap();
@@ -424,12 +424,11 @@
 /// that serves all routers in turn.
 #[test]
 fn with_polled_lists_the_watch_is_the_only_call() {
-    let host = primary_host(|_| Reply::Row(b"x".to_vec()));
-    let known = primary_list(1, host.addr);
-    let discovery = Discovery::start(known.clone()).unwrap();
+    let host = primary_with_row(b"x");
     let settings = SETTINGS.replace("\"automatic\"", "\"subscribe\"");
     let settings = settings.replace("\"rules\": {", "\"rules\": {\"askEvery\": 20000000, ");
-    let router = RouterThread::start(&known, discovery.addr, 256, &settings);
+    let (router, discovery) =
+        RouterThread::with_discovery(&primary_list(1, host.addr), DESCRIPTORS, &settings);
     // The stand-in is silent for longer than a watch may be: by its end a router that polled each 10 ms would
     // have done so two hundred times.
     let again = discovery.state.wait(|t| t.requests.get(1).cloned()).unwrap();
@@ -439,7 +438,7 @@
 
 #[test]
 fn concurrent_reads_of_large_statements_are_limited() {
-    let host = primary_host(|_| Reply::Row(b"x".to_vec()));
+    let host = primary_with_row(b"x");
     let router = RouterThread::with_primary(&host);
     let large =
         |id: &str| statement_text("write", "").replace("9f03", &"9f".repeat(65_536)).replace("id=9", id);
@@ -463,10 +462,9 @@
 
 #[test]
 fn a_silent_watch_is_reopened_from_the_last_version() {
-    let host = primary_host(|_| Reply::Row(b"x".to_vec()));
-    let known = primary_list(7, host.addr);
-    let discovery = Discovery::start(known.clone()).unwrap();
-    let router = RouterThread::start(&known, discovery.addr, 256, SETTINGS);
+    let host = primary_with_row(b"x");
+    let (router, discovery) =
+        RouterThread::with_discovery(&primary_list(7, host.addr), DESCRIPTORS, SETTINGS);
     // The stand-in writes its list, and then nothing for longer than two keep-alives would take.
     let again = discovery.state.wait(|t| t.requests.get(1).cloned()).unwrap();
     assert!(again.contains("watch=1") && again.contains("from=7"), "{again}");
@@ -502,8 +500,7 @@
 
 #[test]
 fn a_new_discovery_address_is_followed_at_once_while_the_old_one_hangs() {
-    let (one, two) =
-        (primary_host(|_| Reply::Row(b"one".to_vec())), primary_host(|_| Reply::Row(b"two".to_vec())));
+    let (one, two) = primary_and_successor();
     let known = primary_list(70, one.addr);
     let old = Discovery::start(known.clone()).unwrap();
     old.state.change(|t| t.silent = true);
@@ -511,7 +508,7 @@
     let new =
         Discovery::start(endpoint_list(3, true, &[Endpoint::new("s-2", two.addr, 2, "active", "source")]))
             .unwrap();
-    let router = RouterThread::start(&known, old.addr, 256, SETTINGS);
+    let router = RouterThread::start(&known, old.addr, DESCRIPTORS, SETTINGS);
     old.state.wait(|t| (!t.requests.is_empty()).then_some(())).unwrap();
     let mut client = router.client();
     assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"one"));
@@ -542,11 +539,8 @@
 
 #[test]
 fn an_unreachable_new_discovery_address_keeps_service_and_the_old_watch() {
-    let (one, two) =
-        (primary_host(|_| Reply::Row(b"one".to_vec())), primary_host(|_| Reply::Row(b"two".to_vec())));
-    let known = primary_list(1, one.addr);
-    let old = Discovery::start(known.clone()).unwrap();
-    let router = RouterThread::start(&known, old.addr, 256, SETTINGS);
+    let (one, two) = primary_and_successor();
+    let (router, old) = RouterThread::with_discovery(&primary_list(1, one.addr), DESCRIPTORS, SETTINGS);
     let mut client = router.client();
     old.state.wait(|t| (!t.requests.is_empty()).then_some(())).unwrap();
     for _ in 0..3 {
