--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -28,9 +28,7 @@
 #[test]
 fn a_queued_read_is_rejected_once_its_answer_would_be_late() {
     let mut b = Bench::new(settings());
-    let mut list = vec![endpoint(1, 0, true), endpoint(2, 0, false), endpoint(3, 0, false)];
-    list.iter_mut().for_each(|e| e.state = EndpointState::Removed);
-    b.event(Event::Endpoints(EndpointUpdate::Delta, list));
+    b.all_members_become(EndpointState::Removed);
     b.advance(1100);
     let id = b.request(BOUNDED, 0);
     b.advance(400);
@@ -40,8 +38,7 @@
 #[test]
 fn a_request_that_no_member_has_had_is_rejected_after_half_of_its_client_timeout() {
     let mut b = Bench::new(settings());
-    let gone = |m| Endpoint { state: EndpointState::Removed, ..endpoint(m, 0, m == 1) };
-    b.event(Event::Endpoints(EndpointUpdate::Delta, (1..=3).map(gone).collect()));
+    b.all_members_become(EndpointState::Removed);
     b.advance(1100);
     let id = b.request(NON_IDEMPOTENT, 0);
     b.advance(700);
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -92,6 +92,11 @@
     }
 }
 
+/// Primary 1 and replicas 2 and 3 of group 0.
+pub fn primary_and_replicas() -> Vec<Endpoint> {
+    vec![endpoint(1, 0, true), endpoint(2, 0, false), endpoint(3, 0, false)]
+}
+
 /// A request for group 0 without a floor, which its client does not mark as a retry.
 pub fn plain_request(id: RequestId, class: ClassId, deadline: Time) -> Request {
     Request {
@@ -133,8 +138,7 @@
 
     /// Like [`Bench::new`], with a seed for the router's random choices.
     pub fn with_seed(set: Settings, seed: u64) -> Bench {
-        let mut b =
-            Bench::start(set, seed, vec![endpoint(1, 0, true), endpoint(2, 0, false), endpoint(3, 0, false)]);
+        let mut b = Bench::start(set, seed, primary_and_replicas());
         for m in 1..=3 {
             let behind = if m == 1 { Time(0) } else { Time::ms(9000) };
             b.probe_succeeds(m, Time(b.now.0 - behind.0), if m == 1 { Role::Primary } else { Role::Replica });
@@ -281,18 +285,61 @@
 
     /// A response of a replica, this many milliseconds behind, to a request that has ended before.
     pub fn respond_with_lag(&mut self, m: u32, behind: u64) {
-        let p = Time(self.now.0 - Time::ms(behind).0);
+        let position = Time(self.now.0 - Time::ms(behind).0);
+        self.respond(m, Status::Misdirected, position, Role::Replica);
+    }
+
+    /// A response of a member that reports a position and a role, to a request that has ended before.
+    pub fn respond(&mut self, member: u32, status: Status, position: Time, role: Role) {
         self.event(Event::Outcome(Outcome {
             request: RequestId(u64::MAX),
             attempt: Attempt(0),
-            member: MemberId(m),
-            status: Status::Misdirected,
+            member: MemberId(member),
+            status,
             took: Time::ms(1),
             ended: true,
-            replication: ReplicationState { position: Some(p), role: Some(Role::Replica) },
+            replication: ReplicationState { position: Some(position), role: Some(role) },
             report: ReplicationState::default(),
         }));
     }
+
+    /// A successful health check of primary 1 and of replicas 2 and 3, all of them up to date.
+    pub fn all_probes_succeed(&mut self) {
+        for member in 1..=3 {
+            let role = if member == 1 { Role::Primary } else { Role::Replica };
+            self.probe_succeeds(member, self.now, role);
+        }
+    }
+
+    /// A health check that fails, or could not be sent, after this many milliseconds.
+    pub fn probe_fails(&mut self, member: u32, status: Status, took_ms: u64) {
+        self.event(Event::ProbeFinished {
+            member: MemberId(member),
+            status,
+            took: Time::ms(took_ms),
+            report: ReplicationState::default(),
+        });
+    }
+
+    /// A change to the endpoint list arrives.
+    pub fn list_changes(&mut self, list: Vec<Endpoint>) {
+        self.event(Event::Endpoints(EndpointUpdate::Delta, list));
+    }
+
+    /// The endpoint list reports this state for primary 1 and replicas 2 and 3.
+    pub fn all_members_become(&mut self, state: EndpointState) {
+        let mut list = primary_and_replicas();
+        list.iter_mut().for_each(|endpoint| endpoint.state = state);
+        self.list_changes(list);
+    }
+
+    /// This many writes in a row that the primary serves in 20 milliseconds each.
+    pub fn primary_serves_writes(&mut self, count: usize) {
+        for _ in 0..count {
+            let id = self.request(NON_IDEMPOTENT, 0);
+            self.finish(id, Status::Ok, 20, 0, Role::Primary);
+        }
+    }
 }
 
 /// Attempts at a member since a time.
--- a/crates/policy/tests/ejection.rs
+++ b/crates/policy/tests/ejection.rs
@@ -38,18 +38,8 @@
             _ => b.finish(id, Status::Reset, 15, 0, Role::Primary),
         }
         // Nor do probes that come to nothing on the way.
-        b.event(Event::ProbeFinished {
-            member: MemberId(1),
-            status: Status::Reset,
-            took: Time::ms(1),
-            report: ReplicationState::default(),
-        });
-        b.event(Event::ProbeFinished {
-            member: MemberId(1),
-            status: Status::Error,
-            took: Time::ms(1),
-            report: ReplicationState::default(),
-        });
+        b.probe_fails(1, Status::Reset, 1);
+        b.probe_fails(1, Status::Error, 1);
     }
     // One that answers nothing any more is left alone after the first.
     b.advance(300);
@@ -65,12 +55,7 @@
     set.when_behind = WhenBehind::Reject;
     let mut b = Bench::new(set);
     for _ in 0..3 {
-        b.event(Event::ProbeFinished {
-            member: MemberId(2),
-            status: Status::Timeout,
-            took: Time::ms(250),
-            report: ReplicationState::default(),
-        });
+        b.probe_fails(2, Status::Timeout, 250);
     }
     let from = b.now;
     for _ in 0..5 {
@@ -99,10 +84,7 @@
 #[test]
 fn a_silent_primary_gets_few_more_writes() {
     let mut b = Bench::new(settings());
-    for _ in 0..60 {
-        let id = b.request(NON_IDEMPOTENT, 0);
-        b.finish(id, Status::Ok, 20, 0, Role::Primary);
-    }
+    b.primary_serves_writes(60);
     b.advance(10);
     let from = b.now;
     for _ in 0..100 {
@@ -181,10 +163,7 @@
 fn a_slightly_late_timer_is_no_stall() {
     // Real timers fire a moment after their time. A router with little to do must still see silence.
     let mut b = Bench::new(settings());
-    for _ in 0..60 {
-        let id = b.request(NON_IDEMPOTENT, 0);
-        b.finish(id, Status::Ok, 20, 0, Role::Primary);
-    }
+    b.primary_serves_writes(60);
     b.advance(10);
     b.request(NON_IDEMPOTENT, 0);
     for _ in 0..10 {
@@ -201,12 +180,7 @@
     let mut b = Bench::new(settings());
     for _ in 0..3 {
         b.advance(300);
-        b.event(Event::ProbeFinished {
-            member: MemberId(1),
-            status: Status::NotSent,
-            took: Time::ms(250),
-            report: ReplicationState::default(),
-        });
+        b.probe_fails(1, Status::NotSent, 250);
     }
     let write = b.request(NON_IDEMPOTENT, 0);
     assert_eq!(b.last_target(write), Some(1), "the primary is as good as before");
--- a/crates/policy/tests/endpoint_list.rs
+++ b/crates/policy/tests/endpoint_list.rs
@@ -8,9 +8,7 @@
 #[test]
 fn no_attempt_goes_to_a_member_past_its_drain_grace() {
     let mut b = Bench::new(settings());
-    let mut list = vec![endpoint(1, 0, true), endpoint(2, 0, false), endpoint(3, 0, false)];
-    list.iter_mut().for_each(|e| e.state = EndpointState::Draining);
-    b.event(Event::Endpoints(EndpointUpdate::Delta, list));
+    b.all_members_become(EndpointState::Draining);
     b.advance(1100);
     let ids: Vec<_> = [EVENTUAL, BOUNDED, SESSION, STRONG, NON_IDEMPOTENT, IDEMPOTENT_BY_KEY]
         .into_iter()
@@ -42,11 +40,11 @@
         let mut b = Bench::new(settings());
         for n in 0..replaced {
             let gone = Endpoint { state: EndpointState::Removed, ..endpoint(100 + n, 0, false) };
-            b.event(Event::Endpoints(EndpointUpdate::Delta, vec![endpoint(100 + n, 0, false)]));
-            b.event(Event::Endpoints(EndpointUpdate::Delta, vec![gone]));
+            b.list_changes(vec![endpoint(100 + n, 0, false)]);
+            b.list_changes(vec![gone]);
         }
         b.advance(40_000);
-        b.event(Event::Endpoints(EndpointUpdate::Delta, vec![endpoint(3, 0, false)]));
+        b.list_changes(vec![endpoint(3, 0, false)]);
         let round = |b: &mut Bench| {
             let began = std::time::Instant::now();
             for _ in 0..200 {
@@ -74,12 +72,11 @@
         b.advance(1100);
         let id = b.request(EVENTUAL, 0);
         assert_eq!(b.is_in_flight(id), only_draining_binds, "an empty list");
-        let gone = |m| Endpoint { state: EndpointState::Removed, ..endpoint(m, 0, m == 1) };
-        b.event(Event::Endpoints(EndpointUpdate::Delta, (1..=3).map(gone).collect()));
+        b.all_members_become(EndpointState::Removed);
         b.advance(1100);
         let id = b.request(EVENTUAL, 0);
         assert_eq!(b.is_in_flight(id), only_draining_binds, "a list with all members removed");
-        b.event(Event::Endpoints(EndpointUpdate::Full, (1..=3).map(|m| endpoint(m, 0, m == 1)).collect()));
+        b.event(Event::Endpoints(EndpointUpdate::Full, primary_and_replicas()));
         let id = b.request(EVENTUAL, 0);
         assert!(b.is_in_flight(id), "the true one again");
         let id = b.request(EVENTUAL, 0);
@@ -99,7 +96,7 @@
         let mut line = endpoint(1, 0, true);
         line.state = EndpointState::Draining;
         line.notified_at = notified_at;
-        b.event(Event::Endpoints(EndpointUpdate::Delta, vec![line]));
+        b.list_changes(vec![line]);
         let id = b.request(NON_IDEMPOTENT, 0);
         assert_eq!(b.last_target(id) == Some(1), sends, "notified {ago} ms ago, the grace is a second");
     }
--- a/crates/policy/tests/large_fleets.rs
+++ b/crates/policy/tests/large_fleets.rs
@@ -40,7 +40,7 @@
     // or that a router had no need of.
     let probes = |routers: u32, others: u32| {
         let set = Settings { routers, ..settings() };
-        let mut list = vec![endpoint(1, 0, true), endpoint(2, 0, false), endpoint(3, 0, false)];
+        let mut list = primary_and_replicas();
         list.extend((0..others).map(|n| endpoint(10 + n, 1 + n / 4, false)));
         let (mut b, mut sum) = (Bench::with_list(set, list), 0);
         for _ in 0..100 {
--- a/crates/policy/tests/primary_search.rs
+++ b/crates/policy/tests/primary_search.rs
@@ -29,17 +29,7 @@
     b.finish(first, Status::ConnectFailed, 250, 0, Role::Primary);
     let id = b.request(IDEMPOTENT_BY_KEY, 0);
     assert_eq!(b.last_target(id), None, "a suspect primary gets no writes");
-    let p = b.now;
-    b.event(Event::Outcome(Outcome {
-        request: RequestId(77_777),
-        attempt: Attempt(0),
-        member: MemberId(3),
-        status: Status::Ok,
-        took: Time::ms(1),
-        ended: true,
-        replication: ReplicationState { position: Some(p), role: Some(Role::Primary) },
-        report: ReplicationState::default(),
-    }));
+    b.respond(3, Status::Ok, b.now, Role::Primary);
     assert_eq!(b.last_target(id), Some(3));
 }
 
@@ -48,7 +38,7 @@
     let mut b = Bench::new(settings());
     let id = b.request(IDEMPOTENT_BY_KEY, 0);
     b.finish(id, Status::Ok, 20, 0, Role::Primary);
-    b.event(Event::Endpoints(EndpointUpdate::Delta, vec![endpoint(2, 0, true)]));
+    b.list_changes(vec![endpoint(2, 0, true)]);
     let id = b.request(IDEMPOTENT_BY_KEY, 0);
     assert_eq!(b.last_target(id), Some(1));
 }
@@ -58,8 +48,7 @@
     let mut set = settings();
     set.list_role = ListRole::None;
     set.probe_roles = false;
-    let mut b =
-        Bench::with_list(set, vec![endpoint(1, 0, true), endpoint(2, 0, false), endpoint(3, 0, false)]);
+    let mut b = Bench::with_list(set, primary_and_replicas());
     let id = b.request(IDEMPOTENT_BY_KEY, 0);
     assert_eq!(b.last_target(id), None, "the list's word on roles counts for nothing here");
     b.advance(200);
--- a/crates/policy/tests/retries.rs
+++ b/crates/policy/tests/retries.rs
@@ -47,13 +47,11 @@
 fn a_write_with_a_zone_scoped_key_is_retried_in_its_zone_only() {
     let mut set = settings();
     set.classes[usize::from(IDEMPOTENT_BY_KEY.0)].scope = KeyScope::Zone;
-    let mut list = vec![endpoint(1, 0, true), endpoint(2, 0, false), endpoint(3, 0, false)];
+    let mut list = primary_and_replicas();
     list[1].zone = ZoneId(1);
     list[2].zone = ZoneId(1);
     let mut b = Bench::with_list(set, list);
-    for m in 1..=3 {
-        b.probe_succeeds(m, b.now, if m == 1 { Role::Primary } else { Role::Replica });
-    }
+    b.all_probes_succeed();
     let id = b.request(IDEMPOTENT_BY_KEY, 0);
     b.finish(id, Status::Error, 20, 10, Role::Replica);
     b.advance(1400);
--- a/crates/policy/tests/selection.rs
+++ b/crates/policy/tests/selection.rs
@@ -69,7 +69,7 @@
     let mut b = Bench::new(set);
     let mut far = endpoint(3, 0, false);
     far.zone = ZoneId(1);
-    b.event(Event::Endpoints(EndpointUpdate::Delta, vec![far]));
+    b.list_changes(vec![far]);
     let mut near = 0;
     for _ in 0..40 {
         b.replicas_respond_with_lag([10, 10]);
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -89,9 +89,9 @@
     let mut set = settings();
     set.when_behind = WhenBehind::Reject;
     let mut b = Bench::new(set);
-    let mut starting: Vec<Endpoint> = (1..=3).map(|m| endpoint(m, 0, m == 1)).collect();
+    let mut starting = primary_and_replicas();
     starting.iter_mut().for_each(|e| e.started = Some(b.now));
-    b.event(Event::Endpoints(EndpointUpdate::Delta, starting));
+    b.list_changes(starting);
     let from = b.now;
     for _ in 0..40 {
         b.request(EVENTUAL, 0);
--- a/crates/policy/tests/startup.rs
+++ b/crates/policy/tests/startup.rs
@@ -26,14 +26,12 @@
 
 #[test]
 fn reads_wait_for_the_first_health_checks() {
-    let list = vec![endpoint(1, 0, true), endpoint(2, 0, false), endpoint(3, 0, false)];
+    let list = primary_and_replicas();
     let mut b = Bench::with_list(settings(), list);
     let probes = |b: &Bench| b.log.iter().filter(|(_, a)| matches!(a, Action::Probe(_))).count();
     assert_eq!(probes(&b), 3);
     let id = b.request(BOUNDED, 0);
     assert_eq!(b.last_target(id), None);
-    for m in 1..=3 {
-        b.probe_succeeds(m, b.now, if m == 1 { Role::Primary } else { Role::Replica });
-    }
+    b.all_probes_succeed();
     assert!(b.last_target(id).is_some(), "released by the last probe");
 }
