--- a/crates/config/src/local_settings/fleet.rs
+++ b/crates/config/src/local_settings/fleet.rs
@@ -178,18 +178,8 @@
             let group = reader.integer(node, &key, property, 0..=i128::from(u32::MAX))?;
             Ok(Subject::Group(group.unwrap_or_default() as u32))
         }
-        "budget" => Ok(Subject::Budget(read_budget(reader, node, &key)?)),
+        "budget" => Ok(Subject::Budget(reader.one_of(node, &key, property, &Budget::ALL)?)),
         _ if reader.flag(node, &key, property)? => Ok(Subject::EachMember),
         _ => Err(reader.node_error(node, &key, Problem::OnlyTrue)),
     }
 }
-
-fn read_budget(reader: &KdlReader, node: &KdlNode, key: &str) -> Result<Budget, ConfigError> {
-    let word = reader.text(node, key, "budget")?;
-    if let Some((_, budget)) = Budget::ALL.into_iter().find(|(name, _)| *name == word) {
-        return Ok(budget);
-    }
-    let expected = Budget::ALL.map(|(name, _)| name).join(", ");
-    let problem = Problem::NotOneOf { value: word.to_string(), expected };
-    Err(reader.node_error(node, key, problem))
-}
--- a/crates/config/src/local_settings/kdl_reader.rs
+++ b/crates/config/src/local_settings/kdl_reader.rs
@@ -92,6 +92,23 @@
         entry.value().as_string().ok_or_else(|| self.entry_error(entry, key, problem))
     }
 
+    /// A text that has to be there and to be one of these words: what the word stands for.
+    pub(super) fn one_of<T: Copy>(
+        &self,
+        node: &KdlNode,
+        key: &str,
+        entry: impl Into<NodeKey>,
+        choices: &[(&str, T)],
+    ) -> Result<T, ConfigError> {
+        let text = self.text(node, key, entry)?;
+        if let Some((_, choice)) = choices.iter().find(|(word, _)| *word == text) {
+            return Ok(*choice);
+        }
+        let words: Vec<&str> = choices.iter().map(|(word, _)| *word).collect();
+        let problem = Problem::NotOneOf { value: text.to_string(), expected: words.join(", ") };
+        Err(self.node_error(node, key, problem))
+    }
+
     /// A flag, which is off if it is not there.
     pub(super) fn flag(
         &self,
--- a/crates/config/src/local_settings/sessions.rs
+++ b/crates/config/src/local_settings/sessions.rs
@@ -73,19 +73,14 @@
 }
 
 fn read_default_floor(reader: &KdlReader, node: &KdlNode) -> Result<DefaultFloor, ConfigError> {
-    let key = "sessions.floor";
-    match reader.text(node, key, "floor")? {
-        "platform" => Ok(DefaultFloor::Platform),
-        "nothing" => Ok(DefaultFloor::RememberedOnly),
-        "router" => Ok(DefaultFloor::RouterStart),
-        "connection" => Ok(DefaultFloor::ConnectionAccept),
-        "arrival" => Ok(DefaultFloor::ReadArrival),
-        other => {
-            let expected = "platform, nothing, router, connection, arrival".to_string();
-            let problem = Problem::NotOneOf { value: other.to_string(), expected };
-            Err(reader.node_error(node, key, problem))
-        }
-    }
+    let choices = [
+        ("platform", DefaultFloor::Platform),
+        ("nothing", DefaultFloor::RememberedOnly),
+        ("router", DefaultFloor::RouterStart),
+        ("connection", DefaultFloor::ConnectionAccept),
+        ("arrival", DefaultFloor::ReadArrival),
+    ];
+    reader.one_of(node, "sessions.floor", "floor", &choices)
 }
 
 fn read_snapshot(reader: &KdlReader, node: &KdlNode, key: &str) -> Result<Snapshot, ConfigError> {
@@ -110,17 +105,12 @@
 }
 
 fn read_token_delivery(reader: &KdlReader, node: &KdlNode) -> Result<TokenDelivery, ConfigError> {
-    let key = "sessions.tokens.with";
-    match reader.text(node, key, "with")? {
-        "writes" => Ok(TokenDelivery::WritesOnly),
-        "reads" => Ok(TokenDelivery::WritesAndReads),
-        "nothing" => Ok(TokenDelivery::Never),
-        other => {
-            let expected = "writes, reads, nothing".to_string();
-            let problem = Problem::NotOneOf { value: other.to_string(), expected };
-            Err(reader.node_error(node, key, problem))
-        }
-    }
+    let choices = [
+        ("writes", TokenDelivery::WritesOnly),
+        ("reads", TokenDelivery::WritesAndReads),
+        ("nothing", TokenDelivery::Never),
+    ];
+    reader.one_of(node, "sessions.tokens.with", "with", &choices)
 }
 
 fn read_max_age(
--- a/crates/config/src/settings/mod.rs
+++ b/crates/config/src/settings/mod.rs
@@ -172,39 +172,32 @@
 }
 
 fn effect(index: usize, word: &str) -> Result<Effect, ConfigError> {
-    match word {
-        "idempotent" => Ok(Effect::Idempotent),
-        "deduplicated" => Ok(Effect::IdempotentByKey),
-        "at_most_once" => Ok(Effect::NonIdempotent),
-        other => Err(unknown(format!("profiles[{index}].effect"), other)),
-    }
+    let choices = [
+        ("idempotent", Effect::Idempotent),
+        ("deduplicated", Effect::IdempotentByKey),
+        ("at_most_once", Effect::NonIdempotent),
+    ];
+    one_of(format!("profiles[{index}].effect"), word, &choices)
 }
 
 fn key_scope(index: usize, word: &str) -> Result<KeyScope, ConfigError> {
-    match word {
-        "" | "all" => Ok(KeyScope::All),
-        "zone" => Ok(KeyScope::Zone),
-        "cell" => Ok(KeyScope::Group),
-        other => Err(unknown(format!("profiles[{index}].keyScope"), other)),
-    }
+    let choices =
+        [("", KeyScope::All), ("all", KeyScope::All), ("zone", KeyScope::Zone), ("cell", KeyScope::Group)];
+    one_of(format!("profiles[{index}].keyScope"), word, &choices)
 }
 
 fn load_report_source(word: &str) -> Result<LoadReportSource, ConfigError> {
-    match word {
-        "answers" => Ok(LoadReportSource::InAnswers),
-        "probe" => Ok(LoadReportSource::InProbes),
-        "none" => Ok(LoadReportSource::None),
-        other => Err(unknown("reporting.via", other)),
-    }
+    let choices = [
+        ("answers", LoadReportSource::InAnswers),
+        ("probe", LoadReportSource::InProbes),
+        ("none", LoadReportSource::None),
+    ];
+    one_of("reporting.via", word, &choices)
 }
 
 fn list_role(word: &str) -> Result<ListRole, ConfigError> {
-    match word {
-        "trailing" => Ok(ListRole::Late),
-        "static" => Ok(ListRole::Start),
-        "none" => Ok(ListRole::None),
-        other => Err(unknown("familyInfo.roleListed", other)),
-    }
+    let choices = [("trailing", ListRole::Late), ("static", ListRole::Start), ("none", ListRole::None)];
+    one_of("familyInfo.roleListed", word, &choices)
 }
 
 fn when_behind(replication: &ReplicationJson) -> Result<WhenBehind, ConfigError> {
@@ -217,10 +210,15 @@
 }
 
 fn platform_floors(word: &str) -> Result<PlatformFloors, ConfigError> {
-    match word {
-        "brought" => Ok(PlatformFloors::FromRequest),
-        "kept" => Ok(PlatformFloors::Remembered),
-        other => Err(unknown("familyInfo.tokenMode", other)),
+    let choices = [("brought", PlatformFloors::FromRequest), ("kept", PlatformFloors::Remembered)];
+    one_of("familyInfo.tokenMode", word, &choices)
+}
+
+/// What a word stands for among these choices.
+fn one_of<T: Copy>(key: impl Into<String>, word: &str, choices: &[(&str, T)]) -> Result<T, ConfigError> {
+    match choices.iter().find(|(choice, _)| *choice == word) {
+        Some((_, value)) => Ok(*value),
+        None => Err(unknown(key, word)),
     }
 }
 
--- a/crates/router/src/program/logging/mod.rs
+++ b/crates/router/src/program/logging/mod.rs
@@ -18,7 +18,7 @@
 use tracing_subscriber::fmt::MakeWriter;
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
-use writer::{LineQueue, WriterThread};
+use writer::WriterThread;
 
 /// Lines that go out in one second at most; further ones are counted and dropped.
 pub(super) const MAX_LINES_PER_SECOND: u32 = 50;
@@ -78,7 +78,7 @@
         return LogGuard { _writer: None };
     };
     // It fails only if there is a global subscriber already.
-    let _ = subscriber::<LineQueue>(level, format, limiter, queue).try_init();
+    let _ = subscriber(level, format, limiter, move || queue.clone()).try_init();
     LogGuard { _writer: Some(writer) }
 }
 
--- a/crates/router/src/program/logging/tests.rs
+++ b/crates/router/src/program/logging/tests.rs
@@ -21,19 +21,13 @@
     }
 }
 
-impl<'w> MakeWriter<'w> for Lines {
-    type Writer = Lines;
-
-    fn make_writer(&'w self) -> Lines {
-        self.clone()
-    }
-}
-
 /// The lines that `events` gives with an info log of this form, after `dropped` lines were dropped.
 fn lines_of(format: LogFormat, dropped: u32, events: impl FnOnce()) -> Vec<String> {
     let (lines, limiter) = (Lines::default(), Arc::new(RateLimiter::default()));
     (0..dropped).for_each(|_| limiter.count_dropped());
-    tracing::subscriber::with_default(subscriber(LogLevel::Info, format, limiter, lines.clone()), events);
+    let output = lines.clone();
+    let subscriber = subscriber(LogLevel::Info, format, limiter, move || output.clone());
+    tracing::subscriber::with_default(subscriber, events);
     let lines = lines.0.lock().unwrap();
     lines.clone()
 }
@@ -160,7 +154,7 @@
     let (mut queue, writer) = writer::spawn(BlockedOutput { open, written }, Arc::clone(&limiter)).unwrap();
     let began = Instant::now();
     for n in 0..1000 {
-        queue.make_writer().write_all(format!("{n}\n").as_bytes()).unwrap();
+        queue.clone().write_all(format!("{n}\n").as_bytes()).unwrap();
     }
     drop(writer);
     assert!(began.elapsed() < Duration::from_secs(10), "{:?}", began.elapsed());
@@ -181,7 +175,7 @@
     let limiter = Arc::new(RateLimiter::default());
     let (queue, writer) = writer::spawn(BlockedOutput { open, written }, limiter).unwrap();
     for n in 0..100 {
-        queue.make_writer().write_all(format!("{n}\n").as_bytes()).unwrap();
+        queue.clone().write_all(format!("{n}\n").as_bytes()).unwrap();
     }
     let began = Instant::now();
     drop(writer);
--- a/crates/router/src/program/logging/writer.rs
+++ b/crates/router/src/program/logging/writer.rs
@@ -8,7 +8,6 @@
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender, TrySendError};
 use std::sync::Arc;
 use std::time::Duration;
-use tracing_subscriber::fmt::MakeWriter;
 
 /// Lines that may wait to be written.
 const MAX_QUEUED_LINES: usize = 256;
@@ -82,11 +81,3 @@
         Ok(())
     }
 }
-
-impl<'w> MakeWriter<'w> for LineQueue {
-    type Writer = LineQueue;
-
-    fn make_writer(&'w self) -> LineQueue {
-        self.clone()
-    }
-}
--- a/crates/router/src/routing/attempts.rs
+++ b/crates/router/src/routing/attempts.rs
@@ -33,6 +33,18 @@
     pub reported: ReportedState,
 }
 
+impl FinishedAttempt {
+    /// An attempt that its host has not answered, which has reported nothing.
+    fn unanswered(
+        request: RequestId,
+        number: Attempt,
+        exchange: InFlightExchange,
+        status: Status,
+    ) -> FinishedAttempt {
+        FinishedAttempt { request, number, exchange, status, reported: ReportedState::default() }
+    }
+}
+
 impl Router {
     /// Starts an attempt as the policy decided, with a timeout of its own if there is one. An attempt that
     /// can't be started gets its outcome at once.
@@ -91,8 +103,7 @@
         status: Status,
     ) {
         let exchange = InFlightExchange::unsent(now, member);
-        let reported = ReportedState::default();
-        self.record_attempt_outcome(now, FinishedAttempt { request, number, exchange, status, reported });
+        self.record_attempt_outcome(now, FinishedAttempt::unanswered(request, number, exchange, status));
     }
 
     /// Handles the result of an attempt, if it is in flight.
@@ -151,8 +162,7 @@
     ) {
         let Some(exchange) = self.take_attempt(request, number) else { return };
         out.push(Effect::AbortExchange(ExchangeId::Attempt(request, number)));
-        let reported = ReportedState::default();
-        self.record_attempt_outcome(now, FinishedAttempt { request, number, exchange, status, reported });
+        self.record_attempt_outcome(now, FinishedAttempt::unanswered(request, number, exchange, status));
     }
 
     /// Takes an attempt out of the table, if it is in flight, and cancels its timer. Its request stays for
