--- a/crates/router/src/protocol/client.rs
+++ b/crates/router/src/protocol/client.rs
@@ -5,6 +5,7 @@
 
 use basalthill_config::router::MAX_STATEMENT_LEN;
 use basalthill_policy::api::Time;
+use basalthill_wire::sqlstate::FEATURE_NOT_SUPPORTED;
 use basalthill_wire::{
     put_cstring, put_error_response, put_message, read_cstring, MessageBuffer, MessageHeader, ProtocolError,
     Severity, HEADER_LEN, READY_FOR_QUERY,
@@ -84,11 +85,18 @@
     error: Option<ProtocolError>,
 }
 
+/// A message that has arrived in full.
+#[derive(Debug, PartialEq)]
+pub struct ReceivedMessage {
+    /// What it says.
+    pub message: ClientMessage,
+    /// When its last byte arrived.
+    pub arrived_at: Time,
+}
+
 #[derive(Debug)]
 struct QueuedMessage {
-    message: ClientMessage,
-    /// When its last byte arrived.
-    arrived_at: Time,
+    received: ReceivedMessage,
     bytes: usize,
 }
 
@@ -105,7 +113,8 @@
                 Ok(Some(message)) => {
                     let bytes = before - self.buffer.len();
                     self.queued_bytes += bytes;
-                    self.queue.push_back(QueuedMessage { message, arrived_at, bytes });
+                    let received = ReceivedMessage { message, arrived_at };
+                    self.queue.push_back(QueuedMessage { received, bytes });
                 }
                 Ok(None) => return,
                 Err(error) => {
@@ -161,11 +170,11 @@
         self.error.is_some()
     }
 
-    /// The next message, if it has arrived in full, and when its last byte arrived.
-    pub fn next_message(&mut self) -> Result<Option<(ClientMessage, Time)>, ProtocolError> {
-        if let Some(QueuedMessage { message, arrived_at, bytes }) = self.queue.pop_front() {
+    /// The next message, if it has arrived in full.
+    pub fn next_message(&mut self) -> Result<Option<ReceivedMessage>, ProtocolError> {
+        if let Some(QueuedMessage { received, bytes }) = self.queue.pop_front() {
             self.queued_bytes -= bytes;
-            return Ok(Some((message, arrived_at)));
+            return Ok(Some(received));
         }
         match &self.error {
             Some(error) => Err(error.clone()),
@@ -329,7 +338,13 @@
 /// An error without ReadyForQuery, which follows Sync.
 pub fn unsupported() -> Vec<u8> {
     let mut out = Vec::with_capacity(128);
-    put_error_response(&mut out, Severity::Error, "0A000", "only simple queries are served", None);
+    put_error_response(
+        &mut out,
+        Severity::Error,
+        FEATURE_NOT_SUPPORTED,
+        "only simple queries are served",
+        None,
+    );
     out
 }
 
--- a/crates/router/src/protocol/discovery/list.rs
+++ b/crates/router/src/protocol/discovery/list.rs
@@ -1,4 +1,5 @@
-//! The endpoint list as discovery writes it, in JSON. The names of the fields are its keys.
+//! The endpoint list as discovery writes it, in JSON. The names of the fields are its keys, but for a
+//! member's group and role.
 
 use super::DiscoveryError;
 use serde::Deserialize;
@@ -27,7 +28,8 @@
     #[serde(default)]
     pub zone: String,
     /// Its group.
-    pub cell: u32,
+    #[serde(rename = "cell")]
+    pub group: u32,
     /// Its state.
     pub state: HostState,
     /// Its weight.
@@ -37,8 +39,8 @@
     #[serde(default)]
     pub started_ms: u64,
     /// Its role, where the list shows it.
-    #[serde(default)]
-    pub rank: Option<String>,
+    #[serde(default, rename = "rank")]
+    pub role: Option<String>,
 }
 
 /// A member's state.
--- a/crates/router/src/protocol/statement/mod.rs
+++ b/crates/router/src/protocol/statement/mod.rs
@@ -3,6 +3,7 @@
 
 mod parser;
 
+use basalthill_wire::sqlstate::{INVALID_PARAMETER_VALUE, SYNTAX_ERROR};
 use parser::{CommentFields, Parser};
 use std::ops::Range;
 
@@ -22,11 +23,6 @@
 /// A client's deadline counts as no longer than a day, in milliseconds.
 const MAX_DEADLINE_MS: u64 = 86_400_000;
 
-/// The SQLSTATE of a syntax error.
-const SYNTAX_ERROR: &str = "42601";
-/// The SQLSTATE of an invalid parameter value.
-const INVALID_PARAMETER_VALUE: &str = "22023";
-
 fn syntax(message: impl Into<String>) -> StatementError {
     StatementError { code: SYNTAX_ERROR, message: message.into() }
 }
--- a/crates/router/src/routing/endpoints.rs
+++ b/crates/router/src/routing/endpoints.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 
 /// The role that discovery gives to primaries.
-const PRIMARY_RANK: &str = "source";
+const PRIMARY_ROLE: &str = "source";
 
 /// What is known of one member.
 struct MemberRecord {
@@ -130,10 +130,10 @@
         let entry = Endpoint {
             member,
             zone: self.zone_id(&host.zone),
-            group: GroupId(host.cell),
+            group: GroupId(host.group),
             state: endpoint_state(host.state),
             weight: host.weight,
-            primary: host.rank.as_deref() == Some(PRIMARY_RANK),
+            primary: host.role.as_deref() == Some(PRIMARY_ROLE),
             started: known_start.or_else(|| start_time(host.started_ms, clock)),
             notified_at: valid_since,
         };
@@ -274,7 +274,7 @@
         tracing::info!(
             version,
             member = %host.id,
-            group = host.cell,
+            group = host.group,
             state = ?host.state,
             started_ms = host.started_ms,
             "endpoint changed"
--- a/crates/router/src/routing/outcomes.rs
+++ b/crates/router/src/routing/outcomes.rs
@@ -5,13 +5,7 @@
 use super::system_clock::time_from_unix_ms;
 use crate::protocol::host::{parse_load_report, QueryOutcome, ReportedState};
 use basalthill_policy::api::{ReplicationState, Role, Status, Time};
-
-/// SQLSTATE `too_many_connections`: the host is at its limit and has run nothing.
-const TOO_MANY_CONNECTIONS: &str = "53300";
-/// SQLSTATE `read_only_sql_transaction`: a write at a replica.
-const READ_ONLY_TRANSACTION: &str = "25006";
-/// SQLSTATE `snapshot_too_old`: a read at a replica that is too far behind for it.
-const SNAPSHOT_TOO_OLD: &str = "72000";
+use basalthill_wire::sqlstate::{READ_ONLY_SQL_TRANSACTION, SNAPSHOT_TOO_OLD, TOO_MANY_CONNECTIONS};
 
 /// SQLSTATE prefixes of errors in the statement itself: protocol violations, data exceptions and syntax
 /// errors or access rule violations.
@@ -54,7 +48,7 @@
 
 fn status_for_sqlstate(code: &str) -> Status {
     match code {
-        READ_ONLY_TRANSACTION | SNAPSHOT_TOO_OLD => Status::Misdirected,
+        READ_ONLY_SQL_TRANSACTION | SNAPSHOT_TOO_OLD => Status::Misdirected,
         TOO_MANY_CONNECTIONS => Status::Overloaded,
         _ if is_statement_error(code) => Status::NotSent,
         _ => Status::Error,
--- a/crates/router/src/routing/requests.rs
+++ b/crates/router/src/routing/requests.rs
@@ -10,12 +10,10 @@
 use crate::protocol::statement::{Statement, StatementError};
 use basalthill_fleet::LimitKey;
 use basalthill_policy::api::{ClassId, Event, GroupId, Request, RequestId, TenantId, Time};
+use basalthill_wire::sqlstate::INVALID_PARAMETER_VALUE;
 use std::rc::Rc;
 use thiserror::Error;
 
-/// SQLSTATE `invalid_parameter_value`.
-const INVALID_PARAMETER_VALUE: &str = "22023";
-
 /// Why a request is invalid at this deployment. The texts go to clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum InvalidRequest {
--- a/crates/router/src/transport/client/admission.rs
+++ b/crates/router/src/transport/client/admission.rs
@@ -10,6 +10,7 @@
 use crate::transport::semaphore::{Permit, RETRY_INTERVAL};
 use async_executor::Task;
 use async_io::{Async, Timer};
+use basalthill_wire::sqlstate::TOO_MANY_CONNECTIONS;
 use futures_lite::future;
 use std::io::Write;
 use std::net::TcpStream;
@@ -98,7 +99,7 @@
 async fn reject(driver: Rc<Driver>, stream: Async<TcpStream>, rejection: Option<Permit>) {
     driver.clients.count_rejected();
     let _ = stream.get_ref().set_nodelay(true);
-    let error = client::fatal("53300", "too many connections");
+    let error = client::fatal(TOO_MANY_CONNECTIONS, "too many connections");
     if rejection.is_some() && io::write_all(&stream, &[&error]).await.is_ok() {
         return io::lingering_close(&driver.read_buffer, &stream, future::pending()).await;
     }
--- a/crates/router/src/transport/conversation.rs
+++ b/crates/router/src/transport/conversation.rs
@@ -10,12 +10,12 @@
 mod output;
 mod replies;
 
-use crate::protocol::client::{self, CancelKey, ClientMessage};
+use crate::protocol::client::{self, CancelKey, ClientMessage, ReceivedMessage};
 use crate::protocol::statement::{Statement, Verb};
 use crate::routing::{Answer, CommandId};
 use basalthill_config::router::{LARGE_STATEMENT_LEN, MAX_CLIENT_FAULTS, MAX_CONCURRENT_READS};
 use basalthill_policy::api::Time;
-use basalthill_wire::READY_FOR_QUERY;
+use basalthill_wire::{sqlstate, READY_FOR_QUERY};
 use input::MessageInput;
 use output::OutputQueue;
 use replies::ReplyQueue;
@@ -71,7 +71,7 @@
 
 /// A client had its time for a message.
 const MESSAGE_TIMED_OUT: FinalError =
-    FinalError { code: "57P05", message: "no whole request has come in time" };
+    FinalError { code: sqlstate::IDLE_SESSION_TIMEOUT, message: "no whole request has come in time" };
 
 /// The state of one client's connection.
 #[derive(Debug)]
@@ -207,14 +207,14 @@
     /// Takes the next message.
     fn take_message(&mut self, router_is_ready: bool) -> Taken {
         match self.input.next_message() {
-            Ok(Some((message, arrived_at))) => self.handle_message(message, arrived_at, router_is_ready),
+            Ok(Some(received)) => self.handle_message(received, router_is_ready),
             Ok(None) => {
                 let Some(error) = self.final_error else { return Taken::Nothing };
                 self.close_with_error(error.code, error.message);
                 Taken::Other(Step::Handled)
             }
             Err(e) => {
-                self.close_with_error("08P01", &e.to_string());
+                self.close_with_error(sqlstate::PROTOCOL_VIOLATION, &e.to_string());
                 Taken::Other(Step::Handled)
             }
         }
@@ -239,8 +239,8 @@
         Some(Step::Forward { command, statement, arrived_at })
     }
 
-    fn handle_message(&mut self, message: ClientMessage, arrived_at: Time, ready: bool) -> Taken {
-        match message {
+    fn handle_message(&mut self, received: ReceivedMessage, ready: bool) -> Taken {
+        match received.message {
             ClientMessage::Encryption => self.push_reply(client::NO_ENCRYPTION.to_vec()),
             ClientMessage::CancelRequest(key) => {
                 self.end();
@@ -249,12 +249,16 @@
             ClientMessage::Terminate => self.end(),
             ClientMessage::Startup { newer } => self.push_reply(client::welcome(newer, self.cancel_key)),
             ClientMessage::Unsupported(FUNCTION_CALL) => {
-                self.push_fault(client::error("0A000", "only simple queries are served", None));
+                self.push_fault(client::error(
+                    sqlstate::FEATURE_NOT_SUPPORTED,
+                    "only simple queries are served",
+                    None,
+                ));
             }
             ClientMessage::Unsupported(_) => self.push_fault(client::unsupported()),
             ClientMessage::Sync => self.push_reply(READY_FOR_QUERY.to_vec()),
             ClientMessage::Query(text) if text.trim_ascii().is_empty() => self.handle_empty_query(ready),
-            ClientMessage::Query(text) => return self.handle_query(text, arrived_at),
+            ClientMessage::Query(text) => return self.handle_query(text, received.arrived_at),
         }
         Taken::Other(Step::Handled)
     }
@@ -293,7 +297,7 @@
     fn count_fault(&mut self) {
         self.faults += 1;
         if self.faults >= MAX_CLIENT_FAULTS && self.dismissal.is_none() {
-            self.close_with_error("08P01", "too many commands that are not served");
+            self.close_with_error(sqlstate::PROTOCOL_VIOLATION, "too many commands that are not served");
         }
     }
 
@@ -326,8 +330,10 @@
                 bytes
             }
             Answer::Rejected { retry_after_ms } => rejection(retry_after_ms),
-            Answer::Failed => client::error("58000", "no answer could be had", None),
-            Answer::Cancelled => client::error("57014", "called off at its client's wish", None),
+            Answer::Failed => client::error(sqlstate::SYSTEM_ERROR, "no answer could be had", None),
+            Answer::Cancelled => {
+                client::error(sqlstate::QUERY_CANCELED, "called off at its client's wish", None)
+            }
             Answer::Invalid(e) => {
                 self.count_fault();
                 client::error(e.code, &e.message, None)
@@ -378,7 +384,7 @@
 
     /// Ends between two requests, and notifies the client.
     pub fn end_with_notice(&mut self) {
-        self.push_reply(client::fatal("57P01", "closed between two requests"));
+        self.push_reply(client::fatal(sqlstate::ADMIN_SHUTDOWN, "closed between two requests"));
         self.end();
     }
 
@@ -413,7 +419,7 @@
 
 fn rejection(retry_after_ms: Option<u64>) -> Vec<u8> {
     let detail = retry_after_ms.map(|ms| ms.to_string());
-    client::error("53300", "turned away; trying again does no harm", detail.as_deref())
+    client::error(sqlstate::TOO_MANY_CONNECTIONS, "turned away; trying again does no harm", detail.as_deref())
 }
 
 #[cfg(test)]
--- a/crates/router/src/transport/conversation/input.rs
+++ b/crates/router/src/transport/conversation/input.rs
@@ -1,6 +1,6 @@
 //! What a client has sent: messages as far as they are complete, each with the moment at which it arrived.
 
-use crate::protocol::client::{ClientCodec, ClientMessage};
+use crate::protocol::client::{ClientCodec, ReceivedMessage};
 use basalthill_policy::api::Time;
 use basalthill_wire::ProtocolError;
 
@@ -109,8 +109,8 @@
         self.message_started = None;
     }
 
-    /// The next complete message and when its last byte arrived.
-    pub fn next_message(&mut self) -> Result<Option<(ClientMessage, Time)>, ProtocolError> {
+    /// The next complete message.
+    pub fn next_message(&mut self) -> Result<Option<ReceivedMessage>, ProtocolError> {
         self.codec.next_message()
     }
 
--- a/crates/router/src/transport/conversation/replies.rs
+++ b/crates/router/src/transport/conversation/replies.rs
@@ -2,6 +2,7 @@
 
 use crate::protocol::client;
 use crate::routing::CommandId;
+use basalthill_wire::sqlstate::CANNOT_CONNECT_NOW;
 use std::collections::VecDeque;
 
 /// The state of one command's reply.
@@ -58,7 +59,7 @@
         self.buffered += bytes.len();
         self.replies[position] = Reply::Ready(bytes);
         for reply in self.replies.iter_mut().take(position).filter(|r| matches!(r, Reply::EmptyQuery)) {
-            *reply = Reply::Ready(client::error("57P03", "not ready yet", None));
+            *reply = Reply::Ready(client::error(CANNOT_CONNECT_NOW, "not ready yet", None));
         }
     }
 
--- a/crates/router/tests/codec.rs
+++ b/crates/router/tests/codec.rs
@@ -1,7 +1,7 @@
 //! The protocols' state machines: fed at every split point, with violations and with random bytes.
 
 use basalthill_policy::api::Time;
-use basalthill_router::protocol::client::{ClientCodec, ClientMessage, MAX_MESSAGE_LEN};
+use basalthill_router::protocol::client::{ClientCodec, ClientMessage, ReceivedMessage, MAX_MESSAGE_LEN};
 use basalthill_router::protocol::discovery::{HostList, HostState, WatchCodec, WatchMessage};
 use basalthill_router::protocol::host::{parse_load_report, HostCodec, HostMessage, QueryOutcome};
 use basalthill_router::protocol::statement::{Statement, Verb};
@@ -25,7 +25,7 @@
         codec.feed(piece, Time(0));
         loop {
             match codec.next_message() {
-                Ok(Some((message, _))) => out.push(message),
+                Ok(Some(received)) => out.push(received.message),
                 Ok(None) => break,
                 Err(_) => return (out, true),
             }
@@ -382,8 +382,8 @@
     codec.feed(&[two[40..].to_vec(), three].concat(), Time::ms(3));
     // Taken later, and all at once.
     let mut arrivals = Vec::new();
-    while let Some((_, at)) = codec.next_message().unwrap() {
-        arrivals.push(at);
+    while let Some(received) = codec.next_message().unwrap() {
+        arrivals.push(received.arrived_at);
     }
     assert_eq!(arrivals, [1, 1, 3, 3].map(Time::ms));
 }
@@ -392,8 +392,14 @@
 fn commands_before_an_unreadable_one_are_still_delivered() {
     let mut codec = ClientCodec::default();
     codec.feed(&[startup(), query(READ), b"!!!!!!!!!".to_vec(), query(READ)].concat(), Time(0));
-    assert!(matches!(codec.next_message(), Ok(Some((ClientMessage::Startup { .. }, _)))));
-    assert!(matches!(codec.next_message(), Ok(Some((ClientMessage::Query(_), _)))));
+    assert!(matches!(
+        codec.next_message(),
+        Ok(Some(ReceivedMessage { message: ClientMessage::Startup { .. }, .. }))
+    ));
+    assert!(matches!(
+        codec.next_message(),
+        Ok(Some(ReceivedMessage { message: ClientMessage::Query(_), .. }))
+    ));
     codec.feed(&query(READ), Time(0));
     assert!(codec.next_message().is_err() && codec.next_message().is_err(), "nothing behind it is believed");
     assert_eq!((codec.queued_bytes(), codec.partial_bytes()), (0, 0));
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,9 +1,11 @@
-//! Messages of version 3 of PostgreSQL's protocol: the framing of a byte stream, and the few messages that
-//! are written here. The router and the client library both use it, for either side of a connection.
+//! Messages of version 3 of PostgreSQL's protocol: the framing of a byte stream, the few messages that are
+//! written here, and the names of SQLSTATEs. The router and the client library both use it, for either side
+//! of a connection.
 
 mod buffer;
 mod error;
 mod message;
+pub mod sqlstate;
 mod startup;
 
 pub use buffer::{MessageBuffer, MessageHeader, HEADER_LEN};
