--- a/crates/standin/src/connect_recorder.rs
+++ b/crates/standin/src/connect_recorder.rs
@@ -1,7 +1,7 @@
 //! Records the moment of each connect that the client library counts in its metrics.
 //!
-//! The recorder of metrics is one for each process, and so is this record: tests that use it need a process of
-//! their own.
+//! The recorder of metrics is one for each process, and so is this record: tests that use it need a process
+//! of their own.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
