--- a/crates/fleet/tests/limits.rs
+++ b/crates/fleet/tests/limits.rs
@@ -3,7 +3,9 @@
 
 use basalthill_fleet::{Bounds, FleetConfig, Limit, LimitKey, Subject, Timing};
 use basalthill_policy::api::Time;
-use basalthill_standin::simulated_fleet::{max_concurrent, numbered_names, rate_excess, SimulatedFleet};
+use basalthill_standin::simulated_fleet::{
+    max_concurrent, numbered_names, rate_excess, RecordedDatagram, SimulatedFleet,
+};
 use proptest::prelude::*;
 
 const PER_S: f64 = 400.0;
@@ -441,7 +443,7 @@
     fleet.run_until(seconds(4.5));
     fleet.start(0);
     let before = fleet.status_lines(1);
-    for (to, bytes) in recorded.iter().filter(|(to, _)| *to == 0) {
+    for RecordedDatagram { to, bytes } in recorded.iter().filter(|datagram| datagram.to == 0) {
         let mut forged = bytes.clone();
         let at = forged.len() - 1;
         forged[at] ^= 1;
@@ -461,12 +463,12 @@
         assert!(counts.dropped.get(&reason).is_some_and(|n| *n > 10), "{reason:?} in {counts:?}");
     }
     // All of it again to one that was not restarted: it has received them.
-    recorded.iter().filter(|(to, _)| *to == 1).for_each(|(to, bytes)| fleet.inject(*to, bytes));
+    recorded.iter().filter(|sent| sent.to == 1).for_each(|sent| fleet.inject(sent.to, &sent.bytes));
     let counts = fleet.fleet(1).map(|f| f.counters().clone()).unwrap_or_default();
     assert!(counts.dropped.get(&DropReason::Replayed).is_some_and(|n| *n > 10), "{counts:?}");
     assert_eq!(before.iter().filter(|l| l.starts_with("share")).count(), 1);
     // What is addressed to another router.
-    recorded.iter().filter(|(to, _)| *to == 2).for_each(|(_, bytes)| fleet.inject(1, bytes));
+    recorded.iter().filter(|sent| sent.to == 2).for_each(|sent| fleet.inject(1, &sent.bytes));
     let counts = fleet.fleet(1).map(|f| f.counters().clone()).unwrap_or_default();
     assert!(counts.dropped.get(&DropReason::UnknownPeer).is_some_and(|n| *n > 10), "{counts:?}");
     fleet.run_until(seconds(20.0));
--- a/crates/router/tests/sessions.rs
+++ b/crates/router/tests/sessions.rs
@@ -5,7 +5,7 @@
 use basalthill_standin::deployment::Deployment;
 use basalthill_standin::group::{GroupBehavior, StaleRead};
 use basalthill_standin::router_process::{write_unique_file, RouterProcess};
-use basalthill_standin::session_load::{ConnectionMode, SessionLoad, SessionLoadReport};
+use basalthill_standin::session_load::{ConnectionMode, ReplicaFraction, SessionLoad, SessionLoadReport};
 use std::path::Path;
 use std::time::Duration;
 
@@ -95,7 +95,7 @@
 /// all of them where it is not overloaded. A member that does not answer for 250 ms is ejected for a second,
 /// whatever the floors.
 fn assert_served_by_replicas(report: &SessionLoadReport, case: &str) {
-    let (reads, fraction) = report.replica_fraction_without_stalls();
+    let ReplicaFraction { reads, fraction } = report.replica_fraction_without_stalls();
     let all = report.replica_fraction();
     println!("{case}: {fraction} of {reads} reads without stalls, {all} of all");
     assert!(
--- a/crates/standin/src/session_load.rs
+++ b/crates/standin/src/session_load.rs
@@ -3,7 +3,7 @@
 mod report;
 mod session;
 
-pub use report::SessionLoadReport;
+pub use report::{ReplicaFraction, SessionLoadReport};
 
 use crate::group::Group;
 use session::Session;
--- a/crates/standin/src/session_load/report.rs
+++ b/crates/standin/src/session_load/report.rs
@@ -25,6 +25,15 @@
     by_replica: bool,
 }
 
+/// How much replicas have served of a number of session reads.
+#[derive(Clone, Copy, Debug)]
+pub struct ReplicaFraction {
+    /// The session reads that count.
+    pub reads: usize,
+    /// The fraction of them that replicas served; 0 without any.
+    pub fraction: f64,
+}
+
 /// What came of a session load.
 #[derive(Clone, Debug, Default)]
 pub struct SessionLoadReport {
@@ -101,14 +110,14 @@
     /// Of the session reads that were sent while the machine did not stall: how many, and the fraction of
     /// them that replicas served. On a machine that stalls, members answer too late and are out of service
     /// for a while, as they should be.
-    pub fn replica_fraction_without_stalls(&self) -> (usize, f64) {
+    pub fn replica_fraction_without_stalls(&self) -> ReplicaFraction {
         let counts = |read: &&ServedRead| !self.is_near_stall(read.sent_at);
         let (mut reads, mut by_replicas) = (0, 0);
         for read in self.served_reads.iter().filter(counts) {
             reads += 1;
             by_replicas += usize::from(read.by_replica);
         }
-        (reads, by_replicas as f64 / reads.max(1) as f64)
+        ReplicaFraction { reads, fraction: by_replicas as f64 / reads.max(1) as f64 }
     }
 
     fn is_near_stall(&self, moment: Instant) -> bool {
--- a/crates/standin/src/simulated_fleet.rs
+++ b/crates/standin/src/simulated_fleet.rs
@@ -43,6 +43,15 @@
     PermitEnd { router: usize, permit: u64 },
 }
 
+/// The copy of a datagram that was sent.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RecordedDatagram {
+    /// The router that it was sent to.
+    pub to: usize,
+    /// Its bytes.
+    pub bytes: Vec<u8>,
+}
+
 /// A fleet of cores. Routers are named by their numbers from 0.
 pub struct SimulatedFleet {
     /// True time.
@@ -67,7 +76,7 @@
     concurrency_limit: Option<LimitKey>,
     /// The longest time for which a router uses a permit, by its own clock.
     longest_use: Time,
-    recorded: Option<Vec<(usize, Vec<u8>)>>,
+    recorded: Option<Vec<RecordedDatagram>>,
 }
 
 /// The codec of datagrams, the same for all simulated routers.
@@ -206,8 +215,8 @@
         self.recorded = on.then(Vec::new);
     }
 
-    /// Ends the recording. The datagrams copied, each with the router that it was sent to.
-    pub fn take_recorded_datagrams(&mut self) -> Vec<(usize, Vec<u8>)> {
+    /// Ends the recording. The datagrams copied, in the order in which they were sent.
+    pub fn take_recorded_datagrams(&mut self) -> Vec<RecordedDatagram> {
         self.recorded.take().unwrap_or_default()
     }
 
@@ -326,7 +335,7 @@
         self.observations.datagrams += 1;
         self.observations.bytes += datagram.len() as u64;
         if let Some(recorded) = &mut self.recorded {
-            recorded.push((to, datagram.clone()));
+            recorded.push(RecordedDatagram { to, bytes: datagram.clone() });
         }
         let delays = self.links.deliveries(from, to, |bound| self.rng.u64(..bound));
         for delay in delays {
