--- a/crates/config/src/settings/mod.rs
+++ b/crates/config/src/settings/mod.rs
@@ -116,7 +116,7 @@
         retry_after: bounds.retry_after,
         max_retry_after: Time(bounds.max_retry_after_ns),
         drain_grace: Time(rules.drain_grace_ns),
-        only_draining_binds: rules.soft_removal,
+        ignore_removal: rules.soft_removal,
         slow_start_capacity: rules.slow_start_capacity,
         slow_start_window: Time(rules.slow_start_window_ns),
         overload_multiple: rules.overload_multiple,
--- a/crates/extproc/src/coordinator.rs
+++ b/crates/extproc/src/coordinator.rs
@@ -324,8 +324,8 @@
             attempt: lease.attempt,
             member: lease.member,
             status: ended.status,
-            took: now.since(lease.granted_at),
-            ended: is_last,
+            elapsed: now.since(lease.granted_at),
+            request_completed: is_last,
             replication: ended.replication,
             report: ReplicationState::default(),
         })));
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -207,8 +207,8 @@
     pub max_retry_after: Time,
     /// Attempts may go to a member for this long after it was notified to drain, or removed.
     pub drain_grace: Time,
-    /// Only a notice to drain ends attempts to a member; its removal from the list alone does not.
-    pub only_draining_binds: bool,
+    /// A member's removal from the endpoint list is ignored: it gets attempts until it is notified to drain.
+    pub ignore_removal: bool,
     /// The fraction of its capacity, at least, that a member has when it has just started.
     pub slow_start_capacity: f64,
     /// A member has warmed up this long after its start.
@@ -352,10 +352,10 @@
     pub member: MemberId,
     /// How it ended.
     pub status: Status,
-    /// How long it took.
-    pub took: Time,
-    /// Whether the request has ended with it.
-    pub ended: bool,
+    /// The time from its start to this outcome.
+    pub elapsed: Time,
+    /// Whether the request has completed with this outcome, so that it gets no further attempt.
+    pub request_completed: bool,
     /// What the answer says of the member's replication.
     pub replication: ReplicationState,
     /// What a load report inside the answer says, possibly out of date.
@@ -406,8 +406,8 @@
         member: MemberId,
         /// How the health check ended.
         status: Status,
-        /// How long it took.
-        took: Time,
+        /// The time from its start to its end.
+        elapsed: Time,
         /// What the member's load report says.
         report: ReplicationState,
     },
--- a/crates/policy/src/policy/connections.rs
+++ b/crates/policy/src/policy/connections.rs
@@ -37,7 +37,7 @@
         let now = self.now;
         let shortage_at = self.connection_shortage_at;
         let Some(member) = self.members.get_mut(outcome.member) else { return };
-        if outcome.status == Status::ConnectFailed && outcome.took < OVERLOAD_BACKOFF {
+        if outcome.status == Status::ConnectFailed && outcome.elapsed < OVERLOAD_BACKOFF {
             member.connection_rejected_at = now;
         }
         let in_shortage = shortage_at > Time(0) && now.since(shortage_at) < SHORTAGE_DURATION;
--- a/crates/policy/src/policy/endpoints.rs
+++ b/crates/policy/src/policy/endpoints.rs
@@ -22,7 +22,7 @@
         endpoints: Vec<Endpoint>,
         out: &mut Vec<Action>,
     ) {
-        if update != EndpointUpdate::Delta && !self.settings.only_draining_binds {
+        if update != EndpointUpdate::Delta && !self.settings.ignore_removal {
             self.drain_unlisted(&endpoints);
         }
         for endpoint in &endpoints {
@@ -68,7 +68,7 @@
         }
         match endpoint.state {
             EndpointState::Ready => member.draining_since = None,
-            EndpointState::Removed if self.settings.only_draining_binds => {}
+            EndpointState::Removed if self.settings.ignore_removal => {}
             EndpointState::Draining | EndpointState::Removed => {
                 member.draining_since.get_or_insert(endpoint.notified_at.min(now));
             }
--- a/crates/policy/src/policy/load.rs
+++ b/crates/policy/src/policy/load.rs
@@ -170,7 +170,7 @@
         let Some(member) = self.members.get(outcome.member) else { return };
         let expected_excess = self.excess_latency(member);
         let Some(member) = self.members.get_mut(outcome.member) else { return };
-        let took = outcome.took.secs();
+        let took = outcome.elapsed.secs();
         let service_time = self.service_times.get(class);
         let excess = took - service_time;
         let gain_fraction = FULL_GAIN_MULTIPLE * self.service_times.shortest() / service_time;
@@ -180,7 +180,7 @@
         of_role.follow(excess, gain, now, ROLE_EXCESS_LATENCY_FADE_S);
         let objective = self.settings.classes[class].latency_objective.secs();
         let slow = took > SLOW_RESPONSE_FRACTION * objective;
-        member.concurrency.follow(slow, now.minus(outcome.took), member.in_flight, now);
+        member.concurrency.follow(slow, now.minus(outcome.elapsed), member.in_flight, now);
         self.record_served_work(if outcome.status == Status::Ok { service_time } else { 0.0 });
         self.service_times.follow(class, excess);
     }
--- a/crates/policy/src/policy/outcomes.rs
+++ b/crates/policy/src/policy/outcomes.rs
@@ -24,7 +24,7 @@
         let class = self.close_attempt(&outcome);
         self.learn_from(&outcome, class, out);
         self.track_connections(&outcome, out);
-        if outcome.ended {
+        if outcome.request_completed {
             self.forget(outcome.request, out);
         } else if self.requests.contains_key(&outcome.request) {
             self.place(outcome.request, out);
@@ -63,7 +63,7 @@
     /// Whether the member is up, by the attempt's status.
     fn record_reachability(&mut self, outcome: &Outcome) {
         let now = self.now;
-        let sent_at = now.minus(outcome.took);
+        let sent_at = now.minus(outcome.elapsed);
         let Some(member) = self.members.get_mut(outcome.member) else { return };
         match outcome.status {
             Status::Ok | Status::Misdirected | Status::Overloaded => {
@@ -106,7 +106,7 @@
                 member.role = Some(KnownRole { role: Role::Replica, as_of: now });
             }
             // The response was lost: that says nothing of the member's load.
-            (Status::Timeout, _) if member.responded_at >= now.minus(outcome.took) => {}
+            (Status::Timeout, _) if member.responded_at >= now.minus(outcome.elapsed) => {}
             // After a standstill, the time may have been the router's own.
             (Status::Ok | Status::Timeout, Some(class)) if self.stalled_for == Time(0) => {
                 self.record_latency(outcome, class);
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -67,7 +67,7 @@
         retry_after: true,
         max_retry_after: Time::ms(500),
         drain_grace: Time::ms(1000),
-        only_draining_binds: false,
+        ignore_removal: false,
         slow_start_capacity: 0.2,
         slow_start_window: Time::ms(15_000),
         overload_multiple: 3.0,
@@ -194,7 +194,7 @@
         self.event(Event::ProbeFinished {
             member: MemberId(m),
             status: Status::Ok,
-            took: Time::ms(1),
+            elapsed: Time::ms(1),
             report: s,
         });
     }
@@ -254,7 +254,7 @@
 
     /// Ends the latest attempt of a request. A response reports how many milliseconds the member is behind,
     /// and its role.
-    pub fn finish(&mut self, id: RequestId, status: Status, took: u64, behind: u64, role: Role) {
+    pub fn finish(&mut self, id: RequestId, status: Status, elapsed_ms: u64, behind: u64, role: Role) {
         let n = self.attempts[&id].len() - 1;
         *self.ended.entry(id).or_default() += 1;
         let member = self.attempts[&id][n];
@@ -270,8 +270,8 @@
             attempt: Attempt(n as u16),
             member,
             status,
-            took: Time::ms(took),
-            ended: status == Status::Ok,
+            elapsed: Time::ms(elapsed_ms),
+            request_completed: status == Status::Ok,
             replication,
             report: ReplicationState::default(),
         }));
@@ -296,8 +296,8 @@
             attempt: Attempt(0),
             member: MemberId(member),
             status,
-            took: Time::ms(1),
-            ended: true,
+            elapsed: Time::ms(1),
+            request_completed: true,
             replication: ReplicationState { position: Some(position), role: Some(role) },
             report: ReplicationState::default(),
         }));
@@ -312,11 +312,11 @@
     }
 
     /// A health check that fails, or could not be sent, after this many milliseconds.
-    pub fn probe_fails(&mut self, member: u32, status: Status, took_ms: u64) {
+    pub fn probe_fails(&mut self, member: u32, status: Status, elapsed_ms: u64) {
         self.event(Event::ProbeFinished {
             member: MemberId(member),
             status,
-            took: Time::ms(took_ms),
+            elapsed: Time::ms(elapsed_ms),
             report: ReplicationState::default(),
         });
     }
--- a/crates/policy/tests/connections.rs
+++ b/crates/policy/tests/connections.rs
@@ -50,7 +50,7 @@
         b.event(Event::ProbeFinished {
             member: MemberId(2),
             status: probed,
-            took: Time::ms(1),
+            elapsed: Time::ms(1),
             report: ReplicationState::default(),
         });
     }
--- a/crates/policy/tests/endpoint_list.rs
+++ b/crates/policy/tests/endpoint_list.rs
@@ -64,18 +64,18 @@
 fn attempts_survive_empty_and_fully_removed_endpoint_lists() {
     // Empty, all removed, the true one again: attempts go on where only draining binds and end where removal
     // does.
-    for only_draining_binds in [true, false] {
+    for ignore_removal in [true, false] {
         let mut set = settings();
-        set.only_draining_binds = only_draining_binds;
+        set.ignore_removal = ignore_removal;
         let mut b = Bench::new(set);
         b.event(Event::Endpoints(EndpointUpdate::Full, Vec::new()));
         b.advance(1100);
         let id = b.request(EVENTUAL, 0);
-        assert_eq!(b.is_in_flight(id), only_draining_binds, "an empty list");
+        assert_eq!(b.is_in_flight(id), ignore_removal, "an empty list");
         b.all_members_become(EndpointState::Removed);
         b.advance(1100);
         let id = b.request(EVENTUAL, 0);
-        assert_eq!(b.is_in_flight(id), only_draining_binds, "a list with all members removed");
+        assert_eq!(b.is_in_flight(id), ignore_removal, "a list with all members removed");
         b.event(Event::Endpoints(EndpointUpdate::Full, primary_and_replicas()));
         let id = b.request(EVENTUAL, 0);
         assert!(b.is_in_flight(id), "the true one again");
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -284,8 +284,8 @@
             attempt,
             member,
             status,
-            took,
-            ended,
+            elapsed: took,
+            request_completed: ended,
             replication,
             report,
         }));
@@ -437,7 +437,7 @@
                         self.replica.remove(&id);
                     }
                 }
-                self.event(Event::ProbeFinished { member: id, status, took: Time::ms(2), report: s });
+                self.event(Event::ProbeFinished { member: id, status, elapsed: Time::ms(2), report: s });
             }
             Step::Stray(kind) => {
                 let (request, member) = (RequestId(900_000), MemberId(u32::from(kind)));
@@ -447,7 +447,7 @@
                     2 => self.event(Event::ProbeFinished {
                         member: MemberId(99),
                         status: Status::Ok,
-                        took: Time(1),
+                        elapsed: Time(1),
                         report: ReplicationState::default(),
                     }),
                     _ => self.event(Event::Outcome(Outcome {
@@ -455,8 +455,8 @@
                         attempt: Attempt(4),
                         member,
                         status: Status::Timeout,
-                        took: Time::ms(3),
-                        ended: true,
+                        elapsed: Time::ms(3),
+                        request_completed: true,
                         replication: ReplicationState::default(),
                         report: ReplicationState::default(),
                     })),
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -45,8 +45,8 @@
                     attempt: Attempt(0),
                     member: d.3,
                     status: Status::Ok,
-                    took,
-                    ended: true,
+                    elapsed: took,
+                    request_completed: true,
                     replication: ReplicationState { position: Some(now), role: Some(role) },
                     report: ReplicationState::default(),
                 }));
--- a/crates/policy/tests/slow_start_fleets.rs
+++ b/crates/policy/tests/slow_start_fleets.rs
@@ -185,8 +185,8 @@
                     attempt,
                     member,
                     status,
-                    took: if status == Status::Ok { TOOK } else { Time::ms(1) },
-                    ended: status == Status::Ok,
+                    elapsed: if status == Status::Ok { TOOK } else { Time::ms(1) },
+                    request_completed: status == Status::Ok,
                     replication: ReplicationState { position: Some(now), role: role(member) },
                     report: ReplicationState::default(),
                 }));
@@ -225,7 +225,7 @@
                             let probed = Event::ProbeFinished {
                                 member,
                                 status: Status::Ok,
-                                took: Time::ms(1),
+                                elapsed: Time::ms(1),
                                 report,
                             };
                             router.policy.handle(now, probed, &mut Vec::new());
--- a/crates/router/src/routing/attempts.rs
+++ b/crates/router/src/routing/attempts.rs
@@ -193,8 +193,8 @@
             attempt: number,
             member: exchange.member,
             status,
-            took: now.since(exchange.sent_at),
-            ended,
+            elapsed: now.since(exchange.sent_at),
+            request_completed: ended,
             replication: self.system_clock.replication_to_router_time(replication),
             report: self.system_clock.replication_to_router_time(report),
         }));
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -106,7 +106,7 @@
     ) -> Router {
         let policy = Policy::new(deployment.settings.clone(), seed);
         let system_clock = SystemClockOffset::default();
-        let mut endpoints = EndpointTable::new(&deployment.zones, deployment.settings.only_draining_binds);
+        let mut endpoints = EndpointTable::new(&deployment.zones, deployment.settings.ignore_removal);
         let entries = cached_list.map(|list| endpoints.apply(list, now, system_clock).entries);
         let cached = Event::Endpoints(EndpointUpdate::Cached, entries.unwrap_or_default());
         let mut router = Router {
--- a/crates/router/src/routing/probes.rs
+++ b/crates/router/src/routing/probes.rs
@@ -53,7 +53,7 @@
             return self.events.push_back(Event::ProbeFinished {
                 member,
                 status: Status::ConnectFailed,
-                took: Time(0),
+                elapsed: Time(0),
                 report: ReplicationState::default(),
             });
         };
@@ -119,7 +119,7 @@
         self.events.push_back(Event::ProbeFinished {
             member: probe.member,
             status,
-            took: now.since(probe.sent_at),
+            elapsed: now.since(probe.sent_at),
             report: self.system_clock.replication_to_router_time(report),
         });
     }
--- a/crates/sim/src/router.rs
+++ b/crates/sim/src/router.rs
@@ -114,7 +114,7 @@
                 self.sessions.request_served(now, session, *group, tracked, position);
             }
         }
-        if outcome.ended {
+        if outcome.request_completed {
             self.writes.remove(&outcome.request);
         }
     }
--- a/crates/sim/src/wire/decoder.rs
+++ b/crates/sim/src/wire/decoder.rs
@@ -114,9 +114,9 @@
             code::PROBE_FINISHED => {
                 let member = MemberId(cursor.u32()?);
                 let status = decode_status(cursor.u16()?)?;
-                let took = Time(cursor.u64()?);
+                let elapsed = Time(cursor.u64()?);
                 let report = self.decode_report(instance, cursor)?;
-                Ok(Event::ProbeFinished { member, status, took, report })
+                Ok(Event::ProbeFinished { member, status, elapsed, report })
             }
             code::MESSAGE => {
                 let from = RouterId(cursor.u32()? as u16);
@@ -176,11 +176,20 @@
         let attempt = Attempt(cursor.u16()?);
         let member = MemberId(cursor.u32()?);
         let status = decode_status(cursor.u16()?)?;
-        let took = Time(cursor.u64()?);
-        let ended = cursor.u8()? != 0;
+        let elapsed = Time(cursor.u64()?);
+        let request_completed = cursor.u8()? != 0;
         let replication = self.decode_note(instance, cursor.u32()?);
         let report = self.decode_report(instance, cursor)?;
-        Ok(Event::Outcome(Outcome { request, attempt, member, status, took, ended, replication, report }))
+        Ok(Event::Outcome(Outcome {
+            request,
+            attempt,
+            member,
+            status,
+            elapsed,
+            request_completed,
+            replication,
+            report,
+        }))
     }
 
     /// The note of an answer: the role in its last two bits, above them the position in milliseconds.
--- a/crates/sim/tests/golden.rs
+++ b/crates/sim/tests/golden.rs
@@ -164,7 +164,7 @@
     let [InstanceEvent { instance: 3, event: Incoming::Event(Event::Outcome(o)) }] = &events[..] else {
         panic!("{events:?}")
     };
-    assert_eq!((o.status, o.ended, o.attempt), (Status::Ok, true, Attempt(1)));
+    assert_eq!((o.status, o.request_completed, o.attempt), (Status::Ok, true, Attempt(1)));
     let position = Time(1_000_000_000).plus(Time::ms(0x638e / 4));
     assert_eq!(o.replication, ReplicationState { position: Some(position), role: Some(Role::Replica) });
     assert_eq!(o.report.role, Some(Role::Primary));
