--- a/crates/router/src/protocol/client.rs
+++ b/crates/router/src/protocol/client.rs
@@ -166,7 +166,7 @@
     }
 
     /// Whether something arrived that can't be read.
-    pub fn is_broken(&self) -> bool {
+    pub fn has_error(&self) -> bool {
         self.error.is_some()
     }
 
@@ -275,10 +275,10 @@
 }
 
 /// The answer to a request for encryption: none.
-pub const NO_ENCRYPTION: &[u8] = b"N";
+pub const ENCRYPTION_DECLINED: &[u8] = b"N";
 
 /// The answer to a startup message, with the key by which the client can cancel its requests.
-pub fn welcome(newer: bool, key: CancelKey) -> Vec<u8> {
+pub fn startup_reply(newer: bool, key: CancelKey) -> Vec<u8> {
     let mut out = Vec::with_capacity(256);
     if newer {
         put_message(&mut out, b'v', |out| out.extend([0; 8]));
@@ -336,7 +336,7 @@
 }
 
 /// An error without ReadyForQuery, which follows Sync.
-pub fn unsupported() -> Vec<u8> {
+pub fn unsupported_reply() -> Vec<u8> {
     let mut out = Vec::with_capacity(128);
     put_error_response(
         &mut out,
--- a/crates/router/src/protocol/host.rs
+++ b/crates/router/src/protocol/host.rs
@@ -117,7 +117,7 @@
     }
 
     /// Whether an answer has begun and its end has not arrived.
-    pub fn answer_started(&self) -> bool {
+    pub fn response_started(&self) -> bool {
         match &self.phase {
             Phase::Answering(progress) => progress.has_started() || !self.buffer.is_empty(),
             Phase::Startup | Phase::Idle => false,
--- a/crates/router/src/routing/attempts.rs
+++ b/crates/router/src/routing/attempts.rs
@@ -10,7 +10,7 @@
 use super::requests::InvalidRequest;
 use super::system_clock::time_from_unix_ms;
 use super::timers::Timer;
-use super::{Answer, Effect, ExchangeStart, Query, Router};
+use super::{Effect, ExchangeStart, Query, Reply, Router};
 use crate::protocol::host::{QueryOutcome, ReportedState};
 use basalthill_fleet::Budget;
 use basalthill_policy::api::{Attempt, Event, MemberId, Outcome, RequestId, Status, Time};
@@ -118,7 +118,7 @@
         let Some(exchange) = self.take_attempt(request, number) else { return };
         let status = attempt_status(&result);
         let reported = match result {
-            ExchangeResult::Answered(outcome, reported) => {
+            ExchangeResult::Response(outcome, reported) => {
                 self.deliver_outcome(now, request, outcome, &reported, out);
                 reported
             }
@@ -141,11 +141,11 @@
             QueryOutcome::Row(row) => {
                 let position = reported.position_ms.map(time_from_unix_ms);
                 self.note_session_served(now, id, position, out);
-                self.answer_client(now, id, Answer::Served(row), out);
+                self.reply_to_client(now, id, Reply::Served(row), out);
             }
             QueryOutcome::Error(code) if is_statement_error(&code) => {
                 let error = InvalidRequest::RejectedByHost.into();
-                self.answer_client(now, id, Answer::Invalid(error), out);
+                self.reply_to_client(now, id, Reply::Invalid(error), out);
             }
             QueryOutcome::Error(_) | QueryOutcome::Empty => {}
         }
--- a/crates/router/src/routing/effect.rs
+++ b/crates/router/src/routing/effect.rs
@@ -9,9 +9,9 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The answer to a client's command.
+/// The reply to a client's command.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
+pub enum Reply {
     /// The row that a host returned for this request.
     Served(Row),
     /// Rejected: nothing has run, and a retry is safe.
@@ -88,14 +88,14 @@
         /// The signed packet.
         bytes: Vec<u8>,
     },
-    /// Answer a client's command.
-    Answer {
+    /// Reply to a client's command.
+    Reply {
         /// The client.
         client: ClientId,
         /// Its command.
         command: CommandId,
-        /// The answer.
-        answer: Answer,
+        /// The reply.
+        reply: Reply,
     },
     /// Close all idle connections to an address.
     CloseIdleConnections(SocketAddr),
--- a/crates/router/src/routing/input.rs
+++ b/crates/router/src/routing/input.rs
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum ExchangeResult {
     /// The host answered the query, and reported its state with the answer.
-    Answered(QueryOutcome, ReportedState),
+    Response(QueryOutcome, ReportedState),
     /// The host rejected the connection: an ErrorResponse with this SQLSTATE during startup.
     ConnectionRejected(String),
     /// No connection came up, or it was lost before the query's last byte was written: nothing ran.
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -38,7 +38,7 @@
 
 pub use clock::Clock;
 pub use counters::RequestCounters;
-pub use effect::{Answer, Effect, ExchangeStart, Query};
+pub use effect::{Effect, ExchangeStart, Query, Reply};
 pub use input::{
     ClientId, ClientRequest, CommandId, ExchangeId, ExchangeResult, FleetInput, Input, ProxyMessage,
 };
--- a/crates/router/src/routing/outcomes.rs
+++ b/crates/router/src/routing/outcomes.rs
@@ -25,9 +25,9 @@
 /// The status of an attempt by its exchange's result.
 pub fn attempt_status(result: &ExchangeResult) -> Status {
     match result {
-        ExchangeResult::Answered(QueryOutcome::Row(_), _) => Status::Ok,
-        ExchangeResult::Answered(QueryOutcome::Error(code), _) => status_for_sqlstate(code),
-        ExchangeResult::Answered(QueryOutcome::Empty, _) => Status::Error,
+        ExchangeResult::Response(QueryOutcome::Row(_), _) => Status::Ok,
+        ExchangeResult::Response(QueryOutcome::Error(code), _) => status_for_sqlstate(code),
+        ExchangeResult::Response(QueryOutcome::Empty, _) => Status::Error,
         ExchangeResult::ConnectionRejected(code) if code == TOO_MANY_CONNECTIONS => Status::Overloaded,
         ExchangeResult::ConnectionRejected(_) | ExchangeResult::NotSent => Status::ConnectFailed,
         ExchangeResult::Skipped => Status::NotSent,
@@ -40,8 +40,8 @@
 /// The status of a health check by its exchange's result. Any error in an answer is the member's fault.
 pub fn probe_status(result: &ExchangeResult) -> Status {
     match result {
-        ExchangeResult::Answered(QueryOutcome::Row(_), _) => Status::Ok,
-        ExchangeResult::Answered(..) => Status::Error,
+        ExchangeResult::Response(QueryOutcome::Row(_), _) => Status::Ok,
+        ExchangeResult::Response(..) => Status::Error,
         not_answered => attempt_status(not_answered),
     }
 }
--- a/crates/router/src/routing/probes.rs
+++ b/crates/router/src/routing/probes.rs
@@ -79,7 +79,7 @@
         let Some(probe) = self.take_probe(number) else { return };
         let status = probe_status(&result);
         let report = match result {
-            ExchangeResult::Answered(QueryOutcome::Row(row), _) => self.load_report(&row),
+            ExchangeResult::Response(QueryOutcome::Row(row), _) => self.load_report(&row),
             _ => ReplicationState::default(),
         };
         self.record_probe_outcome(now, probe, status, report);
--- a/crates/router/src/routing/requests.rs
+++ b/crates/router/src/routing/requests.rs
@@ -6,7 +6,7 @@
 use super::request_table::{AwaitedCommand, OpenRequest};
 use super::sessions::SessionStart;
 use super::system_clock::ms_rounded_up;
-use super::{Answer, Effect, Router};
+use super::{Effect, Reply, Router};
 use crate::protocol::statement::{Statement, StatementError};
 use basalthill_fleet::LimitKey;
 use basalthill_policy::api::{ClassId, Event, GroupId, Request, RequestId, TenantId, Time};
@@ -60,8 +60,8 @@
         let command = request.command;
         if self.shutting_down {
             self.counters.rejected += 1;
-            let answer = Answer::Rejected { retry_after_ms: None };
-            return out.push(Effect::Answer { client, command, answer });
+            let reply = Reply::Rejected { retry_after_ms: None };
+            return out.push(Effect::Reply { client, command, reply });
         }
         match self.open_request(now, request) {
             Ok(opened) => {
@@ -70,7 +70,7 @@
             }
             Err(error) => {
                 self.counters.invalid += 1;
-                out.push(Effect::Answer { client, command, answer: Answer::Invalid(error.into()) });
+                out.push(Effect::Reply { client, command, reply: Reply::Invalid(error.into()) });
             }
         }
     }
@@ -140,29 +140,29 @@
         self.record_missed_retry(id);
         self.note_unknown_outcome(now, id, out);
         let retry_after_ms = retry_after.map(ms_rounded_up);
-        self.answer_client(now, id, Answer::Rejected { retry_after_ms }, out);
+        self.reply_to_client(now, id, Reply::Rejected { retry_after_ms }, out);
     }
 
     /// Fails a request as the policy decided: it may have run.
     pub(super) fn fail_request(&mut self, now: Time, id: RequestId, out: &mut Vec<Effect>) {
         self.record_missed_retry(id);
         self.note_unknown_outcome(now, id, out);
-        self.answer_client(now, id, Answer::Failed, out);
+        self.reply_to_client(now, id, Reply::Failed, out);
     }
 
     /// Sends a request's only answer, unless its client has one or awaits none.
-    pub(super) fn answer_client(&mut self, now: Time, id: RequestId, answer: Answer, out: &mut Vec<Effect>) {
+    pub(super) fn reply_to_client(&mut self, now: Time, id: RequestId, reply: Reply, out: &mut Vec<Effect>) {
         let Some(open) = self.requests.get(id).filter(|open| !open.answered) else { return };
         let client = open.client;
         let command = open.command;
-        match answer {
-            Answer::Served(_) => self.counters.served += 1,
-            Answer::Rejected { .. } => self.counters.rejected += 1,
-            Answer::Failed | Answer::Cancelled => self.counters.failed += 1,
-            Answer::Invalid(_) => self.counters.invalid += 1,
+        match reply {
+            Reply::Served(_) => self.counters.served += 1,
+            Reply::Rejected { .. } => self.counters.rejected += 1,
+            Reply::Failed | Reply::Cancelled => self.counters.failed += 1,
+            Reply::Invalid(_) => self.counters.invalid += 1,
         }
         self.requests.release(client, command);
-        out.push(Effect::Answer { client, command, answer });
+        out.push(Effect::Reply { client, command, reply });
         self.close_request(now, id);
     }
 
@@ -187,14 +187,14 @@
     pub(super) fn cancel_first_request(&mut self, now: Time, client: ClientId, out: &mut Vec<Effect>) {
         let Some(awaited) = self.requests.release_first(client) else { return };
         self.counters.abandoned += 1;
-        self.end_without_result(now, awaited, Answer::Cancelled, out);
+        self.end_without_result(now, awaited, Reply::Cancelled, out);
     }
 
     /// Fails all unanswered requests, as the program is about to end; later ones are rejected.
     pub(super) fn shut_down(&mut self, now: Time, out: &mut Vec<Effect>) {
         self.shutting_down = true;
         for awaited in self.requests.release_all() {
-            self.end_without_result(now, awaited, Answer::Failed, out);
+            self.end_without_result(now, awaited, Reply::Failed, out);
         }
     }
 
@@ -203,13 +203,13 @@
         &mut self,
         now: Time,
         awaited: AwaitedCommand,
-        answer: Answer,
+        reply: Reply,
         out: &mut Vec<Effect>,
     ) {
         let AwaitedCommand { client, command, request } = awaited;
         self.note_unknown_outcome(now, request, out);
         self.close_request(now, request);
-        out.push(Effect::Answer { client, command, answer });
+        out.push(Effect::Reply { client, command, reply });
         self.events.push_back(Event::ClientGone(request));
     }
 }
--- a/crates/router/src/transport/client/registry.rs
+++ b/crates/router/src/transport/client/registry.rs
@@ -3,7 +3,7 @@
 
 use super::eviction::{ConnectionState, Eviction};
 use crate::protocol::client::CancelKey;
-use crate::routing::{Answer, ClientId, CommandId};
+use crate::routing::{ClientId, CommandId, Reply};
 use crate::transport::io;
 use crate::transport::semaphore::Semaphore;
 use async_io::Async;
@@ -22,7 +22,7 @@
     /// The command that it belongs to.
     pub command: CommandId,
     /// The answer.
-    pub answer: Answer,
+    pub answer: Reply,
 }
 
 /// What others know of a client's connection, and what they leave for its task.
@@ -61,7 +61,7 @@
     }
 
     /// Leaves a command's answer.
-    pub fn push_answer(&self, command: CommandId, answer: Answer) {
+    pub fn push_answer(&self, command: CommandId, answer: Reply) {
         self.answers.borrow_mut().push(CommandAnswer { command, answer });
         self.wake();
     }
--- a/crates/router/src/transport/conversation.rs
+++ b/crates/router/src/transport/conversation.rs
@@ -12,7 +12,7 @@
 
 use crate::protocol::client::{self, CancelKey, ClientMessage, ReceivedMessage};
 use crate::protocol::statement::{Statement, Verb};
-use crate::routing::{Answer, CommandId};
+use crate::routing::{CommandId, Reply};
 use basalthill_config::router::{LARGE_STATEMENT_LEN, MAX_CLIENT_FAULTS, MAX_CONCURRENT_READS};
 use basalthill_policy::api::Time;
 use basalthill_wire::{sqlstate, READY_FOR_QUERY};
@@ -241,13 +241,15 @@
 
     fn handle_message(&mut self, received: ReceivedMessage, ready: bool) -> Taken {
         match received.message {
-            ClientMessage::Encryption => self.push_reply(client::NO_ENCRYPTION.to_vec()),
+            ClientMessage::Encryption => self.push_reply(client::ENCRYPTION_DECLINED.to_vec()),
             ClientMessage::CancelRequest(key) => {
                 self.end();
                 return Taken::Other(Step::Cancel(key));
             }
             ClientMessage::Terminate => self.end(),
-            ClientMessage::Startup { newer } => self.push_reply(client::welcome(newer, self.cancel_key)),
+            ClientMessage::Startup { newer } => {
+                self.push_reply(client::startup_reply(newer, self.cancel_key))
+            }
             ClientMessage::Unsupported(FUNCTION_CALL) => {
                 self.push_fault(client::error(
                     sqlstate::FEATURE_NOT_SUPPORTED,
@@ -255,7 +257,7 @@
                     None,
                 ));
             }
-            ClientMessage::Unsupported(_) => self.push_fault(client::unsupported()),
+            ClientMessage::Unsupported(_) => self.push_fault(client::unsupported_reply()),
             ClientMessage::Sync => self.push_reply(READY_FOR_QUERY.to_vec()),
             ClientMessage::Query(text) if text.trim_ascii().is_empty() => self.handle_empty_query(ready),
             ClientMessage::Query(text) => return self.handle_query(text, received.arrived_at),
@@ -317,24 +319,24 @@
 /// Answering and writing.
 impl Conversation {
     /// Takes the answer to a command.
-    pub fn answer(&mut self, command: CommandId, answer: Answer) {
+    pub fn answer(&mut self, command: CommandId, answer: Reply) {
         let Some(position) = self.replies.position(command) else { return };
         self.in_flight -= 1;
         self.write_in_flight = false;
-        self.used |= !matches!(answer, Answer::Invalid(_));
+        self.used |= !matches!(answer, Reply::Invalid(_));
         let bytes = match answer {
-            Answer::Served(row) => {
+            Reply::Served(row) => {
                 self.faults = 0;
                 let mut bytes = row.bytes;
                 bytes.extend_from_slice(READY_FOR_QUERY);
                 bytes
             }
-            Answer::Rejected { retry_after_ms } => rejection(retry_after_ms),
-            Answer::Failed => client::error(sqlstate::SYSTEM_ERROR, "no answer could be had", None),
-            Answer::Cancelled => {
+            Reply::Rejected { retry_after_ms } => rejection(retry_after_ms),
+            Reply::Failed => client::error(sqlstate::SYSTEM_ERROR, "no answer could be had", None),
+            Reply::Cancelled => {
                 client::error(sqlstate::QUERY_CANCELED, "called off at its client's wish", None)
             }
-            Answer::Invalid(e) => {
+            Reply::Invalid(e) => {
                 self.count_fault();
                 client::error(e.code, &e.message, None)
             }
--- a/crates/router/src/transport/conversation/input.rs
+++ b/crates/router/src/transport/conversation/input.rs
@@ -126,7 +126,7 @@
 
     /// Whether everything complete has been taken, and nothing unreadable stands behind it.
     pub fn is_consumed(&self) -> bool {
-        self.codec.queued_bytes() == 0 && !self.codec.is_broken()
+        self.codec.queued_bytes() == 0 && !self.codec.has_error()
     }
 
     /// Drops what is not taken.
--- a/crates/router/src/transport/conversation/replies.rs
+++ b/crates/router/src/transport/conversation/replies.rs
@@ -7,7 +7,7 @@
 
 /// The state of one command's reply.
 #[derive(Debug)]
-enum Reply {
+enum PendingReply {
     /// It is there.
     Ready(Vec<u8>),
     /// The command has been forwarded.
@@ -19,7 +19,7 @@
 /// Replies that are not moved to the output yet: each leaves behind those before it.
 #[derive(Debug, Default)]
 pub struct ReplyQueue {
-    replies: VecDeque<Reply>,
+    replies: VecDeque<PendingReply>,
     /// Bytes of replies that wait for one before them.
     buffered: usize,
 }
@@ -28,45 +28,46 @@
     /// Appends a reply that is there already.
     pub fn push_ready(&mut self, bytes: Vec<u8>) {
         self.buffered += bytes.len();
-        self.replies.push_back(Reply::Ready(bytes));
+        self.replies.push_back(PendingReply::Ready(bytes));
     }
 
     /// Appends the place of a reply to a command that is forwarded.
     pub fn push_forwarded(&mut self, command: CommandId) {
-        self.replies.push_back(Reply::Forwarded(command));
+        self.replies.push_back(PendingReply::Forwarded(command));
     }
 
     /// Appends the place of a reply to an empty query, which waits for the router to be ready.
     pub fn push_empty_query(&mut self) {
         self.buffered += client::empty_query().len();
-        self.replies.push_back(Reply::EmptyQuery);
+        self.replies.push_back(PendingReply::EmptyQuery);
     }
 
     /// Answers the empty queries: the router is ready.
     pub fn answer_empty_queries(&mut self) {
-        for reply in self.replies.iter_mut().filter(|r| matches!(r, Reply::EmptyQuery)) {
-            *reply = Reply::Ready(client::empty_query());
+        for reply in self.replies.iter_mut().filter(|r| matches!(r, PendingReply::EmptyQuery)) {
+            *reply = PendingReply::Ready(client::empty_query());
         }
     }
 
     /// The place of a forwarded command, if its reply is still to come.
     pub fn position(&self, command: CommandId) -> Option<usize> {
-        self.replies.iter().position(|r| matches!(r, Reply::Forwarded(c) if *c == command))
+        self.replies.iter().position(|r| matches!(r, PendingReply::Forwarded(c) if *c == command))
     }
 
     /// Puts the reply in its place. Empty queries before it don't wait for the router to be ready any more.
     pub fn complete(&mut self, position: usize, bytes: Vec<u8>) {
         self.buffered += bytes.len();
-        self.replies[position] = Reply::Ready(bytes);
-        for reply in self.replies.iter_mut().take(position).filter(|r| matches!(r, Reply::EmptyQuery)) {
-            *reply = Reply::Ready(client::error(CANNOT_CONNECT_NOW, "not ready yet", None));
+        self.replies[position] = PendingReply::Ready(bytes);
+        for reply in self.replies.iter_mut().take(position).filter(|r| matches!(r, PendingReply::EmptyQuery))
+        {
+            *reply = PendingReply::Ready(client::error(CANNOT_CONNECT_NOW, "not ready yet", None));
         }
     }
 
     /// Takes the first reply, if it is there.
     pub fn pop_ready(&mut self) -> Option<Vec<u8>> {
-        let Some(Reply::Ready(_)) = self.replies.front() else { return None };
-        let Some(Reply::Ready(bytes)) = self.replies.pop_front() else { return None };
+        let Some(PendingReply::Ready(_)) = self.replies.front() else { return None };
+        let Some(PendingReply::Ready(bytes)) = self.replies.pop_front() else { return None };
         self.buffered = self.buffered.saturating_sub(bytes.len());
         Some(bytes)
     }
--- a/crates/router/src/transport/conversation/tests.rs
+++ b/crates/router/src/transport/conversation/tests.rs
@@ -15,10 +15,10 @@
     }
 }
 
-fn served_answer(value: &[u8]) -> Answer {
+fn served_answer(value: &[u8]) -> Reply {
     let bytes = row(value);
     let end = bytes.len();
-    Answer::Served(Row { bytes, parts: vec![0..end, end..end, end..end], value: None, binary: true })
+    Reply::Served(Row { bytes, parts: vec![0..end, end..end, end..end], value: None, binary: true })
 }
 
 fn empty_conversation() -> Conversation {
@@ -64,12 +64,12 @@
 }
 
 /// A reply, by the message in it that says most.
-struct Reply {
+struct ReceivedReply {
     message_type: u8,
     body: Vec<u8>,
 }
 
-impl Reply {
+impl ReceivedReply {
     fn error_code(&self) -> &str {
         assert_eq!(self.message_type, b'E');
         std::str::from_utf8(basalthill_wire::error_code(&self.body).unwrap()).unwrap()
@@ -77,7 +77,7 @@
 }
 
 /// The replies in a stream of messages.
-fn replies(mut bytes: &[u8]) -> Vec<Reply> {
+fn replies(mut bytes: &[u8]) -> Vec<ReceivedReply> {
     let (mut out, mut last) = (Vec::new(), None);
     while let Some(head) = bytes.first_chunk::<5>() {
         let len = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
@@ -85,7 +85,7 @@
         bytes = &bytes[1 + len..];
         match head[0] {
             b'Z' => out.extend(last.take()),
-            b'D' | b'E' | b'I' | b'R' => last = Some(Reply { message_type: head[0], body }),
+            b'D' | b'E' | b'I' | b'R' => last = Some(ReceivedReply { message_type: head[0], body }),
             _ => {}
         }
     }
@@ -124,10 +124,10 @@
     assert_eq!(reads.len(), 2);
     conversation.answer(reads[1].command, served_answer(b"b"));
     assert!(forwarded(&mut conversation).is_empty(), "a read before it is open");
-    conversation.answer(reads[0].command, Answer::Failed);
+    conversation.answer(reads[0].command, Reply::Failed);
     let write = forwarded(&mut conversation);
     assert_eq!(write.len(), 1);
-    conversation.answer(write[0].command, Answer::Rejected { retry_after_ms: Some(40) });
+    conversation.answer(write[0].command, Reply::Rejected { retry_after_ms: Some(40) });
     assert_eq!(forwarded(&mut conversation)[0].statement_id, format!("{:016x}", 3));
 }
 
@@ -283,7 +283,7 @@
         open.extend(matches!(step, Step::Forward { .. }).then_some(step));
     }
     let Some(Step::Forward { command, .. }) = open.pop() else { panic!("the query is forwarded") };
-    conversation.answer(command, Answer::Rejected { retry_after_ms: None });
+    conversation.answer(command, Reply::Rejected { retry_after_ms: None });
     let received = replies(&write_out_all(&mut conversation));
     assert_eq!((received[1].error_code(), received[2].error_code()), ("57P03", "53300"));
 }
--- a/crates/router/src/transport/conversation/tests/interleavings.rs
+++ b/crates/router/src/transport/conversation/tests/interleavings.rs
@@ -126,9 +126,9 @@
                     let e = StatementError { code: "22023", message: "unknown".into() };
                     conversation.answer(command, match how {
                         0 | 1 => served_answer(format!("{n:016x}").as_bytes()),
-                        2 => Answer::Rejected { retry_after_ms: None },
-                        3 => Answer::Failed,
-                        _ => Answer::Invalid(e),
+                        2 => Reply::Rejected { retry_after_ms: None },
+                        3 => Reply::Failed,
+                        _ => Reply::Invalid(e),
                     });
                 }
                 Some(Interleaved::Answered(..)) => {}
--- a/crates/router/src/transport/driver.rs
+++ b/crates/router/src/transport/driver.rs
@@ -124,9 +124,9 @@
             Effect::SendDatagram { to, bytes } => self.fleet.send(to, &bytes),
             // The front end for other proxies does not exist yet.
             Effect::ProxyReply { .. } => {}
-            Effect::Answer { client, command, answer } => {
+            Effect::Reply { client, command, reply } => {
                 if let Some(handle) = self.clients.handle(client) {
-                    handle.push_answer(command, answer);
+                    handle.push_answer(command, reply);
                 }
             }
             Effect::CloseIdleConnections(addr) => self.pool.close_all(addr),
--- a/crates/router/src/transport/exchange.rs
+++ b/crates/router/src/transport/exchange.rs
@@ -201,7 +201,7 @@
     loop {
         match codec.next_message() {
             Ok(Some(HostMessage::QueryEnded(outcome, state))) => {
-                return ExchangeResult::Answered(outcome, state);
+                return ExchangeResult::Response(outcome, state);
             }
             Ok(Some(_)) => return ExchangeResult::MalformedResponse,
             Ok(None) => {}
@@ -210,7 +210,7 @@
                 return complete_row_or_malformed(codec);
             }
         }
-        let has_started = codec.answer_started();
+        let has_started = codec.response_started();
         let stalled = async {
             match has_started {
                 true => drop(Timer::after(STALL_TIMEOUT).await),
@@ -233,7 +233,7 @@
 /// The result of an answer that can't be read to its end: its row, if that is complete.
 fn complete_row_or_malformed(codec: &mut HostCodec) -> ExchangeResult {
     match codec.take_complete_row() {
-        Some(row) => ExchangeResult::Answered(QueryOutcome::Row(row), ReportedState::default()),
+        Some(row) => ExchangeResult::Response(QueryOutcome::Row(row), ReportedState::default()),
         None => ExchangeResult::MalformedResponse,
     }
 }
@@ -241,7 +241,7 @@
 /// The result as the host closes the connection: an error that ends it comes without ReadyForQuery.
 fn result_at_close(codec: &mut HostCodec) -> ExchangeResult {
     match codec.on_close() {
-        Some((outcome, state)) => ExchangeResult::Answered(outcome, state),
+        Some((outcome, state)) => ExchangeResult::Response(outcome, state),
         None => ExchangeResult::ConnectionLost,
     }
 }
--- a/crates/router/tests/codec.rs
+++ b/crates/router/tests/codec.rs
@@ -241,7 +241,7 @@
         let mut codec = awaiting_answer();
         codec.feed(&stream[..cut]);
         assert_eq!(codec.next_message(), Ok(None), "cut at {cut}");
-        assert_eq!(codec.answer_started(), cut > 0, "cut at {cut}");
+        assert_eq!(codec.response_started(), cut > 0, "cut at {cut}");
         assert_eq!(codec.take_complete_row().is_some(), cut >= value.len(), "cut at {cut}");
         assert!(!codec.is_idle());
     }
--- a/crates/router/tests/routing/attempts.rs
+++ b/crates/router/tests/routing/attempts.rs
@@ -3,18 +3,18 @@
 use crate::harness::*;
 use basalthill_policy::api::Status;
 use basalthill_router::protocol::host::{QueryOutcome, ReportedState};
-use basalthill_router::routing::{Answer, ClientId, ExchangeResult, Input};
+use basalthill_router::routing::{ClientId, ExchangeResult, Input, Reply};
 
 #[test]
 fn write_with_uncertain_outcome_fails_without_retry() {
     let uncertain =
-        [ExchangeResult::ConnectionLost, ExchangeResult::MalformedResponse, error_answer("XX000")];
+        [ExchangeResult::ConnectionLost, ExchangeResult::MalformedResponse, error_response("XX000")];
     for result in uncertain {
         let mut harness = RouterHarness::ready();
         let id = harness.start_attempt(1, "write").id;
         let mut effects = harness.finish(id, result.clone());
         effects.extend(harness.advance_ms(1000));
-        assert_eq!(answers(&effects), [(1, Answer::Failed)], "{result:?}");
+        assert_eq!(client_replies(&effects), [(1, Reply::Failed)], "{result:?}");
         assert!(started_attempts(&effects).is_empty(), "{result:?}: {effects:?}");
         harness.assert_drained();
     }
@@ -27,8 +27,8 @@
         ExchangeResult::NotSent,
         ExchangeResult::ConnectionRejected("53300".into()),
         ExchangeResult::ConnectionRejected("28000".into()),
-        error_answer("53300"),
-        ExchangeResult::Answered(QueryOutcome::Error("25006".into()), replica),
+        error_response("53300"),
+        ExchangeResult::Response(QueryOutcome::Error("25006".into()), replica),
     ];
     for result in never_ran {
         let mut harness = RouterHarness::ready();
@@ -44,10 +44,10 @@
             effects.extend(harness.advance_ms(10));
         }
         all.append(&mut effects);
-        let answered = answers(&all);
+        let replies = client_replies(&all);
         assert!(
-            matches!(answered[..], [(1, Answer::Rejected { retry_after_ms: Some(1000) })]),
-            "{result:?}: {answered:?}"
+            matches!(replies[..], [(1, Reply::Rejected { retry_after_ms: Some(1000) })]),
+            "{result:?}: {replies:?}"
         );
         let retries = started_attempts(&all).len();
         assert!(retries <= 2, "at most three attempts with the first: {retries} retries");
@@ -58,13 +58,13 @@
 #[test]
 fn every_exchange_result_maps_to_its_attempt_status() {
     let cases = [
-        (row_answer(b"x"), Status::Ok),
-        (error_answer("25006"), Status::Misdirected),
-        (error_answer("72000"), Status::Misdirected),
-        (error_answer("53300"), Status::Overloaded),
-        (error_answer("XX000"), Status::Error),
-        (error_answer("57P03"), Status::Error),
-        (empty_answer(), Status::Error),
+        (row_response(b"x"), Status::Ok),
+        (error_response("25006"), Status::Misdirected),
+        (error_response("72000"), Status::Misdirected),
+        (error_response("53300"), Status::Overloaded),
+        (error_response("XX000"), Status::Error),
+        (error_response("57P03"), Status::Error),
+        (empty_response(), Status::Error),
         (ExchangeResult::ConnectionRejected("53300".into()), Status::Overloaded),
         (ExchangeResult::ConnectionRejected("28P01".into()), Status::ConnectFailed),
         (ExchangeResult::NotSent, Status::ConnectFailed),
@@ -95,10 +95,10 @@
     let mut harness = RouterHarness::ready();
     let id = harness.start_attempt(1, "write").id;
     let early = harness.advance_ms(460);
-    assert!(answers(&early).is_empty());
+    assert!(client_replies(&early).is_empty());
     let late = harness.advance_ms(20);
     assert!(aborts(&late, id), "{late:?}");
-    assert_eq!(answers(&late), [(1, Answer::Failed)]);
+    assert_eq!(client_replies(&late), [(1, Reply::Failed)]);
     harness.assert_drained();
 }
 
@@ -108,8 +108,8 @@
         let mut harness = RouterHarness::ready();
         for client in 0..5 {
             let id = harness.start_attempt(client, "write").id;
-            let effects = harness.finish(id, error_answer(code));
-            assert!(matches!(&answers(&effects)[..], [(_, Answer::Invalid(_))]), "{code}: {effects:?}");
+            let effects = harness.finish(id, error_response(code));
+            assert!(matches!(&client_replies(&effects)[..], [(_, Reply::Invalid(_))]), "{code}: {effects:?}");
             assert!(started_exchanges(&effects).is_empty(), "any other host would return it as well");
         }
         harness.start_attempt(9, "write");
--- a/crates/router/tests/routing/endpoints.rs
+++ b/crates/router/tests/routing/endpoints.rs
@@ -14,7 +14,7 @@
     harness.apply_list(list(2, false, std::slice::from_ref(&moved)));
     let StartedExchange { id, addr, .. } = harness.start_attempt(1, "write");
     assert_eq!(addr, address(NEW_ADDRESS));
-    harness.finish(id, row_answer(b"x"));
+    harness.finish(id, row_response(b"x"));
     // A complete list without the replica: after the grace period it gets nothing more.
     harness.apply_list(list(3, true, &[moved]));
     harness.advance_ms(1100);
@@ -22,7 +22,7 @@
         let effects = harness.send_request(client, "report", "");
         for attempt in started_attempts(&effects) {
             assert_eq!(attempt.addr, address(NEW_ADDRESS));
-            harness.finish(attempt.id, row_answer(b"x"));
+            harness.finish(attempt.id, row_response(b"x"));
         }
     }
 }
--- a/crates/router/tests/routing/harness.rs
+++ b/crates/router/tests/routing/harness.rs
@@ -6,8 +6,8 @@
 use basalthill_router::protocol::host::{QueryOutcome, ReportedState, Row};
 use basalthill_router::protocol::statement::Statement;
 use basalthill_router::routing::{
-    Answer, ClientId, ClientRequest, CommandId, Effect, ExchangeId, ExchangeResult, Input, Outstanding,
-    Query, Router,
+    ClientId, ClientRequest, CommandId, Effect, ExchangeId, ExchangeResult, Input, Outstanding, Query, Reply,
+    Router,
 };
 use basalthill_standin::discovery::{endpoint_list, Endpoint};
 use std::net::SocketAddr;
@@ -73,7 +73,7 @@
             assert!(matches!(query, Query::HealthCheck("SHOW vitals")), "{query:?}");
             let is_primary = u8::from(exchange.goes_to(PRIMARY));
             let report = format!("x0=1767225600.000,x1={is_primary}");
-            harness.finish(exchange.id, row_answer(report.as_bytes()));
+            harness.finish(exchange.id, row_response(report.as_bytes()));
         }
         harness
     }
@@ -178,19 +178,19 @@
     Row { bytes: value.to_vec(), parts: vec![0..end, end..end, end..end], value: Some(0..end), binary: true }
 }
 
-/// A host answers with a row and reports nothing of its state.
-pub fn row_answer(value: &[u8]) -> ExchangeResult {
-    ExchangeResult::Answered(QueryOutcome::Row(row(value)), ReportedState::default())
+/// A host responds with a row and reports nothing of its state.
+pub fn row_response(value: &[u8]) -> ExchangeResult {
+    ExchangeResult::Response(QueryOutcome::Row(row(value)), ReportedState::default())
 }
 
-/// A host answers with an error and reports nothing of its state.
-pub fn error_answer(code: &str) -> ExchangeResult {
-    ExchangeResult::Answered(QueryOutcome::Error(code.into()), ReportedState::default())
+/// A host responds with an error and reports nothing of its state.
+pub fn error_response(code: &str) -> ExchangeResult {
+    ExchangeResult::Response(QueryOutcome::Error(code.into()), ReportedState::default())
 }
 
-/// A host answers without a row and reports nothing of its state.
-pub fn empty_answer() -> ExchangeResult {
-    ExchangeResult::Answered(QueryOutcome::Empty, ReportedState::default())
+/// A host responds without a row and reports nothing of its state.
+pub fn empty_response() -> ExchangeResult {
+    ExchangeResult::Response(QueryOutcome::Empty, ReportedState::default())
 }
 
 /// The exchanges that effects start.
@@ -214,11 +214,11 @@
     effects.iter().any(|effect| matches!(effect, Effect::AbortExchange(aborted) if *aborted == id))
 }
 
-/// The answers in effects, each with its client.
-pub fn answers(effects: &[Effect]) -> Vec<(u64, Answer)> {
-    let answer = |effect: &Effect| match effect {
-        Effect::Answer { client, answer, .. } => Some((client.0, answer.clone())),
+/// The replies among effects, each with its client.
+pub fn client_replies(effects: &[Effect]) -> Vec<(u64, Reply)> {
+    let reply = |effect: &Effect| match effect {
+        Effect::Reply { client, reply, .. } => Some((client.0, reply.clone())),
         _ => None,
     };
-    effects.iter().filter_map(answer).collect()
+    effects.iter().filter_map(reply).collect()
 }
--- a/crates/router/tests/routing/invariants.rs
+++ b/crates/router/tests/routing/invariants.rs
@@ -3,7 +3,7 @@
 use crate::harness::*;
 use basalthill_policy::api::RequestId;
 use basalthill_router::protocol::host::QueryOutcome;
-use basalthill_router::routing::{Answer, ClientId, Effect, ExchangeId, ExchangeResult, Input};
+use basalthill_router::routing::{ClientId, Effect, ExchangeId, ExchangeResult, Input, Reply};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -24,8 +24,8 @@
                 let result = match (n + round) % 7 {
                     0 => ExchangeResult::NotSent,
                     1 => ExchangeResult::ConnectionLost,
-                    2 => ExchangeResult::Answered(error, harness.reported(is_primary, 10)),
-                    _ => ExchangeResult::Answered(
+                    2 => ExchangeResult::Response(error, harness.reported(is_primary, 10)),
+                    _ => ExchangeResult::Response(
                         QueryOutcome::Row(row(b"x")),
                         harness.reported(is_primary, 1),
                     ),
@@ -46,15 +46,15 @@
     assert_eq!(harness.router.unanswered(), 0);
 }
 
-/// How a host may end an exchange; none if it never answers.
+/// How a host may end an exchange; none if it never responds.
 fn exchange_result() -> impl Strategy<Value = Option<ExchangeResult>> {
     prop_oneof![
-        6 => Just(Some(row_answer(b"x"))),
-        1 => Just(Some(empty_answer())),
-        1 => Just(Some(error_answer("25006"))),
-        1 => Just(Some(error_answer("72000"))),
-        1 => Just(Some(error_answer("53300"))),
-        1 => Just(Some(error_answer("XX000"))),
+        6 => Just(Some(row_response(b"x"))),
+        1 => Just(Some(empty_response())),
+        1 => Just(Some(error_response("25006"))),
+        1 => Just(Some(error_response("72000"))),
+        1 => Just(Some(error_response("53300"))),
+        1 => Just(Some(error_response("XX000"))),
         1 => Just(Some(ExchangeResult::ConnectionRejected("53300".into()))),
         1 => Just(Some(ExchangeResult::NotSent)),
         1 => Just(Some(ExchangeResult::Skipped)),
@@ -89,7 +89,7 @@
 #[derive(Clone, Debug)]
 struct Client {
     class: &'static str,
-    answer: Option<Answer>,
+    reply: Option<Reply>,
     disconnected: bool,
 }
 
@@ -106,8 +106,8 @@
 fn may_run(result: Option<&ExchangeResult>) -> bool {
     match result {
         None | Some(ExchangeResult::ConnectionLost) => true,
-        Some(ExchangeResult::Answered(QueryOutcome::Error(code), _)) => code == "XX000",
-        Some(ExchangeResult::Answered(..)) => true,
+        Some(ExchangeResult::Response(QueryOutcome::Error(code), _)) => code == "XX000",
+        Some(ExchangeResult::Response(..)) => true,
         Some(_) => false,
     }
 }
@@ -124,7 +124,7 @@
             Step::Request(class) => {
                 let class = CLASSES[class];
                 let client = self.clients.len() as u64;
-                self.clients.insert(client, Client { class, answer: None, disconnected: false });
+                self.clients.insert(client, Client { class, reply: None, disconnected: false });
                 self.harness.send_request(client, class, "")
             }
             Step::Disconnect(_) if self.clients.is_empty() => Vec::new(),
@@ -152,7 +152,7 @@
         let mut next = Vec::new();
         for effect in effects {
             match effect {
-                Effect::Answer { client, answer, .. } => self.check_answer(client.0, answer)?,
+                Effect::Reply { client, reply, .. } => self.check_reply(client.0, reply)?,
                 Effect::StartExchange(start) => {
                     if let ExchangeId::Attempt(id, _) = start.id {
                         self.check_attempt(id)?;
@@ -170,21 +170,21 @@
         Ok(next)
     }
 
-    fn check_answer(&mut self, number: u64, answer: Answer) -> Result<(), TestCaseError> {
+    fn check_reply(&mut self, number: u64, reply: Reply) -> Result<(), TestCaseError> {
         let client = &self.clients[&number];
-        prop_assert!(!client.disconnected || client.answer.is_none(), "an answer after the disconnect");
+        prop_assert!(!client.disconnected || client.reply.is_none(), "an answer after the disconnect");
         let ran = self.may_have_run.contains(&RequestId(number));
-        let rejected = matches!(answer, Answer::Rejected { .. });
+        let rejected = matches!(reply, Reply::Rejected { .. });
         let is_write = client.class == "write";
         prop_assert!(!(is_write && ran && rejected), "a write that may have run was rejected");
-        let before = self.clients.get_mut(&number).and_then(|client| client.answer.replace(answer));
+        let before = self.clients.get_mut(&number).and_then(|client| client.reply.replace(reply));
         prop_assert_eq!(before, None, "a second answer");
         Ok(())
     }
 
     fn check_attempt(&self, id: RequestId) -> Result<(), TestCaseError> {
         let client = &self.clients[&id.0];
-        prop_assert!(client.answer.is_none(), "an attempt after the answer");
+        prop_assert!(client.reply.is_none(), "an attempt after the answer");
         let repeated = client.class == "write" && self.may_have_run.contains(&id);
         prop_assert!(!repeated, "a write that may have run was sent again");
         Ok(())
@@ -193,7 +193,7 @@
     /// Once time enough has passed, every request has its answer, and the tables are empty.
     fn check_end(&self) -> Result<(), TestCaseError> {
         for (number, client) in &self.clients {
-            let settled = client.answer.is_some() || client.disconnected;
+            let settled = client.reply.is_some() || client.disconnected;
             prop_assert!(settled, "{} of client {} has no answer", client.class, number);
         }
         prop_assert_eq!(self.harness.router.unanswered(), 0);
--- a/crates/router/tests/routing/requests.rs
+++ b/crates/router/tests/routing/requests.rs
@@ -1,10 +1,10 @@
-//! Requests from their arrival to their one answer.
+//! Requests from their arrival to their one reply.
 
 use crate::common::statement;
 use crate::harness::*;
 use basalthill_policy::api::{MemberId, Time};
 use basalthill_router::protocol::host::QueryOutcome;
-use basalthill_router::routing::{Answer, ClientId, Effect, ExchangeId, ExchangeResult, Input, Query};
+use basalthill_router::routing::{ClientId, Effect, ExchangeId, ExchangeResult, Input, Query, Reply};
 
 /// A router that has started an attempt of client 1's request of a class.
 fn harness_with_attempt(class: &str) -> (RouterHarness, ExchangeId) {
@@ -22,12 +22,12 @@
     assert!(statement.text().starts_with(b"INSERT"));
     assert!((460..480).contains(&harness.ms_until(deadline)), "{deadline:?}");
     let reported = harness.reported(true, 0);
-    let effects = harness.finish(id, ExchangeResult::Answered(QueryOutcome::Row(row(b"x")), reported));
-    assert_eq!(answers(&effects), [(1, Answer::Served(row(b"x")))]);
+    let effects = harness.finish(id, ExchangeResult::Response(QueryOutcome::Row(row(b"x")), reported));
+    assert_eq!(client_replies(&effects), [(1, Reply::Served(row(b"x")))]);
     assert_eq!(harness.router.unanswered(), 0);
     harness.assert_drained();
     let effects = harness.finish(id, ExchangeResult::ConnectionLost);
-    assert!(answers(&effects).is_empty(), "a second result of the same attempt is ignored");
+    assert!(client_replies(&effects).is_empty(), "a second result of the same attempt is ignored");
 }
 
 /// The client's time counts from its command's last byte, however long it has waited behind others since.
@@ -39,14 +39,14 @@
     let [attempt] = &started_exchanges(&effects)[..] else { panic!("{effects:?}") };
     let left_ms = harness.ms_until(attempt.deadline());
     assert!((160..180).contains(&left_ms), "the host is sent {left_ms} ms, of 180 ms left");
-    let answered = answers(&harness.advance_ms(180));
-    assert_eq!(answered, [(1, Answer::Failed)], "it may have run, and its deadline has passed");
+    let replies = client_replies(&harness.advance_ms(180));
+    assert_eq!(replies, [(1, Reply::Failed)], "it may have run, and its deadline has passed");
 
     let arrived_at = harness.now.minus(Time::ms(480));
     let effects = harness.input(request(2, statement("write", ""), arrived_at));
     assert!(started_exchanges(&effects).is_empty(), "nothing is sent after the deadline");
-    let answered = answers(&effects);
-    assert!(matches!(answered[..], [(2, Answer::Rejected { retry_after_ms: Some(_) })]), "{effects:?}");
+    let replies = client_replies(&effects);
+    assert!(matches!(replies[..], [(2, Reply::Rejected { retry_after_ms: Some(_) })]), "{effects:?}");
 
     // An arrival in the future grants no more than the full timeout.
     let arrived_at = harness.now.plus(Time::ms(500));
@@ -61,9 +61,9 @@
     let (mut harness, id) = harness_with_attempt("view");
     let effects = harness.input(Input::ClientDisconnected(ClientId(1)));
     assert!(aborts(&effects, id), "{effects:?}");
-    assert!(answers(&effects).is_empty());
+    assert!(client_replies(&effects).is_empty());
     harness.assert_drained();
-    assert!(answers(&harness.finish(id, row_answer(b"x"))).is_empty());
+    assert!(client_replies(&harness.finish(id, row_response(b"x"))).is_empty());
 }
 
 #[test]
@@ -71,21 +71,21 @@
     let (mut harness, id) = harness_with_attempt("write");
     harness.input(Input::ClientDisconnected(ClientId(1)));
     assert_eq!(harness.router.outstanding().requests, 1);
-    let effects = harness.finish(id, row_answer(b"x"));
-    assert!(answers(&effects).is_empty());
+    let effects = harness.finish(id, row_response(b"x"));
+    assert!(client_replies(&effects).is_empty());
     harness.assert_drained();
 }
 
 #[test]
 fn empty_response_is_an_error_and_unknown_class_or_group_is_invalid() {
     let (mut harness, id) = harness_with_attempt("write");
-    let effects = harness.finish(id, empty_answer());
-    assert_eq!(answers(&effects), [(1, Answer::Failed)]);
+    let effects = harness.finish(id, empty_response());
+    assert_eq!(client_replies(&effects), [(1, Reply::Failed)]);
     let effects = harness.send_request(2, "nonsense", "");
-    let [(2, Answer::Invalid(error))] = &answers(&effects)[..] else { panic!("{effects:?}") };
+    let [(2, Reply::Invalid(error))] = &client_replies(&effects)[..] else { panic!("{effects:?}") };
     assert_eq!(error.code, "22023");
     let effects = harness.send_request(3, "view", ",cluster=9");
-    assert!(matches!(&answers(&effects)[..], [(3, Answer::Invalid(_))]), "{effects:?}");
+    assert!(matches!(&client_replies(&effects)[..], [(3, Reply::Invalid(_))]), "{effects:?}");
     harness.assert_drained();
 }
 
@@ -99,7 +99,7 @@
         let StartedExchange { id, addr, .. } = harness.start_attempt(1, "report");
         assert_eq!(addr, address(REPLICA));
         let reported = harness.reported(false, 0);
-        harness.finish(id, ExchangeResult::Answered(QueryOutcome::Row(row(b"x")), reported));
+        harness.finish(id, ExchangeResult::Response(QueryOutcome::Row(row(b"x")), reported));
         let floor = after_ms.map(|ms| format!(",after={}", harness.unix_ms() + ms));
         let effects = harness.send_request(2, "own", &floor.unwrap_or_default());
         let to_replica = started_attempts(&effects).iter().any(|attempt| attempt.goes_to(REPLICA));
@@ -110,9 +110,9 @@
 #[test]
 fn shutdown_fails_unanswered_requests_exactly_once() {
     let (mut harness, id) = harness_with_attempt("write");
-    assert_eq!(answers(&harness.input(Input::Shutdown)), [(1, Answer::Failed)]);
-    let effects = harness.finish(id, row_answer(b"x"));
-    assert!(answers(&effects).is_empty());
+    assert_eq!(client_replies(&harness.input(Input::Shutdown)), [(1, Reply::Failed)]);
+    let effects = harness.finish(id, row_response(b"x"));
+    assert!(client_replies(&effects).is_empty());
     harness.assert_drained();
 }
 
@@ -122,14 +122,14 @@
     let effects = harness.send_request(1, "write", ",id=same");
     let first = started_exchanges(&effects)[0].id;
     let effects = harness.send_request(2, "write", ",id=same");
-    let answered = answers(&effects);
-    assert!(matches!(&answered[..], [(2, Answer::Invalid(e))] if e.code == "22023"), "{answered:?}");
+    let replies = client_replies(&effects);
+    assert!(matches!(&replies[..], [(2, Reply::Invalid(e))] if e.code == "22023"), "{replies:?}");
     assert!(started_exchanges(&effects).is_empty());
     // The first request is unaffected; once it has ended, its id may be used again.
-    let effects = harness.finish(first, row_answer(b"x"));
-    assert!(matches!(&answers(&effects)[..], [(1, Answer::Served(_))]));
+    let effects = harness.finish(first, row_response(b"x"));
+    assert!(matches!(&client_replies(&effects)[..], [(1, Reply::Served(_))]));
     let effects = harness.send_request(2, "write", ",id=same");
-    assert!(answers(&effects).is_empty());
+    assert!(client_replies(&effects).is_empty());
     assert_eq!(started_exchanges(&effects).len(), 1);
 }
 
@@ -143,7 +143,7 @@
         let cancelled = matches!(input, Input::CancelRequested(_));
         let effects = harness.input(input);
         assert!(!harness.router.may_write(harness.now, id, MemberId(0)));
-        let is_cancelled = |e: &&Effect| matches!(e, Effect::Answer { answer: Answer::Cancelled, .. });
+        let is_cancelled = |e: &&Effect| matches!(e, Effect::Reply { reply: Reply::Cancelled, .. });
         let count = effects.iter().filter(is_cancelled).count();
         assert_eq!(count, usize::from(cancelled), "{effects:?}");
         let effects = harness.finish(id, ExchangeResult::Skipped);
@@ -158,16 +158,16 @@
     let (mut harness, _) = RouterHarness::start(None);
     // Just after the start the request waits a moment for the list.
     let effects = harness.send_request(3, "write", "");
-    assert!(answers(&effects).is_empty(), "{effects:?}");
+    assert!(client_replies(&effects).is_empty(), "{effects:?}");
     let effects = harness.advance_ms(300);
-    let answered = answers(&effects);
-    assert!(matches!(answered[..], [(3, Answer::Rejected { retry_after_ms: Some(_) })]), "{effects:?}");
+    let replies = client_replies(&effects);
+    assert!(matches!(replies[..], [(3, Reply::Rejected { retry_after_ms: Some(_) })]), "{effects:?}");
     let is_rejected =
-        |(_, answer): &(u64, Answer)| matches!(answer, Answer::Rejected { retry_after_ms: Some(_) });
+        |(_, reply): &(u64, Reply)| matches!(reply, Reply::Rejected { retry_after_ms: Some(_) });
     let effects = harness.send_request(1, "write", "");
-    assert!(answers(&effects).iter().any(is_rejected), "{effects:?}");
+    assert!(client_replies(&effects).iter().any(is_rejected), "{effects:?}");
     harness.apply_list(list(1, true, &[member("s-1", PRIMARY, "active", "source")]));
     let effects = harness.send_request(1, "write", ",cluster=9");
-    let is_invalid = |(_, answer): &(u64, Answer)| matches!(answer, Answer::Invalid(_));
-    assert!(answers(&effects).iter().any(is_invalid), "{effects:?}");
+    let is_invalid = |(_, reply): &(u64, Reply)| matches!(reply, Reply::Invalid(_));
+    assert!(client_replies(&effects).iter().any(is_invalid), "{effects:?}");
 }
--- a/crates/router/tests/routing/timers.rs
+++ b/crates/router/tests/routing/timers.rs
@@ -16,8 +16,8 @@
     assert!(aborts(&effects, probe.id), "{effects:?}");
     assert!(!started_exchanges(&effects).iter().any(|exchange| exchange.id == probe.id));
     let reported = harness.reported(true, 0);
-    let answer = ExchangeResult::Answered(QueryOutcome::Row(row(b"x0=1,x1=1")), reported);
-    harness.finish(probe.id, answer);
+    let response = ExchangeResult::Response(QueryOutcome::Row(row(b"x0=1,x1=1")), reported);
+    harness.finish(probe.id, response);
     let Outstanding { requests, probes, timers } = harness.router.outstanding();
     assert_eq!((requests, timers - probes), (0, 1));
 }
