--- a/crates/client/src/protocol.rs
+++ b/crates/client/src/protocol.rs
@@ -100,7 +100,7 @@
 
 /// Decodes a message by its type; `None` if it doesn't matter to the client.
 fn decode(kind: u8, body: &[u8]) -> Result<Option<ServerMessage>, ProtocolError> {
-    let malformed = || ProtocolError::UnreadableMessage(kind);
+    let malformed = || ProtocolError::MalformedMessage(kind);
     let message = match kind {
         b'Z' if body.len() == 1 => ServerMessage::ReadyForQuery,
         b'S' => {
--- a/crates/router/src/protocol/host.rs
+++ b/crates/router/src/protocol/host.rs
@@ -178,7 +178,7 @@
                 return Ok(Some(HostMessage::QueryEnded(progress.into_outcome(), reported)));
             }
             (_, Phase::Answering(progress)) => progress.record(kind, message)?,
-            (_, Phase::Idle) => return Err(ProtocolError::OutOfOrder(kind)),
+            (_, Phase::Idle) => return Err(ProtocolError::UnexpectedMessage(kind)),
         }
         Ok(None)
     }
@@ -205,7 +205,7 @@
     };
     match plausible {
         true => Ok(()),
-        false => Err(ProtocolError::ImplausibleLength { kind, len }),
+        false => Err(ProtocolError::InvalidBodyLength { kind, len }),
     }
 }
 
@@ -229,7 +229,7 @@
         b'R' => Err(ProtocolError::AuthenticationRequested(kind)),
         b'K' | b'v' => Ok(None),
         b'E' => Ok(Some(HostMessage::Rejected(sqlstate(body)))),
-        _ => Err(ProtocolError::OutOfOrder(kind)),
+        _ => Err(ProtocolError::UnexpectedMessage(kind)),
     }
 }
 
@@ -270,7 +270,7 @@
                 self.complete = true;
                 self.append(message)?;
             }
-            _ => return Err(ProtocolError::OutOfOrder(kind)),
+            _ => return Err(ProtocolError::UnexpectedMessage(kind)),
         }
         Ok(())
     }
@@ -278,7 +278,7 @@
     fn record_row(&mut self, kind: u8, message: &[u8]) -> Result<(), ProtocolError> {
         let body = &message[HEADER_LEN..];
         let Some((&[0, 1, a, b, c, d], value)) = body.split_first_chunk::<ROW_HEADER_LEN>() else {
-            return Err(ProtocolError::RowShape(kind));
+            return Err(ProtocolError::ColumnCount(kind));
         };
         let value_len = match i32::from_be_bytes([a, b, c, d]) {
             NULL_VALUE_LEN => None,
@@ -294,7 +294,7 @@
     fn append(&mut self, message: &[u8]) -> Result<(), ProtocolError> {
         let start = self.bytes.len();
         if start + message.len() > MAX_ANSWER_LEN {
-            return Err(ProtocolError::AnswerTooLong);
+            return Err(ProtocolError::ResponseTooLong);
         }
         self.bytes.extend_from_slice(message);
         self.parts.push(start..self.bytes.len());
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -41,7 +41,7 @@
     UnknownHostMessage,
     /// A host's message has a length that no message of its type has.
     #[error("a message {:?} of {len} bytes", char::from(*.kind))]
-    ImplausibleLength {
+    InvalidBodyLength {
         /// The message's type.
         kind: u8,
         /// The length of its body.
@@ -52,17 +52,17 @@
     AuthenticationRequested(u8),
     /// A row has another number of columns than one.
     #[error("a row of another shape (message {:?})", char::from(*.0))]
-    RowShape(u8),
+    ColumnCount(u8),
     /// A value's length is not what its row says.
     #[error("a value of another length (message {:?})", char::from(*.0))]
     ValueLength(u8),
     /// A message that does not belong there.
     #[error("a message out of order (message {:?})", char::from(*.0))]
-    OutOfOrder(u8),
+    UnexpectedMessage(u8),
     /// A host's answer is longer than the router takes.
     #[error("an answer that is too long")]
-    AnswerTooLong,
+    ResponseTooLong,
     /// A router's message cannot be read.
     #[error("message {:?} can't be read", char::from(*.0))]
-    UnreadableMessage(u8),
+    MalformedMessage(u8),
 }
--- a/crates/wire/tests/framing.rs
+++ b/crates/wire/tests/framing.rs
@@ -73,13 +73,13 @@
         (ProtocolError::UnterminatedStartup, "a startup message that does not end well"),
         (ProtocolError::UnsupportedVersion { major: 2, minor: 0 }, "protocol 2.0 is not served"),
         (ProtocolError::UnknownHostMessage, "a message of an unknown type"),
-        (ProtocolError::ImplausibleLength { kind: b'Z', len: 9 }, "a message 'Z' of 9 bytes"),
+        (ProtocolError::InvalidBodyLength { kind: b'Z', len: 9 }, "a message 'Z' of 9 bytes"),
         (ProtocolError::AuthenticationRequested(b'R'), "a host that wants a password (message 'R')"),
-        (ProtocolError::RowShape(b'D'), "a row of another shape (message 'D')"),
+        (ProtocolError::ColumnCount(b'D'), "a row of another shape (message 'D')"),
         (ProtocolError::ValueLength(b'D'), "a value of another length (message 'D')"),
-        (ProtocolError::OutOfOrder(b'C'), "a message out of order (message 'C')"),
-        (ProtocolError::AnswerTooLong, "an answer that is too long"),
-        (ProtocolError::UnreadableMessage(b'S'), "message 'S' can't be read"),
+        (ProtocolError::UnexpectedMessage(b'C'), "a message out of order (message 'C')"),
+        (ProtocolError::ResponseTooLong, "an answer that is too long"),
+        (ProtocolError::MalformedMessage(b'S'), "message 'S' can't be read"),
     ];
     for (error, text) in texts {
         assert_eq!(error.to_string(), text);
