--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -1,42 +1,42 @@
-//! The interface of the decisions: settings, events, actions and ids. It speaks of members, groups, classes,
-//! positions and attempts, never of a wire protocol, and holds no decision.
+//! The interface of the decision module: settings, events, actions and ids. It is independent of any wire
+//! protocol and makes no decisions itself.
 
-/// A point in time, or a span, in nanoseconds. The clock starts anywhere and only moves forward.
+/// A point in time or a span, in nanoseconds. The clock is monotonic and its origin is arbitrary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Time(pub u64);
 
 impl Time {
-    /// A span of `ms` milliseconds.
+    /// Returns a span of `ms` milliseconds.
     pub const fn ms(ms: u64) -> Time {
         Time(ms * 1_000_000)
     }
 
-    /// The time that is later by a span, at most the end of all time.
+    /// Returns the point in time `span` later, saturating at the maximum.
     pub const fn plus(self, span: Time) -> Time {
         Time(self.0.saturating_add(span.0))
     }
 
-    /// The time that is earlier by a span, at least zero.
+    /// Returns the point in time `span` earlier, saturating at zero.
     pub const fn minus(self, span: Time) -> Time {
         Time(self.0.saturating_sub(span.0))
     }
 
-    /// The span since `earlier`; zero if that is not earlier.
+    /// Returns the span from `earlier` to this time; zero if `earlier` is not earlier.
     pub const fn since(self, earlier: Time) -> Time {
         Time(self.0.saturating_sub(earlier.0))
     }
 
-    /// The span scaled by a factor.
+    /// Returns the span multiplied by `factor`.
     pub fn times(self, factor: f64) -> Time {
         Time((self.0 as f64 * factor) as u64)
     }
 
-    /// A span of `secs` seconds, not negative, rounded down to nanoseconds.
+    /// Returns a span of `secs` seconds, rounded down to nanoseconds; zero for a negative number.
     pub fn from_secs(secs: f64) -> Time {
         Time((secs * 1e9) as u64)
     }
 
-    /// The span in seconds.
+    /// Returns the span in seconds.
     pub fn secs(self) -> f64 {
         self.0 as f64 * 1e-9
     }
@@ -51,176 +51,180 @@
 }
 
 id! {
-    /// A member: one database host.
+    /// A member of a group: one database host.
     MemberId(u32);
-    /// A request, unique at its router.
+    /// A request; the id is unique within its router.
     RequestId(u64);
     /// A group: one primary and its replicas.
     GroupId(u32);
-    /// A class of requests, an index into [`Settings::classes`].
+    /// A class of requests: an index into [`Settings::classes`].
     ClassId(u16);
-    /// A tenant, an index into [`Settings::tenants`].
+    /// A tenant: an index into [`Settings::tenants`].
     TenantId(u16);
     /// A session.
     SessionKey(u64);
     /// A zone.
     ZoneId(u16);
-    /// The number of an attempt within its request, from 0 in the order of sending.
+    /// The number of an attempt within its request, counted from 0 in the order in which they were sent.
     Attempt(u16);
     /// A router of the fleet.
     RouterId(u16);
 }
 
-/// What may be done with a request that may have been executed already.
+/// Whether a request that may already have been executed may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// It may be repeated anywhere at any time.
+    /// It may be repeated at any member at any time.
     Idempotent,
-    /// Repeats are dropped by an idempotency key, within a deduplication window and a scope.
+    /// Members discard repeats by an idempotency key, within a deduplication window and a [`KeyScope`].
     IdempotentByKey,
-    /// It must never be executed twice.
+    /// It must not be executed more than once, so it is never repeated.
     NonIdempotent,
 }
 
-/// Where repeats of a request with an idempotency key are dropped.
+/// The members among which repeats of a request with an idempotency key are discarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
-    /// At every member.
+    /// All members.
     All,
-    /// At the members of one zone.
+    /// The members of one zone.
     Zone,
-    /// At the members of one group.
+    /// The members of one group.
     Group,
 }
 
-/// How fresh the data must be that answers a class.
+/// How fresh the data that serves a request of a class must be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
     /// Data of any age, from any member.
     Eventual,
-    /// Data no older than this when it is sent.
+    /// Data that lags by no more than this when the attempt is sent.
     BoundedStaleness(Time),
-    /// All that the session has written before.
+    /// All earlier writes of the session.
     Session,
-    /// All that was written before the request arrived.
+    /// All writes that completed before the request arrived.
     Strong,
-    /// A write: only the primary takes it.
+    /// A write, which only the primary executes.
     Write,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// The freshness that it needs.
+    /// The required freshness of the data.
     pub consistency: Consistency,
-    /// What a repeat does.
+    /// Whether a request that may have been executed may be repeated.
     pub effect: Effect,
-    /// Where repeats are dropped; for [`Effect::IdempotentByKey`] only.
+    /// The members among which repeats are discarded; used for [`Effect::IdempotentByKey`] only.
     pub scope: KeyScope,
-    /// How long repeats are dropped, from the first attempt that may have been executed.
+    /// The deduplication window, from the first attempt that may have been executed; repeats within it are
+    /// discarded.
     pub window: Time,
-    /// An answer within this time has the full value.
+    /// The span within which a reply has its full value.
     pub latency_objective: Time,
-    /// How long a client waits in all, over all its retries.
+    /// How long a client waits in total, including its retries.
     pub client_timeout: Time,
     /// The value of one request, relative to other classes.
     pub priority_weight: f64,
-    /// The fraction of the value that is left between the latency objective and the client's timeout.
+    /// The fraction of its value that a reply has between the latency objective and the client's timeout.
     pub late_weight: f64,
 }
 
 /// A tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests per second within its quota, over all routers.
+    /// The tenant's quota over all routers, in requests per second.
     pub quota_per_s: f64,
 }
 
-/// What a member does with a read that it is too far behind for.
+/// What a member does with a read whose floor it has not applied yet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WhenBehind {
-    /// It answers from what it has.
+    /// It responds with the data that it has.
     #[default]
     ServeStale,
     /// It rejects the read at once.
     Reject,
-    /// It waits up to this long to catch up, then rejects the read.
+    /// It waits up to this long for the floor to be applied, then rejects the read.
     Wait(Time),
 }
 
-/// How the endpoint list names the primary.
+/// How reliably the endpoint list names the primary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ListRole {
-    /// Kept up to date, some seconds late.
+    /// It is updated, but some seconds late.
     Late,
-    /// As it was at the start only.
+    /// It names the primary as of the start and is not updated.
     Start,
-    /// Never.
+    /// It does not name the primary.
     #[default]
     None,
 }
 
-/// The deployment as a router knows it when it starts.
+/// The configuration of the deployment that a router has when it starts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// This router.
     pub router: RouterId,
-    /// Routers in the fleet.
+    /// The number of routers in the fleet.
     pub routers: u32,
     /// This router's zone.
     pub zone: ZoneId,
-    /// The shortest time between two rounds of events.
+    /// The resolution of the router's timers: the shortest time between two rounds of events.
     pub tick: Time,
-    /// Classes of requests.
+    /// The classes of requests.
     pub classes: Vec<Class>,
-    /// Tenants; may be empty.
+    /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// The fraction of its value that a request past its tenant's quota keeps.
+    /// The fraction of its value that a request over its tenant's quota keeps.
     pub over_quota_weight: f64,
-    /// The endpoint list has to be polled; it is not pushed.
+    /// Whether the endpoint list has to be polled because it is not pushed.
     pub poll_endpoint_list: bool,
-    /// How the endpoint list names roles.
+    /// How reliably the endpoint list names the primary.
     pub list_role: ListRole,
-    /// Whether the weights in the endpoint list mean anything.
+    /// Whether the weights in the endpoint list are used; without them, all members have weight 1.
     pub weights: bool,
-    /// Whether every answer carries a position.
+    /// Whether every response reports a log position.
     pub positions: bool,
-    /// Whether health checks report a position.
+    /// Whether health checks report a log position.
     pub probe_positions: bool,
     /// Whether health checks report the role.
     pub probe_roles: bool,
-    /// What members do with reads that they are too far behind for.
+    /// What members do with reads whose floor they have not applied yet.
     pub when_behind: WhenBehind,
-    /// Attempts that a request may have.
+    /// The maximum number of attempts of a request.
     pub max_attempts: u32,
-    /// Two attempts of a request may be out at once.
+    /// Whether two attempts of a request may be in flight at once.
     pub hedging: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// A host closes a connection that has been idle for longer.
+    /// The idle timeout after which a host closes a connection.
     pub conn_idle: Time,
-    /// Health checks are allowed.
+    /// Whether health checks are allowed.
     pub probes: bool,
-    /// A rejected client may be given a Retry-After.
+    /// Whether a rejected client is given a Retry-After.
     pub retry_after: bool,
-    /// The longest Retry-After that clients follow.
+    /// The longest Retry-After that clients comply with.
     pub max_retry_after: Time,
-    /// Attempts may go to a member for this long after it was notified to drain, or removed.
+    /// How long attempts may still be sent to a member after it was notified to drain, or was removed.
     pub drain_grace: Time,
-    /// A member's removal from the endpoint list is ignored: it gets attempts until it is notified to drain.
+    /// Whether a member's removal from the endpoint list is ignored, so that only a notification to drain
+    /// ends attempts to it.
     pub ignore_removal: bool,
-    /// The fraction of its capacity, at least, that a member has when it has just started.
+    /// The least fraction of its capacity that a member has right after its start.
     pub slow_start_capacity: f64,
-    /// A member has warmed up this long after its start.
+    /// How long after its start a member has its full capacity at the latest.
     pub slow_start_window: Time,
-    /// A warming member that is sent more than this multiple of its capacity...
+    /// A warming member is overloaded and fails if it is sent more than this multiple of its current capacity
+    /// for the [`overload_window`](Self::overload_window).
     pub overload_multiple: f64,
-    /// ...for this long is overloaded and fails.
+    /// How long a warming member withstands more work than the [`overload_multiple`](Self::overload_multiple)
+    /// allows.
     pub overload_window: Time,
-    /// Where the endpoint list is polled: a change counts as notified once it could have been polled for this
-    /// long.
+    /// Where the endpoint list is polled: the router counts as notified of a change this long after the
+    /// change.
     pub poll_interval: Time,
-    /// The price of an attempt across zones, in points.
+    /// The price of an attempt in another zone, in points.
     pub price_cross_zone: f64,
     /// The price of wasted work, in points.
     pub price_waste: f64,
@@ -231,9 +235,9 @@
 pub enum EndpointState {
     /// In service.
     Ready,
-    /// Finishing its work before it leaves.
+    /// Draining: it completes its requests before it stops.
     Draining,
-    /// No longer in service.
+    /// Removed from service.
     Removed,
 }
 
@@ -246,45 +250,46 @@
     pub zone: ZoneId,
     /// Its group.
     pub group: GroupId,
-    /// Its state.
+    /// Its state in the list.
     pub state: EndpointState,
     /// Its weight among the members of its group.
     pub weight: f64,
-    /// Whether the list takes it for the primary.
+    /// Whether the list names it as the primary.
     pub primary: bool,
-    /// When it last started, if that is known.
+    /// When it last started, if known.
     pub started: Option<Time>,
-    /// Since when the router counts as notified of this. It lies before the arrival where the notice may have
-    /// waited for a watch to be opened; a time in the future means the arrival.
+    /// When the router counts as notified of this state. This is before the list's arrival if the
+    /// notification may have been delayed until a watch was opened; a time in the future counts as the time
+    /// of arrival.
     pub notified_at: Time,
 }
 
-/// What kind of endpoint list this is.
+/// The kind of an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
-    /// Only the members that have changed.
+    /// Only the members that changed since the previous list.
     Delta,
     /// All members.
     Full,
-    /// All members as last known, possibly out of date: the list with which a router starts.
+    /// All members from the router's cache, possibly out of date; a router starts with this list.
     Cached,
-    /// Polling the list has failed; it is empty.
+    /// Polling the list failed; this list is empty.
     Failed,
 }
 
 /// A member's role in replication.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It takes writes.
+    /// It executes writes.
     Primary,
     /// It applies the primary's log.
     Replica,
 }
 
-/// What an answer or a load report says of its member's replication.
+/// The replication state that a response or a load report gives for its member.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReplicationState {
-    /// All commits up to this time have been applied.
+    /// The log position: all commits up to this time have been applied.
     pub position: Option<Time>,
     /// Its role.
     pub role: Option<Role>,
@@ -293,19 +298,19 @@
 /// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// It was served.
+    /// The member served it.
     Ok,
-    /// The member rejected it without executing it: it is not the primary, or too far behind.
+    /// The member rejected it without executing it, because it is not the primary or is too far behind.
     Misdirected,
-    /// The member failed at it.
+    /// The member responded with an error.
     Error,
-    /// The member rejected it unread for want of capacity.
+    /// The member rejected it for lack of capacity, without reading it.
     Overloaded,
-    /// No answer came in time.
+    /// No response was received before the timeout.
     Timeout,
-    /// No connection could be made.
+    /// No connection could be established.
     ConnectFailed,
-    /// The connection broke.
+    /// The connection was lost.
     Reset,
     /// The router cancelled it.
     Cancelled,
@@ -314,7 +319,7 @@
 }
 
 impl Status {
-    /// Whether this proves that the request was not executed.
+    /// Returns whether this proves that the request was not executed.
     pub fn proves_not_executed(self) -> bool {
         matches!(self, Status::Misdirected | Status::Overloaded | Status::ConnectFailed | Status::NotSent)
     }
@@ -329,76 +334,79 @@
     pub class: ClassId,
     /// Its tenant.
     pub tenant: TenantId,
-    /// When its client stops waiting.
+    /// The deadline at which its client stops waiting.
     pub deadline: Time,
-    /// The group that it is for.
+    /// The group that holds its data.
     pub group: GroupId,
-    /// The position that a session read must see at least; zero if any will do.
+    /// The log position that a member must have applied to serve a session read; zero for no requirement.
     pub floor: Time,
-    /// A replica may be waited for whose estimated position lies behind the floor by no more than this.
+    /// How far a replica's estimated log position may be behind the floor for the request to wait for that
+    /// replica.
     pub lead: Time,
-    /// The client marks it as a retry.
+    /// Whether the client marked it as a retry.
     pub client_retry: bool,
 }
 
-/// How one attempt ended.
+/// The outcome of one attempt.
 #[derive(Clone, Debug)]
 pub struct Outcome {
     /// The request.
     pub request: RequestId,
     /// The attempt's number.
     pub attempt: Attempt,
-    /// The member that it went to.
+    /// The member that it was sent to.
     pub member: MemberId,
-    /// How it ended.
+    /// How the attempt ended.
     pub status: Status,
-    /// The time from its start to this outcome.
+    /// The time from the start of the attempt to this outcome.
     pub elapsed: Time,
     /// Whether the request has completed with this outcome, so that it gets no further attempt.
     pub request_completed: bool,
-    /// What the answer says of the member's replication.
+    /// The member's replication state as given by the response itself.
     pub replication: ReplicationState,
-    /// What a load report inside the answer says, possibly out of date.
+    /// The member's replication state as given by a load report in the response, possibly out of date.
     pub report: ReplicationState,
 }
 
-/// What happens to a router.
+/// An event that a router handles.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// An endpoint list, or a change to it.
+    /// An endpoint list, or a change to it, arrived.
     Endpoints(EndpointUpdate, Vec<Endpoint>),
-    /// A request.
+    /// A request arrived.
     Request(Request),
-    /// A request that limits over all routers count.
+    /// A request arrived that is subject to fleet-wide limits.
     LimitedRequest {
         /// The request.
         request: Request,
-        /// The open fraction of the limits' tokens, 0 to 1.
+        /// The fraction of the limits' tokens that is available, 0 to 1.
         open_fraction: f64,
-        /// When the client may retry if the request is rejected for these limits.
+        /// How long after a rejection by these limits the client may retry.
         retry_after: Time,
     },
-    /// What budgets over all routers leave to this one, until the next such event.
+    /// The rest of the fleet-wide budgets that this router may use until the next such event.
     Budgets {
-        /// Attempts after a request's first; none without such a budget.
+        /// Attempts after the first of a request; `None` without such a budget.
         retries: Option<u32>,
-        /// Health checks; none without such a budget.
+        /// Health checks; `None` without such a budget.
         probes: Option<u32>,
     },
-    /// How many more attempts a limit over all routers leaves at a member.
+    /// How many more attempts a fleet-wide limit allows this router at a member.
     MemberCapacity {
         /// The member.
         member: MemberId,
-        /// Further attempts that may be out there.
+        /// Further attempts that may be in flight there.
         attempts: u32,
     },
-    /// An attempt's response has begun to reach the client: no other attempt can answer it any more.
+    /// The first part of an attempt's response was sent to the client: no other attempt can serve the request
+    /// any more.
     ResponseStarted(RequestId, Attempt),
     /// An attempt ended.
     Outcome(Outcome),
-    /// The client of a request has gone.
+    /// The client of a request no longer waits for its reply: it disconnected or cancelled the request, or
+    /// the router is shutting down.
     ClientGone(RequestId),
-    /// The timer with this token is due.
+    /// The timer with this token fired.
     Timer(u64),
     /// A health check ended.
     ProbeFinished {
@@ -406,30 +414,30 @@
         member: MemberId,
         /// How the health check ended.
         status: Status,
-        /// The time from its start to its end.
+        /// The time from the start of the health check to its end.
         elapsed: Time,
-        /// What the member's load report says.
+        /// The replication state in the member's load report.
         report: ReplicationState,
     },
-    /// The system clock has been set: a position reported before may be wrong by any amount.
+    /// The system clock was set: log positions reported earlier may be wrong by any amount.
     ClockSet,
-    /// A message from another router.
+    /// A message from a peer.
     Message(RouterId, Vec<u8>),
 }
 
-/// What a router does.
+/// An action that the router has to execute.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Begin an attempt of a request at a member, with a timeout if it is to end before the client's
-    /// deadline.
+    /// Start an attempt of a request at a member, with a timeout if the attempt has to end before the
+    /// client's deadline.
     Send(RequestId, MemberId, Option<Time>),
-    /// Reject a request: a retry does no harm, after the Retry-After if there is one.
+    /// Reject a request, which the client may safely retry, after the Retry-After if one is given.
     Reject(RequestId, Option<Time>),
-    /// End a request without saying whether it was executed.
+    /// Fail a request, leaving open whether it was executed.
     Fail(RequestId),
     /// Stop waiting for an attempt.
     Cancel(RequestId, Attempt),
-    /// Bring [`Event::Timer`] with this token after a span.
+    /// Deliver [`Event::Timer`] with this token after a span.
     Timer(Time, u64),
     /// Send a health check to a member.
     Probe(MemberId),
@@ -439,6 +447,6 @@
     WatchEndpoints,
     /// Poll the endpoint list once.
     PollEndpoints,
-    /// A line for the operators' log.
+    /// Write a line to the log.
     Log(String),
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,6 +1,7 @@
-//! The routing decisions of basalthill, without I/O: feed events in, carry the actions out.
+//! The routing decisions of basalthill, without I/O: the caller passes events in and executes the returned
+//! actions.
 //!
-//! [`Policy`] decides for one router; [`api`] is its interface. `docs/design.md` explains the decisions.
+//! [`Policy`] makes the decisions of one router; [`api`] is its interface. `docs/design.md` explains them.
 
 pub mod api;
 mod policy;
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,7 +1,7 @@
-//! The decisions of one router: [`Policy`] takes events and appends actions.
+//! The decisions of one router: [`Policy`] handles events and appends actions.
 //!
-//! This module owns the router's state, its clock and its housekeeping timer, and hands each event to the
-//! module that decides on it. `docs/design.md` says which rules come from the design and which depart from
+//! This module owns the router's state, its clock and its sweep timer, and dispatches each event to the
+//! module responsible for it. `docs/design.md` says which rules come from the design and which depart from
 //! it.
 
 mod admission;
@@ -25,7 +25,7 @@
 
 use crate::api::*;
 use client_timeouts::FrequentTimeouts;
-use decaying::Decaying;
+use decaying::DecayingValue;
 use fastrand::Rng;
 use health_checks::PROBE_INTERVAL;
 use load::ServiceTimes;
@@ -36,72 +36,77 @@
 use slow_start::Demand;
 use std::collections::BTreeMap;
 
-/// Interval of the housekeeping sweep while requests are queued.
+/// The interval of the periodic sweep while requests are queued.
 const BUSY_SWEEP_INTERVAL: Time = Time::ms(10);
 
-/// Interval of the housekeeping sweep while nothing is queued.
+/// The interval of the periodic sweep while no request is queued.
 const IDLE_SWEEP_INTERVAL: Time = Time::ms(100);
 
-/// For this long after its start a router queues requests for its first endpoint list and first health
-/// checks.
+/// How long after its start a router queues requests that wait for the first endpoint list and the first
+/// health checks.
 const STARTUP_WINDOW: Time = Time::ms(250);
 
-/// A fleet of more routers than this spreads work that each router of a small fleet does alone: searches,
-/// health checks and attempts at crowded members.
-const SMALL_FLEET: f64 = 4.0;
+/// In a fleet of at most this many routers, each router performs all of the work that a larger fleet divides
+/// among its routers: health checks, reads that test whether a replica has caught up, and attempts at
+/// overloaded members.
+const SMALL_FLEET_ROUTERS: f64 = 4.0;
 
-/// Token of the only timer that the policy sets.
+/// The token of the sweep timer, the only timer that the policy sets.
 const SWEEP_TIMER: u64 = 0;
 
-/// What budgets over all routers leave to this one, counted down with each use; `None` without a budget.
+/// The rest of the fleet-wide budgets that this router may use, counted down with each use; `None` without a
+/// budget.
 #[derive(Clone, Copy, Debug, Default)]
 struct RemainingBudgets {
-    /// Attempts after a request's first.
+    /// Attempts after the first of a request.
     retries: Option<u32>,
     /// Health checks.
     probes: Option<u32>,
 }
 
-/// The decisions of one router. It has no clock and does no I/O: the same settings, seed and events always
-/// give the same actions.
+/// The decision state of one router. It reads no clock and does no I/O: the same settings, seed and events
+/// always produce the same actions.
 pub struct Policy {
     settings: Settings,
-    /// The time of the event that is being handled.
+    /// The time of the current event.
     now: Time,
     rng: Rng,
-    /// When the first event came; `None` before that.
+    /// The time of the first event; `None` before it.
     started_at: Option<Time>,
     members: Members,
-    /// Requests without a final answer.
+    /// Requests that have not completed.
     requests: BTreeMap<RequestId, PendingRequest>,
-    /// Those of them that wait for a member to accept them.
+    /// The pending requests that wait for a member with capacity.
     queue: RequestQueue,
     service_times: ServiceTimes,
-    /// The usual client timeouts of each class.
+    /// The most frequent client timeouts of each class.
     client_timeouts: Vec<FrequentTimeouts>,
-    /// A replica further behind the most advanced member than this is ejected from reads that need freshness.
+    /// A replica that lags behind the most advanced member by more than this is ejected for reads that need
+    /// freshness.
     lag_margin: Time,
-    /// Health checks that this router has earned and not yet sent.
+    /// The token bucket for health checks: the number that this router may send now.
     probe_tokens: f64,
     budgets: RemainingBudgets,
-    /// When the next sweep is due; sweep timers that fire earlier are stale.
+    /// When the next sweep is due; a sweep timer that fires earlier is ignored as outdated.
     next_sweep: Time,
     last_list_poll: Time,
-    /// When a member that is up last turned out to lack connections; zero if never.
+    /// When a connection shortage at a member that is up was last detected; zero if never.
     connection_shortage_at: Time,
-    /// Work that members served for this router, in seconds of service time.
-    work_served: Decaying,
-    /// Work that clients requested of this router.
+    /// The work that members served for this router, in seconds of service time.
+    work_served: DecayingValue,
+    /// The work that clients requested from this router.
     demand: Demand,
-    /// Mean excess latency at replicas and at primaries, indexed by [`member::Member::role_index`], in
-    /// seconds.
-    excess_latency_by_role: [Decaying; 2],
-    /// How long this router itself stood still before this round of events, beyond its sweep interval.
+    /// The mean excess latency of replicas and of primaries in seconds, indexed by
+    /// [`member::Member::role_index`].
+    excess_latency_by_role: [DecayingValue; 2],
+    /// How long this router's process was stalled before this round of events: the time since the previous
+    /// event beyond the idle sweep interval and one tick.
     stalled_for: Time,
 }
 
 impl Policy {
-    /// A router that has just started and knows no members. `seed` determines all its random choices.
+    /// Creates the state of a router that has just started and has no endpoint list yet. `seed` determines
+    /// all random choices.
     pub fn new(settings: Settings, seed: u64) -> Policy {
         let staleness_bound = |class: &Class| match class.consistency {
             Consistency::BoundedStaleness(bound) => bound,
@@ -127,14 +132,15 @@
             next_sweep: Time(u64::MAX),
             last_list_poll: Time(0),
             connection_shortage_at: Time(0),
-            work_served: Decaying::default(),
+            work_served: DecayingValue::default(),
             demand: Demand::default(),
-            excess_latency_by_role: [Decaying::default(); 2],
+            excess_latency_by_role: [DecayingValue::default(); 2],
             stalled_for: Time(0),
         }
     }
 
-    /// Handles one event at time `now`, which never goes back; appends the resulting actions to `out`.
+    /// Handles one event at time `now`, which must not be before the previous event, and appends the
+    /// resulting actions to `out`.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         self.advance_clock(now);
         if self.started_at.is_none() {
@@ -144,16 +150,16 @@
         self.schedule_sweep(out);
     }
 
-    /// Moves the clock on, notes a standstill of the router itself and earns health checks for the time
-    /// passed.
+    /// Advances the clock, records a stall of the router's own process, and adds tokens for health checks in
+    /// proportion to the time passed.
     fn advance_clock(&mut self, now: Time) {
         if now > self.now {
             let previous = self.now.max(self.started_at.unwrap_or(now));
             let gap = now.since(previous);
-            // Timers fire a moment late, so that a gap of one tick beyond the sweep is no standstill.
+            // Timers fire up to one tick late, so a gap of one tick beyond the sweep interval is not a stall.
             self.stalled_for = gap.since(IDLE_SWEEP_INTERVAL.plus(self.settings.tick));
             let intervals = gap.secs() / PROBE_INTERVAL.secs();
-            self.earn_probes(intervals * self.small_fleet_fraction() * self.members.len() as f64);
+            self.add_probe_tokens(intervals * self.shared_work_fraction() * self.members.len() as f64);
         }
         self.now = now;
     }
@@ -183,8 +189,8 @@
                 }
             }
             Event::Outcome(outcome) => self.finish_attempt(outcome, out),
-            Event::ClientGone(id) => self.forget(id, out),
-            Event::ClockSet => self.distrust_positions(),
+            Event::ClientGone(id) => self.remove_request(id, out),
+            Event::ClockSet => self.discard_positions(),
             Event::ProbeFinished { member, status, report, .. } => {
                 self.finish_probe(member, status, report, out);
             }
@@ -192,7 +198,7 @@
         }
     }
 
-    /// Sets the sweep timer, unless it is set for that time or an earlier one.
+    /// Sets the sweep timer, unless it is already set for the same or an earlier time.
     fn schedule_sweep(&mut self, out: &mut Vec<Action>) {
         let interval = if self.queue.is_empty() { IDLE_SWEEP_INTERVAL } else { BUSY_SWEEP_INTERVAL };
         let due = self.now.plus(interval);
@@ -202,15 +208,15 @@
         }
     }
 
-    /// Housekeeping: polls the endpoint list, rejects requests that wait in vain, looks for silent members,
-    /// sends health checks and places queued requests.
+    /// Performs the periodic work: polls the endpoint list, rejects queued requests that can't be served in
+    /// time, detects unresponsive members, sends health checks and places queued requests.
     fn sweep(&mut self, out: &mut Vec<Action>) {
         self.next_sweep = Time(u64::MAX);
         self.poll_endpoints(out);
         self.reject_expired(out);
         if self.stalled_for == Time(0) {
-            // After a standstill, responses may still lie unread in the same round of events.
-            self.detect_silence();
+            // After a stall, responses may have arrived that follow later in the same round of events.
+            self.detect_unresponsive_members();
         }
         self.send_due_probes(out);
         for group in self.queue.groups() {
@@ -219,20 +225,21 @@
         }
     }
 
-    /// Whether the router has started so lately that its first list or first health checks may be on their
-    /// way.
+    /// Returns whether the router started so recently that it may not have received its first endpoint list
+    /// or the results of its first health checks.
     fn is_starting_up(&self) -> bool {
         self.started_at.is_some_and(|at| self.now.since(at) < STARTUP_WINDOW)
     }
 
-    /// The fraction of what a router of a small fleet does alone that this router may do, so that a large
-    /// fleet does no more altogether: 1 for up to [`SMALL_FLEET`] routers.
-    fn small_fleet_fraction(&self) -> f64 {
-        (SMALL_FLEET / f64::from(self.settings.routers)).min(1.0)
+    /// Returns the fraction of shared work (such as health checks) that this router performs: 1 for up to
+    /// [`SMALL_FLEET_ROUTERS`] routers, and less in a larger fleet, so that the total stays the same.
+    fn shared_work_fraction(&self) -> f64 {
+        (SMALL_FLEET_ROUTERS / f64::from(self.settings.routers)).min(1.0)
     }
 }
 
-/// A number from 0 up to 1 that depends on the request alone, so that each check of it draws the same one.
+/// Returns a pseudorandom number in `0.0..1.0` that depends only on the request id, so that repeated checks
+/// of the same request use the same number.
 fn request_draw(id: RequestId) -> f64 {
     Rng::with_seed(id.0).f64()
 }
--- a/crates/policy/src/policy/admission.rs
+++ b/crates/policy/src/policy/admission.rs
@@ -1,42 +1,42 @@
-//! A request's way through the router: admission, placement on a member, queueing, rejection.
+//! Admission of requests, their placement on members or in the queue, and their rejection.
 
 use super::load::LATENCY_SAFETY_FACTOR;
 use super::pending_request::{AttemptRecord, PendingRequest, Workload};
 use super::{Policy, BUSY_SWEEP_INTERVAL};
 use crate::api::*;
 
-/// Weight of a client's retry, at least, as a fraction of a first attempt's: it mostly comes after its
-/// latency objective.
+/// The least weight of a client's retry, as a fraction of the weight of a first request. Retries weigh less
+/// because most of them arrive after their latency objective.
 const MIN_RETRY_WEIGHT: f64 = 0.5;
 
-/// A request that no member has had is rejected once this fraction of its client's time has passed, so that
-/// the client can still go elsewhere.
+/// The fraction of a client's timeout after which a request that has reached no member is rejected, so that
+/// the client can still use another router.
 const UNSENT_WAIT_FRACTION: f64 = 0.5;
 
-/// The last fraction of a limit's tokens: the less value a request has for its work, the more of it it leaves
-/// to others.
+/// The fraction of a limit's tokens of which requests of lower value leave a part to those of higher value:
+/// the lower the value per second of work, the larger the part.
 const RESERVED_LIMIT_FRACTION: f64 = 0.5;
 
-/// A client timeout counts as the same if it differs by less than this many ticks.
+/// Two client timeouts are considered equal if they differ by less than this many ticks.
 const TIMEOUT_TOLERANCE_TICKS: f64 = 3.0;
 
-/// An answer has to be there this many ticks before the client's deadline.
+/// The response has to be received this many ticks before the client's deadline.
 const DEADLINE_MARGIN_TICKS: f64 = 2.0;
 
-/// What became of a request that was to be placed.
+/// The result of placing a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Placement {
     /// An attempt was sent.
     Sent,
-    /// It waits in the queue.
+    /// It was queued.
     Queued,
-    /// It has ended, or ends with the attempts that are out.
-    GivenUp,
+    /// It was neither sent nor queued: it has ended, or ends with its attempts in flight.
+    NotPlaced,
 }
 
 impl Policy {
-    /// Admits a request that limits over all routers count, or rejects it at once: of what is open under
-    /// them, the last part is reserved for the requests with the most value for their work.
+    /// Admits a request that is subject to fleet-wide limits, or rejects it at once. The last part of the
+    /// limits' tokens is reserved for the requests of the highest value per second of work.
     pub(super) fn admit_limited(
         &mut self,
         request: Request,
@@ -52,13 +52,13 @@
         out.push(Action::Reject(request.id, self.settings.retry_after.then_some(after)));
     }
 
-    /// The fraction of a limit's tokens that requests of this class leave to those of more value for their
-    /// work.
+    /// Returns the fraction of a limit's tokens that requests of this class leave to those of higher value
+    /// per second of work.
     fn reserved_for_others(&self, class: usize) -> f64 {
         RESERVED_LIMIT_FRACTION - self.relative_value(class, RESERVED_LIMIT_FRACTION)
     }
 
-    /// Takes a request in and places it. One of an unknown class fails.
+    /// Admits a request and places it. A request of an unknown class fails.
     pub(super) fn admit(&mut self, request: Request, out: &mut Vec<Action>) {
         let class_index = usize::from(request.class.0);
         let Some(class) = self.settings.classes.get(class_index) else {
@@ -77,7 +77,7 @@
         let waited = self.client_timeouts[class_index].elapsed_before_arrival(time_left, tolerance);
         let id = request.id;
         self.record_demand(request.group, workload, self.service_times.get(class_index));
-        self.earn_probes_for_request();
+        self.add_probe_tokens_for_request();
         let pending = PendingRequest {
             class: class_index,
             arrived_at: self.now.minus(waited),
@@ -91,16 +91,16 @@
         self.place(id, out);
     }
 
-    /// Sends a request to a member, queues it, or gives it up.
+    /// Sends a request to a member, queues it, or rejects or fails it.
     pub(super) fn place(&mut self, id: RequestId, out: &mut Vec<Action>) -> Placement {
-        let Some(request) = self.requests.get(&id) else { return Placement::GivenUp };
+        let Some(request) = self.requests.get(&id) else { return Placement::NotPlaced };
         let too_late = self.now.plus(self.settings.tick) >= self.useful_until(request);
         let can_wait = self.can_wait(request);
         let group = request.request.group;
         let target = if too_late || self.awaits_first_probes(request) {
             None
         } else {
-            // The generator is taken out, so that choosing leaves the rest of the state as it is.
+            // The generator is cloned because `choose_member` borrows the rest of the state immutably.
             let mut rng = self.rng.clone();
             let target = self.choose_member(request, &mut rng);
             self.rng = rng;
@@ -113,20 +113,20 @@
             self.queue.insert(group, id);
             Placement::Queued
         } else {
-            self.give_up(id, out);
-            Placement::GivenUp
+            self.reject_or_fail(id, out);
+            Placement::NotPlaced
         }
     }
 
-    /// Whether a read has to wait for the health checks with which the router starts.
+    /// Returns whether a read has to wait for the first health checks after the router's start.
     fn awaits_first_probes(&self, request: &PendingRequest) -> bool {
         let is_write = self.settings.classes[request.class].consistency == Consistency::Write;
         let mut members = self.members.in_group(request.request.group);
         self.is_starting_up() && !is_write && members.any(|(_, member)| member.probe_in_flight)
     }
 
-    /// The time until which an answer is of use: up to the latency objective, or up to the client's deadline
-    /// where a late answer still counts.
+    /// Returns the time until which a response is useful: the latency objective, or shortly before the
+    /// client's deadline if a late reply still has value.
     pub(super) fn useful_until(&self, request: &PendingRequest) -> Time {
         let class = &self.settings.classes[request.class];
         let tick = self.settings.tick;
@@ -137,29 +137,29 @@
         last.min(request.arrived_at.plus(class.latency_objective).minus(tick))
     }
 
-    /// Whether a request may wait in the queue: only while a further attempt is allowed and can still be
-    /// answered in time.
+    /// Returns whether a request may wait in the queue: only while a further attempt is allowed and its
+    /// response is expected in time.
     pub(super) fn can_wait(&self, request: &PendingRequest) -> bool {
         let next_sweep = self.now.plus(BUSY_SWEEP_INTERVAL);
         let expected_s = self.service_times.get(request.class) * LATENCY_SAFETY_FACTOR;
         let in_time = next_sweep.plus(Time::from_secs(expected_s)) < self.useful_until(request);
-        let client_still_waits = request.has_reached_a_member() || next_sweep < request.first_attempt_by;
+        let client_still_waits = request.has_reached_member() || next_sweep < request.first_attempt_by;
         self.may_have_further_attempt(request) && in_time && client_still_waits
     }
 
-    /// Whether budgets, effect and endpoint list leave a further attempt possible at all.
+    /// Returns whether the request's effect, the budgets and the endpoint list allow a further attempt.
     fn may_have_further_attempt(&self, request: &PendingRequest) -> bool {
         let class = &self.settings.classes[request.class];
         let repeatable = class.effect == Effect::Idempotent
             || request.first_possible_execution().is_none()
             || self.window_allows_repeat(request);
-        // The first list is on its way to a router that has just started.
+        // A router that has just started has not received its first endpoint list yet.
         let awaits_first_list = self.members.is_empty() && self.is_starting_up();
         let has_members = awaits_first_list || self.members.has_group(request.request.group);
         !self.is_exhausted(request) && repeatable && has_members
     }
 
-    /// Begins an attempt at a member.
+    /// Starts an attempt at a member.
     pub(super) fn send_attempt(&mut self, id: RequestId, target: MemberId, out: &mut Vec<Action>) {
         let now = self.now;
         let (Some(request), Some(member)) = (self.requests.get(&id), self.members.get(target)) else {
@@ -182,8 +182,9 @@
         out.push(Action::Send(id, target, Some(timeout)));
     }
 
-    /// How long an attempt that begins now may take: to the client's deadline, but no longer than its
-    /// deduplication window, since a repeat that its member takes up after that would be executed again.
+    /// Returns the timeout of an attempt that starts now: the time to the client's deadline, but at most the
+    /// rest of the deduplication window, since a member that starts on a repeat after the window would
+    /// execute it again.
     fn attempt_timeout(&self, request: &PendingRequest) -> Time {
         let tick = self.settings.tick;
         let soon = self.now.plus(tick);
@@ -195,10 +196,11 @@
         }
     }
 
-    /// Ends a request that has no attempt out: rejects it where a retry does no harm, else fails it.
-    pub(super) fn give_up(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    /// Ends a request that has no attempt in flight: rejects it if the client may safely retry, otherwise
+    /// fails it.
+    pub(super) fn reject_or_fail(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
-        if request.attempts_out() > 0 {
+        if request.attempts_in_flight() > 0 {
             return;
         }
         let retry_after = self.settings.retry_after.then_some(self.settings.max_retry_after);
@@ -206,27 +208,29 @@
             true => Action::Reject(id, retry_after),
             false => Action::Fail(id),
         });
-        self.forget(id, out);
+        self.remove_request(id, out);
     }
 
-    /// Whether the client may retry: nothing has been executed, or a client that follows the longest
-    /// Retry-After still meets the deduplication window.
+    /// Returns whether the client may safely retry: the request has not been executed, is idempotent, or has
+    /// an idempotency key whose deduplication window has not ended when a client that waits for the longest
+    /// Retry-After retries.
     fn is_retry_harmless(&self, request: &PendingRequest) -> bool {
         let class = &self.settings.classes[request.class];
         let Some(first) = request.first_possible_execution() else { return true };
         let deduplicated = class.effect == Effect::IdempotentByKey && class.scope == KeyScope::All;
-        let client_back = self.now.plus(self.settings.max_retry_after);
-        let within_window = client_back < first.sent_at.plus(class.window);
+        let client_retry_at = self.now.plus(self.settings.max_retry_after);
+        let within_window = client_retry_at < first.sent_at.plus(class.window);
         class.effect == Effect::Idempotent || (deduplicated && within_window)
     }
 
-    /// Drops a request that has ended. Its attempts that are still out are cancelled where that does no harm.
-    pub(super) fn forget(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    /// Removes a request that has ended. Its attempts in flight are cancelled if cancelling is allowed and
+    /// the request is idempotent.
+    pub(super) fn remove_request(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.remove(&id) else { return };
         self.queue.remove(request.request.group, id);
         let idempotent = self.settings.classes[request.class].effect == Effect::Idempotent;
         for (number, attempt) in request.attempts.iter().enumerate() {
-            if !attempt.is_out() {
+            if !attempt.is_in_flight() {
                 continue;
             }
             if self.settings.cancel && idempotent {
--- a/crates/policy/src/policy/breaker.rs
+++ b/crates/policy/src/policy/breaker.rs
@@ -1,23 +1,24 @@
-//! The circuit breaker of one member: closed, open for a cooldown, half-open until evidence closes or reopens
-//! it.
+//! The circuit breaker of one member: closed, open for a cooldown, then half-open until a response or a
+//! health check closes or reopens it.
 
 use crate::api::Time;
 
-/// Cooldown after an ejection for replication lag, short because a replica often catches up at once.
+/// The cooldown after an ejection for replication lag. It is short because a replica often catches up
+/// quickly.
 const LAG_COOLDOWN: Time = Time::ms(500);
 
-/// Cooldown after an ejection for transport failures or silence.
+/// The cooldown after an ejection for transport failures or unresponsiveness.
 const FAILURE_COOLDOWN: Time = Time::ms(1000);
 
 /// Why a member was ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EjectReason {
-    /// It is too far behind; it still serves reads that need no freshness.
+    /// It lags too far behind; it still serves reads that need no freshness.
     Lag,
-    /// Several transport failures in a row.
+    /// Several consecutive transport failures.
     Transport,
-    /// It has answered nothing since an attempt that is long overdue.
-    Silence,
+    /// It has not responded to any attempt since an attempt that is overdue was sent.
+    Unresponsive,
 }
 
 /// A member's circuit breaker.
@@ -33,31 +34,31 @@
         /// The end of the cooldown.
         until: Time,
     },
-    /// The cooldown is over; the next evidence decides.
+    /// The cooldown is over; the next response or health check closes or reopens the breaker.
     HalfOpen(EjectReason),
 }
 
 impl Breaker {
-    /// Ejects the member for the cooldown of this reason.
+    /// Ejects the member for the cooldown that belongs to the reason.
     pub(super) fn open(&mut self, reason: EjectReason, now: Time) {
         let cooldown = match reason {
             EjectReason::Lag => LAG_COOLDOWN,
-            EjectReason::Transport | EjectReason::Silence => FAILURE_COOLDOWN,
+            EjectReason::Transport | EjectReason::Unresponsive => FAILURE_COOLDOWN,
         };
         *self = Breaker::Open { reason, until: now.plus(cooldown) };
     }
 
-    /// Takes the member back into use.
+    /// Ends the ejection of the member.
     pub(super) fn close(&mut self) {
         *self = Breaker::Closed;
     }
 
-    /// Whether the member is in its cooldown, for whatever reason.
+    /// Returns whether the member is in a cooldown, whatever the reason.
     pub(super) fn is_open(&self) -> bool {
         matches!(self, Breaker::Open { .. })
     }
 
-    /// Whether the member is in the cooldown of this reason.
+    /// Returns whether the member is in a cooldown for this reason.
     pub(super) fn is_open_for(&self, reason: EjectReason) -> bool {
         matches!(self, Breaker::Open { reason: open_for, .. } if *open_for == reason)
     }
--- a/crates/policy/src/policy/client_timeouts.rs
+++ b/crates/policy/src/policy/client_timeouts.rs
@@ -1,31 +1,33 @@
-//! The client timeouts that many requests of a class come with.
+//! Estimation of how long a request has waited before it arrived, from the frequent client timeouts of its
+//! class.
 //!
-//! Clients of a class mostly use one of a few timeouts. A request that comes with less time left than usual
-//! has waited before: for a router that stood still, or through an earlier attempt elsewhere.
+//! Most clients of a class use one of a few timeouts. A request that arrives with less time left than these
+//! has waited before: while a router was stalled, or during an earlier attempt at another router.
 
 use crate::api::Time;
 
-/// Timeouts remembered for each class. Each one that comes with more than a quarter of the requests is among
-/// them.
+/// The number of timeouts recorded per class. They include each timeout that more than a quarter of the
+/// requests have.
 const REMEMBERED_TIMEOUTS: usize = 3;
 
-/// A timeout and the votes for it.
+/// A timeout and its count of votes.
 #[derive(Clone, Copy, Debug, Default)]
 struct Candidate {
     timeout: Time,
-    /// Zero if the place is free.
+    /// The number of votes; zero if the entry is free.
     votes: u32,
 }
 
-/// The frequent client timeouts of one class, found by the majority vote of Misra and Gries.
+/// The frequent client timeouts of one class, found by the Misra-Gries algorithm.
 #[derive(Clone, Debug, Default)]
 pub(super) struct FrequentTimeouts {
     candidates: [Candidate; REMEMBERED_TIMEOUTS],
 }
 
 impl FrequentTimeouts {
-    /// Counts a request that came with `time_left` and returns how long it has waited already: zero if that
-    /// is a frequent timeout, give or take `tolerance`, else what the most frequent one exceeds it by.
+    /// Counts a request that arrived with `time_left` until its deadline, and returns how long it has waited
+    /// before: zero if `time_left` is within `tolerance` of a recorded timeout, otherwise the difference to
+    /// the most frequent timeout.
     pub(super) fn elapsed_before_arrival(&mut self, time_left: Time, tolerance: Time) -> Time {
         let matches = |candidate: &Candidate| {
             let distance = time_left.since(candidate.timeout).max(candidate.timeout.since(time_left));
@@ -40,7 +42,7 @@
         most_frequent.map_or(Time(0), |candidate| candidate.timeout.since(time_left))
     }
 
-    /// Gives a free place to a new timeout, or takes a vote from all if there is none.
+    /// Records a new timeout in a free entry, or takes one vote from each entry if none is free.
     fn vote_for_new(&mut self, timeout: Time) {
         if let Some(free) = self.candidates.iter_mut().find(|candidate| candidate.votes == 0) {
             *free = Candidate { timeout, votes: 1 };
--- a/crates/policy/src/policy/connections.rs
+++ b/crates/policy/src/policy/connections.rs
@@ -1,38 +1,41 @@
-//! Connections to members: which are likely open, what a missing one costs, and what to do when they run
-//! short.
+//! Connections to members: which are likely open, the cost of a missing one, and detection of connection
+//! shortages.
 
 use super::member::Member;
 use super::outcomes::OVERLOAD_BACKOFF;
 use super::Policy;
 use crate::api::*;
 
-/// A member that responds this soon after it rejected a connection is up, and lacks connections.
+/// A member that responds within this time after it rejected a connection is up, but at its connection limit.
 const SHORTAGE_DETECTION_WINDOW: Time = Time::ms(1000);
 
-/// For this long after a shortage, the router closes connections as soon as they are idle.
+/// How long after the detection of a shortage the router closes connections as soon as they are idle.
 const SHORTAGE_DURATION: Time = Time::ms(10_000);
 
-/// A connection is likely still open for this fraction of the longest idle time after the last response.
+/// The fraction of the hosts' idle timeout for which a connection is assumed to stay open after the last
+/// response.
 const OPEN_CONNECTION_FRACTION: f64 = 0.7;
 
-/// What a member without a connection costs in requests in flight, before this router's own bias.
+/// The cost of a member without an open connection, in requests in flight, before this router's own bias is
+/// added.
 const MISSING_CONNECTION_COST: f64 = 1.0;
 
 impl Policy {
-    /// What a missing connection to the member costs, in requests in flight: nothing in a small fleet.
+    /// Returns the cost of a missing connection to the member, in requests in flight; zero in a small fleet.
     ///
-    /// A router that seldom sends to a group would open a connection to each member and let it idle out. In a
-    /// large fleet each router keeps to a part of the group, drawn by itself so that the parts cover it
-    /// evenly, and goes beyond it when more is in flight or responses come late there.
+    /// A router that seldom sends to a group would open a connection to each of its members, which would then
+    /// reach the idle timeout. In a large fleet, each router therefore prefers a random subset of the group,
+    /// so that the subsets of all routers cover it evenly. It uses other members when more requests are in
+    /// flight at the preferred ones or their latency rises.
     pub(super) fn connection_cost(&self, member: &Member) -> f64 {
         let open_for = self.settings.conn_idle.times(OPEN_CONNECTION_FRACTION);
         let likely_open = self.now.since(member.responded_at) < open_for;
-        let weight = if likely_open { 0.0 } else { 1.0 - self.small_fleet_fraction() };
+        let weight = if likely_open { 0.0 } else { 1.0 - self.shared_work_fraction() };
         weight * (MISSING_CONNECTION_COST + member.affinity_bias)
     }
 
-    /// Notes a rejected connection, closes the connection that has fallen idle during a shortage, and looks
-    /// for a shortage after a response.
+    /// Records a rejected connection, closes a member's idle connections during a shortage, and checks for a
+    /// shortage after a response.
     pub(super) fn track_connections(&mut self, outcome: &Outcome, out: &mut Vec<Action>) {
         let now = self.now;
         let shortage_at = self.connection_shortage_at;
@@ -49,8 +52,9 @@
         }
     }
 
-    /// A member that responds right after it rejected a connection is neither dead nor cut off: it has no
-    /// connections left, and idle ones are closed so that other routers find one.
+    /// Detects a connection shortage: a member that responds shortly after it rejected a connection is
+    /// neither down nor unreachable, but at its connection limit. Closes idle connections to all members, so
+    /// that other routers can connect.
     pub(super) fn detect_connection_shortage(&mut self, id: MemberId, out: &mut Vec<Action>) {
         let Some(member) = self.members.get_mut(id) else { return };
         let rejected_at = std::mem::take(&mut member.connection_rejected_at);
--- a/crates/policy/src/policy/eligibility.rs
+++ b/crates/policy/src/policy/eligibility.rs
@@ -1,7 +1,7 @@
-//! Which attempts are allowed: [`Policy::may_send`] is the one check that every attempt passes.
+//! Which attempts are allowed: every attempt has to pass [`Policy::may_send`].
 //!
-//! It keeps to the rules of the settings: groups, attempts and budgets, hedging, drain grace, effects and
-//! their deduplication windows, freshness, and what a warming member can bear.
+//! It enforces the rules of the settings: groups, the number of attempts and budgets, hedging, drain grace,
+//! effects and their deduplication windows, freshness, and the load of members that are warming up.
 
 use super::breaker::{Breaker, EjectReason};
 use super::member::Member;
@@ -10,7 +10,7 @@
 use crate::api::*;
 
 impl Policy {
-    /// Whether the rules allow an attempt of this request at this member now.
+    /// Returns whether the rules allow an attempt of this request at this member now.
     pub(super) fn may_send(&self, request: &PendingRequest, id: MemberId) -> bool {
         let Some(member) = self.members.get(id) else { return false };
         member.group == request.request.group
@@ -23,71 +23,71 @@
             && self.warm_up_allows(request, id, member)
     }
 
-    /// Whether the request may have no further attempt.
+    /// Returns whether the request has used up its attempts, or the retry budget is spent.
     pub(super) fn is_exhausted(&self, request: &PendingRequest) -> bool {
         let attempts = request.attempts.len();
         let out_of_retries = attempts > 0 && self.budgets.retries == Some(0);
         attempts >= self.settings.max_attempts as usize || out_of_retries
     }
 
-    /// Whether one more attempt may be out: one alone, or a second one as a hedge.
+    /// Returns whether one more attempt may be in flight: the only one, or a second one as a hedge.
     fn may_add_attempt(&self, request: &PendingRequest) -> bool {
         let class = &self.settings.classes[request.class];
-        match request.attempts_out() {
+        match request.attempts_in_flight() {
             0 => true,
             1 => self.settings.hedging && class.effect != Effect::NonIdempotent,
             _ => false,
         }
     }
 
-    /// Whether the member's drain grace is over, or will be within a tick.
+    /// Returns whether the member's drain grace period is over, or will be within a tick.
     fn has_drained(&self, member: &Member) -> bool {
         let soon = self.now.plus(self.settings.tick);
         member.draining_since.is_some_and(|since| since.plus(self.settings.drain_grace) <= soon)
     }
 
-    /// Whether the member may have a request that may have been executed already.
+    /// Returns whether the request may be sent to the member given that it may already have been executed.
     fn may_repeat_at(&self, request: &PendingRequest, member: &Member) -> bool {
         let class = &self.settings.classes[request.class];
         let Some(first) = request.first_possible_execution() else { return true };
         if class.effect == Effect::Idempotent {
             return true;
         }
-        // All attempts are in one group, so that the key's scope can only end at the border of a zone.
+        // All attempts of a request go to one group, so of the scopes only a zone can exclude the member.
         let first_zone = self.members.get(first.member).map(|member| member.zone);
         let in_scope = class.scope != KeyScope::Zone || first_zone == Some(member.zone);
         in_scope && self.window_allows_repeat(request)
     }
 
-    /// Whether what is left of the deduplication window of a request with an idempotency key is about the
-    /// time that a repeat takes.
+    /// Returns whether the rest of the deduplication window of a request with an idempotency key is longer
+    /// than the service time, so that a repeat is expected to be executed within the window.
     pub(super) fn window_allows_repeat(&self, request: &PendingRequest) -> bool {
         let class = &self.settings.classes[request.class];
         let left = request.window_left(self.now.plus(self.settings.tick), class.window);
         class.effect == Effect::IdempotentByKey && left.secs() > self.service_times.get(request.class)
     }
 
-    /// Whether the member is known to be fresh enough. Where members check reads themselves, it always
-    /// passes.
+    /// Returns whether the member is known to be fresh enough. Always true if members check the freshness of
+    /// reads themselves.
     fn has_required_position(&self, request: &PendingRequest, id: MemberId, member: &Member) -> bool {
         self.settings.when_behind != WhenBehind::ServeStale
             || self.is_fresh_enough(request, id, member, PositionBasis::Known)
     }
 
-    /// Whether a member that is warming up may have the attempt: by its credit, or as this request's draw has
-    /// it.
+    /// Returns whether slow start allows the attempt at the member: the member has warmed up, it has credit
+    /// left, or the request is among the fraction of requests that may be sent to it.
     fn warm_up_allows(&self, request: &PendingRequest, id: MemberId, member: &Member) -> bool {
         if self.warm_up_fraction(member) >= 1.0 || self.slow_start_credit(member) >= 0.0 {
             return true;
         }
-        // The fraction is one of requests, not of attempts: a request that is drawn has one attempt there.
-        let has_been_there =
+        // The fraction counts requests, not attempts: a request among them gets only one attempt there.
+        let already_attempted =
             request.attempts.iter().any(|attempt| attempt.member == id && attempt.may_have_reached_member());
         let fraction = self.slow_start_request_fraction(request, id, member);
-        request_draw(request.request.id) < fraction && !has_been_there
+        request_draw(request.request.id) < fraction && !already_attempted
     }
 
-    /// Whether the member is fresh enough for the request's class. The last known primary always is.
+    /// Returns whether the member is fresh enough for the request's class. The last known primary always is.
     pub(super) fn is_fresh_enough(
         &self,
         request: &PendingRequest,
@@ -125,7 +125,8 @@
         }
     }
 
-    /// Whether the member's breaker admits a read. Lag ejects only from reads that need freshness.
+    /// Returns whether the member's breaker admits a read. An ejection for lag applies only to reads that
+    /// need freshness.
     pub(super) fn breaker_admits(&self, request: &PendingRequest, member: &Member) -> bool {
         let needs_freshness = match self.settings.classes[request.class].consistency {
             Consistency::Eventual => false,
@@ -138,17 +139,17 @@
             Breaker::Open { reason, .. } => reason == EjectReason::Lag && !needs_freshness,
             Breaker::HalfOpen(EjectReason::Transport) => false,
             Breaker::HalfOpen(EjectReason::Lag) => idle || !needs_freshness,
-            Breaker::HalfOpen(EjectReason::Silence) => idle,
+            Breaker::HalfOpen(EjectReason::Unresponsive) => idle,
         }
     }
 }
 
-/// Which position of a member counts.
+/// The log position of a member that is compared with the required one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PositionBasis {
-    /// The last known one.
+    /// The last known position.
     Known,
-    /// The last known one carried forward with the clock, as for a member that kept up; an unknown one
-    /// passes. Only for members that check reads themselves.
+    /// The last known position plus the time since then, assuming that the lag has not changed. An unknown
+    /// position is accepted, except for strong reads. Used only if members check reads themselves.
     Estimated,
 }
--- a/crates/policy/src/policy/endpoints.rs
+++ b/crates/policy/src/policy/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists: members that appear, drain, restart and leave.
+//! Endpoint lists: members that are added, drain, restart and are removed.
 
 use super::member::{KnownRole, Member};
 use super::slow_start::SlowStartCredit;
@@ -6,16 +6,16 @@
 use crate::api::*;
 use std::collections::BTreeSet;
 
-/// The endpoint list is polled this often in each poll interval. A change counts as notified one interval
-/// after it; polling twice as often sees it in time.
+/// How many times the endpoint list is polled per poll interval. The router counts as notified of a change
+/// one interval after it; polling twice per interval detects the change before that.
 const POLLS_PER_INTERVAL: u64 = 2;
 
-/// The roles in an endpoint list are taken to be this old.
+/// The assumed age of the roles in an endpoint list.
 const LISTED_ROLE_AGE: Time = Time::ms(5000);
 
 impl Policy {
-    /// Takes an endpoint list or a change to it. A cached list comes at the start: all its members are
-    /// probed.
+    /// Applies an endpoint list or a change to it. After a cached list, with which the router starts, all
+    /// members are probed.
     pub(super) fn update_endpoints(
         &mut self,
         update: EndpointUpdate,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Members that a complete list no longer names are removed.
+    /// Marks the members that a complete list no longer names as draining.
     fn drain_unlisted(&mut self, endpoints: &[Endpoint]) {
         let listed: BTreeSet<MemberId> = endpoints.iter().map(|endpoint| endpoint.member).collect();
         for (id, member) in self.members.iter_mut() {
@@ -49,9 +49,9 @@
         let now = self.now;
         let draw = self.rng.f64();
         let initial_debt = draw * self.service_times.shortest();
-        // The routers of a small fleet probe a new member at once; those of a large one would do so all
-        // together.
-        let probed_at = if self.small_fleet_fraction() < 1.0 { now } else { Time(0) };
+        // A router of a small fleet probes a new member at once. In a large fleet, too many routers would do
+        // so at the same time, so the member counts as probed now.
+        let probed_at = if self.shared_work_fraction() < 1.0 { now } else { Time(0) };
         let member = self.members.get_or_insert_with(endpoint.member, || Member {
             affinity_bias: draw,
             slow_start: SlowStartCredit::new(initial_debt),
@@ -78,26 +78,27 @@
         }
     }
 
-    /// Takes a member that the list names primary for one, unless newer evidence of its role is known: the
-    /// list is late. Where members serve stale reads, the list never overrules a response that named a
-    /// replica.
+    /// Records a member that the list names as the primary as such, unless there is newer evidence of its
+    /// role, since the list is late. If members serve stale reads, the list never overrides a response that
+    /// reported the role of a replica.
     fn apply_listed_primary(&mut self, id: MemberId) {
         if self.settings.list_role == ListRole::None {
             return;
         }
         let as_of = self.now.minus(LISTED_ROLE_AGE);
-        let strict = self.settings.when_behind == WhenBehind::ServeStale;
+        let replica_role_wins = self.settings.when_behind == WhenBehind::ServeStale;
         let Some(member) = self.members.get_mut(id) else { return };
-        let known_better =
-            member.role.is_some_and(|known| known.as_of >= as_of || (strict && known.role == Role::Replica));
-        if !known_better {
+        let keeps_known_role = member
+            .role
+            .is_some_and(|known| known.as_of >= as_of || (replica_role_wins && known.role == Role::Replica));
+        if !keeps_known_role {
             member.role = Some(KnownRole { role: Role::Primary, as_of });
         }
     }
 
-    /// Probes all members, beginning at a random one, as far as the router has health checks to send.
+    /// Probes all members, starting with a random one, as far as the tokens for health checks suffice.
     fn probe_all(&mut self, out: &mut Vec<Action>) {
-        self.earn_probes(self.members.len() as f64 * self.small_fleet_fraction());
+        self.add_probe_tokens(self.members.len() as f64 * self.shared_work_fraction());
         let mut ids: Vec<MemberId> = self.members.iter().map(|(id, _)| id).collect();
         let first = (self.rng.f64() * ids.len() as f64) as usize;
         ids.rotate_left(first);
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Polls the endpoint list where it is not pushed.
+    /// Polls the endpoint list if it is not pushed and the last poll is long enough ago.
     pub(super) fn poll_endpoints(&mut self, out: &mut Vec<Action>) {
         if !self.settings.poll_endpoint_list {
             return;
--- a/crates/policy/src/policy/health_checks.rs
+++ b/crates/policy/src/policy/health_checks.rs
@@ -1,46 +1,48 @@
-//! Health checks: how many the router may send, when members are due for one, what the results say; and
-//! members that have gone silent.
+//! Health checks: how many the router may send, when a member is due for one, and how results change its
+//! state. Also detects members that have stopped responding.
 
 use super::breaker::{Breaker, EjectReason};
 use super::Policy;
 use crate::api::*;
 
-/// A member that nothing has been heard of for this long is probed.
+/// A member is probed after this long without a response or a health check.
 pub(super) const PROBE_INTERVAL: Time = Time::ms(2000);
 
-/// A suspect or half-open member is probed at this interval.
+/// The interval at which a suspect or half-open member is probed.
 const SUSPECT_PROBE_INTERVAL: Time = Time::ms(200);
 
-/// The position in a load report is taken to be this old.
+/// The assumed age of the log position in a load report.
 const REPORTED_POSITION_AGE: Time = Time::ms(150);
 
-/// The role in a load report is taken to be this old.
+/// The assumed age of the role in a load report.
 const REPORTED_ROLE_AGE: Time = Time::ms(300);
 
-/// Health checks that each request earns its router.
-const PROBES_PER_REQUEST: f64 = 0.1;
+/// The tokens for health checks that each request adds.
+const PROBE_TOKENS_PER_REQUEST: f64 = 0.1;
 
-/// No attempt is overdue, and no member silent, before this time has passed.
-pub(super) const MIN_SILENCE: Time = Time::ms(250);
+/// An attempt is not overdue, and its member not considered unresponsive, before it has been in flight for
+/// this long.
+pub(super) const MIN_OVERDUE_TIME: Time = Time::ms(250);
 
-/// An attempt that has been out for more than this many service times is overdue.
+/// An attempt that has been in flight for more than this many service times of its class is overdue.
 const OVERDUE_SERVICE_TIMES: f64 = 6.0;
 
 impl Policy {
-    /// Adds to the health checks that the router may send; it saves up one for each member at most.
+    /// Adds tokens for health checks, up to one per member.
     ///
-    /// All routers together earn one of each member an interval, and a few for their requests.
-    pub(super) fn earn_probes(&mut self, probes: f64) {
+    /// All routers together get one token per member and probe interval, multiplied by the size of the fleet
+    /// up to [`SMALL_FLEET_ROUTERS`](super::SMALL_FLEET_ROUTERS), and some more for their requests.
+    pub(super) fn add_probe_tokens(&mut self, probes: f64) {
         self.probe_tokens = (self.probe_tokens + probes).min(self.members.len() as f64);
     }
 
-    /// Adds what a request earns.
-    pub(super) fn earn_probes_for_request(&mut self) {
-        self.earn_probes(PROBES_PER_REQUEST);
+    /// Adds the tokens for one request.
+    pub(super) fn add_probe_tokens_for_request(&mut self) {
+        self.add_probe_tokens(PROBE_TOKENS_PER_REQUEST);
     }
 
-    /// Probes a member, unless a probe is under way, its drain grace is over or nothing is left to probe
-    /// with.
+    /// Probes a member, unless health checks are disabled, one is in flight there, its drain grace period is
+    /// over, or no token or budget is left.
     pub(super) fn send_probe(&mut self, id: MemberId, out: &mut Vec<Action>) {
         let now = self.now;
         let drain_grace = self.settings.drain_grace;
@@ -57,7 +59,7 @@
         out.push(Action::Probe(id));
     }
 
-    /// Takes the result of a health check and places what is queued for the member's group.
+    /// Handles the result of a health check and places the requests that are queued for the member's group.
     pub(super) fn finish_probe(
         &mut self,
         id: MemberId,
@@ -74,14 +76,14 @@
             member.record_contact(now, EjectReason::Transport);
             self.observe_report(id, report);
             self.detect_connection_shortage(id, out);
-        } else if !inconclusive && now.since(member.responded_at) >= MIN_SILENCE {
+        } else if !inconclusive && now.since(member.responded_at) >= MIN_OVERDUE_TIME {
             member.probe_failed_at = now;
             member.record_failure(now, true);
         }
         self.place_queued(group, out);
     }
 
-    /// Notes the replication state in a load report, which is a little out of date.
+    /// Records the replication state in a load report, which is slightly out of date.
     fn observe_report(&mut self, id: MemberId, report: ReplicationState) {
         let role_only = ReplicationState { position: None, ..report };
         self.observe_replication(id, role_only, self.now.minus(REPORTED_ROLE_AGE));
@@ -89,62 +91,68 @@
         self.observe_replication(id, position_only, self.now.minus(REPORTED_POSITION_AGE));
     }
 
-    /// Ends cooldowns and probes the members that are due: suspect and half-open ones, then the one that
-    /// nothing has been heard of for longest.
+    /// Ends cooldowns that have passed and probes the members that are due: suspect and half-open ones, then
+    /// the one that has been without contact for longest.
     pub(super) fn send_due_probes(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
-        // A large fleet leaves lagging members to the reads that they still serve: a probe of each router
-        // would find them behind again and again.
-        let lag_probe_interval = SUSPECT_PROBE_INTERVAL.times(1.0 / self.small_fleet_fraction());
+        // In a large fleet, lagging members are probed less often: they still serve reads that need no
+        // freshness, and frequent probes by every router would only find them lagging again.
+        let lag_probe_interval = SUSPECT_PROBE_INTERVAL.times(1.0 / self.shared_work_fraction());
         let probe_positions = self.settings.probe_positions;
-        let is_due = |reason, unheard_for| match reason {
-            EjectReason::Transport => unheard_for >= SUSPECT_PROBE_INTERVAL,
-            EjectReason::Lag => probe_positions && unheard_for >= lag_probe_interval,
-            // Only a response to an attempt ends silence.
-            EjectReason::Silence => false,
+        let is_due = |reason, since_contact| match reason {
+            EjectReason::Transport => since_contact >= SUSPECT_PROBE_INTERVAL,
+            EjectReason::Lag => probe_positions && since_contact >= lag_probe_interval,
+            // Only a response to an attempt shows that the member responds again.
+            EjectReason::Unresponsive => false,
         };
         let mut due = Vec::new();
-        let mut longest_unheard = None;
+        let mut longest_without_contact = None;
         for (id, member) in self.members.iter_mut() {
-            let unheard_for = now.since(member.last_contact.max(member.probed_at));
+            let since_contact = now.since(member.last_contact.max(member.probed_at));
             match member.breaker {
                 Breaker::Open { reason, until } if now >= until => {
                     member.breaker = Breaker::HalfOpen(reason);
                 }
-                Breaker::HalfOpen(reason) if is_due(reason, unheard_for) => due.push(id),
-                Breaker::Closed if member.suspect && unheard_for >= SUSPECT_PROBE_INTERVAL => due.push(id),
+                Breaker::HalfOpen(reason) if is_due(reason, since_contact) => due.push(id),
+                Breaker::Closed if member.suspect && since_contact >= SUSPECT_PROBE_INTERVAL => due.push(id),
                 Breaker::Closed if member.draining_since.is_none() => {
-                    longest_unheard = longest_unheard.max(Some((unheard_for, id)));
+                    longest_without_contact = longest_without_contact.max(Some((since_contact, id)));
                 }
                 _ => {}
             }
         }
-        let interval = PROBE_INTERVAL.times(1.0 / self.small_fleet_fraction());
-        due.extend(longest_unheard.filter(|(unheard_for, _)| *unheard_for >= interval).map(|(_, id)| id));
+        let interval = PROBE_INTERVAL.times(1.0 / self.shared_work_fraction());
+        due.extend(
+            longest_without_contact.filter(|(since_contact, _)| *since_contact >= interval).map(|(_, id)| id),
+        );
         for id in due {
             self.send_probe(id, out);
         }
     }
 
-    /// Looks for overdue attempts. A member that has responded to nothing since is ejected as silent; one
-    /// that has gone on responding has lost the attempt, which no longer counts as in flight.
-    pub(super) fn detect_silence(&mut self) {
+    /// Checks for overdue attempts. A member that has not responded to any attempt since the overdue one was
+    /// sent is ejected as unresponsive. If it has responded, the overdue attempt is presumed lost and does
+    /// not count as in flight any more.
+    pub(super) fn detect_unresponsive_members(&mut self) {
         let now = self.now;
         for request in self.requests.values_mut() {
             let service_time = self.service_times.get(request.class);
-            let Some(attempt) = request.attempts.iter_mut().rev().find(|attempt| attempt.is_out()) else {
+            let Some(attempt) = request.attempts.iter_mut().rev().find(|attempt| attempt.is_in_flight())
+            else {
                 continue;
             };
             let Some(member) = self.members.get_mut(attempt.member) else { continue };
-            let out_for = now.since(attempt.sent_at);
-            if out_for <= MIN_SILENCE || out_for.secs() <= OVERDUE_SERVICE_TIMES * service_time {
+            let in_flight_for = now.since(attempt.sent_at);
+            if in_flight_for <= MIN_OVERDUE_TIME
+                || in_flight_for.secs() <= OVERDUE_SERVICE_TIMES * service_time
+            {
                 continue;
             }
             if member.responded_at >= attempt.sent_at {
                 member.in_flight = member.in_flight.saturating_sub(attempt.in_flight_count());
                 attempt.presumed_lost = true;
             } else if !member.breaker.is_open() {
-                member.breaker.open(EjectReason::Silence, now);
+                member.breaker.open(EjectReason::Unresponsive, now);
             }
         }
     }
--- a/crates/policy/src/policy/member.rs
+++ b/crates/policy/src/policy/member.rs
@@ -1,92 +1,95 @@
-//! What the router knows of one member, and how successes and failures change it.
+//! The state of one member as known to the router, and how successes and failures change it.
 
 use super::breaker::{Breaker, EjectReason};
-use super::decaying::Decaying;
+use super::decaying::DecayingValue;
 use super::load::ConcurrencyLimit;
 use super::slow_start::SlowStartCredit;
 use crate::api::*;
 
-/// Transport failures in a row that eject a member.
+/// The number of consecutive transport failures after which a member is ejected.
 const EJECT_AFTER_FAILURES: u32 = 3;
 
-/// A replication position and the time that it is of.
+/// A log position and the time as of which it was reported.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct KnownPosition {
-    /// All commits up to this time were applied.
+    /// The log position: all commits up to this time were applied.
     pub(super) position: Time,
-    /// When that was so.
+    /// The time at which the member had this position.
     pub(super) as_of: Time,
 }
 
-/// A role and the age of the evidence for it.
+/// A role and the time of the evidence for it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct KnownRole {
     pub(super) role: Role,
-    /// When the evidence was true.
+    /// The time at which the member had this role.
     pub(super) as_of: Time,
 }
 
-/// What this router knows of a member.
+/// The state of a member as known to this router.
 #[derive(Default)]
 pub(super) struct Member {
     pub(super) group: GroupId,
     pub(super) zone: ZoneId,
-    /// Its weight in the endpoint list, 1 where weights say nothing.
+    /// Its weight in the endpoint list; 1 if weights are not used.
     pub(super) weight: f64,
-    /// Since when it has been draining or removed.
+    /// When it was notified to drain, or was removed; `None` while it is in service.
     pub(super) draining_since: Option<Time>,
-    /// When it last started, as far as is known.
+    /// When it last started, if known.
     pub(super) started_at: Option<Time>,
     pub(super) position: Option<KnownPosition>,
     pub(super) role: Option<KnownRole>,
     pub(super) breaker: Breaker,
-    /// Transport failures and failed health checks in a row.
+    /// The number of consecutive transport failures and failed health checks.
     pub(super) consecutive_failures: u32,
-    /// A failure has raised suspicion that no response or health check has cleared yet.
+    /// Whether it is suspect: a failure suggests that it is down, and no response or successful health check
+    /// has been received since.
     pub(super) suspect: bool,
     /// When a health check last failed.
     pub(super) probe_failed_at: Time,
-    /// Attempts without an outcome, without those presumed lost.
+    /// The number of attempts without an outcome, except for those presumed lost.
     pub(super) in_flight: u32,
-    /// Further attempts that a limit over all routers allows; `None` without such a limit.
+    /// The number of further attempts that a fleet-wide limit allows; `None` without such a limit.
     pub(super) attempts_allowed: Option<u32>,
     pub(super) concurrency: ConcurrencyLimit,
-    /// Seconds by which its responses exceed their class's service time.
-    pub(super) excess_latency: Decaying,
-    /// Fraction of attempts that failed.
-    pub(super) failure_rate: Decaying,
+    /// The moving average of its excess latency: by how many seconds its responses exceed their class's
+    /// service time.
+    pub(super) excess_latency: DecayingValue,
+    /// The moving average of the fraction of attempts that failed.
+    pub(super) failure_rate: DecayingValue,
     /// When it last responded to an attempt.
     pub(super) responded_at: Time,
-    /// No attempt goes there before this time.
+    /// No attempt is sent to it before this time.
     pub(super) backoff_until: Time,
-    /// When it last rejected a connection; zero if it has responded since.
+    /// When it last rejected a connection; zero once a later response was received.
     pub(super) connection_rejected_at: Time,
-    /// This router's random preference among members that it has no connection to, 0 to 1: less is better.
+    /// This router's random preference among members to which it has no connection, 0 to 1; a lower value is
+    /// preferred.
     pub(super) affinity_bias: f64,
-    /// A health check is under way.
+    /// Whether a health check is in flight.
     pub(super) probe_in_flight: bool,
     /// When a health check was last sent.
     pub(super) probed_at: Time,
-    /// When a response or health check last showed that it is up.
+    /// When a response or a health check last showed that it is up.
     pub(super) last_contact: Time,
     pub(super) slow_start: SlowStartCredit,
-    /// When the search for a primary last chose it.
+    /// When the search for a primary last sent it a write.
     pub(super) searched_at: Time,
 }
 
 impl Member {
-    /// Whether the newest evidence says that it is the primary.
+    /// Returns whether it is the primary according to the newest evidence.
     pub(super) fn is_primary(&self) -> bool {
         self.role.is_some_and(|known| known.role == Role::Primary)
     }
 
-    /// 1 for a primary, 0 otherwise.
+    /// Returns 1 for a primary and 0 otherwise.
     pub(super) fn role_index(&self) -> usize {
         usize::from(self.is_primary())
     }
 
-    /// Whether it may act as the primary as far as is known: it is up, and stays.
-    pub(super) fn can_lead(&self) -> bool {
+    /// Returns whether it can serve as the primary as far as is known: it is up and not draining.
+    pub(super) fn can_be_primary(&self) -> bool {
         let up = match self.breaker {
             Breaker::Closed => true,
             Breaker::Open { reason, .. } | Breaker::HalfOpen(reason) => reason == EjectReason::Lag,
@@ -94,13 +97,14 @@
         !self.suspect && up && self.draining_since.is_none()
     }
 
-    /// Notes a start of the member: it is warming up from then on.
+    /// Records a start of the member, from which it warms up.
     pub(super) fn restart(&mut self, started_at: Option<Time>, now: Time) {
         self.started_at = started_at;
         self.slow_start.reset(now);
     }
 
-    /// Counts a transport failure or failed health check, and ejects the member if it is one too many.
+    /// Counts a transport failure or a failed health check, and ejects the member after
+    /// [`EJECT_AFTER_FAILURES`] consecutive ones.
     pub(super) fn record_failure(&mut self, now: Time, raises_suspicion: bool) {
         self.consecutive_failures += 1;
         self.suspect |= raises_suspicion;
@@ -111,8 +115,8 @@
         }
     }
 
-    /// Notes that the member is up. `recovers` is the reason of ejection that this evidence ends: silence by
-    /// a response, transport failures by a health check.
+    /// Records that the member is up. `recovers` is the reason of an ejection that this evidence ends: a
+    /// response ends an ejection for unresponsiveness, a health check one for transport failures.
     pub(super) fn record_contact(&mut self, now: Time, recovers: EjectReason) {
         if self.has_likely_restarted() {
             self.restart(Some(self.probe_failed_at), now);
@@ -120,13 +124,15 @@
         self.consecutive_failures = 0;
         self.suspect = false;
         self.last_contact = now;
-        let silence_ends = recovers == EjectReason::Silence && self.breaker.is_open_for(EjectReason::Silence);
-        if silence_ends || self.breaker == Breaker::HalfOpen(recovers) {
+        let responds_again =
+            recovers == EjectReason::Unresponsive && self.breaker.is_open_for(EjectReason::Unresponsive);
+        if responds_again || self.breaker == Breaker::HalfOpen(recovers) {
             self.breaker.close();
         }
     }
 
-    /// Whether it comes back after failures in a row, a health check's among them: it has likely restarted.
+    /// Returns whether the member has likely restarted: it responds after several consecutive failures that
+    /// include a failed health check.
     fn has_likely_restarted(&self) -> bool {
         self.consecutive_failures >= EJECT_AFTER_FAILURES
             && self.probe_failed_at > self.last_contact
--- a/crates/policy/src/policy/members.rs
+++ b/crates/policy/src/policy/members.rs
@@ -1,19 +1,20 @@
-//! The members that the endpoint list has named, by id and by group.
+//! The table of the members that endpoint lists have named, by id and by group.
 
 use super::member::Member;
 use crate::api::{GroupId, MemberId, Time};
 use std::collections::BTreeMap;
 
-/// A draining member without attempts in flight is left out of its group after this long. Members come and go
-/// for weeks: a group that listed them all would cost each request more and more.
-const LEAVES_GROUP_AFTER: Time = Time::ms(30_000);
+/// How long after it began to drain a member without attempts in flight is removed from its group. Members
+/// are added and removed for weeks: if a group listed them all, the cost of each request would grow without
+/// bound.
+const GROUP_REMOVAL_DELAY: Time = Time::ms(30_000);
 
 /// All known members and the groups that they form.
 pub(super) struct Members {
     by_id: BTreeMap<MemberId, Member>,
-    /// The members of each group that may still be of use, in the order of their ids.
+    /// The members of each group that are in service or may have attempts in flight, ordered by id.
     groups: BTreeMap<GroupId, Vec<MemberId>>,
-    /// The weight of all members that stay, at least 1.
+    /// The total weight of all members that are not draining, at least 1.
     total_weight: f64,
 }
 
@@ -40,12 +41,12 @@
         self.by_id.get_mut(&id)
     }
 
-    /// The member of this id, made by `new` if it is not known yet.
+    /// Returns the member with this id, inserting the result of `new` if there is none.
     pub(super) fn get_or_insert_with(&mut self, id: MemberId, new: impl FnOnce() -> Member) -> &mut Member {
         self.by_id.entry(id).or_insert_with(new)
     }
 
-    /// All members in the order of their ids, with those that have left their groups.
+    /// Iterates over all members ordered by id, including those removed from their groups.
     pub(super) fn iter(&self) -> impl Iterator<Item = (MemberId, &Member)> {
         self.by_id.iter().map(|(id, member)| (*id, member))
     }
@@ -54,7 +55,7 @@
         self.by_id.iter_mut().map(|(id, member)| (*id, member))
     }
 
-    /// The members of a group in the order of their ids.
+    /// Iterates over the members of a group, ordered by id.
     pub(super) fn in_group(&self, group: GroupId) -> impl Iterator<Item = (MemberId, &Member)> {
         let ids = self.groups.get(&group).into_iter().flatten();
         ids.filter_map(|id| self.by_id.get(id).map(|member| (*id, member)))
@@ -68,21 +69,21 @@
         self.groups.len()
     }
 
-    /// The weight of all members that stay, at least 1.
+    /// Returns the total weight of all members that are not draining, at least 1.
     pub(super) fn total_weight(&self) -> f64 {
         self.total_weight
     }
 
-    /// Forms the groups and adds up the weights anew after members have changed.
+    /// Recomputes the groups and the total weight after members have changed.
     pub(super) fn regroup(&mut self, now: Time) {
         self.groups.clear();
         for (id, member) in &self.by_id {
-            let left = member.draining_since.is_some_and(|since| now.since(since) > LEAVES_GROUP_AFTER);
+            let left = member.draining_since.is_some_and(|since| now.since(since) > GROUP_REMOVAL_DELAY);
             if member.in_flight > 0 || !left {
                 self.groups.entry(member.group).or_default().push(*id);
             }
         }
-        let staying = self.by_id.values().filter(|member| member.draining_since.is_none());
-        self.total_weight = staying.map(|member| member.weight).sum::<f64>().max(1.0);
+        let not_draining = self.by_id.values().filter(|member| member.draining_since.is_none());
+        self.total_weight = not_draining.map(|member| member.weight).sum::<f64>().max(1.0);
     }
 }
--- a/crates/policy/src/policy/outcomes.rs
+++ b/crates/policy/src/policy/outcomes.rs
@@ -1,31 +1,31 @@
-//! The end of an attempt: what it says of its member, and what becomes of its request.
+//! Outcomes of attempts: what they show about the member, and how the request continues.
 
 use super::breaker::EjectReason;
-use super::health_checks::MIN_SILENCE;
+use super::health_checks::MIN_OVERDUE_TIME;
 use super::member::KnownRole;
-use super::selection::FAILURE_RATE_FADE_S;
+use super::selection::FAILURE_RATE_DECAY_S;
 use super::Policy;
 use crate::api::*;
 
-/// A member that rejected an attempt or a connection is left alone for this long. A connect that fails sooner
-/// was rejected by the member, not lost on the way.
+/// How long no attempt is sent to a member that rejected an attempt or a connection. A connection attempt
+/// that fails within this time was rejected by the member, not lost in the network.
 pub(super) const OVERLOAD_BACKOFF: Time = Time::ms(100);
 
-/// Fraction by which a member's failure rate follows an attempt.
+/// The gain of the moving average of a member's failure rate, per attempt.
 const FAILURE_RATE_GAIN: f64 = 0.2;
 
 impl Policy {
-    /// Takes the end of an attempt: learns from it, goes on with its request and places what is queued for
-    /// the group.
+    /// Handles the outcome of an attempt: updates the member's state, completes or retries the request, and
+    /// places the requests that are queued for the group.
     pub(super) fn finish_attempt(&mut self, outcome: Outcome, out: &mut Vec<Action>) {
         if has_response(outcome.status) {
             self.observe_replication(outcome.member, outcome.replication, self.now);
         }
-        let class = self.close_attempt(&outcome);
-        self.learn_from(&outcome, class, out);
+        let class = self.record_attempt_status(&outcome);
+        self.record_outcome(&outcome, class, out);
         self.track_connections(&outcome, out);
         if outcome.request_completed {
-            self.forget(outcome.request, out);
+            self.remove_request(outcome.request, out);
         } else if self.requests.contains_key(&outcome.request) {
             self.place(outcome.request, out);
         }
@@ -34,12 +34,12 @@
         }
     }
 
-    /// Notes the status of an attempt that was out; returns the class of its request. `None` if the request
-    /// has ended before or the attempt has.
-    fn close_attempt(&mut self, outcome: &Outcome) -> Option<usize> {
+    /// Records the status of an attempt that was in flight and returns the class of its request. Returns
+    /// `None` if the request or the attempt had already ended.
+    fn record_attempt_status(&mut self, outcome: &Outcome) -> Option<usize> {
         let request = self.requests.get_mut(&outcome.request)?;
         let attempt = request.attempts.get_mut(usize::from(outcome.attempt.0))?;
-        if !attempt.is_out() {
+        if !attempt.is_in_flight() {
             return None;
         }
         attempt.status = Some(outcome.status);
@@ -49,8 +49,8 @@
         Some(request.class)
     }
 
-    /// What an attempt's end says of its member.
-    fn learn_from(&mut self, outcome: &Outcome, class: Option<usize>, out: &mut Vec<Action>) {
+    /// Updates the member's state by the outcome of an attempt, and probes the member if it is suspect.
+    fn record_outcome(&mut self, outcome: &Outcome, class: Option<usize>, out: &mut Vec<Action>) {
         self.record_reachability(outcome);
         self.record_failure_rate(outcome);
         self.apply_status(outcome, class);
@@ -60,18 +60,18 @@
         }
     }
 
-    /// Whether the member is up, by the attempt's status.
+    /// Records whether the outcome shows that the member is up or counts as a failure to reach it.
     fn record_reachability(&mut self, outcome: &Outcome) {
         let now = self.now;
         let sent_at = now.minus(outcome.elapsed);
         let Some(member) = self.members.get_mut(outcome.member) else { return };
         match outcome.status {
             Status::Ok | Status::Misdirected | Status::Overloaded => {
-                member.record_contact(now, EjectReason::Silence);
+                member.record_contact(now, EjectReason::Unresponsive);
                 member.responded_at = now;
             }
-            // The member is there, but for one connection.
-            Status::Reset if now.since(member.responded_at) < MIN_SILENCE => {}
+            // The member responded a short time ago: only this connection was lost.
+            Status::Reset if now.since(member.responded_at) < MIN_OVERDUE_TIME => {}
             Status::ConnectFailed | Status::Reset => member.record_failure(now, true),
             Status::Timeout if member.responded_at < sent_at => member.record_failure(now, false),
             Status::Timeout | Status::Error | Status::Cancelled | Status::NotSent => {}
@@ -85,12 +85,12 @@
             _ => return,
         };
         if let Some(member) = self.members.get_mut(outcome.member) {
-            member.failure_rate.follow(failed, FAILURE_RATE_GAIN, self.now, FAILURE_RATE_FADE_S);
+            member.failure_rate.update(failed, FAILURE_RATE_GAIN, self.now, FAILURE_RATE_DECAY_S);
         }
     }
 
-    /// Backs off from the member, corrects its role or learns its latency, by the attempt's status. `class`
-    /// is the class of a request that has not ended before.
+    /// Starts a backoff, corrects the member's role or records its latency, by the attempt's status. `class`
+    /// is the request's class, `None` if the request or the attempt had already ended.
     fn apply_status(&mut self, outcome: &Outcome, class: Option<usize>) {
         let now = self.now;
         let is_write =
@@ -105,9 +105,10 @@
             (Status::Misdirected, _) if is_write && member.role.is_none_or(|known| known.as_of < now) => {
                 member.role = Some(KnownRole { role: Role::Replica, as_of: now });
             }
-            // The response was lost: that says nothing of the member's load.
+            // The member has responded since the attempt was sent, so this response was lost: the timeout
+            // shows nothing about the member's load.
             (Status::Timeout, _) if member.responded_at >= now.minus(outcome.elapsed) => {}
-            // After a standstill, the time may have been the router's own.
+            // After a stall, the elapsed time may be that of the stalled router, not of the member.
             (Status::Ok | Status::Timeout, Some(class)) if self.stalled_for == Time(0) => {
                 self.record_latency(outcome, class);
             }
@@ -116,7 +117,7 @@
     }
 }
 
-/// Whether the member has responded, so that the outcome's replication state is its own.
+/// Returns whether the member responded, so that the outcome's replication state was reported by it.
 fn has_response(status: Status) -> bool {
     matches!(status, Status::Ok | Status::Misdirected | Status::Error | Status::Overloaded)
 }
--- a/crates/policy/src/policy/pending_request.rs
+++ b/crates/policy/src/policy/pending_request.rs
@@ -1,4 +1,4 @@
-//! A request without a final answer, and its attempts.
+//! Requests that have not completed, and their attempts.
 
 use crate::api::*;
 
@@ -6,55 +6,58 @@
 pub(super) struct AttemptRecord {
     pub(super) member: MemberId,
     pub(super) sent_at: Time,
-    /// How it ended; `None` while it is out.
+    /// How it ended; `None` while it is in flight.
     pub(super) status: Option<Status>,
-    /// It is overdue although its member goes on responding: it no longer counts as in flight there.
+    /// Whether it is overdue although its member has responded since: its response was probably lost, so it
+    /// does not count as in flight at the member any more.
     pub(super) presumed_lost: bool,
 }
 
 impl AttemptRecord {
-    /// An attempt that begins now.
+    /// Creates the record of an attempt sent at `sent_at`.
     pub(super) fn new(member: MemberId, sent_at: Time) -> AttemptRecord {
         AttemptRecord { member, sent_at, status: None, presumed_lost: false }
     }
 
-    /// Whether it has no outcome yet.
-    pub(super) fn is_out(&self) -> bool {
+    /// Returns whether it has no outcome yet.
+    pub(super) fn is_in_flight(&self) -> bool {
         self.status.is_none()
     }
 
-    /// Whether its member may have executed the request.
+    /// Returns whether its member may have executed the request.
     fn may_have_executed(&self) -> bool {
         self.status.is_none_or(|status| !status.proves_not_executed())
     }
 
-    /// Whether it may have reached its member at all.
+    /// Returns whether the attempt may have reached its member.
     pub(super) fn may_have_reached_member(&self) -> bool {
         !matches!(self.status, Some(Status::ConnectFailed | Status::NotSent))
     }
 
-    /// Whether the same member may be attempted again: it rejected the attempt only for want of capacity.
+    /// Returns whether the same member may get another attempt: it rejected this one only for lack of
+    /// capacity.
     pub(super) fn allows_same_member(&self) -> bool {
         matches!(self.status, Some(Status::Overloaded | Status::ConnectFailed))
     }
 
-    /// What it contributes to its member's count of attempts in flight, 0 or 1.
+    /// Returns its contribution to the member's number of attempts in flight: 0 if presumed lost, otherwise
+    /// 1.
     pub(super) fn in_flight_count(&self) -> u32 {
         u32::from(!self.presumed_lost)
     }
 }
 
-/// Which members can do the work of a request.
+/// Which members can serve a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Workload {
     /// Reads that replicas may serve.
     ReplicaRead,
-    /// Writes and strong reads, which only the primary takes.
+    /// Writes and strong reads, which only the primary serves.
     PrimaryOnly,
 }
 
 impl Workload {
-    /// The workload of a class.
+    /// Returns the workload of a class.
     pub(super) fn of(class: &Class) -> Workload {
         match class.consistency {
             Consistency::Write | Consistency::Strong => Workload::PrimaryOnly,
@@ -64,7 +67,7 @@
         }
     }
 
-    /// Its index in tables of both workloads.
+    /// Returns its index in tables of both workloads.
     pub(super) fn index(self) -> usize {
         match self {
             Workload::ReplicaRead => 0,
@@ -73,36 +76,37 @@
     }
 }
 
-/// A request without a final answer.
+/// A request that has not completed.
 pub(super) struct PendingRequest {
     pub(super) request: Request,
-    /// The index of its class in the settings.
+    /// The index of its class in [`Settings::classes`].
     pub(super) class: usize,
-    /// When its client first sent it, as far as is known: its latency objective runs from then on.
+    /// The estimated time at which its client first sent it, from which its latency objective is counted.
     pub(super) arrived_at: Time,
-    /// It is rejected if no member has had it by this time, while its client can still go elsewhere.
+    /// If the request has reached no member by this time, it is rejected, so that its client can still use
+    /// another router.
     pub(super) first_attempt_by: Time,
-    /// The position that a session or strong read needs; zero if any will do.
+    /// The log position that a session or strong read requires; zero for no requirement.
     pub(super) min_position: Time,
-    /// Its class's priority weight, less for a client's retry.
+    /// The priority weight of its class, reduced for a client's retry.
     pub(super) weight: f64,
-    /// All attempts so far, in the order of their numbers.
+    /// All attempts so far, indexed by their numbers.
     pub(super) attempts: Vec<AttemptRecord>,
 }
 
 impl PendingRequest {
-    /// How many attempts are out.
-    pub(super) fn attempts_out(&self) -> usize {
-        self.attempts.iter().filter(|attempt| attempt.is_out()).count()
+    /// Returns the number of attempts in flight.
+    pub(super) fn attempts_in_flight(&self) -> usize {
+        self.attempts.iter().filter(|attempt| attempt.is_in_flight()).count()
     }
 
-    /// The first attempt whose member may have executed the request.
+    /// Returns the first attempt whose member may have executed the request.
     pub(super) fn first_possible_execution(&self) -> Option<&AttemptRecord> {
         self.attempts.iter().find(|attempt| attempt.may_have_executed())
     }
 
-    /// What is left at `now` of a deduplication window that began with the first possible execution; no end
-    /// of time if there was none.
+    /// Returns how much of a deduplication window is left at `now`. The window starts when the first attempt
+    /// that may have been executed is sent; without such an attempt, the result is the maximum time.
     pub(super) fn window_left(&self, now: Time, window: Time) -> Time {
         match self.first_possible_execution() {
             Some(first) => first.sent_at.plus(window).since(now),
@@ -110,8 +114,8 @@
         }
     }
 
-    /// Whether a member has had an attempt, other than one that failed to connect.
-    pub(super) fn has_reached_a_member(&self) -> bool {
+    /// Returns whether it has had an attempt that did not fail to connect, or has one in flight.
+    pub(super) fn has_reached_member(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.status != Some(Status::ConnectFailed))
     }
 }
--- a/crates/policy/src/policy/queue.rs
+++ b/crates/policy/src/policy/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a member, and the order in which they are placed.
+//! The queue of requests that wait for a member, and the order in which they are placed.
 
 use super::admission::Placement;
 use super::pending_request::PendingRequest;
@@ -7,10 +7,11 @@
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
-/// A class is passed over in one round once this many of its requests found no member.
+/// After this many requests of a class could not be placed in one round, the rest of the class is skipped.
 const MAX_UNPLACED_PER_CLASS: u32 = 4;
 
-/// Values of requests are compared in units of one over this, per second of work.
+/// The factor by which a request's value per second of work is multiplied before it is rounded down to an
+/// integer, by which requests are sorted.
 const VALUE_SCALE: f64 = 1e6;
 
 /// The ids of all queued requests, by group.
@@ -32,24 +33,24 @@
         self.entries.is_empty()
     }
 
-    /// All queued requests, by group and id.
+    /// Iterates over all queued requests, ordered by group and id.
     fn iter(&self) -> impl Iterator<Item = RequestId> + '_ {
         self.entries.iter().map(|(_, id)| *id)
     }
 
-    /// The queued requests of a group, by id.
+    /// Iterates over the queued requests of a group, ordered by id.
     pub(super) fn in_group(&self, group: GroupId) -> impl Iterator<Item = RequestId> + '_ {
         let all_ids = (group, RequestId(0))..=(group, RequestId(u64::MAX));
         self.entries.range(all_ids).map(|(_, id)| *id)
     }
 
-    /// The groups that have queued requests.
+    /// Returns the groups that have queued requests.
     pub(super) fn groups(&self) -> BTreeSet<GroupId> {
         self.entries.iter().map(|(group, _)| *group).collect()
     }
 }
 
-/// A queued request with what its turn depends on.
+/// A queued request and the keys by which the queue is sorted.
 struct QueuedRequest {
     id: RequestId,
     class: usize,
@@ -58,8 +59,8 @@
 }
 
 impl Policy {
-    /// Tries to place the queued requests of a group: those of the most value for their work first, then the
-    /// newest, which can still be in time.
+    /// Tries to place the queued requests of a group: those of the highest value per second of work first,
+    /// and of equal ones the newest, which can still be served in time.
     pub(super) fn place_queued(&mut self, group: GroupId, out: &mut Vec<Action>) {
         let queued = self.queue.in_group(group).filter_map(|id| self.queued_request(id));
         let mut waiting: Vec<QueuedRequest> = queued.collect();
@@ -83,12 +84,12 @@
         Some(QueuedRequest { id, class, value: self.queue_value(request), arrived_at: request.arrived_at })
     }
 
-    /// Weight for the work, in units of one over [`VALUE_SCALE`] per second.
+    /// Returns the request's weight per second of work, multiplied by [`VALUE_SCALE`].
     fn queue_value(&self, request: &PendingRequest) -> u64 {
         (request.weight / self.service_times.get(request.class) * VALUE_SCALE) as u64
     }
 
-    /// Gives up the queued requests that wait in vain by now.
+    /// Rejects or fails the queued requests that can't be served in time any more.
     pub(super) fn reject_expired(&mut self, out: &mut Vec<Action>) {
         let expired = self
             .queue
@@ -96,7 +97,7 @@
             .filter(|id| self.requests.get(id).is_some_and(|request| !self.can_wait(request)));
         let expired: Vec<RequestId> = expired.collect();
         for id in expired {
-            self.give_up(id, out);
+            self.reject_or_fail(id, out);
         }
     }
 }
--- a/crates/policy/src/policy/replication.rs
+++ b/crates/policy/src/policy/replication.rs
@@ -1,16 +1,17 @@
-//! Replication state: what is known of positions and roles, lag ejection, and which member is the primary.
+//! Replication state: log positions and roles of members, ejection for lag, and the current primary.
 
 use super::breaker::{Breaker, EjectReason};
 use super::member::{KnownPosition, KnownRole, Member};
 use super::Policy;
 use crate::api::*;
 
-/// Lag behind the most advanced member that ejects a replica, unless a class's staleness bound is wider.
+/// The lag behind the most advanced member beyond which a replica is ejected, unless the staleness bound of a
+/// class is larger.
 pub(super) const DEFAULT_LAG_MARGIN: Time = Time::ms(1000);
 
 impl Policy {
-    /// Notes a member's replication state as it was at `as_of`. Positions never go back; of a role, the
-    /// newest evidence counts.
+    /// Records a member's replication state as of `as_of`. A lower position than the recorded one is ignored;
+    /// for the role, the newest evidence counts.
     pub(super) fn observe_replication(&mut self, id: MemberId, state: ReplicationState, as_of: Time) {
         let Some(member) = self.members.get_mut(id) else { return };
         if let Some(role) = state.role {
@@ -25,7 +26,8 @@
         self.eject_or_readmit_for_lag(id, position);
     }
 
-    /// Ejects a replica that is too far behind the most advanced member of its group, or takes it back.
+    /// Ejects a replica that lags too far behind the most advanced member of its group, or ends its ejection
+    /// if it has caught up by the time that its breaker is half-open.
     fn eject_or_readmit_for_lag(&mut self, id: MemberId, position: Time) {
         let Some(member) = self.members.get(id) else { return };
         let is_primary = member.is_primary();
@@ -41,9 +43,10 @@
         }
     }
 
-    /// Forgets all positions after the system clock has been set. Positions are Unix times: those reported
-    /// before may be wrong by any amount. A read under way has to see all that was written until now.
-    pub(super) fn distrust_positions(&mut self) {
+    /// Discards all log positions after the system clock was set. Positions are Unix times, so those reported
+    /// earlier may be wrong by any amount. A pending read that requires a position now has to see all that
+    /// was written until now.
+    pub(super) fn discard_positions(&mut self) {
         for (_, member) in self.members.iter_mut() {
             member.position = None;
         }
@@ -54,18 +57,18 @@
         }
     }
 
-    /// The member's position now if it has kept up since it was last known. A rejected read tells where it
-    /// has not.
+    /// Returns the member's estimated log position, assuming that its lag has not changed since the position
+    /// was reported. A read that the member rejects shows that the lag has grown.
     pub(super) fn estimated_position(&self, member: &Member) -> Option<Time> {
         member.position.map(|known| known.position.plus(self.now.since(known.as_of)))
     }
 
-    /// The member's estimated lag behind the present, in seconds: zero if its position is unknown.
+    /// Returns the member's estimated lag in seconds; zero if its position is unknown.
     pub(super) fn estimated_lag_s(&self, member: &Member) -> f64 {
         self.estimated_position(member).map_or(0.0, |position| self.now.since(position).secs())
     }
 
-    /// The last known primary: the member with the newest claim in the group.
+    /// Returns the last known primary: the group's member with the newest evidence of being the primary.
     pub(super) fn known_primary(&self, group: GroupId) -> Option<MemberId> {
         let claims = self.members.in_group(group).filter_map(|(id, member)| {
             let known = member.role.filter(|known| known.role == Role::Primary)?;
@@ -74,8 +77,8 @@
         claims.max().map(|(_, id)| id)
     }
 
-    /// The last known primary if requests may be sent there. Without one, the primary is searched for.
+    /// Returns the last known primary if it is usable. Without one, the router searches for the primary.
     pub(super) fn usable_primary(&self, group: GroupId) -> Option<MemberId> {
-        self.known_primary(group).filter(|id| self.members.get(*id).is_some_and(Member::can_lead))
+        self.known_primary(group).filter(|id| self.members.get(*id).is_some_and(Member::can_be_primary))
     }
 }
--- a/crates/policy/src/policy/slow_start.rs
+++ b/crates/policy/src/policy/slow_start.rs
@@ -1,70 +1,74 @@
-//! Slow start of members that are warming up: how much of its capacity a member has, and how much each router
-//! may send it, so that all together do not overload it. Routers do not talk to each other: each keeps to its
-//! part.
+//! Slow start of members that are warming up: the fraction of its capacity that a member has, and the work
+//! that each router may send it, so that all routers together don't overload it. The routers don't
+//! coordinate; each limits itself to its own share.
 
-use super::decaying::Decaying;
+use super::decaying::DecayingValue;
 use super::member::Member;
 use super::members::Members;
 use super::pending_request::{PendingRequest, Workload};
-use super::{Policy, SMALL_FLEET};
+use super::{Policy, SMALL_FLEET_ROUTERS};
 use crate::api::*;
 use std::collections::BTreeMap;
 
-/// Fraction of the overload multiple that is used at a warming member.
+/// The fraction of [`Settings::overload_multiple`] up to which a warming member is used.
 const OVERLOAD_SAFETY_FRACTION: f64 = 0.75;
 
-/// Work per second that a warm member is taken to do at least, where nothing has been served yet.
+/// The least work per second that a warm member is assumed to do, used while no work has been served yet.
 const MIN_WARM_RATE: f64 = 0.8;
 
-/// Time constant, in seconds, of the work served: long, so that a jam does not starve warming members of the
-/// work that warms them.
-const SERVED_FADE_S: f64 = 60.0;
+/// Time constant, in seconds, of the decay of the work served. It is long, so that members keep receiving the
+/// work that warms them up while an overload reduces what is served.
+const SERVED_WORK_DECAY_S: f64 = 60.0;
 
-/// Time constant, in seconds, of the work requested: short, so that a rush does not overload them.
-const DEMAND_FADE_S: f64 = 10.0;
+/// Time constant, in seconds, of the decay of the work requested. It is short, so that a burst of requests
+/// does not overload warming members.
+const DEMAND_DECAY_S: f64 = 10.0;
 
-/// Work requested, in seconds of service time, by [`Workload::index`].
-type WorkByWorkload = [Decaying; 2];
+/// The work requested, in seconds of service time, indexed by [`Workload::index`].
+type WorkByWorkload = [DecayingValue; 2];
 
-/// Work that clients have requested, in seconds of service time.
+/// The work that clients have requested, in seconds of service time.
 #[derive(Default)]
 pub(super) struct Demand {
     by_group: BTreeMap<GroupId, WorkByWorkload>,
     total: WorkByWorkload,
-    /// The total, fading within the time in which a warming member could be overloaded.
+    /// The total with [`Settings::overload_window`] as the time constant of its decay: within this time more
+    /// requests could overload a warming member.
     recent_total: WorkByWorkload,
 }
 
 impl Demand {
-    /// Drops the groups that have no members any more.
+    /// Removes the groups that no longer have members.
     pub(super) fn retain_groups(&mut self, members: &Members) {
         self.by_group.retain(|group, _| members.has_group(*group));
     }
 }
 
-/// The work that one router may send a warming member beyond its earned rate.
+/// The credit of one router at a warming member: the work that it may still send there. It grows with time
+/// and shrinks with each attempt.
 #[derive(Default)]
 pub(super) struct SlowStartCredit {
-    /// Work by which each start begins in debt: random for each router, so that not all send first at once.
+    /// The debt with which the credit starts after each start of the member. It is random, so that the
+    /// routers don't all send their first attempts at once.
     initial_debt: f64,
-    /// Work that might be sent, as of `counted_at`; negative while in debt.
+    /// The credit as of `counted_at`, in seconds of work; negative while in debt.
     balance: f64,
     counted_at: Time,
 }
 
 impl SlowStartCredit {
-    /// Credit of a member that has not been seen to start; each start begins with this debt in seconds of
-    /// work.
+    /// Creates the credit for a member that has not been seen to start. After each start it begins with
+    /// `initial_debt`, in seconds of work.
     pub(super) fn new(initial_debt: f64) -> SlowStartCredit {
         SlowStartCredit { initial_debt, balance: 0.0, counted_at: Time(0) }
     }
 
-    /// Begins anew after a start of the member.
+    /// Resets the credit to the initial debt after a start of the member.
     pub(super) fn reset(&mut self, now: Time) {
         self.set_balance(-self.initial_debt, now);
     }
 
-    /// Sets what may be sent as of `now`, in seconds of work.
+    /// Sets the credit as of `now`, in seconds of work.
     pub(super) fn set_balance(&mut self, balance: f64, now: Time) {
         self.balance = balance;
         self.counted_at = now;
@@ -72,7 +76,8 @@
 }
 
 impl Policy {
-    /// Fraction of its capacity that a member has at least, by the slowest warm-up that the settings allow.
+    /// Returns the least fraction of its capacity that a member has, assuming the slowest warm-up that the
+    /// settings allow: linear from the slow start capacity over the slow start window.
     pub(super) fn warm_up_fraction(&self, member: &Member) -> f64 {
         let Some(started_at) = member.started_at else { return 1.0 };
         let window_s = self.settings.slow_start_window.secs().max(1e-9);
@@ -81,12 +86,12 @@
         (initial + (1.0 - initial) * progress).min(1.0)
     }
 
-    /// The fraction of its requests that one router of a large fleet sends a warming member: a router that
-    /// meets a group every few seconds could never save up credit. Fractions of many routers add up as their
-    /// rates do.
+    /// Returns the fraction of its requests that one router of a large fleet may send to a warming member. It
+    /// supplements the credit: a router that gets a request for the group only every few seconds can't
+    /// accumulate any. Over many routers the fractions add up like the rates do.
     ///
-    /// The group's demand is taken to be that of other groups, or more if it is so here, and all of it to
-    /// come to this member.
+    /// The group's demand is assumed to be the mean of all groups, or its own if that is higher, and all of
+    /// it is assumed to be sent to this member.
     pub(super) fn slow_start_request_fraction(
         &self,
         request: &PendingRequest,
@@ -97,23 +102,24 @@
         if workload == Workload::ReplicaRead && Some(id) == self.known_primary(member.group) {
             return 0.0;
         }
-        // Without a primary, replicas get the writes that search for one beside their reads: one fraction
-        // covers both.
+        // Without a usable primary, replicas get the writes that search for one in addition to their reads,
+        // so one fraction covers both workloads.
         let only = self.usable_primary(member.group).map(|_| workload);
         let in_group = self.demand.by_group.get(&member.group);
-        let group_rate = in_group.map_or(0.0, |work| self.demand_rate(work, only, DEMAND_FADE_S));
-        // A rush, or the end of a quiet time, is seen within the time in which it could overload the member.
+        let group_rate = in_group.map_or(0.0, |work| self.demand_rate(work, only, DEMAND_DECAY_S));
+        // The short time constant detects a sudden rise of the demand before it can overload the member.
         let overload_window_s = self.settings.overload_window.secs();
-        let usual = self.demand_rate(&self.demand.total, only, DEMAND_FADE_S);
+        let usual = self.demand_rate(&self.demand.total, only, DEMAND_DECAY_S);
         let recent = self.demand_rate(&self.demand.recent_total, only, overload_window_s);
         let total_rate = usual.max(recent);
         let demand = group_rate.max(total_rate / self.members.group_count().max(1) as f64);
-        let bearable = OVERLOAD_SAFETY_FRACTION * self.settings.overload_multiple;
-        let fraction = bearable * self.warm_up_fraction(member) * self.own_rate_at(member) / demand.max(1e-9);
-        fraction * (1.0 - self.small_fleet_fraction())
+        let allowed_multiple = OVERLOAD_SAFETY_FRACTION * self.settings.overload_multiple;
+        let fraction =
+            allowed_multiple * self.warm_up_fraction(member) * self.own_rate_at(member) / demand.max(1e-9);
+        fraction * (1.0 - self.shared_work_fraction())
     }
 
-    /// Work requested per second, of one workload or of both.
+    /// Returns the work requested per second, of one workload or of both.
     fn demand_rate(&self, work: &WorkByWorkload, only: Option<Workload>, time_constant_s: f64) -> f64 {
         let counted = work
             .iter()
@@ -123,28 +129,30 @@
         decayed.sum::<f64>() / self.accumulation_time_s(time_constant_s)
     }
 
-    /// The time, in seconds, over which a decaying sum has gathered since the router started.
+    /// Returns the time in seconds by which a decaying sum has to be divided to get a rate: the time
+    /// constant, less while the router's uptime is short.
     fn accumulation_time_s(&self, time_constant_s: f64) -> f64 {
         let age = self.now.since(self.started_at.unwrap_or(self.now)).secs().max(1.0);
         time_constant_s * (1.0 - (-age / time_constant_s).exp())
     }
 
-    /// This router's mean rate of work at a member of this weight, in seconds of work per second.
+    /// Returns this router's mean rate of work at a member of this weight, in seconds of work per second.
     fn own_rate_at(&self, member: &Member) -> f64 {
-        let served = self.work_served.at(self.now, SERVED_FADE_S);
-        served / self.accumulation_time_s(SERVED_FADE_S) * member.weight / self.members.total_weight()
+        let served = self.work_served.at(self.now, SERVED_WORK_DECAY_S);
+        served / self.accumulation_time_s(SERVED_WORK_DECAY_S) * member.weight / self.members.total_weight()
     }
 
-    /// Work per second that this router may send a warming member, by its warm-up and this router's usual
-    /// rate at members. Rates of all routers add up to what the member can bear.
+    /// Returns the work per second that this router may send to a warming member, from the member's warm-up
+    /// fraction and this router's mean rate at warm members. The rates of all routers add up to what the
+    /// member can take without being overloaded.
     fn slow_start_rate(&self, member: &Member) -> f64 {
-        let min_rate = MIN_WARM_RATE / f64::from(self.settings.routers).max(SMALL_FLEET);
-        let own_rate = (self.own_rate_at(member) * self.small_fleet_fraction()).max(min_rate);
+        let min_rate = MIN_WARM_RATE / f64::from(self.settings.routers).max(SMALL_FLEET_ROUTERS);
+        let own_rate = (self.own_rate_at(member) * self.shared_work_fraction()).max(min_rate);
         own_rate * OVERLOAD_SAFETY_FRACTION * self.settings.overload_multiple * self.warm_up_fraction(member)
     }
 
-    /// Work that a warming member may be sent by now, in seconds; an attempt is allowed from zero up. Credit
-    /// for about one request may be saved up.
+    /// Returns the credit at a warming member as of now, in seconds of work. An attempt is allowed if it is
+    /// not negative. At most the credit for about one request accumulates.
     pub(super) fn slow_start_credit(&self, member: &Member) -> f64 {
         let rate = self.slow_start_rate(member);
         let credit = &member.slow_start;
@@ -153,12 +161,12 @@
         (credit.balance + earned).min(most)
     }
 
-    /// Counts work that members have served.
+    /// Adds to the work that members have served.
     pub(super) fn record_served_work(&mut self, work_s: f64) {
-        self.work_served.add(work_s, self.now, SERVED_FADE_S);
+        self.work_served.add(work_s, self.now, SERVED_WORK_DECAY_S);
     }
 
-    /// Counts work that a client requests of a known group.
+    /// Adds to the work that clients have requested, if the group is known.
     pub(super) fn record_demand(&mut self, group: GroupId, workload: Workload, work_s: f64) {
         if !self.members.has_group(group) {
             return;
@@ -167,8 +175,8 @@
         let index = workload.index();
         let overload_window_s = self.settings.overload_window.secs();
         let in_group = self.demand.by_group.entry(group).or_default();
-        in_group[index].add(work_s, now, DEMAND_FADE_S);
-        self.demand.total[index].add(work_s, now, DEMAND_FADE_S);
+        in_group[index].add(work_s, now, DEMAND_DECAY_S);
+        self.demand.total[index].add(work_s, now, DEMAND_DECAY_S);
         self.demand.recent_total[index].add(work_s, now, overload_window_s);
     }
 }
