--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -215,7 +215,8 @@
         self.poll_endpoints(out);
         self.reject_expired(out);
         if self.stalled_for == Time(0) {
-            // After a stall, responses may have arrived that follow later in the same round of events.
+            // After a stall, responses that have already arrived may follow later in the same round of
+            // events.
             self.detect_unresponsive_members();
         }
         self.send_due_probes(out);
--- a/crates/policy/src/policy/endpoints.rs
+++ b/crates/policy/src/policy/endpoints.rs
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Marks the members that a complete list no longer names as draining.
+    /// Marks the members that are missing from a complete list as draining.
     fn drain_unlisted(&mut self, endpoints: &[Endpoint]) {
         let listed: BTreeSet<MemberId> = endpoints.iter().map(|endpoint| endpoint.member).collect();
         for (id, member) in self.members.iter_mut() {
@@ -78,9 +78,9 @@
         }
     }
 
-    /// Records a member that the list names as the primary as such, unless there is newer evidence of its
-    /// role, since the list is late. If members serve stale reads, the list never overrides a response that
-    /// reported the role of a replica.
+    /// Records the primary that the list names, unless there is newer evidence of the member's role, since
+    /// the list is late. If members serve stale reads, the list never overrides a response in which the
+    /// member reported itself as a replica.
     fn apply_listed_primary(&mut self, id: MemberId) {
         if self.settings.list_role == ListRole::None {
             return;
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Polls the endpoint list if it is not pushed and the last poll is long enough ago.
+    /// Polls the endpoint list [`POLLS_PER_INTERVAL`] times per poll interval, if it is not pushed.
     pub(super) fn poll_endpoints(&mut self, out: &mut Vec<Action>) {
         if !self.settings.poll_endpoint_list {
             return;
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -13,6 +13,7 @@
 /// One step of a random event sequence.
 #[derive(Clone, Debug)]
 enum Step {
+    /// This many milliseconds pass in steps of ten.
     Wait(u16),
     /// The router stalls for this many milliseconds, then handles what arrived during the stall.
     Stall(u16),
@@ -42,6 +43,7 @@
         lag_ms: u16,
         primary: bool,
     },
+    /// An event for a request, timer or member that the router does not have.
     UnknownId(u8),
 }
 
