--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,9 +1,12 @@
 //! The router, in layers:
 //!
 //! - [`transport`] moves bytes: sockets, connections, timers;
-//! - [`protocol`] parses and encodes them: PostgreSQL's messages, statements, discovery's lists;
-//! - [`routing`] turns requests, answers and lists into the policy's events, and its actions into effects;
-//! - [`program`] is the command line: it reads the configuration, starts the log, serves and stops.
+//! - [`protocol`] parses and encodes messages: PostgreSQL's messages, statements, endpoint lists of service
+//!   discovery;
+//! - [`routing`] turns requests, responses and endpoint lists into the policy's events, and the policy's
+//!   actions into effects;
+//! - [`program`] is the command line: it reads the configuration, sets up logging, and runs the router until
+//!   it is told to stop.
 
 pub mod program;
 pub mod protocol;
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `basalthill`.
+//! The `basalthill` executable.
 
 use std::process::ExitCode;
 
--- a/crates/router/src/routing/attempts.rs
+++ b/crates/router/src/routing/attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts of requests: started by the policy's actions, ended by results, timeouts and cancellation. Each
-//! attempt gets exactly one outcome, which goes to the policy. The state is in
+//! Attempts of requests. The policy's actions start them; results, timeouts and cancellations end them. Each
+//! attempt has exactly one outcome, which is passed to the policy. The state is in
 //! [`RequestTable`](super::request_table::RequestTable).
 
 use super::exchanges::InFlightExchange;
@@ -16,26 +16,27 @@
 use basalthill_policy::api::{Attempt, Event, MemberId, Outcome, RequestId, Status, Time};
 use std::rc::Rc;
 
-/// The number in the outcome of an attempt whose request has left the table before it could be started.
+/// The attempt number in the outcome of an attempt that could not be started because its request has already
+/// been removed from the table.
 const NO_ATTEMPT: Attempt = Attempt(u16::MAX);
 
-/// An attempt that has left the table, and how it ended.
+/// An attempt that has been removed from the table, and its outcome.
 pub(super) struct FinishedAttempt {
-    /// Its request.
+    /// The attempt's request.
     pub request: RequestId,
-    /// Its number in the request.
+    /// The number of the attempt within its request.
     pub number: Attempt,
-    /// Where and when it was sent.
+    /// The member that it was sent to, and when.
     pub exchange: InFlightExchange,
     /// How it ended.
     pub status: Status,
-    /// What the host reported with its answer.
+    /// What the host reported with its response.
     pub reported: ReportedState,
 }
 
 impl FinishedAttempt {
-    /// An attempt that its host has not answered, which has reported nothing.
-    fn unanswered(
+    /// An attempt without a response, and therefore without a report of the host's state.
+    fn without_response(
         request: RequestId,
         number: Attempt,
         exchange: InFlightExchange,
@@ -46,8 +47,8 @@
 }
 
 impl Router {
-    /// Starts an attempt as the policy decided, with a timeout of its own if there is one. An attempt that
-    /// can't be started gets its outcome at once.
+    /// Starts an attempt as the policy decided. It ends at the request's deadline, or after `timeout` if that
+    /// is earlier. An attempt that can't be started has its outcome at once.
     pub(super) fn start_attempt(
         &mut self,
         now: Time,
@@ -62,7 +63,7 @@
             return self.attempt_not_started(now, id, NO_ATTEMPT, member, Status::NotSent);
         };
         let number = open.next_attempt();
-        if open.answered || open.attempts.len() >= max_attempts || now >= open.deadline {
+        if open.completed || open.attempts.len() >= max_attempts || now >= open.deadline {
             open.attempts.push(None);
             return self.attempt_not_started(now, id, number, member, Status::NotSent);
         }
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Records the outcome of an attempt that nothing was sent for.
+    /// Records the outcome of an attempt for which nothing was sent.
     fn attempt_not_started(
         &mut self,
         now: Time,
@@ -103,10 +104,13 @@
         status: Status,
     ) {
         let exchange = InFlightExchange::unsent(now, member);
-        self.record_attempt_outcome(now, FinishedAttempt::unanswered(request, number, exchange, status));
+        self.record_attempt_outcome(
+            now,
+            FinishedAttempt::without_response(request, number, exchange, status),
+        );
     }
 
-    /// Handles the result of an attempt, if it is in flight.
+    /// Handles the result of an attempt, if the attempt is in flight.
     pub(super) fn attempt_finished(
         &mut self,
         now: Time,
@@ -127,8 +131,8 @@
         self.record_attempt_outcome(now, FinishedAttempt { request, number, exchange, status, reported });
     }
 
-    /// Answers the client with what a host returned, if that ends its request: a row, or an error that lies
-    /// in the statement itself.
+    /// Replies to the client if the host's response completes the request, that is, if it is a row or an
+    /// error in the statement itself.
     fn deliver_outcome(
         &mut self,
         now: Time,
@@ -140,7 +144,7 @@
         match outcome {
             QueryOutcome::Row(row) => {
                 let position = reported.position_ms.map(time_from_unix_ms);
-                self.note_session_served(now, id, position, out);
+                self.record_served(now, id, position, out);
                 self.reply_to_client(now, id, Reply::Served(row), out);
             }
             QueryOutcome::Error(code) if is_statement_error(&code) => {
@@ -162,28 +166,31 @@
     ) {
         let Some(exchange) = self.take_attempt(request, number) else { return };
         out.push(Effect::AbortExchange(ExchangeId::Attempt(request, number)));
-        self.record_attempt_outcome(now, FinishedAttempt::unanswered(request, number, exchange, status));
+        self.record_attempt_outcome(
+            now,
+            FinishedAttempt::without_response(request, number, exchange, status),
+        );
     }
 
-    /// Takes an attempt out of the table, if it is in flight, and cancels its timer. Its request stays for
-    /// [`Router::record_attempt_outcome`].
+    /// Removes an attempt from the table, if it is in flight, and cancels its timer. Its request stays in the
+    /// table until [`Router::record_attempt_outcome`] has run.
     fn take_attempt(&mut self, id: RequestId, number: Attempt) -> Option<InFlightExchange> {
         let exchange = self.requests.take_attempt(id, number)?;
         self.timers.cancel(exchange.timer);
         Some(exchange)
     }
 
-    /// Records the one outcome of an attempt that has left the table, and queues it for the policy.
+    /// Records the outcome of an attempt that has been removed from the table, and queues it for the policy.
     fn record_attempt_outcome(&mut self, now: Time, finished: FinishedAttempt) {
         self.counters.record_attempt(finished.status);
         self.release_member_slot(now, &finished);
         let FinishedAttempt { request, number, exchange, status, reported } = finished;
         let replication = reported_replication(&reported);
         self.observe_position(now, exchange.sent_at, replication.position);
-        self.note_possible_execution(request, status);
-        let ended = self.requests.get(request).is_none_or(|open| open.answered);
+        self.record_possible_execution(request, status);
+        let ended = self.requests.get(request).is_none_or(|open| open.completed);
         if ended {
-            self.close_request(now, request);
+            self.complete_request(now, request);
         }
         let columns = &self.deployment.report_columns;
         let load_report = reported.load_report.as_deref();
--- a/crates/router/src/routing/counters.rs
+++ b/crates/router/src/routing/counters.rs
@@ -1,31 +1,31 @@
-//! Counts of requests, attempts and health checks since they were last read. [`Router`](super::Router)
-//! counts; transport reads and resets them for the periodic line in the log.
+//! Counters of requests, attempts and health checks. [`Router`](super::Router) increments them; transport
+//! reads and resets them for the periodic log line.
 
 use basalthill_policy::api::Status;
 use std::fmt;
 
-/// What has happened since the counters were last read.
+/// Counters since the last reset.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounters {
-    /// Requests served.
+    /// Requests that were served.
     pub served: u32,
-    /// Requests rejected.
+    /// Requests that were rejected.
     pub rejected: u32,
-    /// Requests failed.
+    /// Requests that failed.
     pub failed: u32,
     /// Statements that this deployment does not serve.
     pub invalid: u32,
-    /// Requests whose client disconnected or cancelled before the answer.
+    /// Requests whose client disconnected or cancelled before it got a reply.
     pub abandoned: u32,
-    /// Finished attempts, in the order of [`STATUS_NAMES`].
+    /// Attempts that have ended, by their status in the order of [`STATUS_NAMES`].
     attempts: [u32; STATUS_NAMES.len()],
-    /// Health checks finished.
+    /// Health checks that have ended.
     pub probes: u32,
-    /// Failed ones among them.
+    /// Health checks that have failed; they are included in `probes`.
     pub probes_failed: u32,
 }
 
-/// Each status of an attempt, with its name in the log.
+/// The statuses of attempts and their names in the log.
 const STATUS_NAMES: [(Status, &str); 9] = [
     (Status::Ok, "ok"),
     (Status::Misdirected, "misdirected"),
@@ -39,14 +39,14 @@
 ];
 
 impl RequestCounters {
-    /// Counts an attempt that has finished with a status.
+    /// Counts an attempt that has ended with this status.
     pub fn record_attempt(&mut self, status: Status) {
         if let Some(index) = index_of(status) {
             self.attempts[index] += 1;
         }
     }
 
-    /// How many attempts have finished with a status.
+    /// Returns the number of attempts that have ended with this status.
     pub fn attempts(&self, status: Status) -> u32 {
         index_of(status).map_or(0, |index| self.attempts[index])
     }
--- a/crates/router/src/routing/effect.rs
+++ b/crates/router/src/routing/effect.rs
@@ -1,5 +1,5 @@
-//! What the router has transport do: a list of [`Effect`]s for each input, and the types that they are made
-//! of.
+//! What the router asks of transport: a list of [`Effect`]s for each input, and the types that effects
+//! contain.
 
 use super::input::{ClientId, CommandId, ExchangeId};
 use crate::protocol::host::Row;
@@ -12,18 +12,18 @@
 /// The reply to a client's command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// The row that a host returned for this request.
+    /// The row that a host returned for the request.
     Served(Row),
-    /// Rejected: nothing has run, and a retry is safe.
+    /// The request has been rejected. Nothing has run, and a retry is safe.
     Rejected {
-        /// In how many milliseconds to retry, if that is known.
+        /// The number of milliseconds after which to retry, if it is known.
         retry_after_ms: Option<u64>,
     },
-    /// Ended without an answer. A write may have run.
+    /// No host's response can be returned. A write may have run.
     Failed,
-    /// Cancelled by the client. A write may have run.
+    /// The client has cancelled the request. A write may have run.
     Cancelled,
-    /// Not a request that this deployment serves; nothing has run.
+    /// The statement is not a request that this deployment serves. Nothing has run.
     Invalid(StatementError),
 }
 
@@ -34,42 +34,44 @@
     Statement {
         /// The statement as its client sent it.
         statement: Rc<Statement>,
-        /// The end of the attempt's time. The host is sent what is left of it when the statement is written.
+        /// The deadline of the attempt. Transport writes the time that is left until then into the statement
+        /// when it sends it.
         deadline: Time,
-        /// The position that a read must see, a Unix time in milliseconds, where hosts are sent one.
+        /// The read floor to write into the statement, a Unix time in milliseconds; none if the statement is
+        /// sent with the position that its client gave.
         floor_ms: Option<u64>,
     },
-    /// The text of a health check.
+    /// The SQL text of a health check.
     HealthCheck(&'static str),
 }
 
-/// An exchange that is to start.
+/// An exchange that transport must start.
 #[derive(Clone, Debug)]
 pub struct ExchangeStart {
-    /// Its id, which its result comes back with.
+    /// The id to be passed back with the result.
     pub id: ExchangeId,
-    /// The member that it goes to.
+    /// The member to which the query is sent.
     pub member: MemberId,
-    /// The client that waits for it; none for a health check.
+    /// The client that awaits the reply; none for a health check.
     pub client: Option<ClientId>,
     /// The member's address.
     pub addr: SocketAddr,
-    /// What is to be written.
+    /// The query to send.
     pub query: Query,
 }
 
-/// Something that transport is to do. Effects are carried out in their order.
+/// An operation that transport must carry out. Effects are carried out in order.
 #[derive(Debug)]
 pub enum Effect {
     /// Start an exchange.
     StartExchange(ExchangeStart),
-    /// Abort an exchange and close its connection. Its result is not awaited any more.
+    /// Abort an exchange and close its connection. The router ignores its result from now on.
     AbortExchange(ExchangeId),
-    /// Send a client its session's token, before an answer or with it.
+    /// Send a client the token of its session, before the next reply at the latest.
     SessionToken {
         /// The client.
         client: ClientId,
-        /// The token, as the client sends it back.
+        /// The token, in the form in which the client sends it back.
         token: String,
     },
     /// Send a reply to another proxy.
@@ -81,7 +83,7 @@
         /// The address of the member that the reply names, if it names one.
         addr: Option<SocketAddr>,
     },
-    /// Send a datagram to another router or an operator.
+    /// Send a datagram to another router or to an operator.
     SendDatagram {
         /// The receiver.
         to: SocketAddr,
@@ -92,19 +94,19 @@
     Reply {
         /// The client.
         client: ClientId,
-        /// Its command.
+        /// The command.
         command: CommandId,
         /// The reply.
         reply: Reply,
     },
     /// Close all idle connections to an address.
     CloseIdleConnections(SocketAddr),
-    /// Close the connections to an address that have been idle since before a time: the process that accepted
-    /// them has ended.
+    /// Close the connections to an address that were last used before a point in time: the process that
+    /// accepted them has exited.
     CloseConnectionsIdleSince {
         /// The address.
         addr: SocketAddr,
-        /// Connections last used before this time are closed.
+        /// The point in time.
         before: Time,
     },
 }
--- a/crates/router/src/routing/endpoints.rs
+++ b/crates/router/src/routing/endpoints.rs
@@ -1,6 +1,6 @@
-//! The members of the deployment as discovery lists them: ids, addresses, groups and drains.
-//! [`Router`](super::Router) owns the table, applies each list to it and hands the resulting entries to the
-//! policy.
+//! The members of the deployment as service discovery lists them: ids, addresses, groups and drains.
+//! [`Router`](super::Router) owns the table, applies each endpoint list to it and passes the resulting
+//! entries to the policy.
 
 use super::system_clock::{time_from_unix_ms, SystemClockOffset};
 use super::{Effect, Router};
@@ -11,44 +11,47 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// The role that discovery gives to primaries.
+/// The value of the role field that marks a primary.
 const PRIMARY_ROLE: &str = "source";
 
-/// What is known of one member.
+/// The state of one member.
 struct MemberRecord {
-    /// Its last entry.
+    /// Its latest entry.
     entry: Endpoint,
-    /// Its last usable address.
+    /// Its latest valid address.
     addr: Option<SocketAddr>,
-    /// When its drain or removal was first notified, if that binds.
+    /// When discovery first announced its drain or removal; none if it is in service, or if removals are
+    /// ignored and it has only been removed.
     draining_since: Option<Time>,
-    /// The Unix time in milliseconds of its last known start; 0 for long ago.
+    /// The Unix time of its latest known start in milliseconds; 0 if it started long ago.
     started_ms: u64,
 }
 
-/// A server process that has ended, or that is not reached at its old address any more.
+/// An address at which connections are stale, because the process behind them has exited or the member has
+/// moved to another address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct EndedProcess {
-    /// Where it listened.
+pub struct StaleConnections {
+    /// The address.
     pub addr: SocketAddr,
-    /// By when it had ended: connections not used since then lead to it.
+    /// Connections that were last used before this time are stale.
     pub before: Time,
 }
 
-/// What applying a list has changed.
+/// The changes that an endpoint list has made.
 pub struct AppliedList {
-    /// What kind of list it was.
+    /// Whether the list was complete.
     pub form: EndpointUpdate,
-    /// The entries for the policy: first members that a complete list lacks, then those in it, in its order.
+    /// The entries for the policy: first the members that a complete list lacks, then the entries of the list
+    /// in its order.
     pub entries: Vec<Endpoint>,
-    /// The processes that have ended according to it.
-    pub ended: Vec<EndedProcess>,
+    /// The addresses with stale connections.
+    pub stale_connections: Vec<StaleConnections>,
 }
 
-/// A member that is in service.
+/// A member in service.
 #[derive(Clone, Copy, Debug)]
-pub struct PresentMember<'a> {
-    /// Its name in discovery.
+pub struct ActiveMember<'a> {
+    /// Its name in the endpoint list.
     pub name: &'a str,
     /// Its id.
     pub member: MemberId,
@@ -56,21 +59,22 @@
     pub group: GroupId,
 }
 
-/// All members that discovery has listed since the start.
+/// All members that service discovery has listed since this router started.
 pub struct EndpointTable {
-    /// Ids by the names that discovery gives.
+    /// Ids by the members' names in the endpoint list.
     ids: BTreeMap<String, MemberId>,
-    /// The members, by id.
+    /// The members, indexed by id.
     records: Vec<MemberRecord>,
-    /// Only an explicit drain limits what a member is sent; removal alone does not.
+    /// Whether only an explicit drain limits what a member is sent. If so, a member that has merely been
+    /// removed from the list stays in service.
     only_draining_binds: bool,
     groups: BTreeSet<GroupId>,
-    /// The zones' names, in the order of their ids.
+    /// The zones' names, indexed by id.
     zones: Vec<String>,
 }
 
 impl EndpointTable {
-    /// An empty table; `zones` are named in the order of their ids.
+    /// Creates an empty table. `zones` are the zones' names in the order of their ids.
     pub fn new(zones: &[String], only_draining_binds: bool) -> EndpointTable {
         EndpointTable {
             ids: BTreeMap::new(),
@@ -81,10 +85,10 @@
         }
     }
 
-    /// Applies a list, or changes to it, whose content may have been true since `valid_since`.
+    /// Applies an endpoint list, or changes to it, whose content may have been valid since `valid_since`.
     pub fn apply(&mut self, list: HostList, valid_since: Time, clock: SystemClockOffset) -> AppliedList {
         let form = if list.full { EndpointUpdate::Full } else { EndpointUpdate::Delta };
-        let mut applied = AppliedList { form, entries: Vec::new(), ended: Vec::new() };
+        let mut applied = AppliedList { form, entries: Vec::new(), stale_connections: Vec::new() };
         log_list(&list);
         if list.full && !self.only_draining_binds {
             applied.entries = self.remove_unlisted(&list.servers, valid_since);
@@ -95,7 +99,7 @@
         applied
     }
 
-    /// Drains the members that a complete list lacks; their entries.
+    /// Drains the members that a complete list lacks. Returns their entries.
     fn remove_unlisted(&mut self, hosts: &[HostEntry], valid_since: Time) -> Vec<Endpoint> {
         let listed: BTreeSet<&str> = hosts.iter().map(|host| host.id.as_str()).collect();
         let mut removed = Vec::new();
@@ -111,7 +115,7 @@
         removed
     }
 
-    /// Applies one member's line of a list.
+    /// Applies one entry of a list.
     fn apply_host(
         &mut self,
         host: HostEntry,
@@ -124,8 +128,8 @@
         let index = member.0 as usize;
         let previous = self.records.get(index);
         let restarted = host.started_ms > previous.map_or(0, |record| record.started_ms);
-        // A start is converted by the clock offset at which it was first reported: reported again, it is the
-        // same start.
+        // A start time is converted with the clock offset at which it was first reported. If the same start
+        // is reported again after the offset has changed, it must not count as a new start.
         let known_start = previous.filter(|_| !restarted).and_then(|record| record.entry.started);
         let entry = Endpoint {
             member,
@@ -154,10 +158,10 @@
             record.draining_since = None;
         }
         record.update_drain(host.state, valid_since, self.only_draining_binds);
-        applied.ended.extend(record.update_address(addr, restarted));
+        applied.stale_connections.extend(record.update_address(addr, restarted));
     }
 
-    /// The id of a member by its name; a new one if the name is new.
+    /// Returns the id of the member with this name. A new name gets a new id.
     fn member_id(&mut self, name: &str) -> MemberId {
         if let Some(member) = self.ids.get(name) {
             return *member;
@@ -167,7 +171,7 @@
         member
     }
 
-    /// The id of a zone by its name; a new one if the name is new.
+    /// Returns the id of the zone with this name. A new name gets a new id.
     fn zone_id(&mut self, name: &str) -> ZoneId {
         let known = self.zones.iter().position(|zone| zone == name);
         let index = known.unwrap_or_else(|| {
@@ -177,8 +181,8 @@
         ZoneId(index as u16)
     }
 
-    /// After a step of the system clock: moves starts that are later by the new offset, and returns the
-    /// entries of their members.
+    /// Converts all start times again after a step of the system clock, and keeps those that become later.
+    /// Returns the entries of the members concerned.
     pub fn move_starts_later(&mut self, clock: SystemClockOffset) -> Vec<Endpoint> {
         let mut moved = Vec::new();
         for record in self.records.iter_mut().filter(|record| record.started_ms > 0) {
@@ -191,33 +195,35 @@
         moved
     }
 
-    /// When a member's drain or removal was first notified, if that binds.
+    /// Returns when discovery first announced the drain or removal of a member; none if the member is in
+    /// service.
     pub fn draining_since(&self, member: MemberId) -> Option<Time> {
         self.records.get(member.0 as usize)?.draining_since
     }
 
-    /// The address of a member, if a usable one is known.
+    /// Returns the address of a member; none if no valid address is known.
     pub fn addr(&self, member: MemberId) -> Option<SocketAddr> {
         self.records.get(member.0 as usize)?.addr
     }
 
-    /// The members in service, in the order of their names.
-    pub fn present(&self) -> impl Iterator<Item = PresentMember<'_>> {
+    /// Returns the members in service, ordered by name.
+    pub fn active_members(&self) -> impl Iterator<Item = ActiveMember<'_>> {
         self.ids.iter().filter_map(|(name, member)| {
             let record = &self.records[member.0 as usize];
-            let present = PresentMember { name, member: *member, group: record.entry.group };
-            record.draining_since.is_none().then_some(present)
+            let active = ActiveMember { name, member: *member, group: record.entry.group };
+            record.draining_since.is_none().then_some(active)
         })
     }
 
-    /// Whether a group is known not to exist: members have been listed, and none of this group.
-    pub fn lacks_group(&self, group: GroupId) -> bool {
+    /// Returns whether a group is known not to exist: members have been listed, and none of them belongs to
+    /// it.
+    pub fn is_unknown_group(&self, group: GroupId) -> bool {
         !self.groups.is_empty() && !self.groups.contains(&group)
     }
 }
 
 impl MemberRecord {
-    /// Takes over the state in a list. A drain counts from its first notification.
+    /// Applies the state in a list. A drain counts from the first announcement.
     fn update_drain(&mut self, state: HostState, valid_since: Time, only_draining_binds: bool) {
         match state {
             HostState::Active => self.draining_since = None,
@@ -228,20 +234,20 @@
         }
     }
 
-    /// Takes over an address, if it is usable. Returns the process at the previous address, if it has ended:
-    /// at a restart by the time of the start, as connections used since then lead to the new process; at a
-    /// move all of its connections are stale.
-    fn update_address(&mut self, addr: Option<SocketAddr>, restarted: bool) -> Option<EndedProcess> {
+    /// Applies an address, if it is valid, and returns which connections to the previous address are stale.
+    /// After a restart these are the connections last used before the start, because later ones lead to the
+    /// new process. After a move, all connections to the previous address are stale.
+    fn update_address(&mut self, addr: Option<SocketAddr>, restarted: bool) -> Option<StaleConnections> {
         let previous = self.addr;
         let moved = addr.is_some() && addr != previous;
         self.addr = addr.or(previous);
         let started = self.entry.started.unwrap_or_default();
         let before = if moved { Time(u64::MAX) } else { started };
-        previous.filter(|_| moved || restarted).map(|addr| EndedProcess { addr, before })
+        previous.filter(|_| moved || restarted).map(|addr| StaleConnections { addr, before })
     }
 }
 
-/// The start of a member on the router's clock; none for long ago.
+/// Returns the start time of a member on the router's clock; none if the member started long ago.
 fn start_time(started_ms: u64, clock: SystemClockOffset) -> Option<Time> {
     let started = clock.to_router_time(time_from_unix_ms(started_ms));
     (started > Time(0)).then_some(started)
@@ -255,11 +261,15 @@
     }
 }
 
-/// A member's address. One that can't be parsed is logged, unless the member is gone anyway.
+/// Returns a host's address. An address that can't be parsed is logged, unless the host has been removed.
 fn usable_address(host: &HostEntry) -> Option<SocketAddr> {
     let addr = host.addr.parse().ok();
     if addr.is_none() && host.state != HostState::Left {
-        tracing::warn!(member = %host.id, address = ?host.addr, "the member's address is invalid");
+        tracing::warn!(
+            member = %host.id,
+            address = ?host.addr,
+            "member address can't be parsed; the last valid address stays in use, if any"
+        );
     }
     addr
 }
@@ -283,7 +293,7 @@
 }
 
 impl Router {
-    /// Applies a list from discovery and hands it to the policy.
+    /// Applies an endpoint list and passes the resulting entries to the policy.
     pub(super) fn apply_endpoint_list(
         &mut self,
         now: Time,
@@ -292,7 +302,7 @@
         out: &mut Vec<Effect>,
     ) {
         let applied = self.endpoints.apply(list, valid_since.min(now), self.system_clock);
-        for EndedProcess { addr, before } in applied.ended {
+        for StaleConnections { addr, before } in applied.stale_connections {
             out.push(Effect::CloseConnectionsIdleSince { addr, before });
         }
         self.events.push_back(Event::Endpoints(applied.form, applied.entries));
--- a/crates/router/src/routing/exchanges.rs
+++ b/crates/router/src/routing/exchanges.rs
@@ -1,5 +1,5 @@
-//! Exchanges with database hosts, whether attempts of requests or health checks: what is known of one in
-//! flight, and the paths that are common to both kinds. Transport calls in with each exchange's result.
+//! Exchanges with database hosts, which are attempts of requests or health checks: the type of an exchange in
+//! flight, and the code that both kinds share. Transport passes in the result of each exchange.
 
 use super::input::{ExchangeId, ExchangeResult};
 use super::timers::TimerKey;
@@ -9,7 +9,7 @@
 /// An attempt or a health check that is in flight.
 #[derive(Clone, Copy)]
 pub struct InFlightExchange {
-    /// The member that it went to.
+    /// The member to which it was sent.
     pub member: MemberId,
     /// When it was started.
     pub sent_at: Time,
@@ -18,31 +18,31 @@
 }
 
 impl InFlightExchange {
-    /// An exchange that ends at once, without anything having been sent. No timer guards it.
+    /// An exchange that ends at once because nothing can be sent. It has no timer.
     pub fn unsent(now: Time, member: MemberId) -> InFlightExchange {
         InFlightExchange { member, sent_at: now, timer: TimerKey::default() }
     }
 }
 
 impl Router {
-    /// Whether an exchange's query may still be written. The policy respects a member's drain grace period
-    /// when it sends; but a connection may come up only after that period, or after its request has ended, as
-    /// its client may disconnect meanwhile.
+    /// Returns whether the query of an exchange may still be written. The policy respects a member's drain
+    /// grace period when it starts an exchange, but opening a connection takes time: meanwhile the grace
+    /// period may end, or the client may disconnect.
     pub fn may_write(&self, now: Time, exchange: ExchangeId, member: MemberId) -> bool {
         let awaited = match exchange {
-            ExchangeId::Attempt(id, _) => self.requests.get(id).is_some_and(|open| !open.answered),
+            ExchangeId::Attempt(id, _) => self.requests.get(id).is_some_and(|open| !open.completed),
             ExchangeId::Probe(_) => true,
         };
         awaited && self.drain_ends_at(member).is_none_or(|end| now < end)
     }
 
-    /// When a draining member's grace period ends; none if it is not draining.
+    /// Returns when a draining member's grace period ends; none if the member is not draining.
     pub(super) fn drain_ends_at(&self, member: MemberId) -> Option<Time> {
         let notified_at = self.endpoints.draining_since(member)?;
         Some(notified_at.plus(self.deployment.settings.drain_grace))
     }
 
-    /// Handles the end of an exchange.
+    /// Handles the result of an exchange.
     pub(super) fn exchange_finished(
         &mut self,
         now: Time,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Has the session floors learn a position that a host has reported, a Unix time, in an exchange that was
+    /// Reports a log position, a Unix time, to the session floors. A host sent it in an exchange that was
     /// started at `sent_at`.
     pub(super) fn observe_position(&mut self, now: Time, sent_at: Time, position: Option<Time>) {
         let Some(position) = position else { return };
--- a/crates/router/src/routing/fleet.rs
+++ b/crates/router/src/routing/fleet.rs
@@ -1,6 +1,6 @@
-//! The router's part in the fleet: it joins and leaves, hands over what arrives from other routers, and has
-//! the policy learn of capacities and budgets. The state is in [`FleetLimits`]; without a fleet nothing here
-//! acts.
+//! The router as a member of a fleet: joins and leaves it, passes on what other routers send, and keeps the
+//! policy informed of capacities and budgets. The state is in [`FleetLimits`]; a router that has joined no
+//! fleet ignores all calls.
 
 use super::attempts::FinishedAttempt;
 use super::fleet_limits::FleetLimits;
@@ -11,7 +11,7 @@
 use basalthill_policy::api::{Attempt, Event, MemberId, Request, RequestId, Time};
 
 impl Router {
-    /// Joins the fleet under a name: limits hold together with the other routers from now on.
+    /// Joins the fleet under `name`: from now on, limits hold for all routers of the fleet together.
     pub fn join_fleet(
         &mut self,
         now: Time,
@@ -26,8 +26,8 @@
         self.run_policy(now, out);
     }
 
-    /// Takes over the fleet's settings after they have been read again. A router that has not joined ignores
-    /// them.
+    /// Applies the fleet's settings after they have been reloaded. Has no effect unless the router has joined
+    /// a fleet.
     pub fn reload_fleet(&mut self, now: Time, settings: &FleetSettings, out: &mut Vec<Effect>) {
         let Some(limits) = &mut self.fleet_limits else { return };
         let mut effects = Vec::new();
@@ -38,7 +38,7 @@
         self.run_policy(now, out);
     }
 
-    /// Leaves the fleet: the other routers are notified.
+    /// Leaves the fleet and notifies the other routers.
     pub fn leave_fleet(&mut self, now: Time, out: &mut Vec<Effect>) {
         let Some(limits) = &mut self.fleet_limits else { return };
         let mut effects = Vec::new();
@@ -46,9 +46,10 @@
         apply_fleet_effects(effects, out);
     }
 
-    /// Takes a token out of a budget of all routers. Returns whether there was one, or no fleet or no such
-    /// budget. Transport may connect or call discovery only then; the policy counts its own budgets down
-    /// itself.
+    /// Takes a token from a budget that all routers share. Returns whether a token was available, which is
+    /// always so without a fleet or without such a budget. Transport must not open a connection or call
+    /// service discovery unless it was. The policy needs no result: it decrements its own values of the
+    /// budgets for retries and health checks.
     pub fn spend_budget(&mut self, now: Time, budget: Budget) -> bool {
         self.fleet_limits.as_mut().is_none_or(|limits| limits.spend_budget(now, budget))
     }
@@ -80,21 +81,22 @@
         self.queue_capacity_changes(now);
     }
 
-    /// Hands the members in service to the limit on each of them.
+    /// Passes the members in service to the limit on concurrent attempts at each member.
     pub(super) fn update_limited_members(&mut self, now: Time) {
         if let Some(limits) = &mut self.fleet_limits {
-            limits.set_members(now, self.endpoints.present());
+            limits.set_members(now, self.endpoints.active_members());
         }
     }
 
-    /// Queues events for budgets and capacities that the policy assumes wrongly.
+    /// Queues events for the budgets and capacities that differ from the policy's values.
     fn queue_capacity_changes(&mut self, now: Time) {
         if let Some(limits) = &mut self.fleet_limits {
-            self.events.extend(limits.changes(now));
+            self.events.extend(limits.capacity_changes(now));
         }
     }
 
-    /// An event as it is to be handed to the policy: budgets and capacities have their present values.
+    /// Returns the event with the present values of budgets and capacities, just before it is passed to the
+    /// policy.
     pub(super) fn with_current_capacity(&mut self, now: Time, event: Event) -> Event {
         match &mut self.fleet_limits {
             Some(limits) => limits.refresh(now, event),
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Queues a request for the policy; the keys of the limits that count it.
+    /// Queues a request for the policy. Returns the keys of the limits that count the request.
     pub(super) fn queue_request(&mut self, now: Time, request: Request) -> Vec<LimitKey> {
         let Some(limits) = &mut self.fleet_limits else {
             self.events.push_back(Event::Request(request));
@@ -116,9 +118,9 @@
         keys
     }
 
-    /// The policy has decided on a request: the limits that count it learn whether it was admitted.
+    /// Reports the policy's decision on a request to the limits that count the request.
     pub(super) fn record_admission(&mut self, id: RequestId, keys: &[LimitKey]) {
-        let admitted = self.requests.get(id).is_some_and(|open| !open.answered || open.served);
+        let admitted = self.requests.get(id).is_some_and(|open| !open.completed || open.served);
         if let Some(limits) = &mut self.fleet_limits {
             limits.record_decision(admitted, keys);
         }
@@ -138,7 +140,8 @@
         }
     }
 
-    /// Releases the slot of a finished attempt, and has the policy learn of its member's capacity.
+    /// Releases the slot of an attempt that has ended, and queues an event with the new capacity of its
+    /// member.
     pub(super) fn release_member_slot(&mut self, now: Time, finished: &FinishedAttempt) {
         let Some(limits) = &mut self.fleet_limits else { return };
         if limits.release_slot(now, finished) {
@@ -147,16 +150,17 @@
         }
     }
 
-    /// A request ends without a result: reports a missing retry, if it had an attempt and no retry was left.
-    pub(super) fn record_missed_retry(&mut self, id: RequestId) {
+    /// Records that a request completes without a host's response. If the request had an attempt and the
+    /// retry budget is exhausted, this counts as demand for another retry.
+    pub(super) fn record_retry_demand(&mut self, id: RequestId) {
         let attempted = self.requests.get(id).is_some_and(|open| !open.attempts.is_empty());
         if let Some(limits) = self.fleet_limits.as_mut().filter(|_| attempted) {
-            limits.record_missed_retry();
+            limits.record_retry_demand();
         }
     }
 }
 
-/// Carries the fleet's effects over to the router's.
+/// Converts the fleet's effects into effects of the router.
 fn apply_fleet_effects(effects: Vec<FleetEffect>, out: &mut Vec<Effect>) {
     for effect in effects {
         match effect {
--- a/crates/router/src/routing/fleet_limits.rs
+++ b/crates/router/src/routing/fleet_limits.rs
@@ -1,9 +1,9 @@
-//! Limits that hold over all routers together, as one router sees them. [`FleetLimits`] owns the fleet's core
-//! and what the policy was last sent of member capacities and budgets; `fleet.rs` connects it with the
-//! router.
+//! The limits that all routers of the fleet share, as seen by this router. [`FleetLimits`] owns the fleet
+//! protocol's state and the values of member capacities and budgets that the policy was last given;
+//! `fleet.rs` connects it with the router.
 
 use super::attempts::FinishedAttempt;
-use super::endpoints::PresentMember;
+use super::endpoints::ActiveMember;
 use super::system_clock::NS_PER_MS;
 use basalthill_config::local_settings::FleetSettings;
 use basalthill_config::settings::Deployment;
@@ -11,28 +11,30 @@
 use basalthill_policy::api::{Attempt, Event, GroupId, MemberId, Request, RequestId, Status, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The lower bits of a slot's number hold the attempt's number, the bits above it the request's.
+/// The number of low bits of a slot's number that hold the attempt's number. The bits above hold the
+/// request's number.
 const ATTEMPT_BITS: u32 = 16;
 
-/// The capacity of a member that no limit bounds.
+/// The capacity of a member without a limit.
 const UNLIMITED: u32 = u32::MAX;
 
-/// The tokens left in the budgets that the policy spends; none where there is no such budget.
+/// The tokens left in the budgets that the policy spends; none if there is no such budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct PolicyBudgets {
     retries: Option<u32>,
     probes: Option<u32>,
 }
 
-/// The fleet's configuration for a deployment. A request may use what it was granted up to the longest
-/// deadline of any class, where a limit bounds concurrent requests.
+/// Returns the fleet's configuration for a deployment. If a limit bounds concurrent requests, a request may
+/// use what it was granted for up to the longest client timeout of all classes.
 fn fleet_config(deployment: &Deployment, fleet: &FleetSettings) -> FleetConfig {
     let timeouts = deployment.settings.classes.iter().map(|class| class.client_timeout);
     let longest = timeouts.max().unwrap_or_default();
     let bounds_concurrency = fleet.limits.iter().any(|l| matches!(l.bounds, Bounds::Concurrent(_)));
     let max_use = if bounds_concurrency { longest } else { Time(0) };
-    // A voter that has just started waits until all votes of its earlier incarnation have run out. These may
-    // have been granted under other limits, so the longest use counts here in any case.
+    // A voter that has just started grants no votes until all votes of its earlier incarnation have expired.
+    // These may have been granted under other limits, so the longest client timeout applies here even if no
+    // present limit bounds concurrency.
     let any_limits = Timing::new(fleet.drift, longest);
     FleetConfig {
         roster: fleet.names.clone(),
@@ -43,30 +45,31 @@
     }
 }
 
-/// The name of the limit on concurrent attempts at each member, if there is one.
+/// Returns the name of the limit on concurrent attempts at each member, if there is one.
 fn per_member_limit(limits: &[Limit]) -> Option<String> {
     limits.iter().find(|limit| limit.subject == Subject::EachMember).map(|limit| limit.name.clone())
 }
 
-/// The limits over all routers, and what the policy knows of them.
+/// The limits that all routers of the fleet share, and the values of them that the policy has been given.
 pub struct FleetLimits {
     pub(super) fleet: Fleet,
     /// The name of the limit on concurrent attempts at each member, if there is one.
     per_member_limit: Option<String>,
-    /// The key of that limit at each member in service.
+    /// The key of that limit for each member in service.
     member_keys: BTreeMap<MemberId, LimitKey>,
     /// The members in service, by group.
     group_members: BTreeMap<GroupId, BTreeSet<MemberId>>,
-    /// The capacity that the policy assumes at each member, after what it has sent since.
+    /// The policy's value of the free capacity at each member. It is decremented for each attempt that the
+    /// policy starts.
     policy_capacity: BTreeMap<MemberId, u32>,
-    /// The budgets that the policy assumes, after what it has spent since.
+    /// The policy's values of the budgets. They are decremented for each token that the policy spends.
     policy_budgets: PolicyBudgets,
     /// How long an attempt may occupy a slot.
     max_use: Time,
 }
 
 impl FleetLimits {
-    /// The limits of a router that has just started under this name.
+    /// Creates the limits of a router that has just started under `name`.
     pub fn new(
         now: Time,
         name: &str,
@@ -90,7 +93,7 @@
         }
     }
 
-    /// Takes over a changed configuration; the fleet's effects are appended to `effects`.
+    /// Applies a changed configuration. The fleet's effects are appended to `effects`.
     pub fn reload(
         &mut self,
         now: Time,
@@ -105,13 +108,13 @@
         self.fleet.reload(now, config, codec, effects);
     }
 
-    /// Takes over the members in service, for the limit on each of them.
-    pub fn set_members<'a>(&mut self, now: Time, members: impl Iterator<Item = PresentMember<'a>>) {
+    /// Sets the members in service, to each of which the per-member limit applies.
+    pub fn set_members<'a>(&mut self, now: Time, members: impl Iterator<Item = ActiveMember<'a>>) {
         let Some(limit) = &self.per_member_limit else { return };
         self.member_keys.clear();
         self.group_members.clear();
         let mut names = Vec::new();
-        for PresentMember { name, member, group } in members {
+        for ActiveMember { name, member, group } in members {
             self.member_keys.insert(member, LimitKey::at_member(limit, name));
             self.group_members.entry(group).or_default().insert(member);
             names.push(name.to_string());
@@ -119,7 +122,7 @@
         self.fleet.set_members(now, names);
     }
 
-    /// The keys of the limits that count a request.
+    /// Returns the keys of the limits that count a request.
     pub fn keys_for(&self, class: &str, tenant: &str, group: GroupId) -> Vec<LimitKey> {
         let counts = |limit: &&Limit| match &limit.subject {
             Subject::Tenant(name) => name == tenant,
@@ -130,9 +133,9 @@
         self.fleet.limits().iter().filter(counts).map(|limit| LimitKey::global(&limit.name)).collect()
     }
 
-    /// The event for a request that the limits with these keys count.
+    /// Returns the event for a request that is counted by the limits with these keys.
     pub fn request_event(&mut self, now: Time, request: Request, keys: &[LimitKey]) -> Event {
-        self.record_missing_capacity(request.group);
+        self.record_capacity_demand(request.group);
         if keys.is_empty() {
             return Event::Request(request);
         }
@@ -144,8 +147,8 @@
         }
     }
 
-    /// Reports demand for capacity at the members of a group where the policy assumes none.
-    fn record_missing_capacity(&mut self, group: GroupId) {
+    /// Records demand for capacity at those members of a group at which the policy has no capacity left.
+    fn record_capacity_demand(&mut self, group: GroupId) {
         for member in self.group_members.get(&group).into_iter().flatten() {
             if self.policy_capacity.get(member) != Some(&0) {
                 continue;
@@ -156,8 +159,8 @@
         }
     }
 
-    /// The policy has admitted a request, or rejected it: the limits that count it spend a token, or learn of
-    /// the demand.
+    /// Records whether the policy has admitted a request. Each limit that counts the request spends a token
+    /// if it was admitted, and records the demand if it was rejected.
     pub fn record_decision(&mut self, admitted: bool, keys: &[LimitKey]) {
         if keys.is_empty() {
             return;
@@ -179,14 +182,15 @@
     ) {
         let Some(key) = self.member_keys.get(&member) else { return };
         self.fleet.occupy_slot(now, *key, slot_number(request, attempt), deadline);
-        // The policy has counted the attempt already.
+        // The policy has already counted the attempt.
         if let Some(capacity) = self.policy_capacity.get_mut(&member) {
             *capacity = capacity.saturating_sub(1);
         }
     }
 
-    /// Releases the slot of a finished attempt, unless its host may still work on it: then the slot stays
-    /// occupied up to the attempt's deadline. Returns whether the limit counts its member.
+    /// Releases the slot of an attempt that has ended, unless the host may still be working on it: in that
+    /// case the slot stays occupied until the attempt's deadline. Returns whether the attempt's member has a
+    /// limit.
     pub fn release_slot(&mut self, now: Time, finished: &FinishedAttempt) -> bool {
         let Some(key) = self.member_keys.get(&finished.exchange.member) else { return false };
         let may_still_run = matches!(finished.status, Status::Cancelled | Status::Timeout | Status::Reset);
@@ -197,9 +201,9 @@
         true
     }
 
-    /// A request with attempts has ended without a result: if the budget for retries is spent, another retry
-    /// was missing.
-    pub fn record_missed_retry(&mut self) {
+    /// Records that a request that had attempts has completed without a host's response. If the retry budget
+    /// is exhausted, this counts as demand for another retry.
+    pub fn record_retry_demand(&mut self) {
         if self.policy_budgets.retries != Some(0) {
             return;
         }
@@ -208,29 +212,29 @@
         }
     }
 
-    /// Takes a token out of a budget. Returns whether there was one, or the budget does not exist. The policy
-    /// counts down its own budgets likewise.
+    /// Takes a token from a budget. Returns whether a token was available, which is always so if the budget
+    /// does not exist. The policy decrements its own values in the same way.
     pub fn spend_budget(&mut self, now: Time, budget: Budget) -> bool {
         let Some(key) = self.fleet.budget_key(budget) else { return true };
         let available = self.fleet.take_token(now, key);
-        let one_less = |tokens: Option<u32>| tokens.map(|n| n.saturating_sub(1));
+        let decremented = |tokens: Option<u32>| tokens.map(|n| n.saturating_sub(1));
         match budget {
-            Budget::Retries => self.policy_budgets.retries = one_less(self.policy_budgets.retries),
-            Budget::Probes => self.policy_budgets.probes = one_less(self.policy_budgets.probes),
+            Budget::Retries => self.policy_budgets.retries = decremented(self.policy_budgets.retries),
+            Budget::Probes => self.policy_budgets.probes = decremented(self.policy_budgets.probes),
             Budget::Connects | Budget::ListCalls => {}
         }
         available
     }
 
-    /// Events for the budgets and capacities that differ from what the policy assumes. Their values are
-    /// filled in by [`FleetLimits::refresh`] when they are handed over.
-    pub fn changes(&mut self, now: Time) -> Vec<Event> {
+    /// Returns events for the budgets and capacities that differ from the policy's values.
+    /// [`FleetLimits::refresh`] fills in the present values when the events are passed to the policy.
+    pub fn capacity_changes(&mut self, now: Time) -> Vec<Event> {
         let mut changes = Vec::new();
         if self.budgets(now) != self.policy_budgets {
             changes.push(Event::Budgets { retries: None, probes: None });
         }
         if self.per_member_limit.is_none() {
-            // A limit that has been removed leaves no bound behind.
+            // Once the limit has been removed from the settings, no member has a bound.
             for member in std::mem::take(&mut self.policy_capacity).into_keys() {
                 changes.push(Event::MemberCapacity { member, attempts: UNLIMITED });
             }
@@ -245,7 +249,8 @@
         changes
     }
 
-    /// An event with budgets and capacities as they are now, after all that was sent since it was queued.
+    /// Returns the event with the present values of budgets and capacities, which include what was spent
+    /// since the event was queued.
     pub fn refresh(&mut self, now: Time, event: Event) -> Event {
         match event {
             Event::Budgets { .. } => {
@@ -282,13 +287,13 @@
     }
 }
 
-/// The attempts that may be started now under a key, if each ends within `max_use`.
+/// Returns the number of attempts that may be started now under a key, if each ends within `max_use`.
 fn free_slots(fleet: &mut Fleet, now: Time, key: LimitKey, max_use: Time) -> u32 {
     let slots = fleet.free_slots(now, key, max_use);
     u32::try_from(slots).unwrap_or(UNLIMITED)
 }
 
-/// The number of an attempt's slot, unique at this router.
+/// Returns the number of an attempt's slot, which is unique at this router.
 fn slot_number(request: RequestId, attempt: Attempt) -> u64 {
     request.0 << ATTEMPT_BITS | u64::from(attempt.0)
 }
--- a/crates/router/src/routing/input.rs
+++ b/crates/router/src/routing/input.rs
@@ -1,4 +1,4 @@
-//! What transport hands to the router: one [`Input`] for each event, and the types that it is made of.
+//! What transport passes to the router: one [`Input`] for each event, and the types that inputs contain.
 
 use crate::protocol::discovery::HostList;
 use crate::protocol::host::{QueryOutcome, ReportedState};
@@ -9,122 +9,125 @@
 use basalthill_policy::api::{Attempt, ReplicationState, RequestId, Time};
 use std::net::SocketAddr;
 
-/// A client's connection, numbered in the order of acceptance.
+/// Identifies a client's connection. Connections are numbered in the order in which they are accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientId(pub u64);
 
-/// A command's number on its connection. Several commands of one connection may be open at a time.
+/// Identifies a command on its client's connection. Several commands of one connection may be open at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CommandId(pub u64);
 
 /// A client's request.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
-    /// The connection that it came on.
+    /// The connection on which it arrived.
     pub client: ClientId,
     /// Its command on that connection.
     pub command: CommandId,
     /// The parsed statement.
     pub statement: Box<Statement>,
-    /// When the command's last byte arrived. The command may have waited behind others since then; its
-    /// deadline counts from here.
+    /// When the command's last byte arrived. The client's deadline counts from this time, even if the command
+    /// has since waited in its connection's pipeline.
     pub arrived_at: Time,
 }
 
-/// One exchange with a database host: an attempt of a request, or a health check.
+/// Identifies an exchange with a host: an attempt of a request, or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ExchangeId {
-    /// An attempt of a request.
+    /// An attempt of a request, by the request's id and the attempt's number.
     Attempt(RequestId, Attempt),
     /// A health check, by its number.
     Probe(u64),
 }
 
-/// How an exchange with a host ended, as transport saw it.
+/// How an exchange with a host ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ExchangeResult {
-    /// The host answered the query, and reported its state with the answer.
+    /// The host responded to the query and reported its state with the response.
     Response(QueryOutcome, ReportedState),
-    /// The host rejected the connection: an ErrorResponse with this SQLSTATE during startup.
+    /// The host rejected the connection: it sent an ErrorResponse with this SQLSTATE during startup.
     ConnectionRejected(String),
-    /// No connection came up, or it was lost before the query's last byte was written: nothing ran.
+    /// No connection could be opened, or it was lost before the query's last byte was written. The query has
+    /// not run.
     NotSent,
-    /// The query was deliberately not written: the drain grace period had passed, the client had
-    /// disconnected, or this router had no descriptor left. It is neither the host's fault nor a failed
-    /// connection.
+    /// Transport decided not to write the query, because the member's drain grace period had passed, the
+    /// client had disconnected, or the router had no file descriptor left. This counts neither as a fault of
+    /// the host nor as a failed connection.
     Skipped,
-    /// The connection was lost after the query's last byte was written: the query may have run.
+    /// The connection was lost after the query's last byte was written. The query may have run.
     ConnectionLost,
-    /// The host's response violates the protocol: the query may have run.
+    /// The host's response violates the protocol. The query may have run.
     MalformedResponse,
 }
 
-/// An event for the router. Each is handed over with the time at which it happened.
+/// An event for the router. It is passed to [`Router::handle`](super::Router::handle) with the time at which
+/// it happened.
 #[derive(Debug)]
 pub enum Input {
     /// A client's connection has been accepted.
     ClientConnected(ClientId),
     /// A client has sent a request.
     Request(ClientRequest),
-    /// A client's connection has ended. Repeats are ignored.
+    /// A client has disconnected. Repeated notifications are ignored.
     ClientDisconnected(ClientId),
-    /// An exchange has ended. Results of exchanges that have ended before are ignored.
+    /// An exchange has ended. The result of an exchange that is not in flight is ignored.
     ExchangeFinished(ExchangeId, ExchangeResult),
-    /// A client cancels its first unanswered request and stays connected.
+    /// A client cancels its first request that has no reply yet. Its connection stays open.
     CancelRequested(ClientId),
-    /// Discovery has sent the list of endpoints or changes to it.
+    /// Service discovery has sent the endpoint list or changes to it.
     EndpointList {
-        /// The list, complete or changes only.
+        /// The complete list, or only the entries that have changed.
         list: HostList,
-        /// The earliest time at which its content may have been true: before its arrival, where a watch was
-        /// silent.
+        /// The earliest time at which the content may have become valid. It is the time of arrival, or, for
+        /// the first list of a new watch, the time at which discovery was last heard: the change may have
+        /// been made while no watch was open.
         valid_since: Time,
     },
     /// Another proxy has sent a message on its stream.
     Proxy(StreamId, ProxyMessage),
-    /// Something for the fleet's limits has arrived.
+    /// Something has arrived on the fleet's socket.
     Fleet(FleetInput),
     /// Timers may be due.
     Tick,
-    /// The program is about to end: open requests fail, later ones are rejected.
+    /// The process is about to exit: open requests fail, later ones are rejected.
     Shutdown,
 }
 
 /// A message of another proxy, which sends its requests to members itself.
 #[derive(Clone, Debug)]
 pub enum ProxyMessage {
-    /// It needs a member for a request.
+    /// The proxy needs a member for a request.
     Request(DecisionRequest),
-    /// It reports how the attempt under a lease ended.
+    /// The proxy reports how the attempt under a lease ended.
     Outcome {
         /// The lease.
         lease: LeaseId,
-        /// How the attempt ended.
+        /// The outcome of the attempt.
         outcome: LeaseOutcome,
-        /// The member's replication state according to its answer.
+        /// The member's replication state according to its response.
         replication: ReplicationState,
     },
-    /// Its stream has ended.
+    /// The proxy's stream is closed.
     StreamClosed,
 }
 
 /// What arrives on the fleet's socket.
 #[derive(Debug)]
 pub enum FleetInput {
-    /// Another router's packet; its signature has been verified.
+    /// A packet of another router, whose signature has been verified.
     Packet(Packet),
     /// An operator's status query.
     OperatorQuery {
         /// The query.
         query: StatusMessage,
-        /// The address that gets the response.
+        /// The address to which the response is sent.
         from: SocketAddr,
     },
-    /// Datagrams have been dropped before they reached the router.
+    /// Transport has dropped datagrams before they reached the router.
     DatagramsDropped {
-        /// The reason.
+        /// Why they were dropped.
         reason: DropReason,
-        /// How many.
+        /// The number of datagrams.
         count: u64,
     },
 }
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -1,22 +1,23 @@
-//! The router without its sockets: maps messages onto the policy's events, and the policy's actions onto
-//! messages. It is sans-I/O: an [`Input`] with its time goes in, [`Effect`]s come out. All decisions are the
-//! policy's.
+//! The router without its sockets: translates messages into the policy's events, and the policy's actions
+//! into messages. It is sans-I/O: the caller passes in an [`Input`] and the time, and gets a list of
+//! [`Effect`]s back. All routing decisions are made by the policy.
 //!
-//! [`Router`] wires the parts together. Each part lives in a module with its state:
+//! [`Router`] owns all state. Each submodule implements one part of the router and defines the state of that
+//! part:
 //!
 //! | module | state |
 //! | --- | --- |
 //! | `input`, `effect` | none: the types of the interface to transport |
 //! | `requests`, `request_table` | open requests of clients |
 //! | `exchanges`, `attempts`, `probes` | exchanges with hosts in flight |
-//! | `sessions` | the floors and tokens of sessions |
+//! | `sessions` | read floors and session tokens |
 //! | `proxy_leases` | leases of other proxies |
-//! | `fleet`, `fleet_limits` | limits over all routers |
+//! | `fleet`, `fleet_limits` | limits that all routers of the fleet share |
 //! | `endpoints` | the list of members |
 //! | `timers` | timers |
 //! | `clock`, `system_clock` | the router's clock and the system clock's offset from it |
-//! | `counters` | counts for the log |
-//! | `outcomes` | none: the mapping of hosts' answers to the policy's terms |
+//! | `counters` | counters for the periodic log line |
+//! | `outcomes` | none: translates hosts' responses into the policy's types |
 
 mod attempts;
 mod clock;
@@ -57,14 +58,14 @@
 use system_clock::SystemClockOffset;
 use timers::{Timer, Timers};
 
-/// A router without its sockets. Transport owns it, hands it each event, and carries out its effects.
+/// The router without its sockets. Transport owns it, passes it each input, and carries out the effects.
 pub struct Router {
     policy: Policy,
     deployment: Deployment,
     sessions: Sessions,
-    /// The leases of other proxies, where they are served.
+    /// The leases of other proxies; none unless [`Router::serve_proxies`] has been called.
     coordinator: Option<LeaseCoordinator>,
-    /// The limits over all routers, where there are any.
+    /// The limits shared by all routers; none unless the router has joined a fleet.
     fleet_limits: Option<FleetLimits>,
     endpoints: EndpointTable,
     system_clock: SystemClockOffset,
@@ -74,28 +75,28 @@
     probes: ProbeTable,
     timers: Timers,
     counters: RequestCounters,
-    /// The program is about to end: requests are rejected.
+    /// Whether the process is about to exit: new requests are rejected.
     shutting_down: bool,
-    /// Events that the policy has not had yet.
+    /// Events that the policy has not processed yet.
     events: VecDeque<Event>,
-    /// An empty buffer for the policy's actions, reused by each event.
+    /// A buffer for the policy's actions, empty between two events and reused.
     actions: Vec<Action>,
 }
 
-/// How many rows the router's tables hold.
+/// The number of entries in the router's tables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outstanding {
-    /// Requests that lack an answer or have attempts in flight.
+    /// Requests that await a reply or have attempts in flight.
     pub requests: usize,
     /// Health checks in flight.
     pub probes: usize,
-    /// Timers; the policy's own is among them.
+    /// Timers that are set, including the policy's own.
     pub timers: usize,
 }
 
 impl Router {
-    /// A router that has just started with a cached list of endpoints, if there is one. Its first effects are
-    /// appended to `out`.
+    /// Creates a router that starts with the endpoint list in the configuration, if there is one. The effects
+    /// of the start are appended to `out`.
     pub fn new(
         now: Time,
         deployment: Deployment,
@@ -130,14 +131,18 @@
         router
     }
 
-    /// Records how far the system clock is ahead of the clock by which inputs arrive, in nanoseconds. After a
-    /// step, positions reported before can't be compared with those reported later, and the starts of members
-    /// count by whichever offset makes them later.
+    /// Records how far the system clock is ahead of the clock that gives inputs their time, in nanoseconds.
+    /// If the system clock has been stepped, log positions reported before the step can't be compared with
+    /// later ones, and the start time of each member is computed with the old or the new offset, whichever
+    /// gives the later time.
     pub fn observe_system_clock(&mut self, now: Time, offset_ns: i64, out: &mut Vec<Effect>) {
         if !self.system_clock.update(offset_ns) {
             return;
         }
-        tracing::warn!(offset_ms = self.system_clock.offset_ms(), "the system clock has been set");
+        tracing::warn!(
+            offset_ms = self.system_clock.offset_ms(),
+            "the system clock has been stepped; log positions reported so far are discarded"
+        );
         let restarted = self.endpoints.move_starts_later(self.system_clock);
         self.events.push_back(Event::ClockSet);
         self.events.push_back(Event::Endpoints(EndpointUpdate::Delta, restarted));
@@ -149,7 +154,7 @@
         self.system_clock.to_unix_time(now)
     }
 
-    /// Handles an input; its effects are appended to `out`.
+    /// Handles an input and appends the resulting effects to `out`.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Effect>) {
         match input {
             Input::ClientConnected(client) => {
@@ -170,7 +175,7 @@
         self.run_policy(now, out);
     }
 
-    /// When the next timer is due.
+    /// Returns when the next timer, lease or fleet timer is due.
     pub fn next_due(&self) -> Option<Time> {
         let timer = self.timers.next_due();
         let lease = self.coordinator.as_ref().and_then(LeaseCoordinator::next_due);
@@ -178,32 +183,32 @@
         [timer, lease, fleet].into_iter().flatten().min()
     }
 
-    /// How many requests await an answer.
+    /// Returns the number of requests whose clients await a reply.
     pub fn unanswered(&self) -> usize {
         self.requests.unanswered()
     }
 
-    /// The counts since this was last called.
+    /// Returns the request counters and resets them.
     pub fn take_request_counters(&mut self) -> RequestCounters {
         std::mem::take(&mut self.counters)
     }
 
-    /// The sessions' state. Its times are Unix times.
+    /// Returns the state of the sessions, in which all times are Unix times.
     pub fn sessions(&mut self) -> &mut Sessions {
         &mut self.sessions
     }
 
-    /// The counts of sessions since this was last called.
+    /// Returns the session counters and resets them.
     pub fn take_session_counts(&mut self) -> SessionCounts {
         self.sessions.take_counts()
     }
 
-    /// How many rows the tables hold.
+    /// Returns the number of entries in the router's tables.
     pub fn outstanding(&self) -> Outstanding {
         Outstanding { requests: self.requests.len(), probes: self.probes.len(), timers: self.timers.len() }
     }
 
-    /// Hands events to the policy until none are left, and carries out its actions.
+    /// Passes queued events to the policy until none is left, and carries out the resulting actions.
     fn run_policy(&mut self, now: Time, out: &mut Vec<Effect>) {
         while let Some(event) = self.events.pop_front() {
             let event = self.with_current_capacity(now, event);
@@ -233,14 +238,15 @@
             Action::CloseIdle(member) => {
                 out.extend(self.endpoints.addr(member).map(Effect::CloseIdleConnections));
             }
-            // Transport keeps a watch open in any case, which brings each change by itself. A poll of the
-            // complete list would only delay other routers that use the same discovery service.
+            // Transport always keeps a watch open, which delivers every change. Polling the complete list
+            // would only add load on the discovery service, at the expense of the other routers that use it.
             Action::WatchEndpoints | Action::PollEndpoints => {}
             Action::Log(line) => tracing::info!("{line}"),
         }
     }
 
-    /// Fires the timers that are due now. Those set meanwhile wait for the next call, even if they are due.
+    /// Fires the timers that are due now. A timer that is set during this call waits for the next call, even
+    /// if it is already due.
     fn fire_due_timers(&mut self, now: Time, out: &mut Vec<Effect>) {
         self.expire_leases(now, out);
         self.run_policy(now, out);
--- a/crates/router/src/routing/outcomes.rs
+++ b/crates/router/src/routing/outcomes.rs
@@ -1,5 +1,6 @@
-//! Maps what hosts send to the policy's terms: exchange results and SQLSTATEs to statuses, load reports to
-//! replication states. It has no state; the modules for attempts and health checks call it.
+//! Translates what hosts send into the policy's types: exchange results and SQLSTATEs into statuses, load
+//! reports into replication states. The functions have no state; the modules for attempts and health checks
+//! call them.
 
 use super::input::ExchangeResult;
 use super::system_clock::time_from_unix_ms;
@@ -7,22 +8,22 @@
 use basalthill_policy::api::{ReplicationState, Role, Status, Time};
 use basalthill_wire::sqlstate::{READ_ONLY_SQL_TRANSACTION, SNAPSHOT_TOO_OLD, TOO_MANY_CONNECTIONS};
 
-/// SQLSTATE prefixes of errors in the statement itself: protocol violations, data exceptions and syntax
+/// SQLSTATE prefixes of errors in the statement itself: protocol violations, data exceptions, and syntax
 /// errors or access rule violations.
 const STATEMENT_ERRORS: [&str; 3] = ["08P", "22", "42"];
 
-/// The load report's column with the position, a Unix time in seconds.
+/// The column of the load report with the log position, a Unix time in seconds.
 const POSITION_COLUMN: &str = "x0";
-/// The load report's column with the role: at the primary 1, at a replica 0.
+/// The column of the load report with the role: 1 at the primary, 0 at a replica.
 const ROLE_COLUMN: &str = "x1";
-/// From this value of [`ROLE_COLUMN`] on a host is the primary.
-const PRIMARY_FROM: f64 = 0.5;
+/// The host is the primary if the value of [`ROLE_COLUMN`] is at least this.
+const PRIMARY_THRESHOLD: f64 = 0.5;
 
-/// The rounding error of a Unix time in seconds as a 64-bit float is below this. Reported positions are
-/// rounded down by it: a position taken too high would let a replica serve a read that it is behind for.
-const POSITION_ERROR: Time = Time(1000);
+/// An upper bound of the rounding error of a Unix time in seconds as a 64-bit float. Reported positions are
+/// reduced by it: if a position were too high, a replica could be sent a read whose floor it has not applied.
+const MAX_POSITION_ERROR: Time = Time(1000);
 
-/// The status of an attempt by its exchange's result.
+/// Returns the status of an attempt, given the result of its exchange.
 pub fn attempt_status(result: &ExchangeResult) -> Status {
     match result {
         ExchangeResult::Response(QueryOutcome::Row(_), _) => Status::Ok,
@@ -32,17 +33,18 @@
         ExchangeResult::ConnectionRejected(_) | ExchangeResult::NotSent => Status::ConnectFailed,
         ExchangeResult::Skipped => Status::NotSent,
         ExchangeResult::ConnectionLost => Status::Reset,
-        // It may have run, as with an error; the member is reachable and responds.
+        // The query may have run, as after an error; the member is reachable and responds.
         ExchangeResult::MalformedResponse => Status::Error,
     }
 }
 
-/// The status of a health check by its exchange's result. Any error in an answer is the member's fault.
+/// Returns the status of a health check, given the result of its exchange. Any error response is a fault of
+/// the member.
 pub fn probe_status(result: &ExchangeResult) -> Status {
     match result {
         ExchangeResult::Response(QueryOutcome::Row(_), _) => Status::Ok,
         ExchangeResult::Response(..) => Status::Error,
-        not_answered => attempt_status(not_answered),
+        no_response => attempt_status(no_response),
     }
 }
 
@@ -55,13 +57,13 @@
     }
 }
 
-/// Whether an error lies in the statement and not in its host: any other host would return it as well.
+/// Returns whether the error lies in the statement and not in the host: any other host would return it too.
 pub fn is_statement_error(code: &str) -> bool {
     STATEMENT_ERRORS.iter().any(|prefix| code.starts_with(prefix))
 }
 
-/// The replication state that a host reports with an answer, apart from its load report. The position is a
-/// Unix time.
+/// Returns the replication state that a host reported with a response, not counting its load report. The
+/// position is a Unix time.
 pub fn reported_replication(reported: &ReportedState) -> ReplicationState {
     let role = |is_primary| if is_primary { Role::Primary } else { Role::Replica };
     ReplicationState {
@@ -70,8 +72,8 @@
     }
 }
 
-/// The replication state in a load report, as far as `columns` lists its columns as meaningful. The position
-/// is a Unix time.
+/// Returns the replication state in a load report. Only the columns in `columns` are used. The position is a
+/// Unix time.
 pub fn replication_from_load_report(columns: &[String], text: &str) -> ReplicationState {
     let mut replication = ReplicationState::default();
     for (name, value) in parse_load_report(text) {
@@ -80,7 +82,7 @@
         }
         match name {
             POSITION_COLUMN if value > 0.0 => replication.position = Some(position_from_seconds(value)),
-            ROLE_COLUMN if value >= PRIMARY_FROM => replication.role = Some(Role::Primary),
+            ROLE_COLUMN if value >= PRIMARY_THRESHOLD => replication.role = Some(Role::Primary),
             ROLE_COLUMN => replication.role = Some(Role::Replica),
             _ => {}
         }
@@ -90,7 +92,7 @@
 
 fn position_from_seconds(seconds: f64) -> Time {
     let microseconds = (seconds * 1e6) as u64;
-    Time(microseconds * 1000).minus(POSITION_ERROR)
+    Time(microseconds * 1000).minus(MAX_POSITION_ERROR)
 }
 
 #[cfg(test)]
--- a/crates/router/src/routing/probes.rs
+++ b/crates/router/src/routing/probes.rs
@@ -1,5 +1,6 @@
-//! Health checks of members: started by the policy's actions, ended by results and timeouts. Each gets
-//! exactly one outcome, which goes to the policy. This module owns the table of those in flight.
+//! Health checks of members. The policy's actions start them; results and timeouts end them. Each health
+//! check has exactly one outcome, which is passed to the policy. This module owns the table of health checks
+//! in flight.
 
 use super::exchanges::InFlightExchange;
 use super::input::{ExchangeId, ExchangeResult};
@@ -12,9 +13,9 @@
 use basalthill_policy::api::{Event, MemberId, ReplicationState, Status, Time};
 use std::collections::BTreeMap;
 
-/// The health check at a host that reports its load.
+/// The health check for hosts that report their load.
 const REPORT_QUERY: &str = "SHOW vitals";
-/// The health check at a host that does not.
+/// The health check for hosts that do not report their load.
 const PLAIN_QUERY: &str = "SELECT 1";
 
 /// The health checks in flight.
@@ -25,7 +26,7 @@
 }
 
 impl ProbeTable {
-    /// The number for the next health check.
+    /// Returns the number for the next health check.
     fn next_number(&mut self) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
@@ -40,14 +41,14 @@
         self.in_flight.remove(&number)
     }
 
-    /// How many health checks are in flight.
+    /// Returns the number of health checks in flight.
     pub fn len(&self) -> usize {
         self.in_flight.len()
     }
 }
 
 impl Router {
-    /// Starts a health check as the policy decided. A member without a known address fails it at once.
+    /// Starts a health check as the policy decided. It fails at once if no address of the member is known.
     pub(super) fn start_probe(&mut self, now: Time, member: MemberId, out: &mut Vec<Effect>) {
         let Some(addr) = self.endpoints.addr(member) else {
             return self.events.push_back(Event::ProbeFinished {
@@ -74,7 +75,7 @@
         }));
     }
 
-    /// Handles the result of a health check, if it is in flight.
+    /// Handles the result of a health check, if the health check is in flight.
     pub(super) fn probe_finished(&mut self, now: Time, number: u64, result: ExchangeResult) {
         let Some(probe) = self.take_probe(number) else { return };
         let status = probe_status(&result);
@@ -85,14 +86,14 @@
         self.record_probe_outcome(now, probe, status, report);
     }
 
-    /// Ends a health check at its timeout, if it is in flight.
+    /// Aborts a health check after its timeout, if it is in flight.
     pub(super) fn probe_timed_out(&mut self, now: Time, number: u64, out: &mut Vec<Effect>) {
         let Some(probe) = self.take_probe(number) else { return };
         out.push(Effect::AbortExchange(ExchangeId::Probe(number)));
         self.record_probe_outcome(now, probe, Status::Timeout, ReplicationState::default());
     }
 
-    /// The replication state in the load report that a health check returned.
+    /// Returns the replication state in the load report that a health check returned.
     fn load_report(&self, row: &Row) -> ReplicationState {
         let value = row.value.clone().map(|part| &row.bytes[part]).unwrap_or_default();
         let text = std::str::from_utf8(value).unwrap_or_default();
@@ -105,7 +106,8 @@
         Some(probe)
     }
 
-    /// Records the one outcome of a health check that has left the table, and queues it for the policy.
+    /// Records the outcome of a health check that has been removed from the table, and queues it for the
+    /// policy.
     fn record_probe_outcome(
         &mut self,
         now: Time,
--- a/crates/router/src/routing/proxy_leases.rs
+++ b/crates/router/src/routing/proxy_leases.rs
@@ -1,6 +1,5 @@
-//! Requests of other proxies, which get a member under a lease and send the request themselves. The
-//! [`LeaseCoordinator`] owns what is known of them; this module connects it with the router's policy and
-//! endpoints.
+//! Requests of other proxies, which get a member under a lease and send the request to it themselves. The
+//! [`LeaseCoordinator`] owns the state; this module connects it with the router's policy and endpoints.
 
 use super::input::ProxyMessage;
 use super::{Effect, Router};
@@ -8,17 +7,17 @@
 use basalthill_policy::api::{Action, RequestId, Time};
 
 impl Router {
-    /// Serves other proxies from now on, within limits.
+    /// Starts to serve other proxies, within `limits`.
     pub fn serve_proxies(&mut self, now: Time, limits: ProxyLimits) {
         self.coordinator = Some(LeaseCoordinator::new(now, &self.deployment.settings, limits));
     }
 
-    /// How much the lease coordinator holds; nothing where no proxies are served.
+    /// Returns how many entries the lease coordinator holds; all zero if no proxies are served.
     pub fn lease_usage(&self) -> LeaseUsage {
         self.coordinator.as_ref().map(LeaseCoordinator::usage).unwrap_or_default()
     }
 
-    /// Handles a message of another proxy. Where proxies are not served, it is ignored.
+    /// Handles a message of another proxy. It is ignored if no proxies are served.
     pub(super) fn handle_proxy_message(
         &mut self,
         now: Time,
@@ -38,7 +37,7 @@
         self.apply_coordinator_outputs(outputs, out);
     }
 
-    /// Lets leases expire that are due.
+    /// Expires the leases that are due.
     pub(super) fn expire_leases(&mut self, now: Time, out: &mut Vec<Effect>) {
         let Some(coordinator) = &mut self.coordinator else { return };
         let mut outputs = Vec::new();
@@ -46,8 +45,8 @@
         self.apply_coordinator_outputs(outputs, out);
     }
 
-    /// Carries out an action of the policy on a proxy's request. A decision is valid up to the end of its
-    /// member's drain grace period, and a member without a known address is not named.
+    /// Carries out an action of the policy that concerns a proxy's request. A proxy may send to the chosen
+    /// member until the member's drain grace period ends. A member without a known address is not offered.
     pub(super) fn apply_proxy_action(&mut self, now: Time, action: &Action, out: &mut Vec<Effect>) {
         let valid_until = match action {
             Action::Send(_, member, _) if self.endpoints.addr(*member).is_none() => Some(now),
@@ -77,7 +76,7 @@
     }
 }
 
-/// Whether an action is on a request of another proxy.
+/// Returns whether an action concerns a request of another proxy.
 pub(super) fn is_proxy_action(action: &Action) -> bool {
     let request: RequestId = match action {
         Action::Send(id, ..) | Action::Reject(id, _) | Action::Fail(id) | Action::Cancel(id, _) => *id,
--- a/crates/router/src/routing/request_table.rs
+++ b/crates/router/src/routing/request_table.rs
@@ -1,4 +1,4 @@
-//! The table of requests that lack an answer or have attempts in flight. Each request is inserted once and
+//! The table of requests that await a reply or have attempts in flight. Each request is inserted once and
 //! removed once. [`Router`](super::Router) owns the table; the modules for requests, attempts and sessions
 //! use it.
 
@@ -10,50 +10,50 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// A request that lacks its answer or has attempts in flight.
+/// A request that awaits a reply or has attempts in flight.
 pub struct OpenRequest {
-    /// The connection that it came on.
+    /// The connection on which it arrived.
     pub client: ClientId,
     /// Its command on that connection.
     pub command: CommandId,
     /// Its statement.
     pub statement: Rc<Statement>,
-    /// When its client gives up.
+    /// When its client stops waiting.
     pub deadline: Time,
     /// Its group.
     pub group: GroupId,
-    /// What its session's floors depend on, if it belongs to a session.
+    /// Its session state; none if it belongs to no session.
     pub tracked: Option<TrackedRequest>,
-    /// The floor that hosts are sent, a Unix time in milliseconds.
+    /// The read floor that is sent to hosts, a Unix time in milliseconds; none if none is sent.
     pub floor_ms: Option<u64>,
-    /// Its client has an answer, or awaits none any more.
-    pub answered: bool,
-    /// A host has served it.
+    /// Whether its client has been sent a reply or has disconnected.
+    pub completed: bool,
+    /// Whether a host has served it.
     pub served: bool,
-    /// Its attempts by number; none for those that have finished.
+    /// Its attempts by number; none for an attempt that has ended.
     pub attempts: Vec<Option<InFlightExchange>>,
 }
 
 impl OpenRequest {
-    /// The number of its next attempt.
+    /// Returns the number of the next attempt.
     pub fn next_attempt(&self) -> Attempt {
         Attempt(self.attempts.len() as u16)
     }
 
-    /// Whether an attempt is in flight.
+    /// Returns whether an attempt is in flight.
     pub fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(Option::is_some)
     }
 }
 
-/// A command that its client awaited the answer of.
+/// A command that awaits its reply, or did so until it was removed from the table.
 #[derive(Clone, Copy, Debug)]
 pub struct AwaitedCommand {
     /// The client.
     pub client: ClientId,
     /// The command.
     pub command: CommandId,
-    /// The command's request.
+    /// The request that the command started.
     pub request: RequestId,
 }
 
@@ -61,78 +61,78 @@
 #[derive(Default)]
 pub struct RequestTable {
     open: BTreeMap<RequestId, OpenRequest>,
-    /// The requests whose clients await an answer.
+    /// The requests whose clients await a reply.
     awaited: BTreeMap<(ClientId, CommandId), RequestId>,
-    /// The ids that clients gave to the requests in `open`.
+    /// The ids that clients have given to the requests in `open`.
     client_ids: BTreeSet<Rc<[u8]>>,
     next_number: u64,
 }
 
 impl RequestTable {
-    /// The id for the next request.
+    /// Returns the id for the next request.
     pub fn next_id(&mut self) -> RequestId {
         let id = RequestId(self.next_number);
         self.next_number += 1;
         id
     }
 
-    /// Whether a request with this id, as its client gave it, is open.
+    /// Returns whether a request to which its client gave this id is open.
     pub fn has_client_id(&self, id: &[u8]) -> bool {
         self.client_ids.contains(id)
     }
 
-    /// Inserts a request. Its client awaits an answer from now on.
+    /// Inserts a request whose client awaits a reply.
     pub fn insert(&mut self, id: RequestId, open: OpenRequest) {
         self.client_ids.insert(open.statement.id().into());
         self.awaited.insert((open.client, open.command), id);
         self.open.insert(id, open);
     }
 
-    /// An open request.
+    /// Returns an open request.
     pub fn get(&self, id: RequestId) -> Option<&OpenRequest> {
         self.open.get(&id)
     }
 
-    /// An open request, to be changed.
+    /// Returns an open request for modification.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest> {
         self.open.get_mut(&id)
     }
 
-    /// A command's answer is not awaited any more.
-    pub fn release(&mut self, client: ClientId, command: CommandId) -> Option<AwaitedCommand> {
+    /// Removes a command from those that await a reply.
+    pub fn remove_awaited(&mut self, client: ClientId, command: CommandId) -> Option<AwaitedCommand> {
         let request = self.awaited.remove(&(client, command))?;
         Some(AwaitedCommand { client, command, request })
     }
 
-    /// The answer of a client's first awaited command is not awaited any more.
-    pub fn release_first(&mut self, client: ClientId) -> Option<AwaitedCommand> {
-        let command = self.commands_of(client).next()?;
-        self.release(client, command)
+    /// Removes the first of a client's commands that await a reply.
+    pub fn remove_first_awaited(&mut self, client: ClientId) -> Option<AwaitedCommand> {
+        let command = self.awaited_commands(client).next()?;
+        self.remove_awaited(client, command)
     }
 
-    /// A client awaits no answer any more.
-    pub fn release_client(&mut self, client: ClientId) -> Vec<AwaitedCommand> {
-        let commands: Vec<CommandId> = self.commands_of(client).collect();
-        commands.into_iter().filter_map(|command| self.release(client, command)).collect()
+    /// Removes all of a client's commands that await a reply.
+    pub fn remove_awaited_of(&mut self, client: ClientId) -> Vec<AwaitedCommand> {
+        let commands: Vec<CommandId> = self.awaited_commands(client).collect();
+        commands.into_iter().filter_map(|command| self.remove_awaited(client, command)).collect()
     }
 
-    /// No client awaits an answer any more.
-    pub fn release_all(&mut self) -> Vec<AwaitedCommand> {
+    /// Removes all commands that await a reply.
+    pub fn remove_all_awaited(&mut self) -> Vec<AwaitedCommand> {
         let awaited = std::mem::take(&mut self.awaited);
         let command = |((client, command), request)| AwaitedCommand { client, command, request };
         awaited.into_iter().map(command).collect()
     }
 
-    /// The commands that a client awaits the answers of, in order.
-    fn commands_of(&self, client: ClientId) -> impl Iterator<Item = CommandId> + '_ {
+    /// Returns a client's commands that await a reply, in order.
+    fn awaited_commands(&self, client: ClientId) -> impl Iterator<Item = CommandId> + '_ {
         let range = (client, CommandId(0))..=(client, CommandId(u64::MAX));
         self.awaited.range(range).map(|((_, command), _)| *command)
     }
 
-    /// Marks a request as answered and, if no attempt is in flight, removes and returns it.
-    pub fn close(&mut self, id: RequestId) -> Option<OpenRequest> {
+    /// Marks a request as completed. Removes and returns it if no attempt is in flight.
+    pub fn complete(&mut self, id: RequestId) -> Option<OpenRequest> {
         let open = self.open.get_mut(&id)?;
-        open.answered = true;
+        open.completed = true;
         if open.has_attempt_in_flight() {
             return None;
         }
@@ -140,17 +140,17 @@
         self.open.remove(&id)
     }
 
-    /// Takes an attempt out, if it is in flight. Its request stays until [`RequestTable::close`].
+    /// Removes an attempt, if it is in flight. Its request stays until [`RequestTable::complete`].
     pub fn take_attempt(&mut self, id: RequestId, attempt: Attempt) -> Option<InFlightExchange> {
         self.open.get_mut(&id)?.attempts.get_mut(usize::from(attempt.0))?.take()
     }
 
-    /// How many requests await an answer.
+    /// Returns the number of requests that await a reply.
     pub fn unanswered(&self) -> usize {
         self.awaited.len()
     }
 
-    /// How many requests the table holds.
+    /// Returns the number of requests in the table.
     pub fn len(&self) -> usize {
         self.open.len().max(self.client_ids.len())
     }
--- a/crates/router/src/routing/requests.rs
+++ b/crates/router/src/routing/requests.rs
@@ -1,6 +1,6 @@
-//! A client's request from its arrival to its end: validated, handed to the policy, answered, closed. The
-//! state is in [`RequestTable`](super::request_table::RequestTable); [`Router::handle`] and the policy's
-//! actions lead here.
+//! The life of a client's request: it is validated, passed to the policy, replied to and removed from the
+//! table. The state is in [`RequestTable`](super::request_table::RequestTable). The functions are called for
+//! inputs and for the policy's actions.
 
 use super::input::{ClientId, ClientRequest};
 use super::request_table::{AwaitedCommand, OpenRequest};
@@ -14,17 +14,17 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// Why a request is invalid at this deployment. The texts go to clients.
+/// Why a request is invalid at this deployment. The texts are sent to clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum InvalidRequest {
     /// The settings have no class of this name.
     #[error("the class is unknown")]
     UnknownClass,
-    /// Discovery has named members, and none of this group.
+    /// Service discovery has listed members, and none of them belongs to this group.
     #[error("the cluster is unknown")]
     UnknownGroup,
-    /// Two open requests with one id could not be distinguished at a host, and one would get the other's
-    /// answer.
+    /// Another open request has the same id. A host could not distinguish the two, and one would get the
+    /// other's response.
     #[error("the id is that of an open request")]
     DuplicateId,
     /// A host has returned an error that lies in the statement.
@@ -45,16 +45,16 @@
     group: GroupId,
 }
 
-/// A request that has been handed to the policy.
+/// A request that has been queued for the policy.
 struct OpenedRequest {
     id: RequestId,
-    /// The fleet's limits that count it.
+    /// The fleet's limits that count the request.
     limits: Vec<LimitKey>,
 }
 
 impl Router {
-    /// Handles a client's request: rejects it if the program is ending, answers it if it is invalid, and has
-    /// the policy decide otherwise.
+    /// Handles a client's request: rejects it if the process is about to exit, replies with an error if it is
+    /// invalid, and otherwise lets the policy decide.
     pub(super) fn handle_request(&mut self, now: Time, request: ClientRequest, out: &mut Vec<Effect>) {
         let client = request.client;
         let command = request.command;
@@ -78,7 +78,7 @@
     /// Validates a request, inserts it into the table and queues its event for the policy.
     fn open_request(&mut self, now: Time, request: ClientRequest) -> Result<OpenedRequest, InvalidRequest> {
         let ClientRequest { client, command, statement, arrived_at } = request;
-        let RequestTarget { class, tenant, group } = self.resolve(&statement)?;
+        let RequestTarget { class, tenant, group } = self.resolve_target(&statement)?;
         let id = self.requests.next_id();
         let deadline = arrived_at.min(now).plus(Time::ms(statement.deadline_ms));
         let SessionStart { tracked, floor } =
@@ -101,7 +101,7 @@
             group,
             tracked,
             floor_ms: floor.send_to_hosts.then(|| ms_rounded_up(floor.position)),
-            answered: false,
+            completed: false,
             served: false,
             attempts: Vec::new(),
         };
@@ -110,26 +110,27 @@
         Ok(OpenedRequest { id, limits })
     }
 
-    /// Looks up what a statement names, and checks that its id is not in use.
-    fn resolve(&self, statement: &Statement) -> Result<RequestTarget, InvalidRequest> {
+    /// Looks up the class, tenant and group that a statement names, and checks that its id is not in use.
+    fn resolve_target(&self, statement: &Statement) -> Result<RequestTarget, InvalidRequest> {
         let index = |names: &[String], name: &[u8]| names.iter().position(|n| n.as_bytes() == name);
         let class = index(&self.deployment.classes, statement.class()).ok_or(InvalidRequest::UnknownClass)?;
-        // Before the first endpoint list no group is known to be missing: the policy rejects the request, and
-        // the client may retry.
+        // Before the first endpoint list, no group is known to be missing: the policy rejects the request,
+        // and the client may retry.
         let group = GroupId(statement.group);
-        if self.endpoints.lacks_group(group) {
+        if self.endpoints.is_unknown_group(group) {
             return Err(InvalidRequest::UnknownGroup);
         }
         if self.requests.has_client_id(statement.id()) {
             return Err(InvalidRequest::DuplicateId);
         }
-        // A tenant that the settings don't name has no quota.
+        // A tenant without an entry in the settings has no quota.
         let tenants = &self.deployment.tenants;
         let tenant = index(tenants, statement.tenant()).unwrap_or(tenants.len());
         Ok(RequestTarget { class: ClassId(class as u16), tenant: TenantId(tenant as u16), group })
     }
 
-    /// Rejects a request as the policy decided: nothing has run, and its client may retry after a span.
+    /// Rejects a request as the policy decided: nothing has run, and the client may retry after
+    /// `retry_after`.
     pub(super) fn reject_request(
         &mut self,
         now: Time,
@@ -137,22 +138,22 @@
         retry_after: Option<Time>,
         out: &mut Vec<Effect>,
     ) {
-        self.record_missed_retry(id);
-        self.note_unknown_outcome(now, id, out);
+        self.record_retry_demand(id);
+        self.record_unknown_outcome(now, id, out);
         let retry_after_ms = retry_after.map(ms_rounded_up);
         self.reply_to_client(now, id, Reply::Rejected { retry_after_ms }, out);
     }
 
     /// Fails a request as the policy decided: it may have run.
     pub(super) fn fail_request(&mut self, now: Time, id: RequestId, out: &mut Vec<Effect>) {
-        self.record_missed_retry(id);
-        self.note_unknown_outcome(now, id, out);
+        self.record_retry_demand(id);
+        self.record_unknown_outcome(now, id, out);
         self.reply_to_client(now, id, Reply::Failed, out);
     }
 
-    /// Sends a request's only answer, unless its client has one or awaits none.
+    /// Sends the reply to a request, unless the request is already completed.
     pub(super) fn reply_to_client(&mut self, now: Time, id: RequestId, reply: Reply, out: &mut Vec<Effect>) {
-        let Some(open) = self.requests.get(id).filter(|open| !open.answered) else { return };
+        let Some(open) = self.requests.get(id).filter(|open| !open.completed) else { return };
         let client = open.client;
         let command = open.command;
         match reply {
@@ -161,45 +162,48 @@
             Reply::Failed | Reply::Cancelled => self.counters.failed += 1,
             Reply::Invalid(_) => self.counters.invalid += 1,
         }
-        self.requests.release(client, command);
+        self.requests.remove_awaited(client, command);
         out.push(Effect::Reply { client, command, reply });
-        self.close_request(now, id);
+        self.complete_request(now, id);
     }
 
-    /// Marks a request as ended. It leaves the table, and ends in its session, once no attempt is in flight.
-    pub(super) fn close_request(&mut self, now: Time, id: RequestId) {
-        if let Some(OpenRequest { group, tracked: Some(tracked), .. }) = self.requests.close(id) {
+    /// Marks a request as completed. It is removed from the table, and its part in the session ends, once no
+    /// attempt is in flight.
+    pub(super) fn complete_request(&mut self, now: Time, id: RequestId) {
+        if let Some(OpenRequest { group, tracked: Some(tracked), .. }) = self.requests.complete(id) {
             self.sessions.end_request(self.system_clock.to_unix_time(now), group, &tracked);
         }
     }
 
-    /// A client has disconnected: the policy aborts what it safely can of its requests.
+    /// Handles the disconnect of a client. The policy aborts those attempts of the client's requests that are
+    /// safe to abort.
     pub(super) fn client_disconnected(&mut self, now: Time, client: ClientId) {
         self.accepted_at.remove(&client);
-        for AwaitedCommand { request, .. } in self.requests.release_client(client) {
+        for AwaitedCommand { request, .. } in self.requests.remove_awaited_of(client) {
             self.counters.abandoned += 1;
-            self.close_request(now, request);
+            self.complete_request(now, request);
             self.events.push_back(Event::ClientGone(request));
         }
     }
 
-    /// A client cancels its first unanswered request.
+    /// Cancels the first request of a client that has no reply yet.
     pub(super) fn cancel_first_request(&mut self, now: Time, client: ClientId, out: &mut Vec<Effect>) {
-        let Some(awaited) = self.requests.release_first(client) else { return };
+        let Some(awaited) = self.requests.remove_first_awaited(client) else { return };
         self.counters.abandoned += 1;
-        self.end_without_result(now, awaited, Reply::Cancelled, out);
+        self.complete_without_response(now, awaited, Reply::Cancelled, out);
     }
 
-    /// Fails all unanswered requests, as the program is about to end; later ones are rejected.
+    /// Fails all requests without a reply because the process is about to exit. Later requests are rejected.
     pub(super) fn shut_down(&mut self, now: Time, out: &mut Vec<Effect>) {
         self.shutting_down = true;
-        for awaited in self.requests.release_all() {
-            self.end_without_result(now, awaited, Reply::Failed, out);
+        for awaited in self.requests.remove_all_awaited() {
+            self.complete_without_response(now, awaited, Reply::Failed, out);
         }
     }
 
-    /// Ends a request whose answer is not awaited any more with an answer that does not come from a host.
-    fn end_without_result(
+    /// Completes a request with a reply that does not come from a host. The request has already been removed
+    /// from those that await a reply.
+    fn complete_without_response(
         &mut self,
         now: Time,
         awaited: AwaitedCommand,
@@ -207,8 +211,8 @@
         out: &mut Vec<Effect>,
     ) {
         let AwaitedCommand { client, command, request } = awaited;
-        self.note_unknown_outcome(now, request, out);
-        self.close_request(now, request);
+        self.record_unknown_outcome(now, request, out);
+        self.complete_request(now, request);
         out.push(Effect::Reply { client, command, reply });
         self.events.push_back(Event::ClientGone(request));
     }
--- a/crates/router/src/routing/sessions.rs
+++ b/crates/router/src/routing/sessions.rs
@@ -1,6 +1,6 @@
-//! The requests' part in sessions: what a request says of its session, the floor that its read needs, and the
-//! tokens that its client gets. The sessions' state is in [`basalthill_session::Sessions`], whose times are
-//! Unix times; the modules for requests and attempts call in here.
+//! Session consistency of requests: to which session a request belongs, the read floor of a session read, and
+//! the tokens that clients get. The state is in [`basalthill_session::Sessions`], whose times are Unix times;
+//! the modules for requests and attempts call the functions here.
 
 use super::input::ClientId;
 use super::system_clock::time_from_unix_ms;
@@ -18,14 +18,14 @@
 /// How a request takes part in its session.
 #[derive(Default)]
 pub(super) struct SessionStart {
-    /// What the session's floors depend on; none if the request belongs to no session.
+    /// The request's session state; none if it belongs to no session.
     pub tracked: Option<TrackedRequest>,
-    /// The floor that the request's read needs; the default for a write.
+    /// The read floor of the request; the default value for a write.
     pub floor: ReadFloor,
 }
 
 impl Router {
-    /// Begins a request's part in its session.
+    /// Begins to track a request in its session.
     pub(super) fn begin_session_request(
         &mut self,
         now: Time,
@@ -42,7 +42,7 @@
         if !is_tracked {
             return SessionStart::default();
         }
-        // A connection whose acceptance was not seen counts as new, which is stricter.
+        // A connection without a recorded acceptance counts as accepted now, which gives the stricter floor.
         let accepted_at = self.accepted_at.get(&client).copied().unwrap_or(now);
         let tokens: Vec<&[u8]> = statement.tokens().collect();
         let request = SessionRequest {
@@ -61,8 +61,8 @@
         SessionStart { tracked: Some(tracked), floor }
     }
 
-    /// Issues the token that covers a write whose first attempt is being sent, where the settings want one:
-    /// the client has it even if this router dies. The write ends by `deadline`.
+    /// Issues a token that covers a write whose first attempt is being sent, if the settings enable early
+    /// tokens. The client then has a token even if this router crashes. The write has ended by `deadline`.
     pub(super) fn issue_early_token(
         &mut self,
         now: Time,
@@ -80,9 +80,10 @@
         out.extend(token.map(|token| Effect::SessionToken { client, token }));
     }
 
-    /// A host has served a request, at a position that it reported as a Unix time: the session learns of it,
-    /// and the token goes out before the answer. A second answer to the same request changes nothing.
-    pub(super) fn note_session_served(
+    /// Records in the session that a host has served a request, at a position that the host reported as a
+    /// Unix time, and issues the token that is sent before the reply. A second response to the same request
+    /// has no effect.
+    pub(super) fn record_served(
         &mut self,
         now: Time,
         id: RequestId,
@@ -95,15 +96,16 @@
         let identity = session_identity(&self.sessions, &open.statement);
         let now = self.system_clock.to_unix_time(now);
         let token = self.sessions.request_served(now, identity, open.group, tracked, position);
-        if open.answered {
+        if open.completed {
             return;
         }
         let client = open.client;
         out.extend(token.map(|token| Effect::SessionToken { client, token }));
     }
 
-    /// An attempt has ended with a status. If a write may have run in it, its outcome is unknown from now on.
-    pub(super) fn note_possible_execution(&mut self, id: RequestId, status: Status) {
+    /// Records that an attempt has ended with this status. If the attempt may have executed a write, the
+    /// write's outcome is unknown from now on.
+    pub(super) fn record_possible_execution(&mut self, id: RequestId, status: Status) {
         if status.proves_not_executed() {
             return;
         }
@@ -113,11 +115,11 @@
         }
     }
 
-    /// A request ends without a host's answer. For a write that may have run, or still may, the session's
-    /// floor has to cover either outcome, and so does the token that the client gets.
-    pub(super) fn note_unknown_outcome(&mut self, now: Time, id: RequestId, out: &mut Vec<Effect>) {
+    /// Records that a request completes without a host's response. If it is a write that may have run or may
+    /// still run, the session's floor has to cover both cases, and so does the token that the client gets.
+    pub(super) fn record_unknown_outcome(&mut self, now: Time, id: RequestId, out: &mut Vec<Effect>) {
         let Some(open) = self.requests.get_mut(id) else { return };
-        if open.answered || open.served {
+        if open.completed || open.served {
             return;
         }
         let in_flight = open.has_attempt_in_flight();
@@ -132,15 +134,15 @@
     }
 }
 
-/// The session of a statement: by the session name in its comment where this router manages floors, else by
-/// its key.
+/// Returns the session of a statement. It is identified by the session name in the statement's comment if
+/// this router manages floors and there is one, and by the statement's key otherwise.
 fn session_identity<'a>(sessions: &Sessions, statement: &'a Statement) -> SessionIdentity<'a> {
     let session_name = statement.session().filter(|_| sessions.manages_floors());
     let name = session_name.unwrap_or(statement.key());
     SessionIdentity { name, key: SessionKey(session_hash(name)) }
 }
 
-/// A session's number from its name, by 64-bit FNV-1a.
+/// Returns the 64-bit FNV-1a hash of a session's name.
 fn session_hash(name: &[u8]) -> u64 {
     let step = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME);
     name.iter().fold(FNV_OFFSET_BASIS, step)
--- a/crates/router/src/routing/system_clock.rs
+++ b/crates/router/src/routing/system_clock.rs
@@ -1,15 +1,16 @@
-//! Conversion between Unix times, which hosts, discovery and clients send, and the router's own clock. The
-//! router's clock never steps; the system clock may be set at any time. [`Router`](super::Router) owns the
-//! one offset and updates it before each input.
+//! Conversion between Unix times, which hosts, service discovery and clients send, and the times of the
+//! router's own clock. The router's clock never steps; the system clock may be set at any time.
+//! [`Router`](super::Router) owns the one offset and updates it before each input.
 
 use basalthill_policy::api::{ReplicationState, Time};
 
-/// Nanoseconds in a millisecond.
+/// Nanoseconds per millisecond.
 pub const NS_PER_MS: u64 = 1_000_000;
 
-/// A change of the offset by less than this, in nanoseconds, is the gradual correction of a synchronized
-/// clock; from here on it is a step, after which earlier and later Unix times can't be compared.
-const STEP_NS: u64 = 20 * NS_PER_MS;
+/// The smallest change of the offset, in nanoseconds, that counts as a step of the system clock. A smaller
+/// change is the gradual correction of a synchronized clock. Unix times from before and after a step can't be
+/// compared.
+const MIN_STEP_NS: u64 = 20 * NS_PER_MS;
 
 /// How far the system clock is ahead of the router's own clock.
 #[derive(Clone, Copy, Debug, Default)]
@@ -21,12 +22,12 @@
     /// Records the present offset in nanoseconds. Returns whether the system clock has been stepped since the
     /// last update.
     pub fn update(&mut self, offset_ns: i64) -> bool {
-        let stepped = offset_ns.abs_diff(self.offset_ns) >= STEP_NS;
+        let stepped = offset_ns.abs_diff(self.offset_ns) >= MIN_STEP_NS;
         self.offset_ns = offset_ns;
         stepped
     }
 
-    /// How far the system clock is ahead, in milliseconds.
+    /// Returns how far the system clock is ahead, in milliseconds.
     pub fn offset_ms(&self) -> i64 {
         self.offset_ns / NS_PER_MS as i64
     }
@@ -41,14 +42,15 @@
         shift(time, i128::from(self.offset_ns))
     }
 
-    /// Converts the position in a replication state to the router's clock.
+    /// Converts the position in a replication state from Unix time to the router's clock.
     pub fn replication_to_router_time(self, replication: ReplicationState) -> ReplicationState {
         let position = replication.position.map(|unix| self.to_router_time(unix));
         ReplicationState { position, ..replication }
     }
 }
 
-/// Shifts a time by nanoseconds. Zero, which stands for long ago, and the end of time stay as they are.
+/// Shifts a time by nanoseconds. Zero, which means "long ago", and the latest representable time are not
+/// shifted.
 fn shift(time: Time, by_ns: i128) -> Time {
     match time {
         Time(0 | u64::MAX) => time,
@@ -56,12 +58,12 @@
     }
 }
 
-/// A Unix time from milliseconds.
+/// Converts a Unix time in milliseconds to a [`Time`].
 pub fn time_from_unix_ms(ms: u64) -> Time {
     Time(ms.saturating_mul(NS_PER_MS))
 }
 
-/// A time in milliseconds, rounded up.
+/// Converts a time to milliseconds, rounded up.
 pub fn ms_rounded_up(time: Time) -> u64 {
     time.0.div_ceil(NS_PER_MS)
 }
--- a/crates/router/src/routing/timers.rs
+++ b/crates/router/src/routing/timers.rs
@@ -1,13 +1,13 @@
-//! The timers of the router, in the order in which they are due. Each is cancelled when what it guards has
-//! ended. [`Router`](super::Router) sets and fires them; transport wakes it at [`Timers::next_due`].
+//! The router's timers, ordered by when they are due. The timer of an exchange is cancelled when the exchange
+//! ends. [`Router`](super::Router) sets and fires timers; transport calls it at [`Timers::next_due`].
 
 use basalthill_policy::api::{Attempt, RequestId, Time};
 use std::collections::BTreeMap;
 
-/// What a timer is for.
+/// The purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timer {
-    /// The policy requested it, with this token.
+    /// The policy has requested it, with this token.
     Policy(u64),
     /// The timeout of an attempt.
     Attempt(RequestId, Attempt),
@@ -15,7 +15,7 @@
     Probe(u64),
 }
 
-/// Identifies a timer: when it is due, and its number among those due at that time.
+/// Identifies a timer by when it is due and by a number that is unique among the router's timers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerKey {
     due: Time,
@@ -38,23 +38,23 @@
         key
     }
 
-    /// Cancels a timer. One that has been cancelled before stays so.
+    /// Cancels a timer. Has no effect if it has already been cancelled.
     pub fn cancel(&mut self, key: TimerKey) {
         self.timers.remove(&key);
     }
 
-    /// The timers that are due, in order. They stay set until they are cancelled.
+    /// Returns the timers that are due, in order. They stay set until they are cancelled.
     pub fn due(&self, now: Time) -> Vec<(TimerKey, Timer)> {
         let last = TimerKey { due: now, number: u64::MAX };
         self.timers.range(..=last).map(|(key, timer)| (*key, *timer)).collect()
     }
 
-    /// When the first timer is due.
+    /// Returns when the first timer is due.
     pub fn next_due(&self) -> Option<Time> {
         self.timers.first_key_value().map(|(key, _)| key.due)
     }
 
-    /// How many timers are set.
+    /// Returns the number of timers that are set.
     pub fn len(&self) -> usize {
         self.timers.len()
     }
