--- a/crates/router/src/protocol/client.rs
+++ b/crates/router/src/protocol/client.rs
@@ -1,7 +1,7 @@
-//! The side towards clients: bytes in, requests out; and the messages that clients get.
+//! The protocol towards clients: parses what clients send, and encodes the messages that they get.
 //!
-//! [`ClientCodec`] takes messages apart as they arrive, each with the time of its last byte: a client's
-//! deadline counts from there, however many commands stand before it.
+//! [`ClientCodec`] parses messages as they arrive and records the arrival time of each message's last byte. A
+//! client's deadline counts from that time, even if other commands have to be processed first.
 
 use basalthill_config::router::MAX_STATEMENT_LEN;
 use basalthill_policy::api::Time;
@@ -12,54 +12,57 @@
 };
 use std::collections::VecDeque;
 
-/// Longest message body taken, in bytes.
+/// The longest accepted message body, in bytes.
 pub const MAX_MESSAGE_LEN: usize = MAX_STATEMENT_LEN;
-/// Longest startup message, in bytes.
+/// The longest accepted startup message, in bytes.
 const MAX_STARTUP_LEN: usize = 10_000;
-/// Shortest startup message: its length and a version.
+/// The shortest valid startup message, in bytes: its length and a version.
 const MIN_STARTUP_LEN: usize = 8;
 
-/// The major version that a message in place of a startup message carries.
-const REQUEST_MAJOR: u32 = 1234;
-/// The minor version of a cancel request.
+/// The major version in a cancel request or an encryption request, which are sent in place of a startup
+/// message.
+const SPECIAL_REQUEST_MAJOR: u32 = 1234;
+/// The minor version in a cancel request.
 const CANCEL_MINOR: u32 = 5678;
-/// The minor version of a request for TLS.
+/// The minor version in a request for TLS.
 const TLS_MINOR: u32 = 5679;
-/// The minor version of a request for GSSAPI encryption.
-const GSS_MINOR: u32 = 5680;
+/// The minor version in a request for GSSAPI encryption.
+const GSSAPI_MINOR: u32 = 5680;
 /// The major version of the protocol that is served.
 const SERVED_MAJOR: u32 = 3;
-/// Startup options with this prefix request extensions of the protocol.
+/// The prefix of startup options that request protocol extensions.
 const EXTENSION_PREFIX: &[u8] = b"_pq_.";
 
-/// What a client gets when its connection is opened, and a cancel request has to carry.
+/// The key that a client gets when its connection is opened and has to send in a cancel request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CancelKey {
-    /// The connection's number.
+    /// The number of the connection.
     pub process: u32,
-    /// What only its client knows.
+    /// A secret known only to the connection's client.
     pub secret: u32,
 }
 
-/// What a client has sent.
+/// A message from a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientMessage {
-    /// A request for encryption, which is declined.
+    /// A request for encryption, which is always declined.
     Encryption,
-    /// Cancel the request that is open on the connection with this key.
+    /// Cancel the open request of the connection with this key.
     CancelRequest(CancelKey),
     /// The startup message.
     Startup {
-        /// It has a newer minor version or options that are not served: NegotiateProtocolVersion is due.
+        /// Whether the client requests a newer minor version or protocol extensions, which are not served: it
+        /// must be sent NegotiateProtocolVersion.
         newer: bool,
     },
-    /// A query: its text without the closing zero.
+    /// A query: its text without the terminating zero byte.
     Query(Vec<u8>),
-    /// A message of a part of the protocol that is not served; answered once, up to the next Sync.
+    /// A message of a part of the protocol that is not served, with its type. It gets an error; further
+    /// messages up to the next Sync are skipped.
     Unsupported(u8),
-    /// Sync after such messages.
+    /// Sync, which ends the skipping of messages after an unsupported one.
     Sync,
-    /// The client ends the connection.
+    /// The client closes the connection.
     Terminate,
 }
 
@@ -68,27 +71,27 @@
     #[default]
     Startup,
     Open,
-    /// Messages are passed over up to the next Sync.
+    /// Messages are skipped up to the next Sync.
     SkippingToSync,
 }
 
-/// The protocol's state for one client.
+/// The protocol state of one client connection.
 #[derive(Debug, Default)]
 pub struct ClientCodec {
     buffer: MessageBuffer,
     phase: Phase,
-    /// Messages that have arrived in full.
+    /// Complete messages that have not been taken.
     queue: VecDeque<QueuedMessage>,
-    /// Bytes of those.
+    /// The size of the messages in `queue`, in bytes.
     queued_bytes: usize,
-    /// Why what arrived behind them can't be read.
+    /// The protocol error in what arrived after the queued messages.
     error: Option<ProtocolError>,
 }
 
-/// A message that has arrived in full.
+/// A complete message.
 #[derive(Debug, PartialEq)]
 pub struct ReceivedMessage {
-    /// What it says.
+    /// The message.
     pub message: ClientMessage,
     /// When its last byte arrived.
     pub arrived_at: Time,
@@ -101,7 +104,7 @@
 }
 
 impl ClientCodec {
-    /// Takes in bytes that arrived at this time.
+    /// Parses bytes that arrived at this time.
     pub fn feed(&mut self, bytes: &[u8], arrived_at: Time) {
         if self.error.is_some() {
             return;
@@ -126,8 +129,8 @@
         }
     }
 
-    /// Takes in the rest of the message that has begun, and nothing behind it; returns how many bytes that
-    /// was.
+    /// Parses the rest of a message that has partly arrived, but nothing after it. Returns the number of
+    /// bytes that were consumed.
     pub fn finish_message(&mut self, bytes: &[u8], arrived_at: Time) -> usize {
         let queued_before = self.queue.len();
         let mut fed = 0;
@@ -143,10 +146,11 @@
         fed
     }
 
-    /// How many bytes are missing of the message that has begun, or of its header.
+    /// Returns the number of bytes that are missing from the message that has partly arrived, or from its
+    /// header.
     fn missing_bytes(&self) -> usize {
         let unread = self.buffer.unread();
-        // A startup message has no type before its length.
+        // A startup message has no type byte before its length.
         let kind_len = if self.phase == Phase::Startup { 0 } else { 1 };
         let message_len = match unread.get(kind_len..).and_then(|rest| rest.first_chunk::<4>()) {
             Some(len) => kind_len + u32::from_be_bytes(*len) as usize,
@@ -155,22 +159,23 @@
         message_len.saturating_sub(unread.len())
     }
 
-    /// Bytes of messages that have arrived in full and not been taken.
+    /// Returns the size of the complete messages that have not been taken, in bytes.
     pub fn queued_bytes(&self) -> usize {
         self.queued_bytes
     }
 
-    /// Bytes of the message that has not arrived in full.
+    /// Returns the number of bytes that have arrived of an incomplete message.
     pub fn partial_bytes(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Whether something arrived that can't be read.
+    /// Returns whether a protocol error has been found.
     pub fn has_error(&self) -> bool {
         self.error.is_some()
     }
 
-    /// The next message, if it has arrived in full.
+    /// Returns the next complete message; none if there is none. After the last one, returns the protocol
+    /// error, if one has been found.
     pub fn next_message(&mut self) -> Result<Option<ReceivedMessage>, ProtocolError> {
         if let Some(QueuedMessage { received, bytes }) = self.queue.pop_front() {
             self.queued_bytes -= bytes;
@@ -182,7 +187,7 @@
         }
     }
 
-    /// Takes the next message off the buffer.
+    /// Parses the next message and removes it from the buffer.
     fn parse_message(&mut self) -> Result<Option<ClientMessage>, ProtocolError> {
         if self.phase == Phase::Startup {
             return self.parse_startup();
@@ -198,7 +203,7 @@
         }
     }
 
-    /// Reads the message at the front of the buffer; none if it is passed over.
+    /// Parses the message at the front of the buffer; none if it is skipped.
     fn parse_command(&mut self, header: MessageHeader) -> Result<Option<ClientMessage>, ProtocolError> {
         let MessageHeader { kind, body_len } = header;
         let body = &self.buffer.unread()[HEADER_LEN..HEADER_LEN + body_len];
@@ -223,7 +228,7 @@
         }
     }
 
-    /// Takes a startup message, or a request that stands in its place, off the buffer.
+    /// Parses a startup message, a cancel request or an encryption request and removes it from the buffer.
     fn parse_startup(&mut self) -> Result<Option<ClientMessage>, ProtocolError> {
         let unread = self.buffer.unread();
         let Some(len) = unread.first_chunk::<4>() else { return Ok(None) };
@@ -234,11 +239,11 @@
         let Some(&[a, b, c, d, ref content @ ..]) = unread.get(4..len) else { return Ok(None) };
         let version = u32::from_be_bytes([a, b, c, d]);
         let message = match (version >> 16, version & 0xffff) {
-            (REQUEST_MAJOR, CANCEL_MINOR) => match cancel_key(content) {
+            (SPECIAL_REQUEST_MAJOR, CANCEL_MINOR) => match cancel_key(content) {
                 Some(key) => ClientMessage::CancelRequest(key),
                 None => return Err(ProtocolError::CancelRequestLength(len)),
             },
-            (REQUEST_MAJOR, TLS_MINOR | GSS_MINOR) => ClientMessage::Encryption,
+            (SPECIAL_REQUEST_MAJOR, TLS_MINOR | GSSAPI_MINOR) => ClientMessage::Encryption,
             (SERVED_MAJOR, minor) => {
                 let has_extensions = startup_has_extensions(content)?;
                 self.phase = Phase::Open;
@@ -258,8 +263,8 @@
     Some(CancelKey { process, secret })
 }
 
-/// Whether a startup message requests extensions of the protocol among its options: names and values, up to
-/// an empty name.
+/// Returns whether the options of a startup message request protocol extensions. The options are pairs of
+/// name and value, terminated by an empty name.
 fn startup_has_extensions(options: &[u8]) -> Result<bool, ProtocolError> {
     let mut has_extensions = false;
     let mut rest = options;
@@ -274,10 +279,10 @@
     }
 }
 
-/// The answer to a request for encryption: none.
+/// The reply to a request for encryption, which is declined.
 pub const ENCRYPTION_DECLINED: &[u8] = b"N";
 
-/// The answer to a startup message, with the key by which the client can cancel its requests.
+/// Encodes the reply to a startup message, with the key by which the client can cancel its requests.
 pub fn startup_reply(newer: bool, key: CancelKey) -> Vec<u8> {
     let mut out = Vec::with_capacity(256);
     if newer {
@@ -306,10 +311,10 @@
     out
 }
 
-/// The parameter that carries a session's token.
+/// The parameter that carries a session token.
 pub const SESSION_TOKEN: &str = "session_token";
 
-/// A ParameterStatus message with a session's token.
+/// Encodes a ParameterStatus message with a session token.
 pub fn session_token(token: &str) -> Vec<u8> {
     let mut out = Vec::with_capacity(32 + token.len());
     put_message(&mut out, b'S', |out| {
@@ -319,7 +324,7 @@
     out
 }
 
-/// The answer to an empty query.
+/// Encodes the reply to an empty query.
 pub fn empty_query() -> Vec<u8> {
     let mut out = Vec::with_capacity(16);
     put_message(&mut out, b'I', |_| {});
@@ -327,7 +332,7 @@
     out
 }
 
-/// An error after which the connection goes on.
+/// Encodes an error after which the connection stays open.
 pub fn error(code: &str, message: &str, detail: Option<&str>) -> Vec<u8> {
     let mut out = Vec::with_capacity(128);
     put_error_response(&mut out, Severity::Error, code, message, detail);
@@ -335,7 +340,7 @@
     out
 }
 
-/// An error without ReadyForQuery, which follows Sync.
+/// Encodes the error for an unsupported message. It lacks ReadyForQuery, which is sent as the reply to Sync.
 pub fn unsupported_reply() -> Vec<u8> {
     let mut out = Vec::with_capacity(128);
     put_error_response(
@@ -348,7 +353,7 @@
     out
 }
 
-/// An error after which the connection is closed.
+/// Encodes an error after which the connection is closed.
 pub fn fatal(code: &str, message: &str) -> Vec<u8> {
     let mut out = Vec::with_capacity(128);
     put_error_response(&mut out, Severity::Fatal, code, message, None);
--- a/crates/router/src/protocol/discovery/list.rs
+++ b/crates/router/src/protocol/discovery/list.rs
@@ -1,28 +1,28 @@
-//! The endpoint list as discovery writes it, in JSON. The names of the fields are its keys, but for a
-//! member's group and role.
+//! The endpoint list in the JSON format of service discovery. The keys in JSON are the names of the fields,
+//! except for a member's group (`cell`) and role (`rank`).
 
 use super::DiscoveryError;
 use serde::Deserialize;
 
-/// The endpoint list, or a change to it.
+/// The endpoint list, or changes to it.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct HostList {
-    /// Its version.
+    /// The version of the list.
     pub version: u64,
-    /// Whether it is the full list, not a change.
+    /// Whether the list is complete; otherwise it holds changes only.
     #[serde(default)]
     pub full: bool,
-    /// The members in it.
+    /// The entries of the list.
     #[serde(default)]
     pub servers: Vec<HostEntry>,
 }
 
-/// A member in a list.
+/// One member in the list.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct HostEntry {
-    /// Its id, the same at every router.
+    /// The member's id, which is the same at every router.
     pub id: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub addr: String,
     /// Its zone.
     #[serde(default)]
@@ -35,10 +35,10 @@
     /// Its weight.
     #[serde(default)]
     pub weight: f64,
-    /// Unix time in milliseconds of its last start; 0 for long ago.
+    /// The Unix time of its last start in milliseconds; 0 if it started long ago.
     #[serde(default)]
     pub started_ms: u64,
-    /// Its role, where the list shows it.
+    /// Its role, if the list has one.
     #[serde(default, rename = "rank")]
     pub role: Option<String>,
 }
@@ -49,15 +49,15 @@
 pub enum HostState {
     /// In service.
     Active,
-    /// Draining: it finishes what it has, and wants nothing new.
+    /// Draining: it finishes the requests that it has, and must not be sent new ones.
     Leaving,
     /// Removed.
     Left,
 }
 
 impl HostList {
-    /// Reads a list from JSON text.
+    /// Parses a list from JSON.
     pub fn parse(text: &[u8]) -> Result<HostList, DiscoveryError> {
-        serde_json::from_slice(text).map_err(|error| DiscoveryError::unreadable(&error))
+        serde_json::from_slice(text).map_err(|error| DiscoveryError::invalid_list(&error))
     }
 }
--- a/crates/router/src/protocol/discovery/watch.rs
+++ b/crates/router/src/protocol/discovery/watch.rs
@@ -1,65 +1,67 @@
-//! A watch on the endpoint list: one HTTP/1.1 response, chunked or not, with a JSON object per message.
+//! A watch on the endpoint list: one HTTP/1.1 response, chunked or not, whose body is a sequence of JSON
+//! objects separated by line breaks.
 
 use super::{DiscoveryError, HostList};
 use basalthill_wire::MessageBuffer;
 use httparse::Status;
 
-/// Longest list in bytes that is taken.
-const MAX_LIST_LEN: usize = 4 << 20;
-/// Longest head of a response in bytes.
-const MAX_HEAD_LEN: usize = 16 * 1024;
-/// Longest line with a chunk's size in bytes.
-const MAX_CHUNK_SIZE_LINE_LEN: usize = 256;
-/// Most headers of a response.
+/// The longest accepted list in bytes.
+pub(super) const MAX_LIST_LEN: usize = 4 << 20;
+/// The longest accepted head of a response in bytes.
+pub(super) const MAX_HEAD_LEN: usize = 16 * 1024;
+/// The longest accepted line with a chunk size in bytes.
+pub(super) const MAX_CHUNK_SIZE_LINE_LEN: usize = 256;
+/// The maximum number of headers of a response.
 const MAX_HEADERS: usize = 32;
 
-/// What a watch has brought.
+/// A message of a watch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchMessage {
     /// An empty line: nothing has changed.
     KeepAlive,
-    /// A list or a change.
+    /// The complete list, or changes to it.
     List(HostList),
     /// The response has ended.
     End,
 }
 
-/// What comes next of the response.
+/// The part of the response that is expected next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Stage {
     #[default]
     Head,
     /// The line with a chunk's size.
     ChunkSize,
-    /// So many bytes of a chunk.
+    /// The rest of a chunk, of this many bytes.
     Chunk(usize),
-    /// The line end after a chunk.
+    /// The line break after a chunk.
     ChunkEnd,
-    /// A body that is not chunked: it ends after so many bytes, or with its connection.
+    /// The rest of a body without chunks. It ends after this many bytes, or when the connection is closed if
+    /// there is no number.
     PlainBody(Option<usize>),
-    /// Nothing.
+    /// Nothing: the response has ended.
     Finished,
 }
 
-/// The protocol's state for one response of discovery.
+/// The protocol state of one watch response.
 #[derive(Debug, Default)]
 pub struct WatchCodec {
     buffer: MessageBuffer,
     stage: Stage,
-    /// The part of the body that has not become a message.
+    /// The part of the body that has not been parsed as a message.
     body: Vec<u8>,
-    /// So many of its bytes, in complete lines, are the beginning of a list that goes on.
+    /// The number of bytes in `body` that form complete lines but no complete list yet.
     scanned: usize,
     rejected: bool,
 }
 
 impl WatchCodec {
-    /// Takes bytes in.
+    /// Appends received bytes to the buffer.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend(bytes);
     }
 
-    /// The next message, if one has arrived in full.
+    /// Returns the next message; none if more bytes are needed.
     pub fn next_message(&mut self) -> Result<Option<WatchMessage>, DiscoveryError> {
         loop {
             if let Some(message) = self.next_line()? {
@@ -77,17 +79,19 @@
         }
     }
 
-    /// Whether discovery rejected the call, mostly for want of capacity: the endpoint list stays good.
+    /// Returns whether discovery rejected the call with status 429 or 500 and above, which is mostly for lack
+    /// of capacity. The endpoint list stays valid.
     pub fn was_rejected(&self) -> bool {
         self.rejected
     }
 
-    /// Whether the response's head has arrived.
+    /// Returns whether the head of the response has arrived.
     pub fn has_head(&self) -> bool {
         self.stage != Stage::Head
     }
 
-    /// The connection has ended; what it has brought of an unfinished response is dropped.
+    /// Handles the end of the connection. A partial message is discarded, unless the body was to end with the
+    /// connection.
     pub fn on_close(&mut self) {
         if self.stage != Stage::PlainBody(None) {
             self.body.clear();
@@ -96,8 +100,9 @@
         self.stage = Stage::Finished;
     }
 
-    /// The message of the next complete line. A list may be indented, over many lines: one that is not over
-    /// goes on with the next, and is parsed again where it may end.
+    /// Returns the message that the next complete line ends. A list may be indented and span many lines: as
+    /// long as it is incomplete, further lines are appended, and it is parsed again after each line that may
+    /// be its last.
     fn next_line(&mut self) -> Result<Option<WatchMessage>, DiscoveryError> {
         while let Some(line_len) = self.body[self.scanned..].iter().position(|b| *b == b'\n') {
             let is_first_line = self.scanned == 0;
@@ -112,7 +117,7 @@
                 text => match serde_json::from_slice(text) {
                     Ok(list) => WatchMessage::List(list),
                     Err(error) if error.is_eof() => continue,
-                    Err(error) => return Err(DiscoveryError::unreadable(&error)),
+                    Err(error) => return Err(DiscoveryError::invalid_list(&error)),
                 },
             };
             self.body.drain(..end);
@@ -122,7 +127,7 @@
         Ok(None)
     }
 
-    /// The message of what stands behind the last line end of a response that has ended.
+    /// Returns the message after the last line break of a response that has ended.
     fn last_message(&mut self) -> Result<WatchMessage, DiscoveryError> {
         let rest = std::mem::take(&mut self.body);
         self.scanned = 0;
@@ -132,7 +137,7 @@
         }
     }
 
-    /// Takes the next piece of the response off the buffer; whether there was enough of it.
+    /// Processes the next part of the buffer. Returns whether there was enough of it to make progress.
     fn advance(&mut self) -> Result<bool, DiscoveryError> {
         match self.stage {
             Stage::Head => self.read_head(),
@@ -206,7 +211,7 @@
         len > 0 || self.stage == Stage::Finished
     }
 
-    /// Moves so many bytes at most from the buffer to the body; returns how many there were.
+    /// Moves at most `max` bytes from the buffer to the body. Returns how many were moved.
     fn take_body_bytes(&mut self, max: usize) -> usize {
         let unread = self.buffer.unread();
         let len = max.min(unread.len());
@@ -216,7 +221,8 @@
     }
 }
 
-/// The stage after the head, by its headers. Chunks win over a length.
+/// Returns the stage after the head, given the headers. Chunked encoding takes precedence over a content
+/// length.
 fn body_stage(headers: &[httparse::Header]) -> Result<Stage, DiscoveryError> {
     let mut stage = Stage::PlainBody(None);
     for header in headers {
@@ -232,7 +238,8 @@
     Ok(stage)
 }
 
-/// The request for the changes since a version, or for the full list and then its changes.
+/// Encodes a request for the changes since a version, or for the complete list followed by its changes if
+/// `from` is none.
 pub fn watch_request(host: &str, from: Option<u64>) -> Vec<u8> {
     let from = from.map(|version| format!("&from={version}")).unwrap_or_default();
     let request =
--- a/crates/router/src/protocol/host.rs
+++ b/crates/router/src/protocol/host.rs
@@ -1,7 +1,7 @@
-//! The side towards database hosts: bytes in, answers out.
+//! The protocol towards database hosts: parses what hosts send, and encodes queries.
 //!
-//! [`HostCodec`] checks each message against the protocol's order and against the limits on its length, the
-//! latter by its header alone, before the body has arrived.
+//! [`HostCodec`] checks that messages arrive in the order that the protocol requires and don't exceed their
+//! maximum lengths. It checks the length as soon as a message's header has arrived.
 
 use basalthill_wire::{
     error_code, put_cstring, put_message, read_cstring, ByteRange, MessageBuffer, MessageHeader,
@@ -11,75 +11,75 @@
 /// The startup message to a host.
 pub use basalthill_wire::startup_message as startup;
 
-/// Longest message body taken from a host, in bytes: a value of 64 KiB and its headers.
+/// The longest accepted message body in bytes: a value of 64 KiB and its headers.
 pub const MAX_MESSAGE_LEN: usize = 80 * 1024;
-/// Most bytes that one answer may have in all.
-const MAX_ANSWER_LEN: usize = 128 * 1024;
-/// Longest RowDescription: it describes one column.
+/// The longest accepted response in bytes.
+const MAX_RESPONSE_LEN: usize = 128 * 1024;
+/// The longest accepted RowDescription in bytes; it describes one column.
 const MAX_DESCRIPTION_LEN: usize = 1024;
-/// Longest CommandComplete.
+/// The longest accepted CommandComplete in bytes.
 const MAX_COMMAND_TAG_LEN: usize = 64;
-/// Longest message of parameters, notices or errors.
+/// The longest accepted message of any other type in bytes, such as parameters, notices and errors.
 const MAX_TEXT_MESSAGE_LEN: usize = 8 * 1024;
 
-/// Bytes of a DataRow's body before the value: the count of columns, which is one, and the value's length.
+/// Bytes of a DataRow's body before the value: the number of columns, which is one, and the value's length.
 const ROW_HEADER_LEN: usize = 6;
-/// The length that stands for a value of null.
+/// The length that stands for a null value.
 const NULL_VALUE_LEN: i32 = -1;
-/// Bytes that describe a column, after its name.
+/// Bytes of a column's description after the column's name.
 const COLUMN_DESCRIPTION_LEN: usize = 18;
 /// The types of the messages that hosts send.
 const HOST_MESSAGE_KINDS: &[u8] = b"SNARKvEZITDC";
-/// Messages that make up a row for the client: RowDescription, DataRow, CommandComplete.
-const MESSAGES_OF_A_ROW: usize = 3;
+/// The number of messages that a client gets for a row: RowDescription, DataRow, CommandComplete.
+const ROW_MESSAGE_COUNT: usize = 3;
 
-/// Positions from here on, in milliseconds of Unix time, are out of range: nanoseconds would not hold them.
+/// Log positions from here on, in milliseconds of Unix time, are ignored: in nanoseconds they would not fit
+/// into 64 bits.
 const MAX_POSITION_MS: u64 = 1 << 44;
 
-/// What a host's ParameterStatus messages have reported before a ReadyForQuery.
+/// The state that a host reported in the ParameterStatus messages before a ReadyForQuery.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReportedState {
-    /// Whether it reported to be the primary.
+    /// Whether it is the primary.
     pub primary: Option<bool>,
-    /// Its position, a Unix time in milliseconds.
+    /// Its log position, a Unix time in milliseconds.
     pub position_ms: Option<u64>,
-    /// Its load report as it came.
+    /// The text of its load report.
     pub load_report: Option<String>,
 }
 
-/// How a host ended a query.
+/// How a query ended at a host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum QueryOutcome {
-    /// One row of one column came, and CommandComplete. The parts of `bytes` that a client gets, in order:
-    /// the description, the row, the completion.
+    /// One row of one column and CommandComplete.
     Row(Row),
     /// An ErrorResponse with this SQLSTATE.
     Error(String),
-    /// Nothing that counts as an answer: the query was empty, or it gave no row.
+    /// No row: the query was empty, or it returned none.
     Empty,
 }
 
-/// A row, complete, as it was received.
+/// A complete row as it was received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
-    /// What the host sent.
+    /// The messages that the host sent.
     pub bytes: Vec<u8>,
-    /// The messages that belong to the client, in order.
+    /// The ranges of the messages that the client gets, in order: RowDescription, DataRow, CommandComplete.
     pub parts: Vec<ByteRange>,
-    /// The value; none if it is null.
+    /// The range of the value; none if it is null.
     pub value: Option<ByteRange>,
-    /// Whether the value is in binary form.
+    /// Whether the value is in binary format.
     pub binary: bool,
 }
 
-/// What a host's messages amount to.
+/// An event that results from a host's messages.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HostMessage {
-    /// The connection is open for queries.
+    /// The connection is ready for queries.
     Ready,
-    /// The host rejects the connection: an ErrorResponse during startup, with its SQLSTATE.
+    /// The host rejects the connection: it sent an ErrorResponse with this SQLSTATE during startup.
     Rejected(String),
-    /// A query has ended, and what the host reported of itself.
+    /// A query has ended with this outcome, and the host has reported this state.
     QueryEnded(QueryOutcome, ReportedState),
 }
 
@@ -88,10 +88,10 @@
     #[default]
     Startup,
     Idle,
-    Answering(AnswerProgress),
+    Responding(ResponseProgress),
 }
 
-/// The protocol's state for one connection to a host.
+/// The protocol state of one connection to a host.
 #[derive(Debug, Default)]
 pub struct HostCodec {
     buffer: MessageBuffer,
@@ -100,34 +100,34 @@
 }
 
 impl HostCodec {
-    /// Takes bytes in.
+    /// Appends received bytes to the buffer.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend(bytes);
     }
 
-    /// Whether a query may be written.
+    /// Returns whether a query may be written.
     pub fn is_idle(&self) -> bool {
         self.phase == Phase::Idle && self.buffer.is_empty()
     }
 
-    /// A query is about to be written.
+    /// Prepares for the response to a query, which is written next.
     pub fn begin_query(&mut self) {
-        self.phase = Phase::Answering(AnswerProgress::default());
+        self.phase = Phase::Responding(ResponseProgress::default());
         self.reported = ReportedState::default();
     }
 
-    /// Whether an answer has begun and its end has not arrived.
+    /// Returns whether part of a response has arrived and its end has not.
     pub fn response_started(&self) -> bool {
         match &self.phase {
-            Phase::Answering(progress) => progress.has_started() || !self.buffer.is_empty(),
+            Phase::Responding(progress) => progress.has_started() || !self.buffer.is_empty(),
             Phase::Startup | Phase::Idle => false,
         }
     }
 
-    /// The connection has ended: the query's outcome, if its row is complete or an error had come that ends
-    /// connections.
+    /// Handles the end of the connection. Returns the query's outcome if its row is complete, or if the host
+    /// had sent an error.
     pub fn on_close(&mut self) -> Option<(QueryOutcome, ReportedState)> {
-        let Phase::Answering(mut progress) = std::mem::take(&mut self.phase) else { return None };
+        let Phase::Responding(mut progress) = std::mem::take(&mut self.phase) else { return None };
         if let Some(code) = progress.error.take() {
             return Some((QueryOutcome::Error(code), std::mem::take(&mut self.reported)));
         }
@@ -135,16 +135,16 @@
         Some((QueryOutcome::Row(row), ReportedState::default()))
     }
 
-    /// What follows can't be read, or never comes: the row, if it is complete. What the host has reported of
-    /// itself is not believed.
+    /// Returns the row if it is complete, although the rest of the response is malformed or has not arrived.
+    /// The state that the host has reported is discarded, as it can't be trusted.
     pub fn take_complete_row(&mut self) -> Option<Row> {
         match std::mem::take(&mut self.phase) {
-            Phase::Answering(progress) => progress.into_row(),
+            Phase::Responding(progress) => progress.into_row(),
             Phase::Startup | Phase::Idle => None,
         }
     }
 
-    /// What the messages that have arrived in full amount to, one after the other.
+    /// Returns the event that results from the messages that have arrived; none if more bytes are needed.
     pub fn next_message(&mut self) -> Result<Option<HostMessage>, ProtocolError> {
         loop {
             check_header(self.buffer.unread())?;
@@ -157,35 +157,35 @@
         }
     }
 
-    /// Takes the message at the front of the buffer.
+    /// Handles the complete message at the front of the buffer.
     fn handle_message(&mut self, header: MessageHeader) -> Result<Option<HostMessage>, ProtocolError> {
         let kind = header.kind;
         let message = &self.buffer.unread()[..HEADER_LEN + header.body_len];
         let body = &message[HEADER_LEN..];
         match (kind, &mut self.phase) {
-            (b'S', _) => self.reported.record(body),
+            (b'S', _) => self.reported.record_parameter(body),
             (b'N' | b'A', _) => {}
             (b'Z', phase @ Phase::Startup) => {
                 *phase = Phase::Idle;
                 return Ok(Some(HostMessage::Ready));
             }
             (_, Phase::Startup) => return check_startup_message(kind, body),
-            (b'Z', phase @ Phase::Answering(_)) => {
-                let Phase::Answering(progress) = std::mem::replace(phase, Phase::Idle) else {
+            (b'Z', phase @ Phase::Responding(_)) => {
+                let Phase::Responding(progress) = std::mem::replace(phase, Phase::Idle) else {
                     return Ok(None);
                 };
                 let reported = std::mem::take(&mut self.reported);
                 return Ok(Some(HostMessage::QueryEnded(progress.into_outcome(), reported)));
             }
-            (_, Phase::Answering(progress)) => progress.record(kind, message)?,
+            (_, Phase::Responding(progress)) => progress.record_message(kind, message)?,
             (_, Phase::Idle) => return Err(ProtocolError::OutOfOrder(kind)),
         }
         Ok(None)
     }
 }
 
-/// Checks the next message by its header, before its body has arrived: one that can't be right would be
-/// waited for in vain.
+/// Checks the next message by its header. If a length is wrong, waiting for the rest of the message would
+/// never end, so the error is reported before the body has arrived.
 fn check_header(unread: &[u8]) -> Result<(), ProtocolError> {
     let Some(&[kind, a, b, c, d]) = unread.first_chunk::<HEADER_LEN>() else {
         return match unread.first().is_none_or(|kind| HOST_MESSAGE_KINDS.contains(kind)) {
@@ -209,7 +209,7 @@
     }
 }
 
-/// Whether a DataRow of this length can begin with what has arrived of its body.
+/// Returns whether the part of a DataRow's body that has arrived is consistent with the body's length.
 fn is_plausible_row(len: usize, arrived: &[u8]) -> bool {
     match arrived.first_chunk::<ROW_HEADER_LEN>() {
         Some(&[0, 1, a, b, c, d]) => match i32::from_be_bytes([a, b, c, d]) {
@@ -222,7 +222,7 @@
     }
 }
 
-/// A message before the first ReadyForQuery.
+/// Handles a message before the first ReadyForQuery.
 fn check_startup_message(kind: u8, body: &[u8]) -> Result<Option<HostMessage>, ProtocolError> {
     match kind {
         b'R' if body == [0; 4] => Ok(None),
@@ -233,14 +233,14 @@
     }
 }
 
-/// The SQLSTATE of an ErrorResponse; empty if it has none.
+/// Returns the SQLSTATE of an ErrorResponse; empty if it has none.
 fn sqlstate(body: &[u8]) -> String {
     error_code(body).map(|code| String::from_utf8_lossy(code).into_owned()).unwrap_or_default()
 }
 
-/// What has arrived of the answer to a query.
+/// What has arrived of the response to a query.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct AnswerProgress {
+struct ResponseProgress {
     bytes: Vec<u8>,
     parts: Vec<ByteRange>,
     value: Option<ByteRange>,
@@ -250,13 +250,13 @@
     error: Option<String>,
 }
 
-impl AnswerProgress {
+impl ResponseProgress {
     fn has_started(&self) -> bool {
         !self.parts.is_empty() || self.error.is_some()
     }
 
-    /// Takes a message, given with its header.
-    fn record(&mut self, kind: u8, message: &[u8]) -> Result<(), ProtocolError> {
+    /// Handles a message. `message` includes the header.
+    fn record_message(&mut self, kind: u8, message: &[u8]) -> Result<(), ProtocolError> {
         let body = &message[HEADER_LEN..];
         match kind {
             b'E' => self.error = Some(sqlstate(body)),
@@ -266,7 +266,7 @@
                 self.append(message)?;
             }
             b'D' if self.parts.len() == 1 && !self.complete => self.record_row(kind, message)?,
-            b'C' if self.parts.len() < MESSAGES_OF_A_ROW && !self.complete && body.ends_with(&[0]) => {
+            b'C' if self.parts.len() < ROW_MESSAGE_COUNT && !self.complete && body.ends_with(&[0]) => {
                 self.complete = true;
                 self.append(message)?;
             }
@@ -293,7 +293,7 @@
 
     fn append(&mut self, message: &[u8]) -> Result<(), ProtocolError> {
         let start = self.bytes.len();
-        if start + message.len() > MAX_ANSWER_LEN {
+        if start + message.len() > MAX_RESPONSE_LEN {
             return Err(ProtocolError::AnswerTooLong);
         }
         self.bytes.extend_from_slice(message);
@@ -301,7 +301,7 @@
         Ok(())
     }
 
-    /// The outcome at the ReadyForQuery.
+    /// Returns the outcome once ReadyForQuery has arrived.
     fn into_outcome(mut self) -> QueryOutcome {
         match self.error.take() {
             Some(code) => QueryOutcome::Error(code),
@@ -309,9 +309,9 @@
         }
     }
 
-    /// The row, if one has arrived with all that belongs to it.
+    /// Returns the row, if all messages that belong to it have arrived.
     fn into_row(self) -> Option<Row> {
-        let all_parts = self.rows == 1 && self.parts.len() == MESSAGES_OF_A_ROW && self.complete;
+        let all_parts = self.rows == 1 && self.parts.len() == ROW_MESSAGE_COUNT && self.complete;
         if !all_parts || self.error.is_some() {
             return None;
         }
@@ -319,16 +319,16 @@
     }
 }
 
-/// Whether this is the body of a RowDescription of one column.
+/// Returns whether the body of a RowDescription describes exactly one column.
 fn describes_one_column(body: &[u8]) -> bool {
     let column = body.strip_prefix(&[0, 1]).and_then(read_cstring);
     column.is_some_and(|(_name, description)| description.len() == COLUMN_DESCRIPTION_LEN)
 }
 
 impl ReportedState {
-    /// Takes the body of a ParameterStatus; one that can't be read reports nothing, and the answer is no
-    /// worse for it.
-    fn record(&mut self, body: &[u8]) {
+    /// Handles the body of a ParameterStatus. One that can't be parsed is ignored, and the response remains
+    /// valid.
+    fn record_parameter(&mut self, body: &[u8]) {
         let Some((name, rest)) = read_cstring(body) else { return };
         let Some((value, _)) = read_cstring(rest) else { return };
         let word = std::str::from_utf8(value).unwrap_or_default().trim();
@@ -342,20 +342,21 @@
     }
 }
 
-/// A short query of the router's own, such as a health check.
+/// Encodes a short query of the router's own, such as a health check.
 pub fn query(text: &str) -> Vec<u8> {
     let mut out = Vec::with_capacity(text.len() + 6);
     put_message(&mut out, b'Q', |out| put_cstring(out, text));
     out
 }
 
-/// The header of a query whose text of `len` bytes and closing zero are written after it.
+/// Encodes the header of a query. Its text of `len` bytes and a terminating zero byte are written after it.
 pub fn query_head(len: usize) -> [u8; HEADER_LEN] {
     let [a, b, c, d] = ((len + 5) as u32).to_be_bytes();
     [b'Q', a, b, c, d]
 }
 
-/// The names and values of a load report: `inflight=7,util=0.61`. Those that can't be read are left out.
+/// Returns the names and values of a load report such as `inflight=7,util=0.61`. Pairs that can't be parsed
+/// are left out.
 pub fn parse_load_report(text: &str) -> impl Iterator<Item = (&str, f64)> {
     text.split(',').filter_map(|pair| {
         let (name, value) = pair.split_once('=')?;
--- a/crates/router/src/protocol/mod.rs
+++ b/crates/router/src/protocol/mod.rs
@@ -1,4 +1,5 @@
-//! The protocols as state machines: bytes in, messages out. No clock, no socket.
+//! The protocols as state machines without I/O: bytes in, messages out. They have no access to the clock or
+//! to sockets.
 
 pub mod client;
 pub mod discovery;
--- a/crates/router/src/protocol/statement/mod.rs
+++ b/crates/router/src/protocol/statement/mod.rs
@@ -1,5 +1,5 @@
-//! The two statements that clients send, and the comment that goes with them. Parsed in place: the text stays
-//! as it came, and fields are ranges of it.
+//! The two statements that clients send, and the comment at the end of each. A statement is parsed in place:
+//! the text is kept unchanged, and the fields are ranges of it.
 
 mod parser;
 
@@ -7,31 +7,31 @@
 use parser::{CommentFields, Parser};
 use std::ops::Range;
 
-/// Why a statement can't be served, with the standard SQLSTATE.
+/// Why a statement can't be served.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{code}: {message}")]
 pub struct StatementError {
     /// The SQLSTATE.
     pub code: &'static str,
-    /// For people.
+    /// The message of the ErrorResponse.
     pub message: String,
 }
 
-/// So many tokens of a statement are read; a statement with more is rejected.
+/// The maximum number of session tokens in a statement; a statement with more is rejected.
 pub const MAX_TOKENS: usize = 8;
 
-/// A client's deadline counts as no longer than a day, in milliseconds.
+/// The longest timeout of a client in milliseconds: one day. Longer timeouts are shortened to this.
 const MAX_DEADLINE_MS: u64 = 86_400_000;
 
-fn syntax(message: impl Into<String>) -> StatementError {
+fn syntax_error(message: impl Into<String>) -> StatementError {
     StatementError { code: SYNTAX_ERROR, message: message.into() }
 }
 
-fn invalid(message: impl Into<String>) -> StatementError {
+fn invalid_parameter(message: impl Into<String>) -> StatementError {
     StatementError { code: INVALID_PARAMETER_VALUE, message: message.into() }
 }
 
-/// Which of the two statements it is.
+/// The kind of a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verb {
     /// `SELECT v FROM records WHERE k = '...'`
@@ -44,41 +44,44 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Statement {
     text: Vec<u8>,
-    /// Which statement.
+    /// The kind of the statement.
     pub verb: Verb,
     id: Range<usize>,
     key: Range<usize>,
     class: Range<usize>,
     tenant: Range<usize>,
-    /// Where the number of `d` stands.
+    /// The range of the value of the field `d`.
     deadline: Range<usize>,
-    /// Milliseconds that the client will wait from when it sent the request.
+    /// How many milliseconds the client waits for the reply, counted from when it sent the request: the value
+    /// of the field `d`, at most one day.
     pub deadline_ms: u64,
-    /// The group.
+    /// The group to which the request belongs.
     pub group: u32,
-    /// The position that the read has to see, a Unix time in milliseconds; the latest if several are given.
+    /// The log position that a member must have applied to serve the read, a Unix time in milliseconds; the
+    /// latest one if the comment has several fields `after`.
     pub min_position_ms: Option<u64>,
-    /// Where the numbers of `after` stand.
+    /// The ranges of the values of the fields `after`.
     min_positions: Vec<Range<usize>>,
     session: Option<Range<usize>>,
     tokens: Vec<Range<usize>>,
-    /// The client marks it as a retry.
+    /// Whether the client marks the request as a retry.
     pub is_retry: bool,
 }
 
 impl Statement {
-    /// Parses the text of a query, without its closing zero byte.
+    /// Parses the text of a query, without the terminating zero byte.
     pub fn parse(text: Vec<u8>) -> Result<Statement, StatementError> {
         let mut parser = Parser::new(&text);
         let (verb, key) = parser.statement()?;
         let comment = parser.comment()?;
         let fields = CommentFields::parse(&text, comment)?;
         if fields.id.is_empty() {
-            return Err(invalid("the comment holds no id"));
+            return Err(invalid_parameter("the comment holds no id"));
         }
-        let class = fields.class.ok_or_else(|| invalid("the comment holds no class (c)"))?;
-        let deadline = fields.deadline.ok_or_else(|| invalid("the comment holds no deadline (d)"))?;
-        let group = fields.group.ok_or_else(|| invalid("the comment holds no cluster"))?;
+        let class = fields.class.ok_or_else(|| invalid_parameter("the comment holds no class (c)"))?;
+        let deadline =
+            fields.deadline.ok_or_else(|| invalid_parameter("the comment holds no deadline (d)"))?;
+        let group = fields.group.ok_or_else(|| invalid_parameter("the comment holds no cluster"))?;
         Ok(Statement {
             verb,
             id: fields.id,
@@ -97,61 +100,62 @@
         })
     }
 
-    /// The request's id; not empty.
+    /// Returns the request's id, which is not empty.
     pub fn id(&self) -> &[u8] {
         &self.text[self.id.clone()]
     }
 
-    /// The quoted key.
+    /// Returns the key as it is quoted in the statement.
     pub fn key(&self) -> &[u8] {
         &self.text[self.key.clone()]
     }
 
-    /// Name of the class.
+    /// Returns the name of the class.
     pub fn class(&self) -> &[u8] {
         &self.text[self.class.clone()]
     }
 
-    /// Name of the tenant; empty if there is none.
+    /// Returns the name of the tenant; empty if there is none.
     pub fn tenant(&self) -> &[u8] {
         &self.text[self.tenant.clone()]
     }
 
-    /// The session's name, where the comment gives one; else the key names it.
+    /// Returns the session's name, if the comment has one; the session is otherwise identified by the key.
     pub fn session(&self) -> Option<&[u8]> {
         self.session.clone().map(|range| &self.text[range])
     }
 
-    /// Tokens that the client has sent.
+    /// Returns the session tokens that the client sent.
     pub fn tokens(&self) -> impl Iterator<Item = &[u8]> {
         self.tokens.iter().map(|range| &self.text[range.clone()])
     }
 
-    /// The text as it came.
+    /// Returns the text as it was received.
     pub fn text(&self) -> &[u8] {
         &self.text
     }
 
-    /// The text in parts, with another number for `d`, which is written anew for each attempt, and, where a
-    /// floor is given, that floor in `after`.
+    /// Returns the text in parts with the value of the field `d` replaced by `deadline`, which differs for
+    /// each attempt. If there is a floor, it replaces the values of all fields `after`, or is added in a new
+    /// field `after` if there are none.
     pub fn text_parts<'a>(&'a self, deadline: &'a str, floor: Option<&'a str>) -> Vec<&'a [u8]> {
-        let mut edits = vec![Edit { range: &self.deadline, words: [deadline, ""] }];
+        let mut edits = vec![Edit { range: &self.deadline, replacement: [deadline, ""] }];
         match floor {
             Some(floor) if self.min_positions.is_empty() => {
-                edits.push(Edit { range: &self.deadline, words: [",after=", floor] });
+                edits.push(Edit { range: &self.deadline, replacement: [",after=", floor] });
             }
             Some(floor) => {
-                edits.extend(self.min_positions.iter().map(|range| Edit { range, words: [floor, ""] }));
+                edits.extend(self.min_positions.iter().map(|range| Edit { range, replacement: [floor, ""] }));
             }
             None => {}
         }
-        // Stable: a new `after` stands behind the `d`.
+        // The sort is stable: a new field `after` follows the field `d`.
         edits.sort_by_key(|edit| edit.range.start);
         let mut parts = Vec::with_capacity(8);
         let mut position = 0;
-        for Edit { range, words } in edits {
+        for Edit { range, replacement } in edits {
             parts.push(&self.text[position.min(range.start)..range.start]);
-            parts.extend(words.map(str::as_bytes));
+            parts.extend(replacement.map(str::as_bytes));
             position = range.end;
         }
         parts.push(&self.text[position..]);
@@ -160,8 +164,8 @@
     }
 }
 
-/// Words in place of a range of the text.
+/// A range of the text and what replaces it.
 struct Edit<'a> {
     range: &'a Range<usize>,
-    words: [&'a str; 2],
+    replacement: [&'a str; 2],
 }
--- a/crates/router/src/protocol/statement/parser.rs
+++ b/crates/router/src/protocol/statement/parser.rs
@@ -1,21 +1,21 @@
-//! The parser of statements and their comments. It gives ranges of the text.
+//! The parser of statements and their comments. It returns ranges of the text.
 
-use super::{invalid, syntax, StatementError, Verb, MAX_TOKENS};
+use super::{invalid_parameter, syntax_error, StatementError, Verb, MAX_TOKENS};
 use std::ops::Range;
 
-/// Reads a statement from left to right.
+/// Parses a statement from left to right.
 pub(super) struct Parser<'a> {
     text: &'a [u8],
     position: usize,
 }
 
 impl<'a> Parser<'a> {
-    /// A parser at the beginning of the text.
+    /// Creates a parser that starts at the beginning of the text.
     pub(super) fn new(text: &'a [u8]) -> Parser<'a> {
         Parser { text, position: 0 }
     }
 
-    /// One of the two statements, up to its comment: which, and the range of its key.
+    /// Parses one of the two statements up to its comment. Returns its kind and the range of its key.
     pub(super) fn statement(&mut self) -> Result<(Verb, Range<usize>), StatementError> {
         match self.word().as_deref() {
             Some("select") => {
@@ -30,20 +30,20 @@
                 self.expect(&[")", "returning", "v"])?;
                 Ok((Verb::Insert, key))
             }
-            Some(other) => Err(syntax(format!("{other:.40} is no statement of this service"))),
-            None => Err(syntax("no statement")),
+            Some(other) => Err(syntax_error(format!("{other:.40} is no statement of this service"))),
+            None => Err(syntax_error("no statement")),
         }
     }
 
-    /// The inside of the comment that ends the statement.
+    /// Parses the comment that ends the statement. Returns the range between its delimiters.
     pub(super) fn comment(&mut self) -> Result<Range<usize>, StatementError> {
         self.skip_blanks();
         let rest = &self.text[self.position..];
         if !rest.starts_with(b"/*") {
-            return Err(syntax("the statement has no comment"));
+            return Err(syntax_error("the statement has no comment"));
         }
         let Some(len) = rest.windows(2).skip(2).position(|pair| pair == b"*/") else {
-            return Err(syntax("a comment does not end"));
+            return Err(syntax_error("a comment does not end"));
         };
         let start = self.position + 2;
         let inside = start..start + len;
@@ -54,7 +54,7 @@
             self.skip_blanks();
         }
         if self.position < self.text.len() {
-            return Err(syntax("one statement a query, and nothing after its comment"));
+            return Err(syntax_error("one statement a query, and nothing after its comment"));
         }
         Ok(inside)
     }
@@ -64,7 +64,7 @@
         self.position += rest.iter().take_while(|b| b.is_ascii_whitespace()).count();
     }
 
-    /// The next word in lower case, or a single sign.
+    /// Returns the next word in lower case, or the next single character if it can't be part of a word.
     fn word(&mut self) -> Option<String> {
         self.skip_blanks();
         let rest = &self.text[self.position..];
@@ -79,17 +79,18 @@
         for expected in words {
             let position = self.position;
             if self.word().as_deref() != Some(expected) {
-                return Err(syntax(format!("{expected} expected at byte {position}")));
+                return Err(syntax_error(format!("{expected} expected at byte {position}")));
             }
         }
         Ok(())
     }
 
-    /// The inside of a literal in single quotes; a doubled quote belongs to it.
+    /// Parses a literal in single quotes. Returns the range between the quotes. A doubled quote is part of
+    /// the literal.
     fn literal(&mut self) -> Result<Range<usize>, StatementError> {
         self.skip_blanks();
         if self.text.get(self.position) != Some(&b'\'') {
-            return Err(syntax(format!("a literal expected at byte {}", self.position)));
+            return Err(syntax_error(format!("a literal expected at byte {}", self.position)));
         }
         let start = self.position + 1;
         let mut end = start;
@@ -103,21 +104,21 @@
                 _ => end += 1,
             }
         }
-        Err(syntax("a literal does not end"))
+        Err(syntax_error("a literal does not end"))
     }
 }
 
-/// A number and where it stands.
+/// A number and its range in the text.
 pub(super) struct NumberField {
     pub number: u64,
     pub range: Range<usize>,
 }
 
-/// The fields of a comment. Of a field that is given twice the last one counts, but for `after` and `token`,
-/// which may be given several times.
+/// The fields of a comment. `after` and `token` may be given several times; of any other field that is given
+/// several times, the last one is used.
 #[derive(Default)]
 pub(super) struct CommentFields {
-    /// Empty if it is missing.
+    /// Empty if the field is missing.
     pub id: Range<usize>,
     pub class: Option<Range<usize>>,
     pub tenant: Option<Range<usize>>,
@@ -130,10 +131,10 @@
 }
 
 impl CommentFields {
-    /// Reads the fields of the comment whose inside this range is; unknown ones are passed over.
+    /// Parses the fields of a comment, given the range between its delimiters. Unknown fields are ignored.
     pub(super) fn parse(text: &[u8], comment: Range<usize>) -> Result<CommentFields, StatementError> {
         let mut fields = CommentFields::default();
-        for Field { name, value } in (Fields { text, position: comment.start, end: comment.end }) {
+        for Field { name, value } in (FieldIter { text, position: comment.start, end: comment.end }) {
             fields.set(text, &text[name], value)?;
         }
         Ok(fields)
@@ -147,12 +148,13 @@
             b"d" => self.deadline = Some(number_field(text, value, "d")?),
             b"cluster" => {
                 let number = number_field(text, value, "cluster")?.number;
-                let group = u32::try_from(number).map_err(|_| invalid("cluster is out of range"))?;
+                let group =
+                    u32::try_from(number).map_err(|_| invalid_parameter("cluster is out of range"))?;
                 self.group = Some(group);
             }
             b"after" => self.min_positions.push(number_field(text, value, "after")?),
             b"session" => self.session = Some(value),
-            b"token" if self.tokens.len() == MAX_TOKENS => return Err(invalid("too many tokens")),
+            b"token" if self.tokens.len() == MAX_TOKENS => return Err(invalid_parameter("too many tokens")),
             b"token" => self.tokens.push(value),
             b"r" => self.is_retry = &text[value] == b"1",
             _ => {}
@@ -166,7 +168,7 @@
     let digits = digits.filter(|digits| digits.bytes().all(|b| b.is_ascii_digit()));
     match digits.and_then(|digits| digits.parse().ok()) {
         Some(number) => Ok(NumberField { number, range }),
-        None => Err(invalid(format!("{name} is not a whole number"))),
+        None => Err(invalid_parameter(format!("{name} is not a whole number"))),
     }
 }
 
@@ -176,14 +178,15 @@
     value: Range<usize>,
 }
 
-/// The `name=value` fields between commas; white space around names and values does not count.
-struct Fields<'a> {
+/// An iterator over the `name=value` fields, which are separated by commas. White space around names and
+/// values is ignored.
+struct FieldIter<'a> {
     text: &'a [u8],
     position: usize,
     end: usize,
 }
 
-impl Iterator for Fields<'_> {
+impl Iterator for FieldIter<'_> {
     type Item = Field;
 
     fn next(&mut self) -> Option<Field> {
@@ -202,8 +205,8 @@
     }
 }
 
-impl Fields<'_> {
-    /// The range without the white space at its ends.
+impl FieldIter<'_> {
+    /// Returns the range without white space at both ends.
     fn trim(&self, range: Range<usize>) -> Range<usize> {
         let word = &self.text[range.clone()];
         let is_blank = |b: &&u8| b.is_ascii_whitespace();
