--- a/crates/router/tests/routing/attempts.rs
+++ b/crates/router/tests/routing/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of requests: each end of an attempt, and what follows from it.
+//! Tests of attempts: each way in which an attempt can end, and its consequences.
 
 use crate::harness::*;
 use basalthill_policy::api::Status;
@@ -34,22 +34,22 @@
         let mut harness = RouterHarness::ready();
         let id = harness.start_attempt(1, "write").id;
         let mut effects = harness.finish(id, result.clone());
-        let mut all = Vec::new();
+        let mut all_effects = Vec::new();
         for _ in 0..100 {
             let retries = started_exchanges(&effects);
-            all.append(&mut effects);
+            all_effects.append(&mut effects);
             for retry in retries {
                 effects.extend(harness.finish(retry.id, result.clone()));
             }
             effects.extend(harness.advance_ms(10));
         }
-        all.append(&mut effects);
-        let replies = client_replies(&all);
+        all_effects.append(&mut effects);
+        let replies = client_replies(&all_effects);
         assert!(
             matches!(replies[..], [(1, Reply::Rejected { retry_after_ms: Some(1000) })]),
             "{result:?}: {replies:?}"
         );
-        let retries = started_attempts(&all).len();
+        let retries = started_attempts(&all_effects).len();
         assert!(retries <= 2, "at most three attempts with the first: {retries} retries");
         harness.assert_drained();
     }
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn unanswered_attempt_times_out_and_its_client_is_answered_in_time() {
+fn attempt_without_response_times_out_and_its_client_gets_a_reply_in_time() {
     let mut harness = RouterHarness::ready();
     let id = harness.start_attempt(1, "write").id;
     let early = harness.advance_ms(460);
@@ -110,7 +110,10 @@
             let id = harness.start_attempt(client, "write").id;
             let effects = harness.finish(id, error_response(code));
             assert!(matches!(&client_replies(&effects)[..], [(_, Reply::Invalid(_))]), "{code}: {effects:?}");
-            assert!(started_exchanges(&effects).is_empty(), "any other host would return it as well");
+            assert!(
+                started_exchanges(&effects).is_empty(),
+                "no retry, as any other host would return the same error"
+            );
         }
         harness.start_attempt(9, "write");
     }
--- a/crates/router/tests/routing/endpoints.rs
+++ b/crates/router/tests/routing/endpoints.rs
@@ -1,10 +1,10 @@
-//! Endpoint lists: addresses, drains, restarts.
+//! Tests of endpoint lists: addresses, drains and restarts.
 
 use crate::harness::*;
 use basalthill_policy::api::{MemberId, Time};
 use basalthill_router::routing::{Effect, ExchangeId};
 
-/// Where members move to.
+/// The address to which members move.
 const NEW_ADDRESS: &str = "127.0.0.1:7009";
 
 #[test]
@@ -15,7 +15,7 @@
     let StartedExchange { id, addr, .. } = harness.start_attempt(1, "write");
     assert_eq!(addr, address(NEW_ADDRESS));
     harness.finish(id, row_response(b"x"));
-    // A complete list without the replica: after the grace period it gets nothing more.
+    // A complete list without the replica: no request is sent to it after the drain grace period.
     harness.apply_list(list(3, true, &[moved]));
     harness.advance_ms(1100);
     for client in 2..20 {
@@ -38,16 +38,17 @@
     assert!(may_write(&harness, 0));
     harness.apply_list(list(3, false, &both("left")));
     harness.advance_ms(1);
-    assert!(!may_write(&harness, 0), "the grace period runs from the first notification");
+    assert!(!may_write(&harness, 0), "the grace period starts with the first announcement");
     assert!(may_write(&harness, 1));
     harness.apply_list(list(4, false, &both("active")));
-    assert!(may_write(&harness, 0), "it is back in service");
+    assert!(may_write(&harness, 0), "the member is back in service");
     harness.apply_list(list(5, true, &both("active")[1..]));
     harness.advance_ms(1000);
     assert!(!may_write(&harness, 0), "a member that a complete list lacks is removed");
 }
 
-/// The connections that effects close because their process has ended: the address and since when.
+/// Returns the connections that effects close because their process has exited: the address, and the time
+/// before which they were last used.
 fn closed(effects: &[Effect]) -> Vec<(String, Time)> {
     let closed = |effect: &Effect| match effect {
         Effect::CloseConnectionsIdleSince { addr, before } => Some((addr.to_string(), *before)),
@@ -61,10 +62,10 @@
     let mut harness = RouterHarness::ready();
     let mut restarted = list(2, false, &[member("s-2", REPLICA, "active", "copy")]);
     restarted.servers[0].started_ms = START.0 / 1_000_000;
-    // The list arrives late: connections that have been used since the start stay open.
+    // The list arrives 3 s after the start: connections that have been used since the start stay open.
     harness.advance_ms(3000);
     assert_eq!(closed(&harness.apply_list(restarted.clone())), [(REPLICA.to_string(), START)]);
-    assert_eq!(closed(&harness.apply_list(restarted)), [], "once for each start");
+    assert_eq!(closed(&harness.apply_list(restarted)), [], "connections are closed once for each start");
     let moved = list(3, false, &[member("s-1", NEW_ADDRESS, "active", "source")]);
     assert_eq!(closed(&harness.apply_list(moved)), [(PRIMARY.to_string(), Time(u64::MAX))]);
 }
--- a/crates/router/tests/routing/harness.rs
+++ b/crates/router/tests/routing/harness.rs
@@ -1,4 +1,4 @@
-//! A router with a time of its own, and what the tests read out of its effects.
+//! A router under a simulated clock, and helpers to examine its effects.
 
 use crate::common::{sessions, site, statement};
 use basalthill_policy::api::Time;
@@ -12,18 +12,18 @@
 use basalthill_standin::discovery::{endpoint_list, Endpoint};
 use std::net::SocketAddr;
 
-/// When each router starts: a Unix time.
+/// The Unix time at which each router starts.
 pub const START: Time = Time::ms(1_767_225_600_000);
 /// The primary's address.
 pub const PRIMARY: &str = "127.0.0.1:7001";
 /// The replica's address.
 pub const REPLICA: &str = "127.0.0.1:7002";
-/// The group of both.
+/// The group of the primary and the replica.
 const GROUP: u32 = 2;
-/// The seed of the router's random numbers.
+/// The seed of the router's random number generator.
 const SEED: u64 = 7;
 
-/// A router of one primary and one replica, and its time.
+/// A router with one primary and one replica, and the present time.
 pub struct RouterHarness {
     pub router: Router,
     pub now: Time,
@@ -38,17 +38,17 @@
 }
 
 impl StartedExchange {
-    /// Whether it is an attempt of a request.
+    /// Returns whether the exchange is an attempt of a request.
     pub fn is_attempt(&self) -> bool {
         matches!(self.id, ExchangeId::Attempt(..))
     }
 
-    /// Whether it goes to an address.
+    /// Returns whether the exchange is with the host at an address.
     pub fn goes_to(&self, expected: &str) -> bool {
         self.addr == address(expected)
     }
 
-    /// The deadline of an attempt's statement.
+    /// Returns the deadline of an attempt's statement.
     pub fn deadline(&self) -> Time {
         match &self.query {
             Query::Statement { deadline, .. } => *deadline,
@@ -58,14 +58,14 @@
 }
 
 impl RouterHarness {
-    /// A router that has just started with a list, or without any; its first effects.
+    /// Starts a router with an endpoint list or without one. Returns its first effects too.
     pub fn start(list: Option<HostList>) -> (RouterHarness, Vec<Effect>) {
         let mut effects = Vec::new();
         let router = Router::new(START, site(), sessions(), SEED, list, &mut effects);
         (RouterHarness { router, now: START }, effects)
     }
 
-    /// A router whose first health checks are answered: it knows the primary.
+    /// Starts a router and serves its first health checks, so that it knows the primary.
     pub fn ready() -> RouterHarness {
         let (mut harness, effects) = RouterHarness::start(Some(list(1, true, &both("active"))));
         for exchange in started_exchanges(&effects) {
@@ -78,14 +78,14 @@
         harness
     }
 
-    /// Hands an input over; its effects.
+    /// Passes an input to the router. Returns the effects.
     pub fn input(&mut self, input: Input) -> Vec<Effect> {
         let mut effects = Vec::new();
         self.router.handle(self.now, input, &mut effects);
         effects
     }
 
-    /// Advances the time, firing each timer when it is due.
+    /// Advances the time and fires each timer when it is due. Returns the effects.
     pub fn advance_ms(&mut self, ms: u64) -> Vec<Effect> {
         let end = self.now.plus(Time::ms(ms));
         let mut effects = Vec::new();
@@ -97,17 +97,18 @@
         effects
     }
 
-    /// Milliseconds up to a time, rounded down.
+    /// Returns the milliseconds until a point in time, rounded down.
     pub fn ms_until(&self, time: Time) -> u64 {
         time.since(self.now).0 / 1_000_000
     }
 
-    /// Now, as a Unix time in milliseconds.
+    /// Returns the present Unix time in milliseconds.
     pub fn unix_ms(&self) -> u64 {
         self.now.0 / 1_000_000
     }
 
-    /// What a host reports now: its role, and a position this many milliseconds old.
+    /// Returns the state that a host reports now: its role, and a log position that is `ms_ago` milliseconds
+    /// old.
     pub fn reported(&self, is_primary: bool, ms_ago: u64) -> ReportedState {
         ReportedState {
             primary: Some(is_primary),
@@ -116,17 +117,17 @@
         }
     }
 
-    /// Applies a list from discovery that is valid since now.
+    /// Applies an endpoint list that is valid from now on.
     pub fn apply_list(&mut self, list: HostList) -> Vec<Effect> {
         self.input(Input::EndpointList { list, valid_since: self.now })
     }
 
-    /// A client sends a request of a class now.
+    /// Sends a client's request of a class now. Returns the effects.
     pub fn send_request(&mut self, client: u64, class: &str, more: &str) -> Vec<Effect> {
         self.input(request(client, statement(class, more), self.now))
     }
 
-    /// A client sends a request of a class, for which exactly one attempt is started.
+    /// Sends a client's request of a class, and returns the only exchange that it starts.
     pub fn start_attempt(&mut self, client: u64, class: &str) -> StartedExchange {
         let effects = self.send_request(client, class, "");
         let mut started = started_exchanges(&effects);
@@ -134,12 +135,13 @@
         started.remove(0)
     }
 
-    /// An exchange ends with a result.
+    /// Ends an exchange with a result. Returns the effects.
     pub fn finish(&mut self, id: ExchangeId, result: ExchangeResult) -> Vec<Effect> {
         self.input(Input::ExchangeFinished(id, result))
     }
 
-    /// Once every health check has ended, the tables hold nothing but the policy's own timer.
+    /// Asserts that no request is open, and that no timers are set except those of health checks and the
+    /// policy's own.
     pub fn assert_drained(&self) {
         let outstanding = self.router.outstanding();
         let Outstanding { requests, probes, timers } = outstanding;
@@ -147,53 +149,53 @@
     }
 }
 
-/// The address of a text.
+/// Parses an address.
 pub fn address(text: &str) -> SocketAddr {
     text.parse().expect("an address")
 }
 
-/// A member of a list, in the one group.
+/// Returns the entry of a member of [`GROUP`] in an endpoint list.
 pub fn member(name: &'static str, addr: &str, state: &'static str, rank: &'static str) -> Endpoint {
     Endpoint::new(name, address(addr), GROUP, state, rank)
 }
 
-/// The primary in a state, and the replica in service.
+/// Returns the entries of the primary, in this state, and of the replica, in service.
 pub fn both(primary_state: &'static str) -> [Endpoint; 2] {
     [member("s-1", PRIMARY, primary_state, "source"), member("s-2", REPLICA, "active", "copy")]
 }
 
-/// A list as discovery sends it.
+/// Returns an endpoint list as service discovery sends it.
 pub fn list(version: u64, full: bool, members: &[Endpoint]) -> HostList {
     HostList::parse(endpoint_list(version, full, members).as_bytes()).expect("a valid list")
 }
 
-/// A client's request, the only open command of its connection.
+/// Returns a client's request, which is the only open command of its connection.
 pub fn request(client: u64, statement: Box<Statement>, arrived_at: Time) -> Input {
     Input::Request(ClientRequest { client: ClientId(client), command: CommandId(0), statement, arrived_at })
 }
 
-/// A host's row with a value.
+/// Returns a host's row with a value.
 pub fn row(value: &[u8]) -> Row {
     let end = value.len();
     Row { bytes: value.to_vec(), parts: vec![0..end, end..end, end..end], value: Some(0..end), binary: true }
 }
 
-/// A host responds with a row and reports nothing of its state.
+/// Returns a response with a row and without a report of the host's state.
 pub fn row_response(value: &[u8]) -> ExchangeResult {
     ExchangeResult::Response(QueryOutcome::Row(row(value)), ReportedState::default())
 }
 
-/// A host responds with an error and reports nothing of its state.
+/// Returns a response with an error and without a report of the host's state.
 pub fn error_response(code: &str) -> ExchangeResult {
     ExchangeResult::Response(QueryOutcome::Error(code.into()), ReportedState::default())
 }
 
-/// A host responds without a row and reports nothing of its state.
+/// Returns a response without a row and without a report of the host's state.
 pub fn empty_response() -> ExchangeResult {
     ExchangeResult::Response(QueryOutcome::Empty, ReportedState::default())
 }
 
-/// The exchanges that effects start.
+/// Returns the exchanges that effects start.
 pub fn started_exchanges(effects: &[Effect]) -> Vec<StartedExchange> {
     let started = |effect: &Effect| match effect {
         Effect::StartExchange(start) => {
@@ -204,17 +206,17 @@
     effects.iter().filter_map(started).collect()
 }
 
-/// The attempts that effects start.
+/// Returns the attempts that effects start.
 pub fn started_attempts(effects: &[Effect]) -> Vec<StartedExchange> {
     started_exchanges(effects).into_iter().filter(StartedExchange::is_attempt).collect()
 }
 
-/// Whether effects abort an exchange.
+/// Returns whether effects abort an exchange.
 pub fn aborts(effects: &[Effect], id: ExchangeId) -> bool {
     effects.iter().any(|effect| matches!(effect, Effect::AbortExchange(aborted) if *aborted == id))
 }
 
-/// The replies among effects, each with its client.
+/// Returns the replies among effects, each with the number of its client.
 pub fn client_replies(effects: &[Effect]) -> Vec<(u64, Reply)> {
     let reply = |effect: &Effect| match effect {
         Effect::Reply { client, reply, .. } => Some((client.0, reply.clone())),
--- a/crates/router/tests/routing/invariants.rs
+++ b/crates/router/tests/routing/invariants.rs
@@ -1,4 +1,4 @@
-//! What holds whatever hosts, clients and discovery do.
+//! Invariants of the router that hold whatever hosts, clients and service discovery do.
 
 use crate::harness::*;
 use basalthill_policy::api::RequestId;
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The classes of the settings.
+/// The classes in the settings.
 const CLASSES: [&str; 5] = ["view", "own", "status", "report", "write"];
 
 #[test]
@@ -46,7 +46,7 @@
     assert_eq!(harness.router.unanswered(), 0);
 }
 
-/// How a host may end an exchange; none if it never responds.
+/// Generates the result of an exchange; none if the host never responds.
 fn exchange_result() -> impl Strategy<Value = Option<ExchangeResult>> {
     prop_oneof![
         6 => Just(Some(row_response(b"x"))),
@@ -63,14 +63,14 @@
     ]
 }
 
-/// Something that happens.
+/// A step of a generated test case.
 #[derive(Clone, Debug)]
 enum Step {
     /// A new client sends a request of the class with this index.
     Request(usize),
-    /// A client disconnects, by its number modulo the clients so far.
+    /// The client with this number, modulo the number of clients so far, disconnects.
     Disconnect(usize),
-    /// Time passes, in milliseconds.
+    /// The time advances by this many milliseconds.
     Advance(u64),
     /// Discovery lists the replica in the state with this index.
     List(usize),
@@ -93,16 +93,16 @@
     disconnected: bool,
 }
 
-/// Drives a router, and checks each of its effects.
+/// A router, and a model that checks each of its effects.
 struct Checked {
     harness: RouterHarness,
-    /// The clients, by number. All requests are valid, so the router numbers them likewise.
+    /// The clients by number. As all requests are valid, the router gives them the same numbers.
     clients: BTreeMap<u64, Client>,
-    /// Requests that may have run at a host.
+    /// The requests that may have run at a host.
     may_have_run: BTreeSet<RequestId>,
 }
 
-/// Whether the query may have run, if its exchange ends like this.
+/// Returns whether a query may have run, given the result of its exchange.
 fn may_run(result: Option<&ExchangeResult>) -> bool {
     match result {
         None | Some(ExchangeResult::ConnectionLost) => true,
@@ -118,7 +118,7 @@
         Checked { harness, clients: BTreeMap::new(), may_have_run: BTreeSet::new() }
     }
 
-    /// Takes a step; its effects.
+    /// Executes a step. Returns its effects.
     fn take(&mut self, step: Step) -> Vec<Effect> {
         match step {
             Step::Request(class) => {
@@ -143,7 +143,8 @@
         }
     }
 
-    /// Checks effects, and ends each exchange that they start with a result; the effects of that.
+    /// Checks effects, and ends each exchange that they start with `result`. Returns the effects of these
+    /// results.
     fn check(
         &mut self,
         effects: Vec<Effect>,
@@ -172,29 +173,30 @@
 
     fn check_reply(&mut self, number: u64, reply: Reply) -> Result<(), TestCaseError> {
         let client = &self.clients[&number];
-        prop_assert!(!client.disconnected || client.reply.is_none(), "an answer after the disconnect");
+        prop_assert!(!client.disconnected || client.reply.is_none(), "a reply after the disconnect");
         let ran = self.may_have_run.contains(&RequestId(number));
         let rejected = matches!(reply, Reply::Rejected { .. });
         let is_write = client.class == "write";
         prop_assert!(!(is_write && ran && rejected), "a write that may have run was rejected");
         let before = self.clients.get_mut(&number).and_then(|client| client.reply.replace(reply));
-        prop_assert_eq!(before, None, "a second answer");
+        prop_assert_eq!(before, None, "a second reply");
         Ok(())
     }
 
     fn check_attempt(&self, id: RequestId) -> Result<(), TestCaseError> {
         let client = &self.clients[&id.0];
-        prop_assert!(client.reply.is_none(), "an attempt after the answer");
+        prop_assert!(client.reply.is_none(), "an attempt after the reply");
         let repeated = client.class == "write" && self.may_have_run.contains(&id);
         prop_assert!(!repeated, "a write that may have run was sent again");
         Ok(())
     }
 
-    /// Once time enough has passed, every request has its answer, and the tables are empty.
+    /// Checks that every request has been replied to or abandoned, and that the tables hold no request.
+    /// Called after enough time for all of them has passed.
     fn check_end(&self) -> Result<(), TestCaseError> {
         for (number, client) in &self.clients {
             let settled = client.reply.is_some() || client.disconnected;
-            prop_assert!(settled, "{} of client {} has no answer", client.class, number);
+            prop_assert!(settled, "{} of client {} has no reply", client.class, number);
         }
         prop_assert_eq!(self.harness.router.unanswered(), 0);
         prop_assert_eq!(self.harness.router.outstanding().requests, 0);
@@ -203,11 +205,11 @@
 }
 
 proptest! {
-    /// Whatever hosts, clients and discovery do: each request whose client stays gets one answer, one whose
-    /// client has disconnected gets none, no attempt is started after the answer, no write that may have run
-    /// is sent again or rejected, and nothing is left in the tables.
+    /// Whatever hosts, clients and discovery do: each request whose client stays connected gets one reply, a
+    /// request whose client has disconnected gets none, no attempt is started after the reply, no write that
+    /// may have run is sent again or rejected, and the tables are empty at the end.
     #[test]
-    fn every_request_gets_one_answer_and_writes_are_never_duplicated(
+    fn every_request_gets_one_reply_and_writes_are_never_duplicated(
         steps in proptest::collection::vec((step(), exchange_result()), 1..120)
     ) {
         let mut checked = Checked::new();
--- a/crates/router/tests/routing/main.rs
+++ b/crates/router/tests/routing/main.rs
@@ -1,4 +1,4 @@
-//! The router driven without sockets: requests, attempts, health checks, timers, endpoint lists and the
+//! Tests of the router without sockets: requests, attempts, health checks, timers, endpoint lists and the
 //! leases of other proxies.
 
 #[path = "../common/mod.rs"]
--- a/crates/router/tests/routing/proxies.rs
+++ b/crates/router/tests/routing/proxies.rs
@@ -1,4 +1,4 @@
-//! Leases of other proxies.
+//! Tests of the leases of other proxies.
 
 use crate::harness::*;
 use basalthill_extproc::{
@@ -24,7 +24,7 @@
 }
 
 impl RouterHarness {
-    /// A proxy requests a member for a write, whose id was made now.
+    /// Sends a proxy's request for a member, for a write whose id was generated now. Returns the effects.
     fn proxy_requests(&mut self, stream: u64) -> Vec<Effect> {
         let id = u128::from(self.unix_ms()) << 80 | 7 << 76 | 2 << 62 | u128::from(stream);
         let request = DecisionRequest {
@@ -40,13 +40,14 @@
         self.input(Input::Proxy(StreamId(stream), ProxyMessage::Request(request)))
     }
 
-    /// A proxy requests a member and is given a lease.
+    /// Sends a proxy's request for a member, and returns the lease that it is given.
     fn proxy_is_granted(&mut self, stream: u64) -> GrantedLease {
         let effects = self.proxy_requests(stream);
         granted(&effects).expect("a lease")
     }
 
-    /// A proxy reports how the attempt under a lease ended, and the member's role.
+    /// Sends a proxy's report of how the attempt under a lease ended and of the member's role. Returns the
+    /// effects.
     fn proxy_reports(
         &mut self,
         stream: u64,
@@ -84,7 +85,7 @@
     assert_eq!((addr, send_by), (address(PRIMARY), harness.now.plus(Time::ms(200))));
     assert!(harness.proxy_reports(1, lease, LeaseOutcome::Served, Role::Primary).is_empty());
     assert_eq!(harness.router.lease_usage(), usage(0, 0, 1));
-    // What a proxy reports of a member counts for clients: it is not the primary any more.
+    // The proxy's report that the member is not the primary applies to clients' requests too.
     let lease = harness.proxy_is_granted(2).lease;
     harness.proxy_reports(2, lease, LeaseOutcome::Misdirected, Role::Replica);
     let effects = harness.send_request(1, "write", "");
@@ -92,7 +93,7 @@
 }
 
 #[test]
-fn unreported_lease_ends_with_its_request_and_its_member_is_not_awaited() {
+fn unreported_lease_expires_at_the_deadline_and_its_request_fails_once() {
     let mut harness = RouterHarness::ready();
     harness.router.serve_proxies(harness.now, PROXY_LIMITS);
     harness.advance_ms(10);
@@ -107,22 +108,25 @@
     harness.input(Input::Proxy(StreamId(1), ProxyMessage::StreamClosed));
     assert_eq!(harness.router.lease_usage(), usage(0, 0, 1));
     harness.advance_ms(11_000);
-    assert_eq!(harness.router.lease_usage(), usage(0, 0, 0), "an id that is too old is forgotten");
+    assert_eq!(harness.router.lease_usage(), usage(0, 0, 0), "an id older than the window is removed");
 }
 
 #[test]
-fn proxy_lease_ends_with_the_drain_grace_period_of_its_member() {
+fn proxy_lease_expires_with_the_drain_grace_period_of_its_member() {
     let mut harness = RouterHarness::ready();
     harness.router.serve_proxies(harness.now, PROXY_LIMITS);
     harness.apply_list(list(2, false, &[member("s-1", PRIMARY, "leaving", "source")]));
     let notified_at = harness.now;
     harness.advance_ms(900);
-    // Within the grace period the primary still takes writes.
+    // Within the grace period the primary still accepts writes.
     let GrantedLease { addr, send_by, .. } = harness.proxy_is_granted(1);
     assert_eq!(addr, address(PRIMARY));
     assert!(send_by <= notified_at.plus(Time::ms(1000)), "{send_by:?}");
-    assert!(send_by < harness.now.plus(Time::ms(200)), "the grace period binds, not the usual time");
+    assert!(send_by < harness.now.plus(Time::ms(200)), "the grace period ends before the usual time to send");
     harness.advance_ms(200);
     let late = granted(&harness.proxy_requests(2));
-    assert!(late.is_none_or(|lease| lease.addr != address(PRIMARY)), "and none after it");
+    assert!(
+        late.is_none_or(|lease| lease.addr != address(PRIMARY)),
+        "no lease at the primary after the grace period"
+    );
 }
--- a/crates/router/tests/routing/requests.rs
+++ b/crates/router/tests/routing/requests.rs
@@ -1,4 +1,4 @@
-//! Requests from their arrival to their one reply.
+//! Tests of requests, from their arrival to their only reply.
 
 use crate::common::statement;
 use crate::harness::*;
@@ -6,7 +6,7 @@
 use basalthill_router::protocol::host::QueryOutcome;
 use basalthill_router::routing::{ClientId, Effect, ExchangeId, ExchangeResult, Input, Query, Reply};
 
-/// A router that has started an attempt of client 1's request of a class.
+/// Returns a router that has started an attempt of a request of client 1.
 fn harness_with_attempt(class: &str) -> (RouterHarness, ExchangeId) {
     let mut harness = RouterHarness::ready();
     let id = harness.start_attempt(1, class).id;
@@ -30,7 +30,8 @@
     assert!(client_replies(&effects).is_empty(), "a second result of the same attempt is ignored");
 }
 
-/// The client's time counts from its command's last byte, however long it has waited behind others since.
+/// The client's timeout counts from the arrival of the command's last byte, even if the command has waited in
+/// its pipeline since then.
 #[test]
 fn deadline_counts_from_arrival_and_not_from_the_start_of_processing() {
     let mut harness = RouterHarness::ready();
@@ -38,9 +39,12 @@
     let effects = harness.input(request(1, statement("write", ""), arrived_at));
     let [attempt] = &started_exchanges(&effects)[..] else { panic!("{effects:?}") };
     let left_ms = harness.ms_until(attempt.deadline());
-    assert!((160..180).contains(&left_ms), "the host is sent {left_ms} ms, of 180 ms left");
+    assert!(
+        (160..180).contains(&left_ms),
+        "the attempt's deadline is {left_ms} ms away, the client's 180 ms"
+    );
     let replies = client_replies(&harness.advance_ms(180));
-    assert_eq!(replies, [(1, Reply::Failed)], "it may have run, and its deadline has passed");
+    assert_eq!(replies, [(1, Reply::Failed)], "the write may have run, and its deadline has passed");
 
     let arrived_at = harness.now.minus(Time::ms(480));
     let effects = harness.input(request(2, statement("write", ""), arrived_at));
@@ -48,7 +52,7 @@
     let replies = client_replies(&effects);
     assert!(matches!(replies[..], [(2, Reply::Rejected { retry_after_ms: Some(_) })]), "{effects:?}");
 
-    // An arrival in the future grants no more than the full timeout.
+    // An arrival time in the future gives no more than the full timeout.
     let arrived_at = harness.now.plus(Time::ms(500));
     let effects = harness.input(request(3, statement("write", ""), arrived_at));
     let [attempt] = &started_exchanges(&effects)[..] else { panic!("{effects:?}") };
@@ -91,7 +95,8 @@
 
 #[test]
 fn session_floor_is_met_by_the_reported_position_and_capped_at_the_present() {
-    // The replica has reported its position, the present millisecond, half of which is over.
+    // The replica has reported the start of the present millisecond as its position; half of that millisecond
+    // has passed.
     let cases = [(None, true), (Some(0), true), (Some(1), false), (Some(3_600_000), false)];
     for (after_ms, replica_serves) in cases {
         let mut harness = RouterHarness::ready();
@@ -108,7 +113,7 @@
 }
 
 #[test]
-fn shutdown_fails_unanswered_requests_exactly_once() {
+fn shutdown_fails_requests_without_reply_exactly_once() {
     let (mut harness, id) = harness_with_attempt("write");
     assert_eq!(client_replies(&harness.input(Input::Shutdown)), [(1, Reply::Failed)]);
     let effects = harness.finish(id, row_response(b"x"));
@@ -125,7 +130,7 @@
     let replies = client_replies(&effects);
     assert!(matches!(&replies[..], [(2, Reply::Invalid(e))] if e.code == "22023"), "{replies:?}");
     assert!(started_exchanges(&effects).is_empty());
-    // The first request is unaffected; once it has ended, its id may be used again.
+    // The first request is unaffected. Once it has completed, its id may be used again.
     let effects = harness.finish(first, row_response(b"x"));
     assert!(matches!(&client_replies(&effects)[..], [(1, Reply::Served(_))]));
     let effects = harness.send_request(2, "write", ",id=same");
@@ -134,10 +139,10 @@
 }
 
 #[test]
-fn nothing_is_written_for_disconnected_or_cancelled_requests() {
+fn query_is_not_written_after_its_client_disconnects_or_cancels() {
     for input in [Input::ClientDisconnected(ClientId(1)), Input::CancelRequested(ClientId(1))] {
         let mut harness = RouterHarness::ready();
-        // The attempt of a non-idempotent write goes on, and may wait for its connection.
+        // The attempt of a non-idempotent write is not aborted, and may still be waiting for a connection.
         let id = harness.start_attempt(1, "write").id;
         assert!(harness.router.may_write(harness.now, id, MemberId(0)));
         let cancelled = matches!(input, Input::CancelRequested(_));
@@ -156,7 +161,7 @@
 #[test]
 fn requests_before_the_first_endpoint_list_are_rejected_and_never_invalid() {
     let (mut harness, _) = RouterHarness::start(None);
-    // Just after the start the request waits a moment for the list.
+    // Just after the start, a request waits for the endpoint list for a short time.
     let effects = harness.send_request(3, "write", "");
     assert!(client_replies(&effects).is_empty(), "{effects:?}");
     let effects = harness.advance_ms(300);
--- a/crates/router/tests/routing/timers.rs
+++ b/crates/router/tests/routing/timers.rs
@@ -1,4 +1,4 @@
-//! Timers and health checks.
+//! Tests of timers and health checks.
 
 use crate::harness::*;
 use basalthill_policy::api::Time;
@@ -28,16 +28,16 @@
     harness.advance_ms(300);
     let due = harness.router.next_due().unwrap();
     assert!(due > harness.now);
-    // A tick before the timer is due changes nothing: a timer that fired early would never fire again.
+    // A tick before the timer is due has no effect: a timer that fired early would never fire again.
     harness.now = Time(due.0 - 1);
     harness.input(Input::Tick);
     assert_eq!(harness.router.next_due(), Some(due));
     harness.now = due;
     harness.input(Input::Tick);
     let next = harness.router.next_due().unwrap();
-    assert!(next > due, "a timer that was set in this call waits for its time");
+    assert!(next > due, "a timer that is set in this call does not fire in it");
     for _ in 0..200 {
         harness.advance_ms(50);
     }
-    assert!(harness.router.next_due().is_some(), "the policy's housekeeping goes on");
+    assert!(harness.router.next_due().is_some(), "the policy's periodic timer is still set");
 }
