--- a/crates/router/src/protocol/discovery/watch.rs
+++ b/crates/router/src/protocol/discovery/watch.rs
@@ -36,8 +36,8 @@
     Chunk(usize),
     /// The line break after a chunk.
     ChunkEnd,
-    /// The rest of a body without chunks. It ends after this many bytes, or when the connection is closed if
-    /// there is no number.
+    /// The rest of a body without chunks. It ends after this many bytes, or with the connection if its length
+    /// is unknown.
     PlainBody(Option<usize>),
     /// Nothing: the response has ended.
     Finished,
--- a/crates/router/src/protocol/host.rs
+++ b/crates/router/src/protocol/host.rs
@@ -13,7 +13,7 @@
 
 /// The longest accepted message body in bytes: a value of 64 KiB and its headers.
 pub const MAX_MESSAGE_LEN: usize = 80 * 1024;
-/// The longest accepted response in bytes.
+/// The longest accepted response to a query in bytes, all its messages together.
 const MAX_RESPONSE_LEN: usize = 128 * 1024;
 /// The longest accepted RowDescription in bytes; it describes one column.
 const MAX_DESCRIPTION_LEN: usize = 1024;
@@ -125,7 +125,7 @@
     }
 
     /// Handles the end of the connection. Returns the query's outcome if its row is complete, or if the host
-    /// had sent an error.
+    /// sent an error, as it does before it closes a connection on its own.
     pub fn on_close(&mut self) -> Option<(QueryOutcome, ReportedState)> {
         let Phase::Responding(mut progress) = std::mem::take(&mut self.phase) else { return None };
         if let Some(code) = progress.error.take() {
--- a/crates/router/src/routing/effect.rs
+++ b/crates/router/src/routing/effect.rs
@@ -1,5 +1,5 @@
-//! What the router asks of transport: a list of [`Effect`]s for each input, and the types that effects
-//! contain.
+//! The operations that the router requests from transport: a list of [`Effect`]s for each input, and the
+//! types that effects contain.
 
 use super::input::{ClientId, CommandId, ExchangeId};
 use crate::protocol::host::Row;
@@ -19,7 +19,7 @@
         /// The number of milliseconds after which to retry, if it is known.
         retry_after_ms: Option<u64>,
     },
-    /// No host's response can be returned. A write may have run.
+    /// The request failed without a usable response of a host. A write may have run.
     Failed,
     /// The client has cancelled the request. A write may have run.
     Cancelled,
--- a/crates/router/src/routing/endpoints.rs
+++ b/crates/router/src/routing/endpoints.rs
@@ -39,7 +39,7 @@
 
 /// The changes that an endpoint list has made.
 pub struct AppliedList {
-    /// Whether the list was complete.
+    /// The kind of the list: complete, or changes only.
     pub form: EndpointUpdate,
     /// The entries for the policy: first the members that a complete list lacks, then the entries of the list
     /// in its order.
--- a/crates/router/src/routing/exchanges.rs
+++ b/crates/router/src/routing/exchanges.rs
@@ -26,8 +26,8 @@
 
 impl Router {
     /// Returns whether the query of an exchange may still be written. The policy respects a member's drain
-    /// grace period when it starts an exchange, but opening a connection takes time: meanwhile the grace
-    /// period may end, or the client may disconnect.
+    /// grace period when it starts an exchange, but until the connection is open the grace period may end, or
+    /// the client may disconnect.
     pub fn may_write(&self, now: Time, exchange: ExchangeId, member: MemberId) -> bool {
         let awaited = match exchange {
             ExchangeId::Attempt(id, _) => self.requests.get(id).is_some_and(|open| !open.completed),
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Reports a log position, a Unix time, to the session floors. A host sent it in an exchange that was
-    /// started at `sent_at`.
+    /// Passes a log position to the sessions. `position` is a Unix time that a host reported in an exchange
+    /// that was started at `sent_at`.
     pub(super) fn observe_position(&mut self, now: Time, sent_at: Time, position: Option<Time>) {
         let Some(position) = position else { return };
         let now = self.system_clock.to_unix_time(now);
--- a/crates/router/src/routing/fleet.rs
+++ b/crates/router/src/routing/fleet.rs
@@ -46,10 +46,10 @@
         apply_fleet_effects(effects, out);
     }
 
-    /// Takes a token from a budget that all routers share. Returns whether a token was available, which is
-    /// always so without a fleet or without such a budget. Transport must not open a connection or call
-    /// service discovery unless it was. The policy needs no result: it decrements its own values of the
-    /// budgets for retries and health checks.
+    /// Takes a token from a budget that all routers share. Returns true if a token was available, or if there
+    /// is no fleet or no such budget. If it returns false, transport must not open the connection or call
+    /// service discovery. The policy needs no result: it decrements its own values of the budgets for retries
+    /// and health checks.
     pub fn spend_budget(&mut self, now: Time, budget: Budget) -> bool {
         self.fleet_limits.as_mut().is_none_or(|limits| limits.spend_budget(now, budget))
     }
@@ -95,8 +95,8 @@
         }
     }
 
-    /// Returns the event with the present values of budgets and capacities, just before it is passed to the
-    /// policy.
+    /// Replaces the budgets and capacities in an event with their present values. Called just before the
+    /// event is passed to the policy.
     pub(super) fn with_current_capacity(&mut self, now: Time, event: Event) -> Event {
         match &mut self.fleet_limits {
             Some(limits) => limits.refresh(now, event),
@@ -140,8 +140,8 @@
         }
     }
 
-    /// Releases the slot of an attempt that has ended, and queues an event with the new capacity of its
-    /// member.
+    /// Releases the slot of an attempt that has ended, and queues an event that gives the policy the member's
+    /// new capacity.
     pub(super) fn release_member_slot(&mut self, now: Time, finished: &FinishedAttempt) {
         let Some(limits) = &mut self.fleet_limits else { return };
         if limits.release_slot(now, finished) {
--- a/crates/router/src/routing/fleet_limits.rs
+++ b/crates/router/src/routing/fleet_limits.rs
@@ -212,8 +212,8 @@
         }
     }
 
-    /// Takes a token from a budget. Returns whether a token was available, which is always so if the budget
-    /// does not exist. The policy decrements its own values in the same way.
+    /// Takes a token from a budget. Returns true if a token was available, or if the budget does not exist.
+    /// The policy decrements its own values in the same way.
     pub fn spend_budget(&mut self, now: Time, budget: Budget) -> bool {
         let Some(key) = self.fleet.budget_key(budget) else { return true };
         let available = self.fleet.take_token(now, key);
@@ -249,8 +249,8 @@
         changes
     }
 
-    /// Returns the event with the present values of budgets and capacities, which include what was spent
-    /// since the event was queued.
+    /// Replaces the budgets and capacities in an event with their present values, which include what was
+    /// spent since the event was queued.
     pub fn refresh(&mut self, now: Time, event: Event) -> Event {
         match event {
             Event::Budgets { .. } => {
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -239,13 +239,13 @@
                 out.extend(self.endpoints.addr(member).map(Effect::CloseIdleConnections));
             }
             // Transport always keeps a watch open, which delivers every change. Polling the complete list
-            // would only add load on the discovery service, at the expense of the other routers that use it.
+            // would only delay the other routers that use the same discovery service.
             Action::WatchEndpoints | Action::PollEndpoints => {}
             Action::Log(line) => tracing::info!("{line}"),
         }
     }
 
-    /// Fires the timers that are due now. A timer that is set during this call waits for the next call, even
+    /// Fires the timers that are due now. A timer that is set while these fire waits for the next call, even
     /// if it is already due.
     fn fire_due_timers(&mut self, now: Time, out: &mut Vec<Effect>) {
         self.expire_leases(now, out);
--- a/crates/router/tests/routing/harness.rs
+++ b/crates/router/tests/routing/harness.rs
@@ -65,7 +65,7 @@
         (RouterHarness { router, now: START }, effects)
     }
 
-    /// Starts a router and serves its first health checks, so that it knows the primary.
+    /// Starts a router and serves its first health checks, so that its policy has identified the primary.
     pub fn ready() -> RouterHarness {
         let (mut harness, effects) = RouterHarness::start(Some(list(1, true, &both("active"))));
         for exchange in started_exchanges(&effects) {
