--- a/crates/router/tests/routing/endpoints.rs
+++ b/crates/router/tests/routing/endpoints.rs
@@ -33,23 +33,23 @@
     let may_write = |harness: &RouterHarness, member: u32| {
         harness.router.may_write(harness.now, ExchangeId::Probe(0), MemberId(member))
     };
-    harness.apply_list(list(2, false, &both("leaving")));
+    harness.apply_list(list(2, false, &both_members("leaving")));
     harness.advance_ms(999);
     assert!(may_write(&harness, 0));
-    harness.apply_list(list(3, false, &both("left")));
+    harness.apply_list(list(3, false, &both_members("left")));
     harness.advance_ms(1);
     assert!(!may_write(&harness, 0), "the grace period starts with the first announcement");
     assert!(may_write(&harness, 1));
-    harness.apply_list(list(4, false, &both("active")));
+    harness.apply_list(list(4, false, &both_members("active")));
     assert!(may_write(&harness, 0), "the member is back in service");
-    harness.apply_list(list(5, true, &both("active")[1..]));
+    harness.apply_list(list(5, true, &both_members("active")[1..]));
     harness.advance_ms(1000);
     assert!(!may_write(&harness, 0), "a member that a complete list lacks is removed");
 }
 
 /// Returns the connections that effects close because their process has exited: the address, and the time
 /// before which they were last used.
-fn closed(effects: &[Effect]) -> Vec<(String, Time)> {
+fn closed_connections(effects: &[Effect]) -> Vec<(String, Time)> {
     let closed = |effect: &Effect| match effect {
         Effect::CloseConnectionsIdleSince { addr, before } => Some((addr.to_string(), *before)),
         _ => None,
@@ -64,8 +64,12 @@
     restarted.servers[0].started_ms = START.0 / 1_000_000;
     // The list arrives 3 s after the start: connections that have been used since the start stay open.
     harness.advance_ms(3000);
-    assert_eq!(closed(&harness.apply_list(restarted.clone())), [(REPLICA.to_string(), START)]);
-    assert_eq!(closed(&harness.apply_list(restarted)), [], "connections are closed once for each start");
+    assert_eq!(closed_connections(&harness.apply_list(restarted.clone())), [(REPLICA.to_string(), START)]);
+    assert_eq!(
+        closed_connections(&harness.apply_list(restarted)),
+        [],
+        "connections are closed once for each start"
+    );
     let moved = list(3, false, &[member("s-1", NEW_ADDRESS, "active", "source")]);
-    assert_eq!(closed(&harness.apply_list(moved)), [(PRIMARY.to_string(), Time(u64::MAX))]);
+    assert_eq!(closed_connections(&harness.apply_list(moved)), [(PRIMARY.to_string(), Time(u64::MAX))]);
 }
--- a/crates/router/tests/routing/harness.rs
+++ b/crates/router/tests/routing/harness.rs
@@ -67,7 +67,7 @@
 
     /// Starts a router and serves its first health checks, so that its policy has identified the primary.
     pub fn ready() -> RouterHarness {
-        let (mut harness, effects) = RouterHarness::start(Some(list(1, true, &both("active"))));
+        let (mut harness, effects) = RouterHarness::start(Some(list(1, true, &both_members("active"))));
         for exchange in started_exchanges(&effects) {
             let query = &exchange.query;
             assert!(matches!(query, Query::HealthCheck("SHOW vitals")), "{query:?}");
@@ -123,8 +123,8 @@
     }
 
     /// Sends a client's request of a class now. Returns the effects.
-    pub fn send_request(&mut self, client: u64, class: &str, more: &str) -> Vec<Effect> {
-        self.input(request(client, statement(class, more), self.now))
+    pub fn send_request(&mut self, client: u64, class: &str, extra_fields: &str) -> Vec<Effect> {
+        self.input(request(client, statement(class, extra_fields), self.now))
     }
 
     /// Sends a client's request of a class, and returns the only exchange that it starts.
@@ -160,7 +160,7 @@
 }
 
 /// Returns the entries of the primary, in this state, and of the replica, in service.
-pub fn both(primary_state: &'static str) -> [Endpoint; 2] {
+pub fn both_members(primary_state: &'static str) -> [Endpoint; 2] {
     [member("s-1", PRIMARY, primary_state, "source"), member("s-2", REPLICA, "active", "copy")]
 }
 
--- a/crates/router/tests/routing/invariants.rs
+++ b/crates/router/tests/routing/invariants.rs
@@ -94,7 +94,7 @@
 }
 
 /// A router, and a model that checks each of its effects.
-struct Checked {
+struct CheckedRouter {
     harness: RouterHarness,
     /// The clients by number. As all requests are valid, the router gives them the same numbers.
     clients: BTreeMap<u64, Client>,
@@ -112,14 +112,14 @@
     }
 }
 
-impl Checked {
-    fn new() -> Checked {
+impl CheckedRouter {
+    fn new() -> CheckedRouter {
         let harness = RouterHarness::ready();
-        Checked { harness, clients: BTreeMap::new(), may_have_run: BTreeSet::new() }
+        CheckedRouter { harness, clients: BTreeMap::new(), may_have_run: BTreeSet::new() }
     }
 
     /// Executes a step. Returns its effects.
-    fn take(&mut self, step: Step) -> Vec<Effect> {
+    fn execute(&mut self, step: Step) -> Vec<Effect> {
         match step {
             Step::Request(class) => {
                 let class = CLASSES[class];
@@ -145,7 +145,7 @@
 
     /// Checks effects, and ends each exchange that they start with `result`. Returns the effects of these
     /// results.
-    fn check(
+    fn check_effects(
         &mut self,
         effects: Vec<Effect>,
         result: Option<&ExchangeResult>,
@@ -193,7 +193,7 @@
 
     /// Checks that every request has been replied to or abandoned, and that the tables hold no request.
     /// Called after enough time for all of them has passed.
-    fn check_end(&self) -> Result<(), TestCaseError> {
+    fn check_completed(&self) -> Result<(), TestCaseError> {
         for (number, client) in &self.clients {
             let settled = client.reply.is_some() || client.disconnected;
             prop_assert!(settled, "{} of client {} has no reply", client.class, number);
@@ -212,14 +212,14 @@
     fn every_request_gets_one_reply_and_writes_are_never_duplicated(
         steps in proptest::collection::vec((step(), exchange_result()), 1..120)
     ) {
-        let mut checked = Checked::new();
+        let mut checked = CheckedRouter::new();
         let drain = (0..200).map(|_| (Step::Advance(100), None));
         for (step, result) in steps.into_iter().chain(drain) {
-            let mut effects = checked.take(step);
+            let mut effects = checked.execute(step);
             while !effects.is_empty() {
-                effects = checked.check(effects, result.as_ref())?;
+                effects = checked.check_effects(effects, result.as_ref())?;
             }
         }
-        checked.check_end()?;
+        checked.check_completed()?;
     }
 }
