--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -1,4 +1,4 @@
-//! The handles that callers use: [`Runtime`] and [`Client`].
+//! The handles that callers use: [`Runtime`], a thread, and [`Client`], a client that the thread drives.
 
 use crate::config::Config;
 use crate::core::{Counters, TableSizes};
@@ -17,8 +17,8 @@
 /// Name of the thread that drives clients.
 const THREAD_NAME: &str = "basalthill-client";
 
-/// A thread that drives clients; it ends when the last handle to it is dropped. Programs with one client need
-/// not use it: [`Client::start`] starts a thread of the client's own.
+/// A handle to a thread that drives clients. The thread exits when its last handle and its last client are
+/// dropped. Programs with a single client don't need it: [`Client::start`] starts a thread for that client.
 #[derive(Clone)]
 pub struct Runtime(Arc<RuntimeHandle>);
 
@@ -32,22 +32,22 @@
     ///
     /// # Errors
     ///
-    /// If the operating system can't start one.
+    /// Returns an error if the operating system can't start a thread.
     pub fn start() -> io::Result<Runtime> {
         let (commands, receiver) = async_channel::unbounded();
         std::thread::Builder::new().name(THREAD_NAME.into()).spawn(move || driver::run(&receiver))?;
         Ok(Runtime(Arc::new(RuntimeHandle { commands, next_id: AtomicU64::new(1) })))
     }
 
-    /// A new client, driven by this thread.
+    /// Creates a client that is driven by this thread.
     pub fn client(&self, config: Config) -> Client {
         let id = ClientId(self.next_id());
         self.send(Command::AddClient { client: id, config });
         Client(Arc::new(ClientHandle { runtime: self.clone(), id }))
     }
 
-    /// Sends a command. If the thread is gone, the command's reply channel is dropped, which its receiver
-    /// finds out.
+    /// Sends a command to the thread. If the thread has exited, the command and its reply channel are
+    /// dropped, and the receiver of the reply gets an error.
     fn send(&self, command: Command) {
         let _ = self.0.commands.try_send(command);
     }
@@ -57,7 +57,8 @@
     }
 }
 
-/// A client of some routers. Clones are the same client; any thread may use it.
+/// A handle to a client of the routers in its [`Config`]. Clones are handles to the same client, and any
+/// thread may use them.
 #[derive(Clone)]
 pub struct Client(Arc<ClientHandle>);
 
@@ -73,16 +74,16 @@
 }
 
 impl Client {
-    /// A client with a thread of its own.
+    /// Creates a client with a thread of its own.
     ///
     /// # Errors
     ///
-    /// If the operating system can't start a thread.
+    /// Returns an error if the operating system can't start a thread.
     pub fn start(config: Config) -> io::Result<Client> {
         Ok(Runtime::start()?.client(config))
     }
 
-    /// Executes a request; the report comes by the request's deadline. Dropping the future cancels the
+    /// Executes a request. The future is ready by the request's deadline; dropping it earlier cancels the
     /// request.
     pub fn execute(&self, request: Request) -> impl Future<Output = RequestReport> + Send + 'static {
         let span = tracing::debug_span!("request", class = %request.class, group = request.group);
@@ -100,17 +101,17 @@
         }
     }
 
-    /// Executes a request and blocks this thread until it has its outcome.
+    /// Executes a request and blocks the calling thread until the request has its outcome.
     pub fn execute_blocking(&self, request: Request) -> RequestReport {
         future::block_on(self.execute(request))
     }
 
-    /// What the client has counted so far; zeros if its thread is gone.
+    /// Returns the client's counters; all are zero if its thread has exited.
     pub async fn counters(&self) -> Counters {
         self.inspect().await.counters
     }
 
-    /// The sizes of the client's tables, for tests; zeros if its thread is gone.
+    /// Returns the sizes of the client's tables, for tests; all are zero if its thread has exited.
     #[doc(hidden)]
     pub async fn table_sizes(&self) -> TableSizes {
         self.inspect().await.table_sizes
@@ -130,7 +131,8 @@
     }
 }
 
-/// A request in the hands of the thread. Dropping it before its report has come cancels the request.
+/// A request that was sent to the thread. Dropping the call before its report was received cancels the
+/// request.
 struct Call {
     client: Client,
     id: CallId,
--- a/crates/client/src/config.rs
+++ b/crates/client/src/config.rs
@@ -5,13 +5,15 @@
 
 /// Default of [`Config::max_connections_per_router`].
 const DEFAULT_MAX_CONNECTIONS_PER_ROUTER: usize = 32;
-/// Default of [`Config::retry_ratio`]: an overloaded tier sees 1.1 times its load in the long run.
+/// Default of [`Config::retry_ratio`]: if every request fails, the routers get on average 1.1 times the load
+/// that they would get without retries.
 const DEFAULT_RETRY_RATIO: f64 = 0.1;
 /// Default of [`Config::retry_budget_capacity`], in retries.
 const DEFAULT_RETRY_BUDGET_CAPACITY: f64 = 10.0;
 /// Default of [`Config::reconnect_spread`].
 const DEFAULT_RECONNECT_SPREAD: Duration = Duration::from_secs(1);
-/// Default of [`Config::idle_timeout`]: routers close idle connections after two seconds at the soonest.
+/// Default of [`Config::idle_timeout`]: shorter than the two seconds after which routers close idle
+/// connections at the earliest.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Default of [`Config::connection_lifetime`].
 const DEFAULT_CONNECTION_LIFETIME: Duration = Duration::from_secs(60);
@@ -20,36 +22,40 @@
 /// Default of [`Config::ejection_cooldown`].
 const DEFAULT_EJECTION_COOLDOWN: Duration = Duration::from_secs(1);
 
-/// How a client behaves.
+/// The settings of a client.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The routers; any of them can serve any request.
+    /// The addresses of the routers. Any router can serve any request.
     pub routers: Vec<SocketAddr>,
-    /// Upper limit of open connections to each router.
+    /// Upper limit of the number of connections to each router.
     pub max_connections_per_router: usize,
-    /// Retries that each request adds to the retry budget, as a fraction of one retry.
+    /// The fraction of a retry that each request adds to the retry budget.
     pub retry_ratio: f64,
     /// Upper limit of the retry budget, in retries.
     pub retry_budget_capacity: f64,
-    /// After a lost connection the next one is opened at a random moment within this time, and within half of
-    /// the time that the next waiting request has left.
+    /// Upper limit of the random delay before the next connection is opened after one was lost. The delay is
+    /// also at most half of the time that the first waiting request has left. While routers reject
+    /// connections because they are full, the limit is doubled up to three times.
     pub reconnect_spread: Duration,
-    /// A connection without a request for this long is closed. Routers close theirs after two seconds.
+    /// A connection that was idle for this long is closed. Routers close idle connections after two seconds,
+    /// so this should be shorter.
     pub idle_timeout: Duration,
-    /// A connection is replaced after about this long (half of it to one and a half times it), so that load
-    /// returns to routers that have come back.
+    /// A connection is closed after a random time between 0.5 and 1.5 times this, as soon as it is idle, so
+    /// that load returns to routers that were restarted.
     pub connection_lifetime: Duration,
-    /// A connection that has not completed its startup within this time has failed.
+    /// A connection that has not completed its startup within this time is closed and counts as failed.
     pub connect_timeout: Duration,
-    /// How long a router is ejected when its circuit breaker opens for the first time; doubled each time that
-    /// it fails again.
+    /// How long a router is ejected when its circuit breaker opens, multiplied by a random factor between 0.5
+    /// and 1.5. Doubled with each further ejection, up to four times, until a connection completes its
+    /// startup.
     pub ejection_cooldown: Duration,
-    /// Seed of the client's random numbers: two clients with the same seed make the same draws.
+    /// Seed of the client's random numbers. Clients with the same seed generate the same sequence.
     pub seed: u64,
 }
 
 impl Config {
-    /// The defaults for these routers, with a seed made of the time and the process's id.
+    /// Returns the default settings for these routers, with a seed made of the current time and the process
+    /// id.
     pub fn new(routers: impl Into<Vec<SocketAddr>>) -> Config {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let process = u64::from(std::process::id());
--- a/crates/client/src/driver/connection.rs
+++ b/crates/client/src/driver/connection.rs
@@ -1,4 +1,4 @@
-//! One connection's socket: the queue of bytes to write, and the task that connects, reads and writes.
+//! The socket of one connection, its queue of unwritten bytes, and the task that connects, reads and writes.
 
 use super::{wake, ClientDriver};
 use crate::core::{ConnectionId, DisconnectReason};
@@ -15,40 +15,42 @@
 /// Size of the read buffer, in bytes.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// A connection's socket, and what is to be written to it.
+/// A connection's socket and its queue of unwritten bytes.
 #[derive(Default)]
 pub(super) struct Connection {
-    /// The socket while it is up; its task ends once it finds none.
+    /// The socket while it is open. The connection's task ends when it finds no socket here.
     stream: RefCell<Option<Rc<Async<TcpStream>>>>,
+    /// Messages that were not yet handed to the operating system, in order.
     unwritten: RefCell<VecDeque<UnwrittenMessage>>,
     /// Wakes the connection's task when there is something to write, or the connection was closed.
     task_waker: RefCell<Option<Waker>>,
 }
 
-/// Bytes to be written.
+/// A message of which some bytes were not yet handed to the operating system.
 struct UnwrittenMessage {
     bytes: Vec<u8>,
-    /// Number of bytes that were written.
+    /// Number of bytes that were handed to the operating system.
     written: usize,
-    /// No byte may be written after this.
+    /// No byte may be written at or after this time.
     deadline: Option<Instant>,
 }
 
 impl Connection {
-    /// Whether the socket is up.
+    /// Returns whether the socket is open.
     pub(super) fn is_open(&self) -> bool {
         self.stream.borrow().is_some()
     }
 
-    /// Whether the socket has nothing to read: no bytes, no end, no error. True before it is up.
-    pub(super) fn is_quiet(&self) -> bool {
+    /// Returns whether the socket has nothing to read: no bytes, no end of the stream and no error. Also
+    /// returns true if the socket is not open.
+    pub(super) fn has_no_pending_input(&self) -> bool {
         let stream = self.stream.borrow();
         let Some(stream) = stream.as_ref() else { return true };
         matches!(stream.get_ref().peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Writes bytes as far as the operating system takes them at once, and leaves the rest to the task.
-    /// Returns how many bytes were written.
+    /// Writes as many bytes as the operating system accepts without blocking, and leaves the rest to the
+    /// connection's task. Returns how many bytes were written, including those queued earlier.
     pub(super) fn write(&self, bytes: Vec<u8>, deadline: Option<Instant>) -> usize {
         self.unwritten.borrow_mut().push_back(UnwrittenMessage { bytes, written: 0, deadline });
         let written = self.flush();
@@ -58,18 +60,18 @@
         written
     }
 
-    /// Shuts the socket down.
+    /// Closes the socket in both directions and wakes the connection's task, which then ends.
     pub(super) fn close(&self) {
         if let Some(stream) = self.stream.borrow_mut().take() {
-            // It may have ended by itself.
+            // This fails if the router has already closed the connection.
             let _ = stream.get_ref().shutdown(Shutdown::Both);
         }
         wake(&self.task_waker);
     }
 
-    /// Writes what there is to write, up to each message's deadline; a message past it is dropped, with all
-    /// that follow. Returns how many bytes were written. An error is left to the reading side, which finds
-    /// how the connection ended.
+    /// Writes unwritten messages until the operating system accepts no more. A message whose deadline has
+    /// passed is dropped together with all that follow it. Returns how many bytes were written. Errors are
+    /// not handled here: the next read returns them.
     fn flush(&self) -> usize {
         let stream = self.stream.borrow();
         let Some(stream) = stream.as_ref() else { return 0 };
@@ -96,7 +98,7 @@
         total
     }
 
-    /// Waits until there is something to write and the socket takes it, or the connection was closed.
+    /// Waits until there are unwritten messages and the socket is writable, or the connection was closed.
     async fn writable(&self, stream: &Async<TcpStream>) {
         future::poll_fn(|context| {
             if self.unwritten.borrow().is_empty() && self.is_open() {
@@ -108,21 +110,21 @@
         })
         .await;
         if self.is_open() {
-            // An error is found by the next read.
+            // An error is also returned by the next read, which handles it.
             let _ = stream.writable().await;
         }
     }
 }
 
-/// What a connection's task has waited for.
+/// An event that a connection's task waits for.
 enum SocketEvent {
-    /// So many bytes were read, none at the end of the stream.
+    /// The number of bytes read, 0 at the end of the stream.
     Read(io::Result<usize>),
-    /// There is something to write, or the connection was closed.
+    /// There are unwritten messages and the socket is writable, or the connection was closed.
     Writable,
 }
 
-/// A connection from its connect to its end.
+/// Runs the task of a connection: connects, then reads and writes until the connection is closed.
 pub(super) async fn run(
     driver: Rc<ClientDriver>,
     connection: Rc<Connection>,
@@ -139,10 +141,10 @@
             return driver.report_disconnected(id, reason);
         }
     };
-    // Without it, statements are only slower.
+    // A failure is ignored: without TCP_NODELAY, statements may be delayed but are still sent.
     let _ = stream.get_ref().set_nodelay(true);
-    let was_closed_meanwhile = !driver.connections.borrow().contains_key(&id);
-    if was_closed_meanwhile {
+    let was_closed_while_connecting = !driver.connections.borrow().contains_key(&id);
+    if was_closed_while_connecting {
         return;
     }
     *connection.stream.borrow_mut() = Some(Rc::clone(&stream));
@@ -176,7 +178,8 @@
 }
 
 impl ClientDriver {
-    /// Reports the end of a connection that was not closed by the core. Called by the connection's own task.
+    /// Reports to the core that a connection was lost or could not be opened. Called by the connection's
+    /// task, unless the core has closed the connection.
     fn report_disconnected(self: &Rc<ClientDriver>, id: ConnectionId, reason: DisconnectReason) {
         if let Some(connection) = self.connections.borrow_mut().remove(&id) {
             connection.stream.borrow_mut().take();
--- a/crates/client/src/driver/mod.rs
+++ b/crates/client/src/driver/mod.rs
@@ -1,5 +1,5 @@
-//! The thread that drives clients: it takes callers' commands, reports sockets' events and time to each
-//! client's [`Core`], and carries out the core's actions.
+//! The thread that drives clients. It receives callers' commands, reports socket events and timeouts to each
+//! client's [`Core`], and executes the core's actions.
 
 mod connection;
 
@@ -19,38 +19,38 @@
 use std::task::{Poll, Waker};
 use std::time::Instant;
 
-/// A client, in commands.
+/// The id of a client, unique within its thread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ClientId(pub(crate) u64);
 
-/// A request, in commands.
+/// The id of a call of [`Client::execute`](crate::Client::execute), unique within its thread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct CallId(pub(crate) u64);
 
-/// What handles send to the thread.
+/// A command from a handle to the thread.
 pub(crate) enum Command {
-    /// A client begins.
+    /// Creates a client.
     AddClient { client: ClientId, config: Config },
-    /// A request is to be executed.
+    /// Executes a request and sends its report to `reply`.
     Execute { client: ClientId, call: CallId, request: Request, reply: Sender<RequestReport> },
-    /// A request's caller does not wait any longer.
+    /// Cancels a request whose caller no longer waits for it.
     Cancel { client: ClientId, call: CallId },
-    /// The client's counters and sizes are wanted.
+    /// Sends the client's counters and table sizes to `reply`.
     Inspect { client: ClientId, reply: Sender<Inspection> },
-    /// The last handle of a client was dropped.
+    /// Stops a client whose last handle was dropped.
     RemoveClient { client: ClientId },
 }
 
-/// A look at a client's state.
+/// A snapshot of a client's counters and table sizes.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Inspection {
-    /// What it has counted.
+    /// The client's counters.
     pub(crate) counters: Counters,
-    /// The sizes of its tables.
+    /// The sizes of the client's tables.
     pub(crate) table_sizes: TableSizes,
 }
 
-/// Drives clients until all senders of commands are dropped.
+/// Drives clients until all senders of `commands` are dropped.
 pub(crate) fn run(commands: &Receiver<Command>) {
     let executor = Rc::new(LocalExecutor::new());
     let mut clients = Clients { executor: Rc::clone(&executor), by_id: BTreeMap::new() };
@@ -67,7 +67,7 @@
     by_id: BTreeMap<ClientId, RunningClient>,
 }
 
-/// A client, and the task that lets its core's time pass; the task ends when it is dropped.
+/// A client's driver and its timer task. Dropping the task cancels it.
 struct RunningClient {
     driver: Rc<ClientDriver>,
     timer: Task<()>,
@@ -78,7 +78,7 @@
         match command {
             Command::AddClient { client, config } => {
                 let driver = Rc::new(ClientDriver::new(config, Rc::clone(&self.executor)));
-                let timer = self.executor.spawn(drive_time(Rc::clone(&driver)));
+                let timer = self.executor.spawn(run_timer(Rc::clone(&driver)));
                 self.by_id.insert(client, RunningClient { driver, timer });
             }
             Command::Execute { client, call, request, reply } => {
@@ -93,7 +93,7 @@
             }
             Command::Inspect { client, reply } => {
                 if let Some(client) = self.by_id.get(&client) {
-                    // The caller may have stopped waiting.
+                    // This fails if the caller has stopped waiting.
                     let _ = reply.try_send(client.driver.inspect());
                 }
             }
@@ -107,22 +107,22 @@
     }
 }
 
-/// A caller who waits for a report.
+/// A caller that waits for a report.
 struct Caller {
     call: CallId,
     reply: Sender<RequestReport>,
 }
 
-/// One client on the thread. Its tasks share it; no borrow of a cell lasts over an `await`.
+/// The driver of one client, shared by the client's tasks. No borrow of a cell may be held across an `await`.
 struct ClientDriver {
     core: RefCell<Core>,
     executor: Rc<LocalExecutor<'static>>,
     connections: RefCell<BTreeMap<ConnectionId, Rc<Connection>>>,
     callers: RefCell<BTreeMap<RequestId, Caller>>,
     requests_by_call: RefCell<BTreeMap<CallId, RequestId>>,
-    /// Wakes the timer task when an earlier timeout was set.
+    /// Wakes the timer task when the core's next timeout is earlier than the one it waits for.
     timer_waker: RefCell<Option<Waker>>,
-    /// The timeout that the timer task waits for.
+    /// The timeout that the timer task waits for; `None` if the core had none.
     awaited_timeout: Cell<Option<Instant>>,
 }
 
@@ -165,7 +165,8 @@
         self.perform_actions();
     }
 
-    /// Carries out the core's actions until there are no more.
+    /// Executes the core's actions until there are no more, then wakes the timer task if the core's next
+    /// timeout has become earlier.
     fn perform_actions(self: &Rc<ClientDriver>) {
         loop {
             let Some(action) = self.core.borrow_mut().poll_action() else { break };
@@ -193,10 +194,10 @@
 
     fn write(&self, id: ConnectionId, bytes: Vec<u8>, deadline: Option<Instant>) {
         let Some(connection) = self.connections.borrow().get(&id).cloned() else { return };
-        // A connection that has ended, or that has something to read, is found out before a statement is
-        // written to it: then the statement is known not to have run.
+        // Before a statement is written, the socket is checked for the end of the stream and for unexpected
+        // input. If the connection is closed here, the statement is known not to have run and can be retried.
         let is_statement = deadline.is_some();
-        if is_statement && !connection.is_quiet() {
+        if is_statement && !connection.has_no_pending_input() {
             self.close(id);
             let mut core = self.core.borrow_mut();
             return core.handle_disconnected(Instant::now(), id, DisconnectReason::Other);
@@ -207,7 +208,8 @@
         }
     }
 
-    /// Closes a connection's socket. The connection's task ends by itself: it may be the one that runs now.
+    /// Closes a connection's socket. The connection's task is not cancelled here, since it may be the caller;
+    /// it ends when it finds the socket closed.
     fn close(&self, id: ConnectionId) {
         if let Some(connection) = self.connections.borrow_mut().remove(&id) {
             connection.close();
@@ -218,29 +220,29 @@
         record_metrics(&report);
         if let Some(caller) = self.callers.borrow_mut().remove(&request) {
             self.requests_by_call.borrow_mut().remove(&caller.call);
-            // The caller may have stopped waiting.
+            // This fails if the caller has stopped waiting.
             let _ = caller.reply.try_send(report);
         }
     }
 }
 
-/// Lets a core's time pass.
-async fn drive_time(driver: Rc<ClientDriver>) {
+/// Runs the timer task of a client: reports each timeout to the core when it is due.
+async fn run_timer(driver: Rc<ClientDriver>) {
     loop {
         let awaited = driver.core.borrow().next_timeout();
         driver.awaited_timeout.set(awaited);
-        future::or(sleep_until(awaited), earlier_timeout(&driver, awaited)).await;
+        future::or(sleep_until(awaited), wait_for_earlier_timeout(&driver, awaited)).await;
         let is_due = driver.core.borrow().next_timeout().is_some_and(|due| due <= Instant::now());
         if is_due {
             driver.core.borrow_mut().handle_timeout(Instant::now());
             driver.perform_actions();
-            // A timeout in the past must not keep the thread to itself.
+            // Lets other tasks run, should the core's next timeout be in the past, too.
             future::yield_now().await;
         }
     }
 }
 
-/// Waits for a time, forever without one.
+/// Waits until `time`, or forever if it is `None`.
 async fn sleep_until(time: Option<Instant>) {
     match time {
         Some(time) => {
@@ -250,8 +252,8 @@
     }
 }
 
-/// Waits until the core has an earlier timeout than the awaited one.
-async fn earlier_timeout(driver: &ClientDriver, awaited: Option<Instant>) {
+/// Waits until the core's next timeout is earlier than `awaited`.
+async fn wait_for_earlier_timeout(driver: &ClientDriver, awaited: Option<Instant>) {
     future::poll_fn(|context| {
         let next = driver.core.borrow().next_timeout();
         if next.is_some() && (awaited.is_none() || next < awaited) {
@@ -263,16 +265,16 @@
     .await;
 }
 
-/// Wakes the task that waits in a cell, if one does.
+/// Wakes the task whose waker is stored in `waker`, if there is one.
 fn wake(waker: &RefCell<Option<Waker>>) {
     if let Some(waker) = waker.borrow_mut().take() {
         waker.wake();
     }
 }
 
-/// Reports a request to the metrics recorder that the program has installed.
+/// Records a completed request with the metrics recorder that the program has installed.
 fn record_metrics(report: &RequestReport) {
-    let end = match &report.outcome {
+    let outcome_label = match &report.outcome {
         RequestOutcome::Served(_) => "served",
         RequestOutcome::Rejected(_) => "refused",
         RequestOutcome::DeadlineExceeded => "late",
@@ -281,7 +283,7 @@
         RequestOutcome::Invalid(_) => "invalid",
         RequestOutcome::Stopped => "stopped",
     };
-    metrics::counter!("basalthill_client_requests_total", "end" => end).increment(1);
+    metrics::counter!("basalthill_client_requests_total", "end" => outcome_label).increment(1);
     metrics::counter!("basalthill_client_tries_total").increment(report.attempts.len() as u64);
     metrics::histogram!("basalthill_client_request_seconds").record(report.elapsed.as_secs_f64());
 }
--- a/crates/client/src/outcome.rs
+++ b/crates/client/src/outcome.rs
@@ -1,69 +1,70 @@
-//! How requests and their attempts ended, as reported to callers.
+//! The outcomes of requests and attempts, as reported to callers.
 
 use crate::request::InvalidRequest;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Classes of SQLSTATEs that find fault with the statement itself: protocol violation, data exception, syntax
-/// error or access rule violation, feature not supported. Such a statement has not run, and would be as
-/// invalid at any other router.
+/// Prefixes of the SQLSTATEs that mean that the statement itself is invalid: protocol violation (08P), data
+/// exception (22), syntax error or access rule violation (42), feature not supported (0A). Such a statement
+/// has not run, and any other router would reject it, too.
 const STATEMENT_ERROR_CLASSES: [&str; 4] = ["08P", "22", "42", "0A"];
 
-/// How a request ended.
+/// The outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-#[must_use = "MayHaveRun obliges the caller to look"]
+#[must_use = "after `MayHaveRun`, the caller must check whether the request has run before repeating it"]
 pub enum RequestOutcome {
-    /// The value; `None` if it is null.
+    /// The request has run. Carries the value; `None` if it is null.
     Served(Option<Vec<u8>>),
-    /// Rejected, and nothing has run. The request may be sent again, not sooner than after the Retry-After
-    /// time, if the routers gave one.
+    /// The request was rejected or could not be sent, and it has not run. It may be sent again, but not
+    /// before the Retry-After time, if there is one, has passed.
     Rejected(Option<Duration>),
-    /// The deadline has passed, or too little time is left for an attempt. Nothing has run, or a repeat does
-    /// no harm.
+    /// The deadline has passed, or too little time is left for an attempt. Either the request has not run, or
+    /// it is idempotent.
     DeadlineExceeded,
-    /// It failed, and a repeat does no harm.
+    /// The request failed. It may have run, but it is idempotent.
     Failed,
-    /// It is not known whether the request has run, or it may yet run. Never send it again without having
-    /// looked.
+    /// The request may have run, or may still run, and it is not idempotent. It must not be sent again unless
+    /// the caller has checked that it has not run.
     MayHaveRun,
-    /// The request is not valid, and nothing has run.
+    /// The request is invalid and has not run.
     Invalid(InvalidRequest),
-    /// The client was stopped before anything was sent.
+    /// The client was stopped. The request has not run, or it is idempotent.
     Stopped,
 }
 
 /// How much of a statement was handed to the operating system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteProgress {
-    /// Nothing.
+    /// None of it.
     Unsent,
-    /// A part: a router does not run it.
+    /// A part of it. Routers don't run incomplete statements.
     Partial,
     /// All of it.
     Complete,
 }
 
-/// How one attempt ended.
+/// The outcome of one attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Served.
+    /// The router returned a row without an error.
     Served,
-    /// Rejected, with the Retry-After time if there was one.
+    /// The router rejected the statement without running it. Carries the Retry-After time, if there was one.
     Rejected(Option<Duration>),
-    /// Any other error, by its SQLSTATE.
+    /// The response is any other error. Carries its SQLSTATE.
     Error(String),
-    /// The router announced (57P01) that it closes the connection and has read nothing more from it.
+    /// The router announced with 57P01 that it closes the connection and has not read the statement.
     CloseNotice,
-    /// The connection ended.
+    /// The connection was lost before the response was complete.
     Closed(WriteProgress),
     /// The response could not be decoded.
     MalformedResponse,
-    /// Ended by this side: at the deadline, or because the caller cancelled the request.
+    /// The client abandoned the attempt: at the deadline, because the caller cancelled the request, or
+    /// because the client was stopped.
     Abandoned(WriteProgress),
 }
 
 impl AttemptOutcome {
-    /// Whether it proves that the statement has not run and will not run.
+    /// Returns whether this outcome proves that the statement has not run and will not run.
     pub fn proves_not_run(&self) -> bool {
         match self {
             AttemptOutcome::Rejected(_) | AttemptOutcome::CloseNotice => true,
@@ -75,7 +76,8 @@
         }
     }
 
-    /// Whether a router may have read the statement. Only such attempts cost retry budget.
+    /// Returns whether a router may have read the statement. Only retries of such attempts use the retry
+    /// budget.
     pub(crate) fn may_have_reached_router(&self) -> bool {
         match self {
             AttemptOutcome::Closed(progress) | AttemptOutcome::Abandoned(progress) => {
@@ -90,7 +92,7 @@
     }
 }
 
-/// Whether a SQLSTATE finds fault with the statement itself.
+/// Returns whether a SQLSTATE means that the statement itself is invalid.
 pub(crate) fn is_statement_error(code: &str) -> bool {
     STATEMENT_ERROR_CLASSES.iter().any(|class| code.starts_with(class))
 }
@@ -98,29 +100,29 @@
 /// The record of one attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptRecord {
-    /// The router it was sent to.
+    /// The router that the statement was sent to.
     pub router: SocketAddr,
-    /// When it was sent.
+    /// When the attempt was started.
     pub started_at: Instant,
-    /// How long it took.
+    /// The time from the start to the outcome.
     pub elapsed: Duration,
-    /// How it ended.
+    /// The outcome of the attempt.
     pub outcome: AttemptOutcome,
 }
 
-/// How a request ended, and what led to it.
+/// The outcome of a request with its attempts.
 #[derive(Clone, Debug)]
 pub struct RequestReport {
-    /// How the request ended.
+    /// The outcome of the request.
     pub outcome: RequestOutcome,
-    /// Its attempts, in order.
+    /// The attempts, in the order in which they were started.
     pub attempts: Vec<AttemptRecord>,
-    /// The time from submission to this outcome.
+    /// The time from the submission of the request to its outcome.
     pub elapsed: Duration,
 }
 
 impl RequestReport {
-    /// The report of a request without any attempt.
+    /// Returns the report of a request that had no attempt.
     pub(crate) fn without_attempts(outcome: RequestOutcome) -> RequestReport {
         RequestReport { outcome, attempts: Vec::new(), elapsed: Duration::ZERO }
     }
--- a/crates/client/src/protocol.rs
+++ b/crates/client/src/protocol.rs
@@ -1,5 +1,5 @@
-//! The client's side of PostgreSQL's protocol version 3: encodes statements, and decodes the messages
-//! of a router.
+//! The client side of version 3 of PostgreSQL's protocol: encodes statements and decodes the messages of a
+//! router.
 
 use crate::request::{Operation, Request};
 use crate::session::SessionContext;
@@ -7,12 +7,12 @@
     error_fields, put_message, read_cstring, MessageBuffer, MessageHeader, ProtocolError, HEADER_LEN,
 };
 
-/// Upper limit of a message's body, in bytes: a value of 64 KiB in text form, which is twice as long, and its
-/// head.
+/// Upper limit of the length of a message's body, in bytes. A value of 64 KiB takes 128 KiB in text form, as
+/// hexadecimal digits; the rest is for the fields before it.
 const MAX_MESSAGE_BYTES: usize = 160 * 1024;
-/// Body of an Authentication message that asks for no password.
+/// Body of the AuthenticationOk message, with which the router requires no authentication.
 const AUTHENTICATION_OK: [u8; 4] = [0; 4];
-/// The parameter whose status messages carry a session's tokens.
+/// Name of the parameter whose ParameterStatus messages carry session tokens.
 const SESSION_TOKEN_PARAMETER: &[u8] = b"session_token";
 /// Severity of an ErrorResponse after which the connection stays open.
 const SEVERITY_ERROR: &[u8] = b"ERROR";
@@ -26,17 +26,17 @@
 /// SQLSTATE `admin_shutdown`: the router closes this connection.
 pub(crate) const ADMIN_SHUTDOWN: &str = "57P01";
 
-/// Whether a SQLSTATE means that the router rejected what was sent, without having run any of it.
+/// Returns whether a SQLSTATE means that the router rejected a connection or a statement without running it.
 pub(crate) fn is_rejection(code: &str) -> bool {
     code == TOO_MANY_CONNECTIONS || code == CANNOT_CONNECT_NOW
 }
 
-/// A message from a router that bears on a request or on its connection's state.
+/// A message from a router that affects a request or the state of its connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ServerMessage {
     /// ReadyForQuery.
     ReadyForQuery,
-    /// ParameterStatus with a session's token.
+    /// ParameterStatus with a session token.
     SessionToken(String),
     /// RowDescription.
     RowDescription,
@@ -59,13 +59,13 @@
     pub(crate) is_fatal: bool,
     /// The SQLSTATE.
     pub(crate) code: String,
-    /// The message for people.
+    /// The human-readable message.
     pub(crate) message: String,
-    /// The detail, if there is one; a Retry-After time in milliseconds in rejections.
+    /// The detail, if there is one. In rejections it is a Retry-After time in milliseconds.
     pub(crate) detail: Option<String>,
 }
 
-/// Turns the bytes of one connection into messages.
+/// Decodes the bytes received on one connection into messages.
 #[derive(Debug, Default)]
 pub(crate) struct MessageDecoder {
     buffer: MessageBuffer,
@@ -77,11 +77,12 @@
         self.buffer.extend(bytes);
     }
 
-    /// The next message that matters to the client; `None` until more bytes are received.
+    /// Returns the next message that the client handles, or `None` if it was not received completely. Skips
+    /// other messages.
     ///
     /// # Errors
     ///
-    /// If the bytes are no message that a router may send.
+    /// Returns an error if the bytes are not a message that a router may send.
     pub(crate) fn next_message(&mut self) -> Result<Option<ServerMessage>, ProtocolError> {
         loop {
             let Some(MessageHeader { kind, body_len }) = self.buffer.message_header(MAX_MESSAGE_BYTES)?
@@ -98,7 +99,7 @@
     }
 }
 
-/// Decodes a message by its type; `None` if it doesn't matter to the client.
+/// Decodes the body of a message of type `kind`. Returns `None` if the client ignores messages of this type.
 fn decode(kind: u8, body: &[u8]) -> Result<Option<ServerMessage>, ProtocolError> {
     let malformed = || ProtocolError::MalformedMessage(kind);
     let message = match kind {
@@ -133,7 +134,8 @@
     Some(ParameterStatus { name, value })
 }
 
-/// Decodes a row of one column: a count of 1, the value's length or -1 for null, the value.
+/// Decodes the body of a DataRow with one column: the column count 1, the value's length or -1 for null, and
+/// the value.
 fn decode_row(body: &[u8]) -> Option<ColumnValue> {
     let (&[0, 1, a, b, c, d], value) = body.split_first_chunk::<6>()? else { return None };
     match i32::from_be_bytes([a, b, c, d]) {
@@ -162,18 +164,18 @@
 pub(crate) struct Statement<'a> {
     /// The request.
     pub(crate) request: &'a Request,
-    /// The attempt's id.
+    /// The id of the attempt.
     pub(crate) attempt_id: u64,
     /// Time left until the deadline, in milliseconds.
     pub(crate) remaining_ms: u64,
     /// Whether there was an earlier attempt.
     pub(crate) is_retry: bool,
-    /// The session that the request belongs to; empty if to none.
+    /// The name and tokens of the request's session; empty if it has none.
     pub(crate) session: &'a SessionContext,
 }
 
 impl Statement<'_> {
-    /// Encodes a Query message: the SQL and, in a comment, what routers need to know.
+    /// Encodes the Query message: the SQL statement, followed by a comment with the fields for routers.
     pub(crate) fn encode(&self) -> Vec<u8> {
         let mut message = Vec::with_capacity(STATEMENT_CAPACITY);
         put_message(&mut message, b'Q', |out| {
--- a/crates/client/src/request.rs
+++ b/crates/client/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests as callers build them, and the checks made before anything is sent.
+//! Requests as callers build them, and their validation before anything is sent.
 
 use crate::session::Session;
 use std::time::{Duration, Instant};
@@ -6,26 +6,26 @@
 /// Upper limit of a value's length, in bytes.
 pub const MAX_VALUE_BYTES: usize = 64 * 1024;
 
-/// Time that a new request has, unless the caller sets a deadline.
+/// Time from the creation of a request to its deadline, unless the caller sets a deadline.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// SQLSTATE `invalid_parameter_value`, for requests that are rejected before anything is sent.
+/// SQLSTATE `invalid_parameter_value`, the code of requests that are invalid and not sent.
 const INVALID_PARAMETER_VALUE: &str = "22023";
 
-/// Whether a request may be sent again after an attempt with an uncertain outcome.
+/// Whether a request may be sent again after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Running it twice does no harm.
+    /// Running the request twice has the same effect as running it once.
     Idempotent,
-    /// Its key is an idempotency key: the group drops repeats for this long, counted from the start of the
-    /// first attempt that may have run.
+    /// The request's key is an idempotency key: the group drops repeats for this long, counted from the start
+    /// of the first attempt that may have run.
     Keyed(Duration),
-    /// It must never run twice.
+    /// The request must never run twice.
     NonIdempotent,
 }
 
-/// How much of the retry budget a request may use: when the budget runs low, requests of the lowest priority
-/// are the first without retries.
+/// How much of the retry budget a request may use. When the budget runs low, requests of the lowest priority
+/// are the first that are not retried.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
     /// The upper quarter of the budget.
@@ -42,35 +42,35 @@
 pub enum Operation {
     /// Reads the value.
     Read,
-    /// Stores this value.
+    /// Stores the value that it carries.
     Write(Vec<u8>),
 }
 
-/// One request.
+/// A read or write of one key.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its class, as named in the routers' settings.
+    /// The request's class, as named in the routers' settings.
     pub class: String,
-    /// The group of databases that serves it.
+    /// The number of the group that stores the key.
     pub group: u32,
-    /// Its tenant; may be empty.
+    /// The request's tenant; may be empty.
     pub tenant: String,
     /// The key that is read or written.
     pub key: String,
-    /// What is done with the key.
+    /// Whether the key is read or written, and the value to write.
     pub operation: Operation,
-    /// The caller gets an outcome by this time, whatever happens.
+    /// The time by which the caller gets an outcome in any case.
     pub deadline: Instant,
-    /// Whether it may be sent again after an uncertain outcome.
+    /// Whether the request may be sent again after an attempt that may have run.
     pub idempotency: Idempotency,
-    /// How much of the retry budget it may use.
+    /// How much of the retry budget the request may use.
     pub priority: Priority,
-    /// The session whose tokens are sent along.
+    /// The session that the request belongs to; its tokens are sent with the request.
     pub session: Option<Session>,
 }
 
 impl Request {
-    /// An idempotent read, with a deadline one second from now.
+    /// Creates an idempotent read with a deadline one second from now.
     pub fn read(class: &str, group: u32, key: &str) -> Request {
         Request {
             class: class.into(),
@@ -85,7 +85,7 @@
         }
     }
 
-    /// A write that must never run twice, with a deadline one second from now.
+    /// Creates a non-idempotent write with a deadline one second from now.
     pub fn write(class: &str, group: u32, key: &str, value: &[u8]) -> Request {
         Request {
             operation: Operation::Write(value.into()),
@@ -99,7 +99,7 @@
         Request { tenant: tenant.into(), ..self }
     }
 
-    /// Sets the deadline to this long from now.
+    /// Sets the deadline to `timeout` from now.
     pub fn timeout(self, timeout: Duration) -> Request {
         Request { deadline: Instant::now() + timeout, ..self }
     }
@@ -109,7 +109,7 @@
         Request { deadline, ..self }
     }
 
-    /// Sets whether the request may be sent again after an uncertain outcome.
+    /// Sets whether the request may be sent again after an attempt that may have run.
     pub fn idempotency(self, idempotency: Idempotency) -> Request {
         Request { idempotency, ..self }
     }
@@ -124,7 +124,7 @@
         Request { session: Some(session.clone()), ..self }
     }
 
-    /// Checks what can be checked without a router.
+    /// Checks that the request can be encoded as a statement and that its value is not too long.
     pub(crate) fn validate(&self) -> Result<(), InvalidRequest> {
         if self.class.is_empty() || !fits_in_comment(&self.class) {
             return Err(InvalidRequest::Class(self.class.clone()));
@@ -144,24 +144,24 @@
     }
 }
 
-/// Whether a text can be a value in the statement's comment, whose syntax is `name=value,name=value`.
+/// Returns whether `text` can be a value in the statement's comment, whose syntax is `name=value,name=value`.
 fn fits_in_comment(text: &str) -> bool {
     text.bytes().all(|byte| byte.is_ascii_graphic() && !matches!(byte, b',' | b'=' | b'*' | b'/'))
 }
 
-/// Why a request can't be served by any router or host. It has not run.
+/// Why a request is invalid: no router or host can serve it. It has not run.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidRequest {
-    /// The class is empty, or has characters that the statement's comment can't carry.
+    /// The class is empty or has characters that can't be encoded in the statement's comment.
     #[error("{code}: class {0:?} can't stand in a comment", code = INVALID_PARAMETER_VALUE)]
     Class(String),
-    /// The tenant has characters that the statement's comment can't carry.
+    /// The tenant has characters that can't be encoded in the statement's comment.
     #[error("{code}: tenant {0:?} can't stand in a comment", code = INVALID_PARAMETER_VALUE)]
     Tenant(String),
-    /// The key has a zero byte.
+    /// The key contains a zero byte.
     #[error("{code}: a key must not contain a zero byte", code = INVALID_PARAMETER_VALUE)]
     ZeroByteInKey,
-    /// The value has this many bytes, more than [`MAX_VALUE_BYTES`].
+    /// The value is longer than [`MAX_VALUE_BYTES`]. Carries its length in bytes.
     #[error(
         "{code}: a value of {0} bytes; {max} at most",
         code = INVALID_PARAMETER_VALUE,
@@ -173,13 +173,13 @@
     Statement {
         /// The SQLSTATE.
         code: String,
-        /// The server's message, for people.
+        /// The human-readable message of the router or host.
         message: String,
     },
 }
 
 impl InvalidRequest {
-    /// The SQLSTATE; 22023 if nothing was sent.
+    /// Returns the SQLSTATE; 22023 if the request was not sent.
     pub fn code(&self) -> &str {
         match self {
             InvalidRequest::Statement { code, .. } => code,
--- a/crates/client/src/session.rs
+++ b/crates/client/src/session.rs
@@ -1,15 +1,16 @@
-//! Sessions: the tokens that routers hand out, stored and sent along with the session's next requests.
+//! Sessions. Routers issue session tokens with their responses; a session stores them and sends them with its
+//! next requests.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Upper limit of a session's requests in flight. Each response's token replaces those that its request sent
-/// along, so this bounds the number of tokens, too.
+/// Upper limit of a session's requests in flight. The token of a response replaces the tokens that were sent
+/// with its request, so this also limits the number of stored tokens.
 pub(crate) const MAX_IN_FLIGHT: usize = 8;
 
-/// First byte of an exported session: the version of its format.
+/// First byte of an exported session: the version of the format.
 const EXPORT_VERSION: u8 = 1;
 
-/// A session: its name and its tokens. Clones are the same session.
+/// A session: a name and the tokens received so far. Clones share one state.
 #[derive(Clone, Debug)]
 pub struct Session(Arc<Mutex<State>>);
 
@@ -20,16 +21,16 @@
     in_flight: usize,
 }
 
-/// What a request of a session sends along.
+/// The name and tokens that a request of a session sends in its statement.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct SessionContext {
-    /// The session's name; empty if the request's key names it.
+    /// The session's name; if it is empty, the request's key is the session's name.
     pub(crate) name: String,
-    /// The tokens to send along.
+    /// The stored tokens.
     pub(crate) tokens: Vec<String>,
 }
 
-/// Why a name or an exported session can't be used.
+/// Why a session name or an exported session is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidSession {
     /// The name has characters other than letters, digits and `-_.:@`.
@@ -38,27 +39,27 @@
     /// A token has characters other than letters, digits and `-_.:@`.
     #[error("session token {0:?} has characters other than letters, digits and any of -_.:@")]
     Token(String),
-    /// There are more tokens than a session can have.
+    /// There are more tokens than the eight that a session can have. Carries their number.
     #[error("a session of {0} tokens; {max} at most", max = MAX_IN_FLIGHT)]
     TooManyTokens(usize),
-    /// The bytes begin with another version of the format, or are empty.
+    /// The bytes are empty or begin with an unsupported version of the format.
     #[error("not an exported session of version {version}", version = EXPORT_VERSION)]
     Version,
-    /// The bytes end in the middle of a text, or before the name.
+    /// The bytes end within a string or before the name.
     #[error("an exported session that is cut off")]
     Truncated,
-    /// A text is not UTF-8.
+    /// A string is not UTF-8.
     #[error("an exported session with a text that is not UTF-8")]
     Encoding(#[from] std::string::FromUtf8Error),
 }
 
 impl Session {
-    /// A new session. Its name can have letters, digits and any of `-_.:@`; with an empty name, the key of
-    /// each request names the session.
+    /// Creates a session without tokens. The name may have letters, digits and any of `-_.:@`; if it is
+    /// empty, the key of each request is the session's name.
     ///
     /// # Errors
     ///
-    /// [`InvalidSession::Name`] if the name has any other character.
+    /// Returns [`InvalidSession::Name`] if the name has any other character.
     pub fn new(name: &str) -> Result<Session, InvalidSession> {
         Session::with_tokens(name, Vec::new())
     }
@@ -81,13 +82,13 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The session's name.
+    /// Returns the session's name.
     pub fn name(&self) -> String {
         self.state().name.clone()
     }
 
-    /// The bytes that another process needs to continue the session with [`Session::import`]. Requests in
-    /// flight are not covered.
+    /// Encodes the name and the stored tokens, with which another process can continue the session by calling
+    /// [`Session::import`]. Tokens of requests still in flight are not included.
     pub fn export(&self) -> Vec<u8> {
         let state = self.state();
         let mut bytes = vec![EXPORT_VERSION];
@@ -98,11 +99,12 @@
         bytes
     }
 
-    /// Continues an exported session.
+    /// Creates a session from the name and tokens of an exported session.
     ///
     /// # Errors
     ///
-    /// If the bytes are not the complete result of [`Session::export`].
+    /// Returns an error if the bytes can't be the result of [`Session::export`]. Bytes that were cut off
+    /// between two tokens are not detected.
     pub fn import(bytes: &[u8]) -> Result<Session, InvalidSession> {
         let Some((&EXPORT_VERSION, mut rest)) = bytes.split_first() else {
             return Err(InvalidSession::Version);
@@ -121,7 +123,8 @@
         Session::with_tokens(&name, texts)
     }
 
-    /// Takes one of the session's places for requests in flight; `None` while there is none.
+    /// Occupies one of the session's [`MAX_IN_FLIGHT`] slots and returns what the request must send; returns
+    /// `None` if no slot is free.
     pub(crate) fn start_request(&self) -> Option<SessionContext> {
         let mut state = self.state();
         if state.in_flight >= MAX_IN_FLIGHT {
@@ -131,8 +134,9 @@
         Some(SessionContext { name: state.name.clone(), tokens: state.tokens.clone() })
     }
 
-    /// Stores a token received by a request that had sent along the tokens in `sent`: it covers and replaces
-    /// them. The request's next token then covers this one.
+    /// Stores a token received by a request whose statement carried the tokens in `sent`. The token covers
+    /// those and replaces them. Then sets `sent` to the new token, so that the request's next token replaces
+    /// it.
     pub(crate) fn store_token(&self, sent: &mut Vec<String>, token: String) {
         if !is_valid_text(&token) {
             return;
@@ -143,20 +147,20 @@
         *sent = vec![token];
     }
 
-    /// Returns a request's place.
+    /// Frees the slot of a request.
     pub(crate) fn finish_request(&self) {
         let mut state = self.state();
         state.in_flight = state.in_flight.saturating_sub(1);
     }
 
-    /// The stored tokens, for tests.
+    /// Returns the stored tokens, for tests.
     #[doc(hidden)]
     pub fn tokens(&self) -> Vec<String> {
         self.state().tokens.clone()
     }
 }
 
-/// Whether a name or token can be a value in the statement's comment.
+/// Returns whether a name or token can be a value in the statement's comment.
 fn is_valid_text(text: &str) -> bool {
     text.bytes().all(|byte| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.' | b':' | b'@'))
 }
