--- a/crates/wire/src/buffer.rs
+++ b/crates/wire/src/buffer.rs
@@ -1,28 +1,29 @@
-//! Received bytes, up to the messages that they make up.
+//! A buffer of received bytes, from which complete messages are taken.
 
 use crate::error::ProtocolError;
 
-/// Bytes of a message before its body: the type and the length field.
+/// Length of a message's header, in bytes: the type and the length field.
 pub const HEADER_LEN: usize = 5;
-/// Bytes of the length field, which counts itself and the body.
+/// Length of the length field, in bytes. Its value counts itself and the body.
 const LENGTH_FIELD_LEN: usize = 4;
-/// Bytes of memory that an empty buffer keeps for the next messages.
+/// Upper limit of the memory that an empty buffer keeps allocated, in bytes. Also the number of consumed
+/// bytes from which on they are removed from a buffer that is not empty.
 const RETAINED_CAPACITY: usize = 4096;
 
-/// The header of a message that has arrived in full.
+/// The header of a message that was received completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MessageHeader {
-    /// The message's type.
+    /// The message's type byte.
     pub kind: u8,
-    /// Bytes of its body, which follows [`HEADER_LEN`] bytes of header.
+    /// Length of the body in bytes. The body follows the [`HEADER_LEN`] bytes of the header.
     pub body_len: usize,
 }
 
-/// Bytes received and not consumed yet.
+/// A buffer of bytes that were received and not yet consumed.
 #[derive(Debug, Default)]
 pub struct MessageBuffer {
     bytes: Vec<u8>,
-    /// Bytes at the front that have been consumed.
+    /// Number of bytes at the front that are already consumed.
     consumed: usize,
 }
 
@@ -34,27 +35,29 @@
             self.bytes.drain(..self.consumed);
             self.consumed = 0;
         }
-        // Grown to what is needed, not to twice that: many clients may be sending long statements at once.
+        // Allocates only what is needed, since doubling the capacity would cost much memory when many clients
+        // send long statements at the same time.
         self.bytes.reserve_exact(bytes.len());
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// How many bytes are not consumed.
+    /// Returns the number of bytes that are not consumed.
     pub fn len(&self) -> usize {
         self.bytes.len() - self.consumed
     }
 
-    /// Whether all bytes are consumed.
+    /// Returns whether all bytes are consumed.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The bytes that are not consumed.
+    /// Returns the bytes that are not consumed.
     pub fn unread(&self) -> &[u8] {
         &self.bytes[self.consumed..]
     }
 
-    /// Marks `len` bytes at the front as consumed, and gives memory back once all are.
+    /// Marks the next `len` bytes as consumed. Once all bytes are consumed, memory above the retained
+    /// capacity is freed.
     pub fn consume(&mut self, len: usize) {
         self.consumed = (self.consumed + len).min(self.bytes.len());
         if self.consumed == self.bytes.len() {
@@ -64,12 +67,12 @@
         }
     }
 
-    /// The header of the next message; none until the message has arrived in full.
+    /// Returns the header of the next message, or `None` if the message was not received completely.
     ///
     /// # Errors
     ///
-    /// [`ProtocolError::MessageLength`] if the length field does not cover itself, or the body is longer than
-    /// `max_body_len`. That is known as soon as the header has arrived.
+    /// Returns [`ProtocolError::MessageLength`] if the length field is below its own length or the body is
+    /// longer than `max_body_len`. This is detected as soon as the header was received.
     pub fn message_header(&self, max_body_len: usize) -> Result<Option<MessageHeader>, ProtocolError> {
         let unread = self.unread();
         let Some(&[kind, a, b, c, d]) = unread.first_chunk::<HEADER_LEN>() else { return Ok(None) };
@@ -77,7 +80,7 @@
         if len < LENGTH_FIELD_LEN || len - LENGTH_FIELD_LEN > max_body_len {
             return Err(ProtocolError::MessageLength(len));
         }
-        // The type's byte is not counted by the length field.
+        // The length field does not count the type byte.
         let is_complete = unread.len() > len;
         Ok(is_complete.then_some(MessageHeader { kind, body_len: len - LENGTH_FIELD_LEN }))
     }
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,34 +1,36 @@
-//! What can be wrong with a stream of messages, on either side.
+//! Errors in a stream of messages.
 
 use thiserror::Error;
 
-/// Why a stream of messages cannot be read any further.
+/// An error after which no further message of a stream can be decoded.
 ///
-/// A router sends the text to its client, in an ErrorResponse: it is a part of the protocol between them.
+/// If a client's message causes the error, the router sends the error's text to the client in an
+/// ErrorResponse. Those texts are part of the protocol between router and client and must not change. The
+/// texts of errors in the messages of hosts and routers are only logged or printed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ProtocolError {
-    /// A message's length field is below its own size or above the limit.
+    /// A message's length field is below its own length or above the limit. Carries the value of the field.
     #[error("a message of {0} bytes")]
     MessageLength(usize),
-    /// A query's text does not end with a zero byte.
+    /// The SQL text of a Query message does not end with a zero byte.
     #[error("a query that does not end with its zero byte")]
     UnterminatedQuery,
-    /// A client's message is of a type that the protocol does not have.
+    /// A client's message has a type that the protocol does not define. Carries the type byte.
     #[error("message type {0} is unknown")]
     UnknownClientMessage(u8),
-    /// A startup message is too short or too long.
+    /// A startup message is shorter or longer than allowed. Carries its length in bytes.
     #[error("a startup message of {0} bytes")]
     StartupLength(usize),
-    /// A cancel request is of another length than the protocol's.
+    /// A CancelRequest does not have the length that the protocol requires. Carries its length in bytes.
     #[error("a cancel request of {0} bytes")]
     CancelRequestLength(usize),
-    /// A startup option has a name and no value.
+    /// A startup message has a parameter name without a value.
     #[error("a startup option has no value")]
     StartupOptionWithoutValue,
-    /// A startup message's options do not end with a zero byte.
+    /// The parameters of a startup message do not end with a zero byte.
     #[error("a startup message that does not end well")]
     UnterminatedStartup,
-    /// The client speaks a version of the protocol that is not served.
+    /// The client requests an unsupported version of the protocol.
     #[error("protocol {major}.{minor} is not served")]
     UnsupportedVersion {
         /// The major version.
@@ -36,33 +38,34 @@
         /// The minor version.
         minor: u32,
     },
-    /// A host's message is of a type that hosts do not send.
-    #[error("a message of an unknown type")]
+    /// A host's message has a type that hosts do not send.
+    #[error("host sent a message of an unknown type")]
     UnknownHostMessage,
-    /// A host's message has a length that no message of its type has.
-    #[error("a message {:?} of {len} bytes", char::from(*.kind))]
+    /// The body of a host's message has a length that is invalid for the message's type.
+    #[error("body of message {:?} has an invalid length of {len} bytes", char::from(*.kind))]
     InvalidBodyLength {
-        /// The message's type.
+        /// The message's type byte.
         kind: u8,
-        /// The length of its body.
+        /// The length of the body in bytes.
         len: usize,
     },
-    /// A host wants a password.
-    #[error("a host that wants a password (message {:?})", char::from(*.0))]
+    /// A host requires authentication, which the router does not support. Carries the message's type byte.
+    #[error("host requires authentication, which is not supported (message {:?})", char::from(*.0))]
     AuthenticationRequested(u8),
-    /// A row has another number of columns than one.
-    #[error("a row of another shape (message {:?})", char::from(*.0))]
+    /// A row does not have exactly one column. Carries the message's type byte.
+    #[error("message {:?} is not a row of exactly one column", char::from(*.0))]
     ColumnCount(u8),
-    /// A value's length is not what its row says.
-    #[error("a value of another length (message {:?})", char::from(*.0))]
+    /// The length of a row's value does not match the length of the message. Carries the message's type byte.
+    #[error("value length in message {:?} does not match the length of the message", char::from(*.0))]
     ValueLength(u8),
-    /// A message that does not belong there.
-    #[error("a message out of order (message {:?})", char::from(*.0))]
+    /// A host's message has a type that is not allowed in the current state of the exchange. Carries the
+    /// message's type byte.
+    #[error("message {:?} is not allowed in the current state of the exchange", char::from(*.0))]
     UnexpectedMessage(u8),
-    /// A host's answer is longer than the router takes.
-    #[error("an answer that is too long")]
+    /// A host's response is longer than the router's limit.
+    #[error("response exceeds the length limit")]
     ResponseTooLong,
-    /// A router's message cannot be read.
-    #[error("message {:?} can't be read", char::from(*.0))]
+    /// A router's message is malformed or has an unknown type. Carries the message's type byte.
+    #[error("message {:?} is malformed or of an unknown type", char::from(*.0))]
     MalformedMessage(u8),
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,6 +1,5 @@
-//! Messages of version 3 of PostgreSQL's protocol: the framing of a byte stream, the few messages that are
-//! written here, and the names of SQLSTATEs. The router and the client library both use it, for either side
-//! of a connection.
+//! Version 3 of PostgreSQL's protocol, as far as the router and the client library share it: framing of the
+//! byte stream, encoding of a few messages, and names of SQLSTATEs. It serves both ends of a connection.
 
 mod buffer;
 mod error;
--- a/crates/wire/src/startup.rs
+++ b/crates/wire/src/startup.rs
@@ -1,16 +1,16 @@
-//! The startup message, with which the router opens connections to hosts and the client library opens
-//! connections to routers.
+//! The startup message, the first message on a connection. The router sends it to hosts, the client library
+//! to routers.
 
 use crate::put_cstring;
 
-/// Version 3.0 of the protocol: the major version in the upper half, the minor one in the lower.
+/// Version 3.0 of the protocol: the major version in the upper 16 bits, the minor version in the lower 16.
 const PROTOCOL_VERSION: u32 = 0x0003_0000;
-/// Parameters of the startup message: names, each followed by its value.
+/// Parameters of the startup message: each name is followed by its value.
 const PARAMETERS: [&str; 4] = ["user", "svc", "database", "main"];
-/// Length of the length field, in bytes; it counts itself.
+/// Length of the length field, in bytes. Its value counts itself.
 const LENGTH_FIELD_LEN: usize = 4;
 
-/// The startup message. It has no type field.
+/// Returns the encoded startup message. Unlike other messages, it has no type byte.
 pub fn startup_message() -> Vec<u8> {
     let mut body = PROTOCOL_VERSION.to_be_bytes().to_vec();
     for parameter in PARAMETERS {
