--- a/crates/client/src/core/exchange.rs
+++ b/crates/client/src/core/exchange.rs
@@ -6,7 +6,7 @@
 use crate::request::InvalidRequest;
 use std::time::Duration;
 
-/// A statement that was given to a connection, and the part of its response received so far.
+/// A statement that is sent on a connection, and the part of its response received so far.
 #[derive(Debug)]
 pub(super) struct Exchange {
     request: RequestId,
--- a/crates/client/src/core/reconnect_gate.rs
+++ b/crates/client/src/core/reconnect_gate.rs
@@ -19,7 +19,7 @@
     was_connection_lost: bool,
     /// The end of the latest delay: no connection is opened before this time.
     opens_at: Option<Instant>,
-    /// How many times the spread is currently doubled.
+    /// Number of times that the spread is currently doubled.
     doublings: u32,
 }
 
@@ -42,8 +42,8 @@
         self.doublings = 0;
     }
 
-    /// Doubles the spread, since a router has rejected a connection because it is full. Returns how long no
-    /// new connection to that router may be opened.
+    /// Handles a connection that a router has rejected because it is full: doubles the spread and requires a
+    /// delay. Returns the time for which no new connection to that router may be opened.
     pub(super) fn on_router_full(&mut self, rng: &mut fastrand::Rng) -> Duration {
         self.was_connection_lost = true;
         self.doublings = (self.doublings + 1).min(MAX_DOUBLINGS);
--- a/crates/client/src/core/requests.rs
+++ b/crates/client/src/core/requests.rs
@@ -12,7 +12,8 @@
 /// A request without an outcome.
 #[derive(Debug)]
 pub(super) struct PendingRequest {
-    /// The request. Its deadline may have been moved ahead of the caller's by [`Requests::end_attempt`].
+    /// The request. Its deadline may be earlier than the one that the caller set: see
+    /// [`Requests::end_attempt`].
     pub(super) request: Request,
     /// When the request was submitted.
     pub(super) submitted_at: Instant,
@@ -50,8 +51,8 @@
         self.request.idempotency != Idempotency::Idempotent && self.uncertain_since.is_some()
     }
 
-    /// Returns whether no further attempt is allowed, because an attempt may have run and the request has
-    /// neither an idempotent operation nor an idempotency key.
+    /// Returns whether no further attempt is allowed, because an attempt may have run and the request is
+    /// [`Idempotency::NonIdempotent`].
     pub(super) fn must_not_retry(&self) -> bool {
         self.request.idempotency == Idempotency::NonIdempotent && self.uncertain_since.is_some()
     }
--- a/crates/client/src/core/routers.rs
+++ b/crates/client/src/core/routers.rs
@@ -45,8 +45,7 @@
     /// Number of ejections since a connection to the router last completed its startup.
     ejections: u32,
     breaker: CircuitBreaker,
-    /// Set when the router has rejected a connection because it was full: no new connection is opened before
-    /// this time.
+    /// The time before which no new connection is opened, because the router has rejected one as it was full.
     full_until: Option<Instant>,
 }
 
@@ -165,7 +164,7 @@
         self.routers[router.0].full_until = Some(until);
     }
 
-    /// Records that a request was given to one of the router's connections.
+    /// Records that a request was sent on one of the router's connections.
     pub(super) fn on_request_started(&mut self, router: RouterIndex) {
         self.routers[router.0].requests_in_flight += 1;
     }
@@ -184,7 +183,7 @@
     }
 
     /// Records that a connection has failed. Ejects the router if the connect was refused, if the connection
-    /// was a probe, or if this is failure number [`FAILURES_TO_EJECT`] in a row. Returns whether the router
+    /// was a probe, or if [`FAILURES_TO_EJECT`] connections failed in a row. Returns whether the router
     /// was ejected.
     pub(super) fn on_transport_failure(
         &mut self,
--- a/crates/client/src/driver/connection.rs
+++ b/crates/client/src/driver/connection.rs
@@ -22,7 +22,7 @@
     stream: RefCell<Option<Rc<Async<TcpStream>>>>,
     /// Messages that were not yet handed to the operating system, in order.
     unwritten: RefCell<VecDeque<UnwrittenMessage>>,
-    /// Wakes the connection's task when there is something to write, or the connection was closed.
+    /// Wakes the connection's task when there are unwritten messages or the connection was closed.
     task_waker: RefCell<Option<Waker>>,
 }
 
