--- a/crates/client/tests/core/deadlines.rs
+++ b/crates/client/tests/core/deadlines.rs
@@ -1,4 +1,4 @@
-//! Deadlines: wherever a request is when its deadline passes, its caller gets an outcome.
+//! Deadlines: in each state of a request, the caller gets an outcome when the deadline passes.
 
 use crate::harness::MS;
 use crate::harness::{config, Harness};
@@ -6,7 +6,7 @@
 use basalthill_client::core::RequestId;
 use basalthill_client::{Config, Idempotency, RequestOutcome};
 
-/// The outcome after 900 ms.
+/// Advances the time by 900 ms and returns the request's outcome.
 fn outcome_at_deadline(harness: &mut Harness, id: RequestId) -> Option<RequestOutcome> {
     harness.advance(900);
     harness.outcome(id).cloned()
@@ -32,8 +32,8 @@
             harness.receive(connection, response);
             let outcome = outcome_at_deadline(&mut harness, id);
             assert_eq!(outcome, Some(expected), "{idempotency:?}, {} bytes", response.len());
-            assert!(!harness.connections.contains_key(&connection), "the connection is closed");
-            // A late response belongs to no request.
+            assert!(!harness.connections.contains_key(&connection), "the connection was not closed");
+            // A response that is received after the connection was closed belongs to no request.
             let next = harness.submit_write(Idempotency::Idempotent, 900);
             harness.receive(connection, &row(b"v"));
             assert_eq!(harness.outcome(next), None);
@@ -56,7 +56,7 @@
     let id = harness.submit_write(Idempotency::NonIdempotent, 900);
     let connection = harness.accept_connection();
     harness.advance(500);
-    // The connection ends with the rejection, and no other one comes up.
+    // The router closes the connection after the rejection, and no other connection completes its startup.
     harness.receive(connection, &fatal_error("53300", Some("100")));
     assert_eq!(outcome_at_deadline(&mut harness, id), Some(RequestOutcome::DeadlineExceeded));
     assert_eq!(harness.sent.len(), 1);
@@ -67,7 +67,8 @@
     let mut harness = Harness::new(config(1));
     let ids: Vec<_> = (0..3).map(|_| harness.submit_write(Idempotency::NonIdempotent, 500)).collect();
     let connection = harness.first_connection();
-    // The connection came up long ago, and the core hears of it only now.
+    // The connect has completed within the deadline, but the process was paused and the core handles it only
+    // one second later.
     harness.now += 1000 * MS;
     harness.core.handle_connected(harness.now, connection);
     harness.receive(connection, READY_FOR_QUERY);
@@ -89,7 +90,7 @@
     let sent = harness.sent.len();
     let too_short = harness.submit_write(Idempotency::Idempotent, 60);
     let outcome = harness.outcome(too_short);
-    assert_eq!(outcome, Some(&RequestOutcome::DeadlineExceeded), "responses take 100 ms");
+    assert_eq!(outcome, Some(&RequestOutcome::DeadlineExceeded), "60 ms are left, and responses take 100 ms");
     assert_eq!(harness.sent.len(), sent);
     let long_enough = harness.submit_write(Idempotency::Idempotent, 150);
     assert_eq!(harness.outcome(long_enough), None);
--- a/crates/client/tests/core/harness.rs
+++ b/crates/client/tests/core/harness.rs
@@ -1,4 +1,4 @@
-//! A core, and full control of everything that happens to it.
+//! A harness that runs a core with a simulated clock and simulated connections.
 
 use crate::messages::READY_FOR_QUERY;
 use basalthill_client::core::{Action, ConnectionId, Core, DisconnectReason, RequestId};
@@ -8,12 +8,12 @@
 use std::time::{Duration, Instant};
 
 pub const MS: Duration = Duration::from_millis(1);
-/// Offset of the type and length fields that stand before a message's body.
-const MESSAGE_HEAD_BYTES: usize = 5;
+/// Length of a message's header, which consists of the type byte and the length field, in bytes.
+const MESSAGE_HEADER_BYTES: usize = 5;
 
-/// A configuration with so many routers and a fixed seed.
+/// Returns a configuration with `routers` routers and a fixed seed.
 pub fn config(routers: u16) -> Config {
-    let address = |n: u16| SocketAddr::from(([127, 0, 0, 1], 1000 + n));
+    let address = |index: u16| SocketAddr::from(([127, 0, 0, 1], 1000 + index));
     let routers: Vec<SocketAddr> = (0..routers).map(address).collect();
     Config { seed: 17, ..Config::new(routers) }
 }
@@ -32,12 +32,12 @@
     pub now: Instant,
     /// Open connections, with their routers.
     pub connections: BTreeMap<ConnectionId, SocketAddr>,
-    /// The latest bytes written to each connection.
+    /// The bytes of the latest write to each connection.
     pub written: BTreeMap<ConnectionId, Vec<u8>>,
     pub reports: BTreeMap<RequestId, RequestReport>,
-    /// All statements, in order.
+    /// All statements that were written, in order.
     pub sent: Vec<SentStatement>,
-    /// Whether each statement counts as written completely at once.
+    /// Whether each statement is reported as completely written as soon as the core writes it.
     pub completes_writes: bool,
 }
 
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Carries out the core's actions.
+    /// Executes the core's actions.
     pub fn perform_actions(&mut self) {
         while let Some(action) = self.core.poll_action() {
             match action {
@@ -72,30 +72,31 @@
                 }
                 Action::Complete { request, report } => {
                     let previous = self.reports.insert(request, report);
-                    assert!(previous.is_none(), "one report for each request");
+                    assert!(previous.is_none(), "a request was reported more than once");
                 }
             }
         }
     }
 
     fn record_statement(&mut self, connection: ConnectionId, bytes: &[u8], deadline: Instant) {
-        assert!(self.now < deadline, "a statement written after its deadline");
-        let text = String::from_utf8_lossy(&bytes[MESSAGE_HEAD_BYTES..bytes.len() - 1]).into_owned();
+        assert!(self.now < deadline, "a statement was written at or after its deadline");
+        let text = String::from_utf8_lossy(&bytes[MESSAGE_HEADER_BYTES..bytes.len() - 1]).into_owned();
         self.sent.push(SentStatement { connection, sent_at: self.now, text });
         if self.completes_writes {
             self.core.handle_written(connection, bytes.len());
         }
     }
 
-    /// Waits for the next connection that the core opens, and completes its startup.
+    /// Advances the time until the core opens a connection, and completes its startup. Panics if none is
+    /// opened within two seconds.
     pub fn accept_connection(&mut self) -> ConnectionId {
         self.perform_actions();
         let started_at = self.now;
         let id = loop {
-            if let Some(id) = self.first_unaccepted() {
+            if let Some(id) = self.first_unaccepted_connection() {
                 break id;
             }
-            assert!(self.now < started_at + 2000 * MS, "the core opens no connection");
+            assert!(self.now < started_at + 2000 * MS, "the core opened no connection within 2 s");
             self.advance(1);
         };
         self.core.handle_connected(self.now, id);
@@ -103,17 +104,17 @@
         id
     }
 
-    fn first_unaccepted(&self) -> Option<ConnectionId> {
+    fn first_unaccepted_connection(&self) -> Option<ConnectionId> {
         self.connections.keys().find(|id| !self.written.contains_key(id)).copied()
     }
 
-    /// The core receives bytes.
+    /// Passes received bytes to the core.
     pub fn receive(&mut self, id: ConnectionId, bytes: &[u8]) {
         self.core.handle_received(self.now, id, bytes);
         self.perform_actions();
     }
 
-    /// A connection ends without having been closed by the core.
+    /// Reports to the core that a connection was lost.
     pub fn disconnect(&mut self, id: ConnectionId, reason: DisconnectReason) {
         self.core.handle_disconnected(self.now, id, reason);
         self.connections.remove(&id);
@@ -127,13 +128,13 @@
         id
     }
 
-    /// Submits a write of this idempotency, whose deadline is so many milliseconds from now.
+    /// Submits a write of this idempotency with a deadline `timeout_ms` from now.
     pub fn submit_write(&mut self, idempotency: Idempotency, timeout_ms: u32) -> RequestId {
         let request = Request::write("w", 1, "k", b"v").idempotency(idempotency);
         self.submit(request.deadline(self.now + timeout_ms * MS))
     }
 
-    /// Lets so many milliseconds pass, with the core's timeouts in their order.
+    /// Advances the time by `ms` milliseconds and handles the core's timeouts in order.
     pub fn advance(&mut self, ms: u32) {
         let until = self.now + ms * MS;
         while let Some(due) = self.core.next_timeout().filter(|due| *due <= until) {
@@ -144,18 +145,18 @@
         self.now = until;
     }
 
-    /// A request's outcome, once there is one.
+    /// Returns a request's outcome, or `None` if it has none yet.
     pub fn outcome(&self, id: RequestId) -> Option<&RequestOutcome> {
         self.reports.get(&id).map(|report| &report.outcome)
     }
 
-    /// The first open connection.
+    /// Returns the open connection with the lowest id.
     pub fn first_connection(&self) -> ConnectionId {
-        *self.connections.keys().next().expect("an open connection")
+        *self.connections.keys().next().expect("no connection is open")
     }
 
-    /// The connection of the latest statement.
+    /// Returns the connection to which the latest statement was written.
     pub fn last_used_connection(&self) -> ConnectionId {
-        self.sent.last().expect("a statement").connection
+        self.sent.last().expect("no statement was written").connection
     }
 }
--- a/crates/client/tests/core/main.rs
+++ b/crates/client/tests/core/main.rs
@@ -1,4 +1,5 @@
-//! The core: its rules, case by case, and its invariants in a random simulation of routers.
+//! Tests of the core: one module for each part of its behaviour, and `simulation`, which checks its
+//! invariants against randomly failing routers.
 
 mod attempts;
 mod deadlines;
--- a/crates/client/tests/core/messages.rs
+++ b/crates/client/tests/core/messages.rs
@@ -1,14 +1,14 @@
-//! Messages of a router, encoded independently of the library.
+//! Messages of a router, encoded without the library's own code.
 
-/// ReadyForQuery, outside a transaction.
+/// The message ReadyForQuery with the status "idle" (no transaction is open).
 pub const READY_FOR_QUERY: &[u8] = b"Z\0\0\0\x05I";
 
-/// A message with its type and length.
+/// Returns a message with its type and length field.
 pub fn message(kind: u8, body: &[u8]) -> Vec<u8> {
     [&[kind][..], &(body.len() as u32 + 4).to_be_bytes(), body].concat()
 }
 
-/// A complete response with one row of one column.
+/// Returns a complete response with one row of one column.
 pub fn row(value: &[u8]) -> Vec<u8> {
     let data = [&[0, 1][..], &(value.len() as u32).to_be_bytes(), value].concat();
     let messages = [
@@ -20,17 +20,17 @@
     messages.concat()
 }
 
-/// An ErrorResponse that leaves the connection open, and ReadyForQuery.
+/// Returns an ErrorResponse that leaves the connection open, followed by ReadyForQuery.
 pub fn error(code: &str, detail: Option<&str>) -> Vec<u8> {
     [error_response("ERROR", code, detail), READY_FOR_QUERY.to_vec()].concat()
 }
 
-/// An ErrorResponse before the router closes the connection.
+/// Returns an ErrorResponse after which the router closes the connection.
 pub fn fatal_error(code: &str, detail: Option<&str>) -> Vec<u8> {
     error_response("FATAL", code, detail)
 }
 
-/// ParameterStatus with a session's token.
+/// Returns a ParameterStatus message with a session token.
 pub fn session_token(token: &str) -> Vec<u8> {
     message(b'S', format!("session_token\0{token}\0").as_bytes())
 }
--- a/crates/client/tests/core/reconnects.rs
+++ b/crates/client/tests/core/reconnects.rs
@@ -9,15 +9,18 @@
 #[test]
 fn ejected_router_gets_one_probe_after_its_cooldown() {
     let mut harness = Harness::new(config(2));
-    // The first connect is refused, whichever router it goes to.
+    // The first connect is refused, whichever router the core has chosen.
     harness.submit_write(Idempotency::Idempotent, 9000);
     let down_connection = harness.first_connection();
     let down_router = harness.connections[&down_connection];
     harness.disconnect(down_connection, DisconnectReason::NotListening);
     let connection = harness.accept_connection();
-    assert_ne!(down_router, harness.connections[&connection], "another router");
+    assert_ne!(
+        down_router, harness.connections[&connection],
+        "the next connection must be to another router"
+    );
     harness.receive(connection, &row(b"v"));
-    // More load than one connection takes, after the cooldown.
+    // After the cooldown, six concurrent requests need more than one connection.
     harness.advance(1600);
     for _ in 0..6 {
         harness.submit_write(Idempotency::Idempotent, 9000);
@@ -66,7 +69,7 @@
 }
 
 #[test]
-fn reconnects_after_a_lost_connection_spread_over_the_slack() {
+fn reconnects_after_a_lost_connection_are_spread_over_half_of_the_remaining_time() {
     let mut waits = Vec::new();
     for seed in 0..400 {
         let mut harness = Harness::new(Config { seed: seed * 7919, ..config(4) });
@@ -83,10 +86,10 @@
         waits.push(harness.now - lost_at);
     }
     let longest = *waits.iter().max().expect("400 waits");
-    assert!(longest <= 451 * MS, "half of the slack: {longest:?}");
+    assert!(longest <= 451 * MS, "the longest wait exceeds half of the remaining 900 ms: {longest:?}");
     let shorter_than = |ms: u32| waits.iter().filter(|wait| **wait < ms * MS).count();
     for n in 0..9 {
         let in_interval = shorter_than((n + 1) * 50) - shorter_than(n * 50);
-        assert!(in_interval < 80, "{in_interval} of 400 within 50 ms from {} ms", n * 50);
+        assert!(in_interval < 80, "{in_interval} of 400 waits end within 50 ms from {} ms", n * 50);
     }
 }
--- a/crates/client/tests/core/retries.rs
+++ b/crates/client/tests/core/retries.rs
@@ -1,4 +1,4 @@
-//! When retries are made, and how many.
+//! Retries: their delays and the retry budget.
 
 use crate::harness::{config, Harness, MS};
 use crate::messages::error;
@@ -14,7 +14,7 @@
 #[test]
 fn retry_waits_for_retry_after_and_never_past_the_deadline() {
     let window = |earliest_ms, latest_ms| Some(RetryWindow { earliest_ms, latest_ms });
-    // The rejection's detail, and when the retry comes; none if the request is completed at once.
+    // The rejection's detail and the window of the retry; `None` if the request is completed at once.
     let cases = [
         (Some("100"), window(100, 151)),
         (Some("0"), window(20, 31)),
@@ -35,28 +35,36 @@
             let Some(RetryWindow { earliest_ms, latest_ms }) = window else {
                 let retry_after = detail.and_then(|d| d.parse().ok()).map(Duration::from_millis);
                 let outcome = harness.outcome(id);
-                assert_eq!(outcome, Some(&RequestOutcome::Rejected(retry_after)), "{detail:?}: at once");
+                assert_eq!(
+                    outcome,
+                    Some(&RequestOutcome::Rejected(retry_after)),
+                    "{detail:?}: completed at once"
+                );
                 continue;
             };
             harness.advance(earliest_ms - 1);
-            assert_eq!(harness.sent.len(), 1, "{detail:?}: never sooner");
+            assert_eq!(harness.sent.len(), 1, "{detail:?}: no retry before the Retry-After time");
             harness.advance(latest_ms - earliest_ms + 1);
-            assert_eq!(harness.sent.len(), 2, "{detail:?}");
+            assert_eq!(harness.sent.len(), 2, "{detail:?}: retried once");
             let waited = harness.sent[1].sent_at - rejected_at;
-            assert!(waited >= earliest_ms * MS && waited <= latest_ms * MS, "{detail:?}: {waited:?}");
+            assert!(
+                waited >= earliest_ms * MS && waited <= latest_ms * MS,
+                "{detail:?}: retried after {waited:?}"
+            );
         }
     }
 }
 
-/// First attempts and retries.
+/// Numbers of first attempts and of retries.
 #[derive(Debug)]
 struct AttemptCounts {
     first: u64,
     retries: u64,
 }
 
-/// Sends 500 requests to a router that rejects every attempt, one request after the other.
-fn overload(priority: Priority) -> AttemptCounts {
+/// Sends 500 requests, one after the other, to a router that rejects every attempt. Returns the numbers of
+/// attempts.
+fn send_to_overloaded_router(priority: Priority) -> AttemptCounts {
     let mut harness = Harness::new(Config { max_connections_per_router: 1, ..config(1) });
     let mut first = 0;
     for _ in 0..500 {
@@ -76,16 +84,17 @@
 }
 
 #[test]
-fn retries_stay_within_the_budget_and_use_it() {
+fn retries_use_the_budget_without_exceeding_it() {
     for priority in [Priority::Low, Priority::Normal, Priority::High] {
-        let counts = overload(priority);
+        let counts = send_to_overloaded_router(priority);
         assert!(counts.retries as f64 <= 0.1 * counts.first as f64 + 10.0, "{priority:?}: {counts:?}");
-        assert!(counts.retries >= 50, "{priority:?}: what is earned is used: {counts:?}");
+        assert!(counts.retries >= 50, "{priority:?}: fewer retries than the budget allows: {counts:?}");
     }
 }
 
-/// How many requests of this priority are retried after a rejection, until the first that is not.
-fn retried_requests(harness: &mut Harness, priority: Priority) -> usize {
+/// Submits up to 30 requests of this priority that are rejected. Returns how many are retried before the
+/// first that is not.
+fn count_retried_requests(harness: &mut Harness, priority: Priority) -> usize {
     let is_retried = |harness: &mut Harness| {
         let request = Request::read("r", 1, "k").priority(priority);
         let id = harness.submit(request.deadline(harness.now + 900 * MS));
@@ -104,8 +113,11 @@
 #[test]
 fn lower_priorities_leave_retry_budget_to_higher_ones() {
     let mut harness = Harness::new(config(1));
-    let low = retried_requests(&mut harness, Priority::Low);
-    let normal = retried_requests(&mut harness, Priority::Normal);
-    let high = retried_requests(&mut harness, Priority::High);
-    assert!(low >= 2 && normal >= 2 && high >= 4, "{low}, {normal}, {high}");
+    let low = count_retried_requests(&mut harness, Priority::Low);
+    let normal = count_retried_requests(&mut harness, Priority::Normal);
+    let high = count_retried_requests(&mut harness, Priority::High);
+    assert!(
+        low >= 2 && normal >= 2 && high >= 4,
+        "retried requests: low {low}, normal {normal}, high {high}"
+    );
 }
--- a/crates/client/tests/core/sessions.rs
+++ b/crates/client/tests/core/sessions.rs
@@ -1,11 +1,11 @@
-//! Sessions: tokens are stored, sent along and replaced.
+//! Sessions: storing, sending and replacing tokens, and exporting and importing them.
 
 use crate::harness::{config, Harness, MS};
 use crate::messages::{row, session_token, READY_FOR_QUERY};
 use basalthill_client::core::ConnectionId;
 use basalthill_client::{Config, Request, Session};
 
-/// A harness that allows more connections than a session uses.
+/// Returns a harness that allows more connections than a session can use.
 fn harness() -> Harness {
     Harness::new(Config { max_connections_per_router: 64, ..config(1) })
 }
@@ -15,7 +15,7 @@
     harness.submit(request.deadline(harness.now + 9000 * MS));
 }
 
-/// Completes the startup of open connections until so many statements were sent.
+/// Completes the startup of open connections until `statements` statements were sent.
 fn accept_until_sent(harness: &mut Harness, statements: usize) {
     while harness.sent.len() < statements {
         let open: Vec<ConnectionId> = harness.connections.keys().copied().collect();
@@ -29,24 +29,24 @@
 }
 
 #[test]
-fn session_tokens_are_sent_along_and_replaced_by_each_response() {
+fn session_tokens_are_sent_with_requests_and_replaced_by_each_response() {
     let session = Session::new("anne").unwrap();
     let mut harness = harness();
     submit_write(&mut harness, &session);
     let connection = harness.accept_connection();
     let first = &harness.sent[0].text;
     assert!(first.contains(",session=anne") && !first.contains("token"));
-    // An early token, and the response's, which covers it.
+    // A token sent ahead of the response, then the response's token, which replaces it.
     harness.receive(connection, &session_token("early"));
     assert_eq!(session.tokens(), ["early"]);
     harness.receive(connection, &[session_token("t1"), row(b"v")].concat());
     assert_eq!(session.tokens(), ["t1"]);
-    // Many at once: never more than eight in flight, and never more tokens.
+    // With 20 concurrent requests, no more than eight are in flight and no more than eight tokens are stored.
     for _ in 0..20 {
         submit_write(&mut harness, &session);
     }
     accept_until_sent(&mut harness, 9);
-    assert_eq!(harness.sent.len(), 9, "eight of the twenty are in flight");
+    assert_eq!(harness.sent.len(), 9, "the first statement and eight of the twenty");
     let mut responses = 0;
     while harness.reports.len() < 21 {
         let connection = harness.sent[1 + responses].connection;
@@ -54,22 +54,22 @@
         harness.receive(connection, &[session_token(&format!("x{responses}")), row(b"v")].concat());
         assert!(session.tokens().len() <= 8, "{:?}", session.tokens());
         if responses == 2 {
-            assert_eq!(session.tokens(), ["x1", "x2"], "neither had sent the other's");
+            assert_eq!(session.tokens(), ["x1", "x2"], "neither request was sent with the other's token");
         }
     }
 }
 
 #[test]
-fn exported_session_is_imported_completely_or_not_at_all() {
+fn exported_session_is_imported_and_a_cut_off_export_lacks_tokens() {
     let session = Session::new("anne").unwrap();
     let mut harness = harness();
     for _ in 0..8 {
         submit_write(&mut harness, &session);
     }
     accept_until_sent(&mut harness, 8);
-    for n in 0..8 {
-        let connection = harness.sent[n].connection;
-        harness.receive(connection, &[session_token(&format!("x{n}")), row(b"v")].concat());
+    for index in 0..8 {
+        let connection = harness.sent[index].connection;
+        harness.receive(connection, &[session_token(&format!("x{index}")), row(b"v")].concat());
     }
     assert_eq!(session.tokens().len(), 8);
     let bytes = session.export();
@@ -79,7 +79,7 @@
     for length in 1..bytes.len() {
         if let Ok(part) = Session::import(&bytes[..length]) {
             let is_shorter = part.tokens().len() < session.tokens().len();
-            assert!(is_shorter, "cut off at the border of two texts, {length} bytes");
+            assert!(is_shorter, "{length} bytes imported as a session with all tokens");
         }
     }
     assert!(Session::import(b"").is_err());
--- a/crates/client/tests/core/simulation.rs
+++ b/crates/client/tests/core/simulation.rs
@@ -1,4 +1,5 @@
-//! Random simulations of routers that fail in every way, in which the core keeps its invariants.
+//! Simulations in which routers, connections and callers behave randomly, and in which the core's invariants
+//! are checked.
 
 use crate::harness::{config, MS};
 use crate::messages::{error, fatal_error, row, READY_FOR_QUERY};
@@ -7,17 +8,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// Simulations, each with a seed of its own.
+/// Number of simulations, each with a seed of its own.
 const SIMULATIONS: u64 = 300;
-/// How long requests are submitted in each simulation.
+/// Time span in which each simulation submits requests.
 const SUBMISSION_TIME: Duration = Duration::from_secs(4);
 
-/// Something that happens to the core at a time.
+/// An event that the simulation schedules for the core.
 enum Event {
     Connected(ConnectionId),
     Disconnected(ConnectionId, DisconnectReason),
     Received(ConnectionId, Vec<u8>),
-    /// The last bytes of a statement were handed to the operating system.
+    /// The remaining bytes of a statement were handed to the operating system.
     Written {
         connection: ConnectionId,
         written: usize,
@@ -25,7 +26,7 @@
     },
 }
 
-/// The place of an event in their order.
+/// The time of an event, with a number that orders events of the same time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EventTime {
     at: Instant,
@@ -35,37 +36,37 @@
 /// A statement that a router has received completely.
 struct ReceivedAttempt {
     at: Instant,
-    /// Whether the client gets a proof that it has not run.
+    /// Whether the client receives a response that proves that the statement has not run.
     is_proved_not_run: bool,
 }
 
-/// What the simulation knows of a request.
+/// The simulation's record of a request.
 struct SimulatedRequest {
     idempotency: Idempotency,
-    /// Extended when the clock is paused over it.
+    /// Moved to the end of a pause of the clock that includes it.
     deadline: Instant,
     received: Vec<ReceivedAttempt>,
-    /// No retry before this, by the latest Retry-After time.
+    /// The end of the latest Retry-After time, before which no retry is allowed.
     not_before: Option<Instant>,
-    /// Whether it was completed or cancelled.
+    /// Whether the request was completed or cancelled.
     has_ended: bool,
 }
 
 impl SimulatedRequest {
-    /// The first attempt that may have run for all that the client knows.
+    /// Returns the first attempt that may have run as far as the client can tell.
     fn first_uncertain(&self) -> Option<&ReceivedAttempt> {
         self.received.iter().find(|attempt| !attempt.is_proved_not_run)
     }
 }
 
-/// What a router does with a statement.
+/// A router's response to a statement.
 struct SimulatedResponse {
     bytes: Vec<u8>,
     proves_not_run: bool,
     retry_after: Option<Duration>,
 }
 
-/// What the attempts of a simulation add up to.
+/// Numbers of first attempts and of retries in one or more simulations.
 #[derive(Clone, Copy, Debug, Default)]
 struct AttemptCounts {
     first: u64,
@@ -78,8 +79,9 @@
     rng: fastrand::Rng,
     events: BTreeMap<EventTime, Event>,
     event_count: u64,
+    /// Connections that are being opened or are open.
     open: BTreeSet<ConnectionId>,
-    /// By key; each request has a key of its own.
+    /// All requests by key; each request has a key of its own.
     requests: BTreeMap<String, SimulatedRequest>,
     keys: BTreeMap<RequestId, String>,
     attempt_ids: BTreeSet<String>,
@@ -113,7 +115,8 @@
         }
     }
 
-    /// Runs until nothing is left to happen, and checks that nothing is left over.
+    /// Runs until neither events nor timeouts are left. Checks that every request has ended and that the
+    /// core's tables are empty.
     fn run(mut self, seed: u64) -> AttemptCounts {
         let end = self.now + SUBMISSION_TIME;
         let mut submit_at = self.now;
@@ -134,24 +137,28 @@
                     self.cancel_any();
                 }
             } else if next_event == Some(next) {
-                let (_, event) = self.events.pop_first().expect("an event");
+                let (_, event) = self.events.pop_first().expect("no event");
                 self.handle(event);
             } else {
                 self.core.handle_timeout(self.now);
             }
             self.perform_actions();
             let is_stuck = self.core.next_timeout().is_some_and(|due| due <= self.now);
-            assert!(!is_stuck, "seed {seed}: a timeout that is not handled");
+            assert!(!is_stuck, "seed {seed}: a due timeout was not handled");
         }
         let submitted = self.keys.len() as u64;
-        assert_eq!(self.completed + self.cancelled, submitted, "seed {seed}: every request has ended");
-        assert_eq!(self.core.table_sizes(), TableSizes::default(), "seed {seed}: nothing is left over");
+        assert_eq!(self.completed + self.cancelled, submitted, "seed {seed}: requests have not ended");
+        assert_eq!(
+            self.core.table_sizes(),
+            TableSizes::default(),
+            "seed {seed}: the core's tables are not empty"
+        );
         assert!(self.open.is_empty(), "seed {seed}: connections are still open");
         self.counts
     }
 
-    /// Lets up to a second pass before the core hears of anything. What is due meanwhile is due at once
-    /// afterwards, and requests may be completed late by then.
+    /// Simulates a pause of the process of up to one second: events and timeouts of that time are handled
+    /// after the pause, and requests whose deadline is in the pause may be completed at its end.
     fn pause_clock(&mut self, next: Instant) {
         self.now = self.now.max(next) + Duration::from_millis(self.rng.u64(..1000));
         for request in self.requests.values_mut().filter(|request| !request.has_ended) {
@@ -182,11 +189,11 @@
         self.perform_actions();
     }
 
-    /// Cancels one of all requests, which may have ended long ago.
+    /// Cancels a random request, which may have ended already.
     fn cancel_any(&mut self) {
-        let chosen = self.rng.usize(..self.keys.len());
-        let (id, key) = self.keys.iter().nth(chosen).expect("a request");
-        let request = self.requests.get_mut(key).expect("a known request");
+        let index = self.rng.usize(..self.keys.len());
+        let (id, key) = self.keys.iter().nth(index).expect("no request at the index");
+        let request = self.requests.get_mut(key).expect("unknown request");
         if !request.has_ended {
             request.has_ended = true;
             self.cancelled += 1;
@@ -196,7 +203,7 @@
 
     fn schedule(&mut self, delay_ms: u64, event: Event) {
         self.event_count += 1;
-        // Events of the same moment are drawn apart by less than a millisecond.
+        // Adds less than a millisecond, so that events with the same delay have different times.
         let delay = Duration::from_micros(delay_ms * 1000 + self.event_count % 997);
         self.events.insert(EventTime { at: self.now + delay, number: self.event_count }, event);
     }
@@ -215,7 +222,7 @@
                 }
             }
             Event::Written { connection, written, statement } => {
-                // As the driver does, the time is looked at before anything is written.
+                // Like the driver, the simulation writes nothing once the deadline has passed.
                 let deadline = self.requests[&key_of(&statement)].deadline;
                 if self.open.contains(&connection) && self.now < deadline {
                     self.core.handle_written(connection, written);
@@ -236,7 +243,7 @@
                     self.write_statement(connection, bytes, deadline);
                 }
                 Action::Close { connection } => {
-                    assert!(self.open.remove(&connection), "a connection is closed once");
+                    assert!(self.open.remove(&connection), "a connection that is not open was closed");
                 }
                 Action::Complete { request, report } => self.complete(request, &report),
             }
@@ -247,7 +254,7 @@
         self.open.insert(connection);
         match self.rng.u64(..10) {
             0 => self.schedule(1, Event::Disconnected(connection, DisconnectReason::NotListening)),
-            // It never comes up.
+            // The connect never completes.
             1 => {}
             _ => {
                 let delay_ms = self.rng.u64(..5);
@@ -257,7 +264,7 @@
     }
 
     fn receive_startup(&mut self, connection: ConnectionId, bytes: &[u8]) {
-        assert_eq!(usize::from(bytes[3]), bytes.len(), "the startup message's length");
+        assert_eq!(usize::from(bytes[3]), bytes.len(), "the length field of the startup message");
         let response = match self.rng.u64(..12) {
             0 => fatal_error("53300", None),
             1 => b"what?".to_vec(),
@@ -267,9 +274,10 @@
         self.schedule(1, Event::Received(connection, response));
     }
 
-    /// The operating system takes all of a statement at once, or the rest later, or never.
+    /// Simulates the write of a statement: the operating system accepts all bytes at once, the rest of them
+    /// later, or never because the connection is lost.
     fn write_statement(&mut self, connection: ConnectionId, statement: Vec<u8>, deadline: Instant) {
-        assert!(self.now < deadline, "a statement written after its deadline");
+        assert!(self.now < deadline, "a statement was written at or after its deadline");
         let text = String::from_utf8_lossy(&statement);
         let remaining = text.split(",d=").nth(1).and_then(|rest| rest.split(',').next()).unwrap();
         assert!(remaining.parse::<u128>().unwrap() <= (deadline - self.now).as_millis(), "{text}");
@@ -287,12 +295,12 @@
         }
     }
 
-    /// A router has received a complete statement.
+    /// Simulates a router that receives a complete statement.
     fn receive_statement(&mut self, connection: ConnectionId, statement: &[u8]) {
         let text = String::from_utf8_lossy(statement);
         let key = key_of(statement);
         let attempt_id = text.split("id=").nth(1).unwrap()[..16].to_string();
-        assert!(self.attempt_ids.insert(attempt_id), "each attempt has an id of its own");
+        assert!(self.attempt_ids.insert(attempt_id), "two attempts have the same id");
         self.check_attempt(&key);
         if self.requests[&key].received.is_empty() {
             self.counts.first += 1;
@@ -302,8 +310,8 @@
         let response = self.draw_response(&key);
         let is_lost = self.rng.u64(..8) == 0;
         let delay_ms = self.rng.u64(..40);
-        let request = self.requests.get_mut(&key).expect("a known request");
-        // The client has the proof once it has received it; until then the statement may run.
+        let request = self.requests.get_mut(&key).expect("unknown request");
+        // A lost response proves nothing to the client.
         let is_proved_not_run = response.proves_not_run && !is_lost;
         request.received.push(ReceivedAttempt { at: self.now, is_proved_not_run });
         if is_lost {
@@ -312,25 +320,28 @@
         if let Some(retry_after) = response.retry_after {
             request.not_before = Some(self.now + retry_after);
         }
-        // In two pieces, as networks deliver them.
-        let cut = self.rng.usize(..=response.bytes.len());
-        let (start, rest) = response.bytes.split_at(cut);
+        // The response is received in two parts, split at a random byte.
+        let split = self.rng.usize(..=response.bytes.len());
+        let (start, rest) = response.bytes.split_at(split);
         self.schedule(delay_ms, Event::Received(connection, start.to_vec()));
         self.schedule(delay_ms + 1, Event::Received(connection, rest.to_vec()));
     }
 
-    /// Whether a complete statement of this request may come to a router now.
+    /// Checks that a router may receive a complete statement of this request now.
     fn check_attempt(&self, key: &str) {
         let request = &self.requests[key];
-        assert!(!request.has_ended, "{key}: written after its end");
-        assert!(self.now < request.deadline, "{key}: its last byte was written after its deadline");
+        assert!(!request.has_ended, "{key}: written after the request has ended");
+        assert!(self.now < request.deadline, "{key}: the last byte was written at or after the deadline");
         let is_early = request.not_before.is_some_and(|not_before| self.now < not_before);
-        assert!(!is_early, "{key}: sooner than the Retry-After time");
+        assert!(!is_early, "{key}: retried before the Retry-After time has passed");
         let Some(uncertain) = request.first_uncertain() else { return };
         match request.idempotency {
-            Idempotency::NonIdempotent => panic!("{key}: may run twice"),
+            Idempotency::NonIdempotent => panic!("{key}: a non-idempotent request may run twice"),
             Idempotency::Keyed(window) => {
-                assert!(self.now < uncertain.at + window, "{key}: after its idempotency key's window");
+                assert!(
+                    self.now < uncertain.at + window,
+                    "{key}: retried after the window of the idempotency key"
+                );
             }
             Idempotency::Idempotent => {}
         }
@@ -356,23 +367,29 @@
         }
     }
 
-    /// A request is completed: once, in time, and with an outcome that is true.
+    /// Checks that a request is completed once, by its deadline, and with an outcome that agrees with what
+    /// routers have received.
     fn complete(&mut self, id: RequestId, report: &RequestReport) {
         self.completed += 1;
         let key = &self.keys[&id];
-        let request = self.requests.get_mut(key).expect("a known request");
-        assert!(!request.has_ended, "{key}: completed twice, or after it was cancelled");
+        let request = self.requests.get_mut(key).expect("unknown request");
+        assert!(!request.has_ended, "{key}: completed twice or after it was cancelled");
         request.has_ended = true;
-        assert!(self.now <= request.deadline, "{key}: completed late");
+        assert!(self.now <= request.deadline, "{key}: completed after the deadline");
         let is_idempotent = request.idempotency == Idempotency::Idempotent;
         match &report.outcome {
             RequestOutcome::Served(value) => {
-                assert_eq!(value.as_deref(), Some(key.as_bytes()), "its own response");
+                assert_eq!(
+                    value.as_deref(),
+                    Some(key.as_bytes()),
+                    "{key}: the value is not that of the request's key"
+                );
             }
             RequestOutcome::Rejected(_) | RequestOutcome::DeadlineExceeded | RequestOutcome::Failed => {
                 assert!(is_idempotent || request.first_uncertain().is_none(), "{key}: {report:?}");
             }
-            // A rejection may not have been received by then, but a router has received the statement.
+            // The core may not have received a rejection before the deadline, so every attempt may have been
+            // rejected; but a router must have received a statement.
             RequestOutcome::MayHaveRun => {
                 assert!(!is_idempotent && !request.received.is_empty(), "{key}: {report:?}");
             }
@@ -381,14 +398,14 @@
     }
 }
 
-/// The key in a statement.
+/// Returns the key in a statement.
 fn key_of(statement: &[u8]) -> String {
     let text = String::from_utf8_lossy(statement);
-    text.split('\'').nth(1).expect("a key").to_string()
+    text.split('\'').nth(1).expect("a statement without a key").to_string()
 }
 
 #[test]
-fn core_keeps_its_invariants_whatever_routers_do() {
+fn core_keeps_its_invariants_with_randomly_failing_routers() {
     let mut total = AttemptCounts::default();
     for seed in 0..SIMULATIONS {
         let counts = Simulation::new(seed).run(seed);
--- a/crates/client/tests/core/validation.rs
+++ b/crates/client/tests/core/validation.rs
@@ -1,4 +1,4 @@
-//! Requests that no router can serve.
+//! Validation: requests that no router can serve are completed as invalid.
 
 use crate::harness::{config, Harness, MS};
 use crate::messages::error;
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn quotes_in_a_key_stay_in_its_literal_and_statement_errors_are_not_retried() {
+fn quotes_in_a_key_are_escaped_and_statement_errors_are_not_retried() {
     let mut harness = Harness::new(config(1));
     let request = Request::read("a", 1, "o'x' /* id=7 */");
     let id = harness.submit(request.deadline(harness.now + 900 * MS));
