--- a/crates/client/src/core/retry_budget.rs
+++ b/crates/client/src/core/retry_budget.rs
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Adds the share of a retry that each new request contributes.
+    /// Adds the fraction of a retry that each new request earns.
     pub(super) fn deposit(&mut self) {
         self.balance = (self.balance + self.deposit).min(self.capacity);
     }
--- a/crates/client/src/request.rs
+++ b/crates/client/src/request.rs
@@ -28,12 +28,12 @@
 /// are the first that are not retried.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
-    /// The upper quarter of the budget.
+    /// May use the upper quarter of the budget.
     Low,
-    /// The upper half of the budget.
+    /// May use the upper half of the budget.
     #[default]
     Normal,
-    /// All of the budget.
+    /// May use all of the budget.
     High,
 }
 
