--- a/crates/router/src/transport/exchange.rs
+++ b/crates/router/src/transport/exchange.rs
@@ -1,4 +1,5 @@
-//! One query at one host: on a pooled connection, or on a new one. Nothing is sent twice.
+//! Exchanges: one query and its response on a host connection, either pooled or new. A query is never sent
+//! twice.
 
 use super::driver::Driver;
 use super::io;
@@ -17,73 +18,74 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// An answer that has begun is given up after a pause of this length.
+/// The longest pause in a response that has begun; after it the response counts as incomplete.
 const STALL_TIMEOUT: Duration = Duration::from_nanos(ANSWER_STALL_TIMEOUT.0);
-/// The end of a string in a message.
+/// The zero byte that terminates a string in a message.
 const TERMINATOR: &[u8] = &[0];
 /// Nanoseconds in a millisecond.
 const NANOS_PER_MS: u64 = 1_000_000;
 
-/// The tasks of the exchanges that are under way.
+/// The tasks of the exchanges that are in flight.
 #[derive(Default)]
 pub struct RunningExchanges(RefCell<BTreeMap<ExchangeId, Task<()>>>);
 
 impl RunningExchanges {
-    /// Takes an exchange's task; it is cancelled with this or by [`RunningExchanges::abort`].
+    /// Stores an exchange's task. The task is cancelled by [`RunningExchanges::abort`], or when this is
+    /// dropped.
     pub fn insert(&self, id: ExchangeId, task: Task<()>) {
         self.0.borrow_mut().insert(id, task);
     }
 
-    /// Cancels an exchange: its connection is closed.
+    /// Cancels an exchange, which closes its connection.
     pub fn abort(&self, id: ExchangeId) {
         self.0.borrow_mut().remove(&id);
     }
 
-    /// Forgets an exchange that comes to its end by itself.
+    /// Removes an exchange that is completing, without cancelling its task.
     pub fn detach(&self, id: ExchangeId) {
         if let Some(task) = self.0.borrow_mut().remove(&id) {
             task.detach();
         }
     }
 
-    /// How many exchanges are under way.
+    /// Returns the number of exchanges in flight.
     pub fn len(&self) -> usize {
         self.0.borrow().len()
     }
 }
 
-/// Runs a query to its end. Dropped before that, it closes its connection: an answer that arrives late must
-/// not meet the next request.
+/// Runs one exchange and returns its result. If the future is dropped before it completes, the connection is
+/// closed, so that a late response can't be taken for the response to a later query.
 pub async fn run(driver: &Rc<Driver>, start: ExchangeStart) -> ExchangeResult {
     let ExchangeStart { id, member, client, addr, query } = start;
     let mut connection = match obtain_connection(driver, addr, &query).await {
         Ok(connection) => connection,
         Err(result) => return result,
     };
-    // The client may have gone while its request waited here, and with many others to be served, its task has
-    // not seen it yet.
+    // The client may have disconnected while the exchange waited for a connection. On a busy router its task
+    // may not have been scheduled since, so the socket is checked here.
     if let Some(client) = client.filter(|client| driver.clients.has_disconnected(*client)) {
         driver.handle(Input::ClientDisconnected(client));
     }
-    // The connection may have come up after a drain's grace, or the host's departure may have become known
-    // meanwhile.
+    // While the exchange waited for a connection, the grace period of a draining host may have passed, or an
+    // endpoint list without the host may have been received.
     if !driver.router.borrow().may_write(driver.clock.now(), id, member) {
         driver.pool.check_in(addr, connection);
         return ExchangeResult::Skipped;
     }
     connection.codec.begin_query();
     if let Err(e) = write_query(driver, &connection.stream, &query).await {
-        tracing::debug!(%addr, error = %e, "host connection broke before the query's last byte");
+        tracing::debug!(%addr, error = %e, "host connection failed before the query was written completely");
         return ExchangeResult::NotSent;
     }
-    let result = read_answer(driver, addr, &mut connection).await;
+    let result = read_response(driver, addr, &mut connection).await;
     if connection.codec.is_idle() && !driver.shutdown.is_draining() {
         driver.pool.check_in(addr, connection);
     }
     result
 }
 
-/// A connection from the pool, or a new one.
+/// Returns a connection from the pool, or opens a new one.
 async fn obtain_connection(
     driver: &Rc<Driver>,
     addr: SocketAddr,
@@ -93,22 +95,24 @@
         match driver.pool.check_out(addr) {
             Checkout::Ready(connection) => return Ok(connection),
             Checkout::ReusableAfter(delay) => drop(Timer::after(delay).await),
-            // That all routers together have no budget left says nothing of the member.
+            // The connect budget is shared by all routers; that it is exhausted is no failure of the member.
             Checkout::Empty if !may_connect(driver, query) => return Err(ExchangeResult::Skipped),
             Checkout::Empty => return connect(driver, addr).await,
         }
     }
 }
 
-/// Whether the budget of all routers has a connect for this query. Health checks have a budget of their own.
+/// Returns whether a new connection may be opened for this query, and spends the routers' shared connect
+/// budget if so. Health checks don't count against that budget; they have a budget of their own.
 fn may_connect(driver: &Driver, query: &Query) -> bool {
     let is_health_check = matches!(query, Query::HealthCheck(_));
     is_health_check || driver.router.borrow_mut().spend_budget(driver.clock.now(), Budget::Connects)
 }
 
-/// A new connection that its host has accepted. Where this router itself has nothing left for it, descriptors
-/// first, it waits within the timeout: that passes as exchanges end. What is missing then is no failure of
-/// the host, or the policy would take a sound one out of service.
+/// Opens a connection and completes its startup, within the connect timeout. If this router lacks local
+/// resources, such as descriptors, it retries within the timeout, as exchanges that complete release them. If
+/// it still lacks them at the timeout, the result is [`ExchangeResult::Skipped`] and not a failure of the
+/// host, because the policy would otherwise eject a healthy host.
 async fn connect(driver: &Rc<Driver>, addr: SocketAddr) -> Result<HostConnection, ExchangeResult> {
     let lacks_resources = Cell::new(true);
     let connected = connect_with_retries(driver, addr, &lacks_resources);
@@ -117,14 +121,14 @@
         if !lacks_resources.get() {
             return Err(ExchangeResult::NotSent);
         }
-        tracing::warn!(%addr, "nothing left for a connection to a host: descriptors, memory or ports");
+        tracing::warn!(%addr, "connect timed out: router is out of descriptors, memory or ports");
         Err(ExchangeResult::Skipped)
     };
     future::or(connected, timed_out).await
 }
 
-/// Connects, again and again while this router lacks the resources for it; `lacks_resources` shows whether it
-/// does.
+/// Opens a connection, retrying while this router lacks the local resources for it. `lacks_resources` is kept
+/// up to date, so that the caller can tell the reason of a timeout.
 async fn connect_with_retries(
     driver: &Rc<Driver>,
     addr: SocketAddr,
@@ -146,7 +150,7 @@
     }
 }
 
-/// Sends the startup message and waits until the host is ready for a query.
+/// Sends the startup message and waits for the host's ReadyForQuery.
 async fn start_up(
     driver: &Driver,
     addr: SocketAddr,
@@ -165,7 +169,7 @@
             Ok(Some(HostMessage::QueryEnded(..))) => return Err(ExchangeResult::NotSent),
             Ok(None) => {}
             Err(e) => {
-                tracing::warn!(%addr, error = %e, "a host's startup can't be read");
+                tracing::warn!(%addr, error = %e, "invalid startup response from a host");
                 return Err(ExchangeResult::NotSent);
             }
         }
@@ -178,11 +182,11 @@
 async fn write_query(driver: &Driver, stream: &Async<TcpStream>, query: &Query) -> std::io::Result<()> {
     match query {
         Query::Statement { statement, deadline, floor_ms } => {
-            // What is left now: the connection may have taken its time to come up.
-            let left_ms = deadline.since(driver.clock.now()).0 / NANOS_PER_MS;
-            let left_ms = left_ms.max(1).to_string();
+            // The time that is left now, after the connection has been opened.
+            let remaining_ms = deadline.since(driver.clock.now()).0 / NANOS_PER_MS;
+            let remaining_ms = remaining_ms.max(1).to_string();
             let floor_ms = floor_ms.map(|ms| ms.to_string());
-            let text = statement.text_parts(&left_ms, floor_ms.as_deref());
+            let text = statement.text_parts(&remaining_ms, floor_ms.as_deref());
             let head = host::query_head(text.iter().map(|part| part.len()).sum());
             let mut parts = Vec::with_capacity(text.len() + 2);
             parts.push(&head[..]);
@@ -194,9 +198,10 @@
     }
 }
 
-/// The host's answer, or how it came to nothing. One that has begun and does not go on is not waited for: its
-/// host has written all that it ever will.
-async fn read_answer(driver: &Driver, addr: SocketAddr, connection: &mut HostConnection) -> ExchangeResult {
+/// Reads the response and returns the result of the exchange. A response that has begun and then pauses for
+/// [`STALL_TIMEOUT`] is not waited for any longer: hosts write a response without pauses of that length, so
+/// the rest would never be received.
+async fn read_response(driver: &Driver, addr: SocketAddr, connection: &mut HostConnection) -> ExchangeResult {
     let HostConnection { stream, codec, .. } = connection;
     loop {
         match codec.next_message() {
@@ -206,13 +211,13 @@
             Ok(Some(_)) => return ExchangeResult::MalformedResponse,
             Ok(None) => {}
             Err(e) => {
-                tracing::debug!(%addr, error = %e, "a host's answer can't be read");
+                tracing::debug!(%addr, error = %e, "invalid response from a host");
                 return complete_row_or_malformed(codec);
             }
         }
-        let has_started = codec.answer_started();
+        let has_begun = codec.answer_started();
         let stalled = async {
-            match has_started {
+            match has_begun {
                 true => drop(Timer::after(STALL_TIMEOUT).await),
                 false => future::pending().await,
             }
@@ -223,14 +228,15 @@
             Some(Ok(1..)) => {}
             Some(_) => return result_at_close(codec),
             None => {
-                tracing::debug!(%addr, "a host's answer has begun and does not go on");
+                tracing::debug!(%addr, "response from a host stalled for {STALL_TIMEOUT:?}");
                 return complete_row_or_malformed(codec);
             }
         }
     }
 }
 
-/// The result of an answer that can't be read to its end: its row, if that is complete.
+/// Returns the result of a response that is invalid or incomplete after some point: its row if that was
+/// received completely, or else [`ExchangeResult::MalformedResponse`].
 fn complete_row_or_malformed(codec: &mut HostCodec) -> ExchangeResult {
     match codec.take_complete_row() {
         Some(row) => ExchangeResult::Answered(QueryOutcome::Row(row), ReportedState::default()),
@@ -238,7 +244,8 @@
     }
 }
 
-/// The result as the host closes the connection: an error that ends it comes without ReadyForQuery.
+/// Returns the result when the host has closed the connection. A fatal error is a complete response then,
+/// because no ReadyForQuery follows it.
 fn result_at_close(codec: &mut HostCodec) -> ExchangeResult {
     match codec.on_close() {
         Some((outcome, state)) => ExchangeResult::Answered(outcome, state),
--- a/crates/router/src/transport/io.rs
+++ b/crates/router/src/transport/io.rs
@@ -1,5 +1,5 @@
-//! Socket calls that outlive transient failures of this machine: reads into a shared buffer, gathered writes,
-//! probes of a connection's state, and the ways to close one.
+//! Socket operations that are retried after transient local failures: reads into a shared buffer, vectored
+//! writes, checks of a connection's state, and ways to close a connection.
 
 use super::semaphore::RETRY_INTERVAL;
 use async_io::{Async, Timer};
@@ -12,43 +12,45 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::Duration;
 
-/// How long a client may take to close its side after the router has ended the connection.
+/// How long the router waits for a client to close its side after it has closed its own.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Bytes read by one call.
+/// The maximum number of bytes that one call reads.
 const READ_BUFFER_LEN: usize = 16 * 1024;
-/// Parts gathered into one write to a host.
+/// The maximum number of parts in one vectored write to a host.
 const MAX_WRITE_PARTS: usize = 8;
-/// Errors for want of something of this machine's own.
+/// Errors that are due to a lack of local resources, or to an interrupting signal.
 const TRANSIENT_ERRORS: [Errno; 6] =
     [Errno::INTR, Errno::NOBUFS, Errno::NOMEM, Errno::MFILE, Errno::NFILE, Errno::ADDRNOTAVAIL];
 
-/// Whether a call failed for want of something of this machine's own, which passes: the peer has no part in
-/// it, and a connection on which it was made is as sound as before.
+/// Returns whether a call failed for a transient local reason, such as a lack of descriptors, memory or
+/// ports. The remote side has not caused the error, and the connection on which the call was made is still
+/// usable.
 pub fn is_transient(error: &io::Error) -> bool {
     Errno::from_io_error(error).is_some_and(|errno| TRANSIENT_ERRORS.contains(&errno))
 }
 
-/// Repeats a call for as long as a signal interrupts it.
+/// Repeats a call until it completes without being interrupted by a signal.
 pub fn uninterrupted<R>(mut call: impl FnMut() -> io::Result<R>) -> io::Result<R> {
     loop {
         match call() {
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            done => return done,
+            result => return result,
         }
     }
 }
 
-/// Repeats an operation after a pause for as long as it fails transiently.
+/// Repeats an operation until it succeeds or fails with an error that is not transient, with a pause of
+/// [`RETRY_INTERVAL`] after each failure.
 async fn retry_transient<R>(mut operation: impl AsyncFnMut() -> io::Result<R>) -> io::Result<R> {
     loop {
         match operation().await {
             Err(e) if is_transient(&e) => drop(Timer::after(RETRY_INTERVAL).await),
-            done => return done,
+            result => return result,
         }
     }
 }
 
-/// Calls `call` once the socket is readable.
+/// Calls `call` once the socket is readable, and again after transient failures.
 pub async fn read_with<R>(
     stream: &Async<TcpStream>,
     mut call: impl FnMut(&TcpStream) -> io::Result<R>,
@@ -56,7 +58,7 @@
     retry_transient(async || stream.read_with(|s| uninterrupted(|| call(s))).await).await
 }
 
-/// Calls `call` once the socket is writable.
+/// Calls `call` once the socket is writable, and again after transient failures.
 pub async fn write_with<R>(
     stream: &Async<TcpStream>,
     mut call: impl FnMut(&TcpStream) -> io::Result<R>,
@@ -64,15 +66,16 @@
     retry_transient(async || stream.write_with(|s| uninterrupted(|| call(s))).await).await
 }
 
-/// What one read brought.
+/// The result of one read.
 pub struct Received<'a> {
-    /// The bytes; none at the end of the stream.
+    /// The bytes that were read; empty at the end of the stream.
     pub bytes: &'a [u8],
-    /// The buffer had space for more: the socket has been emptied.
+    /// Whether the read returned less than the buffer holds, so that the socket's receive buffer is empty
+    /// now.
     pub drained: bool,
 }
 
-/// The one buffer into which all sockets of the router are read.
+/// The buffer that all sockets of the router are read into, one at a time.
 pub struct ReadBuffer(RefCell<Vec<u8>>);
 
 impl Default for ReadBuffer {
@@ -82,7 +85,7 @@
 }
 
 impl ReadBuffer {
-    /// Reads by one call and hands what it brought to `feed`; how many bytes that were.
+    /// Reads once and passes the result to `feed`. Returns the number of bytes that were read.
     pub fn read_once(&self, mut stream: &TcpStream, feed: impl FnOnce(Received<'_>)) -> io::Result<usize> {
         let mut buffer = self.0.borrow_mut();
         let len = stream.read(&mut buffer)?;
@@ -91,18 +94,19 @@
         Ok(len)
     }
 
-    /// Waits until there is something to read and hands it to `feed`; 0 at the end of the stream.
+    /// Waits until the socket is readable, reads once and passes the bytes to `feed`. Returns the number of
+    /// bytes that were read, 0 at the end of the stream.
     pub async fn read(&self, stream: &Async<TcpStream>, mut feed: impl FnMut(&[u8])) -> io::Result<usize> {
         read_with(stream, |s| self.read_once(s, |received| feed(received.bytes))).await
     }
 
-    /// Reads what has arrived, without waiting, and drops it.
+    /// Reads once without waiting and discards the bytes.
     pub fn discard_now(&self, stream: &Async<TcpStream>) {
         let _ = uninterrupted(|| self.read_once(stream.get_ref(), |_| {}));
     }
 }
 
-/// Whether the peer has ended the connection and all that it sent before has been read.
+/// Returns whether the remote side has closed the connection and everything that it sent has been read.
 pub fn at_end(stream: &Async<TcpStream>) -> bool {
     match uninterrupted(|| stream.get_ref().peek(&mut [0])) {
         Ok(len) => len == 0,
@@ -110,27 +114,28 @@
     }
 }
 
-/// Whether the peer has ended the connection, however much of what it sent before is still unread.
+/// Returns whether the remote side has closed the connection, even if bytes that it sent are still unread.
 pub fn hung_up(stream: &Async<TcpStream>) -> bool {
-    let gone = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
-    let mut polled = [PollFd::new(stream.get_ref(), gone)];
+    let closed_flags = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
+    let mut polled = [PollFd::new(stream.get_ref(), closed_flags)];
     let ready = uninterrupted(|| Ok(poll(&mut polled, Some(&Timespec::default()))?));
-    ready.is_ok_and(|count| count > 0) && polled[0].revents().intersects(gone)
+    ready.is_ok_and(|count| count > 0) && polled[0].revents().intersects(closed_flags)
 }
 
-/// Whether an idle connection is still open and has sent nothing.
+/// Returns whether an idle connection is still open and has received nothing.
 pub fn is_silent(stream: &Async<TcpStream>) -> bool {
     let mut one = [0];
     let read = uninterrupted(|| stream.get_ref().read(&mut one));
     matches!(read, Err(e) if e.kind() == ErrorKind::WouldBlock || is_transient(&e))
 }
 
-/// How many bytes have arrived and are not read; where the system can't say, as many as one call reads.
+/// Returns the number of received bytes that have not been read. If the operating system can't tell, returns
+/// the maximum that one call reads.
 pub fn unread_len(stream: &Async<TcpStream>) -> usize {
     rustix::io::ioctl_fionread(stream.get_ref()).map_or(READ_BUFFER_LEN, |len| len as usize)
 }
 
-/// Writes all parts in order, without copying them together.
+/// Writes all parts in order, without copying them into one buffer.
 pub async fn write_all(stream: &Async<TcpStream>, parts: &[&[u8]]) -> io::Result<()> {
     let total: usize = parts.iter().map(|part| part.len()).sum();
     let mut written = 0;
@@ -149,7 +154,8 @@
     Ok(())
 }
 
-/// Fills `slices` with what is left of `parts` behind the first `skip` bytes; how many were filled.
+/// Fills `slices` with the remainder of `parts` after the first `skip` bytes. Returns the number of slices
+/// filled.
 fn fill_slices<'a>(parts: &[&'a [u8]], mut skip: usize, slices: &mut [IoSlice<'a>]) -> usize {
     let mut count = 0;
     for part in parts {
@@ -163,12 +169,13 @@
     count
 }
 
-/// Ends a connection so that what was written last arrives: closed over unread bytes, it would be reset. The
-/// wait for the peer's close ends early with `enough`.
+/// Closes a connection without losing the bytes that were written last. Closing a socket with unread input
+/// resets the connection, so this shuts down the write side first and discards input until the remote side
+/// closes, [`LINGER_TIMEOUT`] has passed or `cancelled` completes.
 pub async fn lingering_close(
     buffer: &ReadBuffer,
     stream: &Async<TcpStream>,
-    enough: impl Future<Output = ()>,
+    cancelled: impl Future<Output = ()>,
 ) {
     let _ = stream.get_ref().shutdown(Shutdown::Write);
     let peer_closed = async {
@@ -179,11 +186,11 @@
     let timed_out = async {
         Timer::after(LINGER_TIMEOUT).await;
     };
-    future::or(peer_closed, future::or(timed_out, enough)).await;
+    future::or(peer_closed, future::or(timed_out, cancelled)).await;
 }
 
-/// Has the connection reset as it closes: the system would otherwise go on to send to a peer that reads
-/// nothing.
+/// Makes the close of the socket reset the connection. Otherwise the operating system would keep trying to
+/// send the remaining output to a remote side that does not read.
 pub fn reset_on_close(stream: &Async<TcpStream>) {
     let _ = rustix::net::sockopt::set_socket_linger(stream.get_ref(), Some(Duration::ZERO));
 }
--- a/crates/router/src/transport/listener.rs
+++ b/crates/router/src/transport/listener.rs
@@ -1,4 +1,4 @@
-//! The listener: accepts clients up to the shutdown, and those that the system has accepted by then.
+//! The listener: accepts clients until the shutdown, and finally those that are in the backlog by then.
 
 use super::client::{self, MAX_ADMISSION_ATTEMPTS};
 use super::driver::Driver;
@@ -10,12 +10,12 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long the listener pauses after a failed accept.
+/// The pause after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// How long connections are taken from the system's backlog at the end: more may connect without end.
+/// The limit on accepting from the backlog at the shutdown, as clients may keep connecting.
 const BACKLOG_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Accepts clients and gives each its id.
+/// The task that accepts clients and assigns their ids.
 pub struct Listener {
     driver: Rc<Driver>,
     socket: Async<TcpListener>,
@@ -23,21 +23,21 @@
 }
 
 impl Listener {
-    /// A listener that has accepted nothing yet.
+    /// Creates a listener that has accepted no connection yet.
     pub fn new(driver: Rc<Driver>, socket: Async<TcpListener>) -> Listener {
         Listener { driver, socket, accepted: 0 }
     }
 
-    /// Accepts clients until [`super::shutdown::Shutdown::stop_accepting`], and then what the system has
-    /// accepted by that moment.
+    /// Accepts clients until [`super::shutdown::Shutdown::stop_accepting`] is called, and then those that are
+    /// in the backlog at that time.
     pub async fn run(mut self) {
         while let Some(connection) = self.next_connection().await {
             match connection {
                 Ok(stream) => self.admit(stream, MAX_ADMISSION_ATTEMPTS).await,
-                // One that has gone before it was accepted, or a call that was interrupted.
+                // The client disconnected before it was accepted, or a signal interrupted the call.
                 Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
                 Err(e) => {
-                    tracing::warn!(error = %e, "accept failed");
+                    tracing::warn!(error = %e, "accept failed; retrying in {ACCEPT_RETRY_DELAY:?}");
                     self.driver.pool.close_oldest();
                     Timer::after(ACCEPT_RETRY_DELAY).await;
                 }
@@ -46,7 +46,7 @@
         self.accept_backlog().await;
     }
 
-    /// The next connection; none once the listener is to stop.
+    /// Returns the next connection, or `None` once the listener has to stop.
     async fn next_connection(&self) -> Option<io::Result<Async<TcpStream>>> {
         let accept = async { Some(self.socket.accept().await.map(|(stream, _)| stream)) };
         let stop = async {
@@ -56,18 +56,19 @@
         future::or(stop, accept).await
     }
 
-    /// Accepts what waits in the system's backlog: it would be reset as the listener closes.
+    /// Accepts the connections in the backlog, which would be reset when the listener closes.
     async fn accept_backlog(&mut self) {
         let deadline = Instant::now() + BACKLOG_TIMEOUT;
-        while let Some(stream) = next_waiting(|| self.accept_waiting(), deadline) {
+        while let Some(stream) = next_from_backlog(|| self.accept_now(), deadline) {
             if let Ok(stream) = Async::new(stream) {
                 self.admit(stream, 1).await;
             }
         }
     }
 
-    /// Accepts a connection without waiting; a call that fails frees a descriptor for the next.
-    fn accept_waiting(&self) -> io::Result<TcpStream> {
+    /// Accepts a connection without waiting. If that fails, closes an idle host connection to free a
+    /// descriptor for the next call.
+    fn accept_now(&self) -> io::Result<TcpStream> {
         let accepted = self.socket.get_ref().accept();
         if accepted.as_ref().is_err_and(|e| e.kind() != ErrorKind::WouldBlock) {
             self.driver.pool.close_oldest();
@@ -81,9 +82,9 @@
     }
 }
 
-/// The next connection that waits to be accepted, if there is one. A call that fails for a moment leaves
-/// those behind it where they are.
-fn next_waiting<T>(mut accept: impl FnMut() -> io::Result<T>, deadline: Instant) -> Option<T> {
+/// Returns the next connection in the backlog, or `None` if it is empty or `deadline` has passed. Failed
+/// calls are repeated: the connections are still in the backlog.
+fn next_from_backlog<T>(mut accept: impl FnMut() -> io::Result<T>, deadline: Instant) -> Option<T> {
     while Instant::now() < deadline {
         match accept() {
             Ok(connection) => return Some(connection),
--- a/crates/router/src/transport/listener/tests.rs
+++ b/crates/router/src/transport/listener/tests.rs
@@ -13,7 +13,7 @@
     let driver = Driver::new(&config, None, &executor);
     let waiting: io::Result<Vec<TcpStream>> = (0..50).map(|_| TcpStream::connect(addr)).collect();
     let waiting = waiting?;
-    // The listener is stopped before it has looked at any of them.
+    // The listener is told to stop before it has accepted any of them.
     driver.shutdown.stop_accepting();
     let listener = Listener::new(Rc::clone(&driver), Async::new(socket)?);
     async_io::block_on(executor.run(listener.run()));
@@ -23,13 +23,13 @@
 }
 
 #[test]
-fn a_failed_accept_leaves_the_backlog_to_be_accepted() {
+fn the_backlog_is_accepted_after_failed_calls_until_the_deadline() {
     let mut calls =
         [Err(ErrorKind::Interrupted), Err(ErrorKind::ConnectionAborted), Ok(1), Ok(2)].into_iter();
     let mut accept = || calls.next().unwrap_or(Err(ErrorKind::WouldBlock)).map_err(io::Error::from);
     let deadline = Instant::now() + Duration::from_secs(10);
-    assert_eq!(next_waiting(&mut accept, deadline), Some(1));
-    assert_eq!(next_waiting(&mut accept, deadline), Some(2));
-    assert_eq!(next_waiting(&mut accept, deadline), None);
-    assert_eq!(next_waiting(|| Ok(3), Instant::now()), None, "more may connect without end");
+    assert_eq!(next_from_backlog(&mut accept, deadline), Some(1));
+    assert_eq!(next_from_backlog(&mut accept, deadline), Some(2));
+    assert_eq!(next_from_backlog(&mut accept, deadline), None);
+    assert_eq!(next_from_backlog(|| Ok(3), Instant::now()), None, "accepting stops at the deadline");
 }
--- a/crates/router/src/transport/notify.rs
+++ b/crates/router/src/transport/notify.rs
@@ -1,10 +1,11 @@
-//! A wake-up from one task to another on the same thread.
+//! Notification of one task by others on the same thread.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
 use std::task::{Poll, Waker};
 
-/// Notified by any number of tasks, awaited by one. Notifications that arrive before it looks merge into one.
+/// A notification that any number of tasks send and one task awaits. Notifications that are sent before that
+/// task polls again are merged into one.
 #[derive(Default)]
 pub struct Notify {
     notified: Cell<bool>,
@@ -12,7 +13,7 @@
 }
 
 impl Notify {
-    /// Wakes the waiting task, or lets its next wait return at once.
+    /// Wakes the waiting task, or makes its next wait return immediately.
     pub fn notify(&self) {
         self.notified.set(true);
         if let Some(waker) = self.waker.borrow_mut().take() {
--- a/crates/router/src/transport/pool.rs
+++ b/crates/router/src/transport/pool.rs
@@ -1,4 +1,5 @@
-//! Idle connections to hosts. A connection is either here or with the one exchange that uses it.
+//! The pool of idle connections to hosts. A connection is either in the pool or owned by the one exchange
+//! that uses it.
 
 use super::io;
 use super::semaphore::Permit;
@@ -9,13 +10,13 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// A connection that its host has accepted and authenticated.
+/// A connection whose startup has completed: the host has sent AuthenticationOk and ReadyForQuery.
 pub struct HostConnection {
-    /// Its socket.
+    /// The socket.
     pub stream: Async<TcpStream>,
-    /// The state of the protocol on it.
+    /// The protocol state of the connection.
     pub codec: HostCodec,
-    /// Its descriptor.
+    /// The permit for the socket's descriptor.
     pub _descriptor: Permit,
 }
 
@@ -24,50 +25,51 @@
     idle_since: Instant,
 }
 
-/// What the pool has for an address.
+/// The result of requesting a connection to an address from the pool.
 pub enum Checkout {
-    /// A connection to use.
+    /// A connection that can be used now.
     Ready(HostConnection),
-    /// All connections were used too recently; the first can be reused after this long.
+    /// All idle connections were used less than the reuse delay ago; the first can be reused after this time.
     ReusableAfter(Duration),
-    /// No connection.
+    /// The pool has no connection to the address.
     Empty,
 }
 
-/// The timeouts of a pool and of the connections made for it.
+/// The timeouts of a pool and of the connections that are opened for it.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolTimeouts {
-    /// How long a connection is left alone after an answer: its host may still send an error behind it.
+    /// The time after a response during which a connection is not reused: the host may still send an error
+    /// after the response.
     pub reuse_delay: Duration,
-    /// Connections that were idle for longer are closed, before their host does so.
+    /// The time after which an idle connection is closed. It is shorter than the host's own idle timeout.
     pub idle: Duration,
-    /// How long a new connection may take, up to the host's ReadyForQuery.
+    /// The limit on opening a connection, from the connect to the host's ReadyForQuery.
     pub connect: Duration,
 }
 
-/// The idle connections by address, the most recently used last.
+/// The idle connections by address, each list ordered from the least to the most recently used.
 pub struct HostPool {
     idle: RefCell<BTreeMap<SocketAddr, Vec<IdleConnection>>>,
     timeouts: PoolTimeouts,
 }
 
 impl HostPool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(timeouts: PoolTimeouts) -> HostPool {
         HostPool { idle: RefCell::default(), timeouts }
     }
 
-    /// How long a new connection may take.
+    /// Returns the limit on opening a connection, from the connect to the host's ReadyForQuery.
     pub fn connect_timeout(&self) -> Duration {
         self.timeouts.connect
     }
 
-    /// How many connections are idle.
+    /// Returns the number of idle connections.
     pub fn len(&self) -> usize {
         self.idle.borrow().values().map(Vec::len).sum()
     }
 
-    /// Takes the most recently used connection that is still open and may be reused by now.
+    /// Takes the most recently used connection that is still open and has passed its reuse delay.
     pub fn check_out(&self, addr: SocketAddr) -> Checkout {
         let mut idle = self.idle.borrow_mut();
         let Some(connections) = idle.get_mut(&addr) else { return Checkout::Empty };
@@ -82,18 +84,18 @@
         }
     }
 
-    /// Returns a connection after use.
+    /// Puts a connection back after use.
     pub fn check_in(&self, addr: SocketAddr, connection: HostConnection) {
         let idle = IdleConnection { connection, idle_since: Instant::now() };
         self.idle.borrow_mut().entry(addr).or_default().push(idle);
     }
 
-    /// Closes the idle connections to an address.
+    /// Closes all idle connections to an address.
     pub fn close_all(&self, addr: SocketAddr) {
         self.idle.borrow_mut().remove(&addr);
     }
 
-    /// Closes the connections to an address that have been idle since before `instant`.
+    /// Closes the connections to an address that were last used before `instant`.
     pub fn close_idle_since_before(&self, addr: SocketAddr, instant: Instant) {
         if let Some(connections) = self.idle.borrow_mut().get_mut(&addr) {
             connections.retain(|c| c.idle_since >= instant);
@@ -110,7 +112,8 @@
         }
     }
 
-    /// Closes what has been idle for too long or was closed by its host.
+    /// Closes connections that have exceeded the idle timeout, were closed by their host, or have unexpected
+    /// input.
     pub fn close_expired(&self) {
         let mut idle = self.idle.borrow_mut();
         for connections in idle.values_mut() {
--- a/crates/router/src/transport/reload.rs
+++ b/crates/router/src/transport/reload.rs
@@ -1,4 +1,4 @@
-//! Taking over a configuration that was read again.
+//! Applying a configuration that was read again.
 
 use super::driver::Driver;
 use super::fleet;
@@ -6,7 +6,8 @@
 use basalthill_config::router::RouterConfig;
 use std::rc::Rc;
 
-/// Takes over what can change in a running router, and logs what can't.
+/// Applies the settings that can change in a running router, and logs a warning for each changed setting that
+/// needs a restart.
 pub fn apply(driver: &Rc<Driver>, started: &RouterConfig, reloaded: &RouterConfig) {
     for key in started.needs_restart(reloaded) {
         tracing::warn!(key, "configuration: {key} has changed, which needs a restart; the old value stays");
--- a/crates/router/src/transport/semaphore.rs
+++ b/crates/router/src/transport/semaphore.rs
@@ -1,31 +1,31 @@
-//! Counting semaphores for what is limited: descriptors, rejections in progress, large statements.
+//! Counting semaphores for limited resources: descriptors, rejections in progress and large statements.
 
 use async_io::Timer;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a task waits before it checks again for something that a limit or the system did not give it.
+/// The pause before a task tries again to obtain a permit, or a resource of the operating system.
 pub const RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A number of permits that may be out at a time.
+/// A semaphore with a fixed number of permits.
 pub struct Semaphore(Rc<Cell<usize>>);
 
-/// A permit that was acquired; released on drop.
+/// An acquired permit; released on drop.
 pub struct Permit(Rc<Cell<usize>>);
 
 impl Semaphore {
-    /// A semaphore with so many permits.
+    /// Creates a semaphore with `permits` permits.
     pub fn new(permits: usize) -> Semaphore {
         Semaphore(Rc::new(Cell::new(permits)))
     }
 
-    /// How many permits can still be acquired.
+    /// Returns the number of permits that can be acquired now.
     pub fn available(&self) -> usize {
         self.0.get()
     }
 
-    /// Acquires a permit, waiting until one is released.
+    /// Acquires a permit. If none is available, checks again every [`RETRY_INTERVAL`].
     pub async fn acquire(&self) -> Permit {
         loop {
             match self.acquire_now() {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Acquires a permit, if one is available.
+    /// Acquires a permit without waiting, or returns `None` if none is available.
     pub fn acquire_now(&self) -> Option<Permit> {
         let remaining = self.0.get().checked_sub(1)?;
         self.0.set(remaining);
--- a/crates/router/src/transport/shutdown.rs
+++ b/crates/router/src/transport/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: the router goes on for a while, accepts nothing new, and ends once all is answered or
-//! its time is over.
+//! Graceful shutdown: the router continues to serve for [`STOP_GRACE`], then stops accepting connections, and
+//! stops once all clients are disconnected or the time limit has passed.
 
 use super::driver::Driver;
 use super::maintenance;
@@ -14,48 +14,48 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long the answers to requests that are failed at the end may take to be written.
+/// The time for writing the error replies to requests that are still in flight at the time limit.
 const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// How far a router is in stopping.
+/// The progress of a graceful shutdown.
 #[derive(Default)]
 pub struct Shutdown {
-    /// Tells the listener to accept nothing more than what waits.
+    /// Notifies the listener to accept only the connections that are already in the backlog.
     stop_accepting: Notify,
-    /// Connections are closed between two requests.
+    /// Whether client connections are closed as soon as they have no request in flight.
     draining: Cell<bool>,
-    /// A client has gone, or no request is unanswered.
+    /// Notified when a client has disconnected, or no request is in flight.
     progress: Notify,
 }
 
 impl Shutdown {
-    /// Has the listener accept nothing more than what waits.
+    /// Makes the listener accept only the connections that are already in the backlog, and then stop.
     pub fn stop_accepting(&self) {
         self.stop_accepting.notify();
     }
 
-    /// Waits until the listener is to stop.
+    /// Waits until [`Shutdown::stop_accepting`] is called.
     pub async fn accepting_stopped(&self) {
         self.stop_accepting.notified().await;
     }
 
-    /// Whether connections are closed between two requests.
+    /// Returns whether client connections are closed as soon as they have no request in flight.
     pub fn is_draining(&self) -> bool {
         self.draining.get()
     }
 
-    /// A client has gone, or no request is unanswered: the shutdown may go on.
+    /// Wakes the shutdown when a client has disconnected or no request is in flight.
     pub fn notify_progress(&self) {
         self.progress.notify();
     }
 }
 
-/// Stops the router in good order, within `limit` from now. `listener` is the task that accepts clients.
+/// Shuts the router down gracefully, within `limit` from now. `listener` is the task that accepts clients.
 pub async fn run(driver: &Rc<Driver>, listener: Option<Task<()>>, limit: Time) {
     let stopped_at = driver.clock.now();
     tracing::info!(unanswered = driver.router.borrow().unanswered(), "stopping");
     Timer::after(Duration::from_nanos(STOP_GRACE.0)).await;
-    // What the system has accepted by now is served, and nothing that connects later.
+    // Connections that are in the backlog now are served, but none that are opened later.
     driver.shutdown.stop_accepting();
     if let Some(listener) = listener {
         listener.await;
--- a/crates/router/src/transport/timers.rs
+++ b/crates/router/src/transport/timers.rs
@@ -1,4 +1,4 @@
-//! Firing of routing's timers.
+//! The task that fires routing's timers.
 
 use super::driver::Driver;
 use super::notify::Notify;
@@ -9,31 +9,31 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A time that never comes.
+/// The due time when no timer is set.
 const NEVER: Time = Time(u64::MAX);
 
-/// For when the timers' task sleeps, and how it learns that a timer is due before that.
+/// The time until which the timer task sleeps, and the notification that a timer has become due earlier.
 pub struct TimerDeadline {
     sleeps_until: Cell<Time>,
-    moved_forward: Notify,
+    earlier_timer_due: Notify,
 }
 
 impl Default for TimerDeadline {
     fn default() -> TimerDeadline {
-        TimerDeadline { sleeps_until: Cell::new(NEVER), moved_forward: Notify::default() }
+        TimerDeadline { sleeps_until: Cell::new(NEVER), earlier_timer_due: Notify::default() }
     }
 }
 
 impl TimerDeadline {
-    /// Wakes the timers' task if `due` is before the time up to which it sleeps.
+    /// Wakes the timer task if `due` is earlier than the time until which it sleeps.
     pub fn wake_before(&self, due: Option<Time>) {
         if due.is_some_and(|due| due < self.sleeps_until.get()) {
-            self.moved_forward.notify();
+            self.earlier_timer_due.notify();
         }
     }
 }
 
-/// Lets routing's timers fire, never early.
+/// Passes a tick to routing whenever a timer is due, never before.
 pub async fn run(driver: Rc<Driver>) {
     loop {
         let due = driver.router.borrow().next_due();
@@ -48,9 +48,9 @@
                 let sleep = async {
                     Timer::at(instant).await;
                 };
-                future::or(sleep, driver.timers.moved_forward.notified()).await;
+                future::or(sleep, driver.timers.earlier_timer_due.notified()).await;
             }
-            None => driver.timers.moved_forward.notified().await,
+            None => driver.timers.earlier_timer_due.notified().await,
         }
     }
 }
