--- a/crates/router/src/transport/client/admission.rs
+++ b/crates/router/src/transport/client/admission.rs
@@ -1,6 +1,6 @@
-//! Admission of clients: descriptors for a new connection, or its rejection.
+//! Admission of clients: a new connection gets its permits, or is rejected.
 
-use super::eviction::Eviction;
+use super::eviction::EvictionPriority;
 use super::registry::ClientRegistry;
 use super::ClientConnection;
 use crate::protocol::client;
@@ -17,24 +17,26 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How often a descriptor is looked for before a client is rejected: all attempts together take no longer
-/// than a client that has just connected may take to send its first request.
+/// The number of attempts to acquire a descriptor before a client is rejected. They are
+/// [`RETRY_INTERVAL`] apart, so that all together take less time than a client has to send its first request.
 pub const MAX_ADMISSION_ATTEMPTS: u32 = 8;
 
-/// What an admitted client occupies; released on drop.
+/// The permits that an admitted client holds; released on drop.
 pub struct AdmissionPermits {
     _descriptor: Permit,
     _client: Permit,
 }
 
-/// Admits a new connection and gives it its task. Where there is no descriptor at once, it is looked for
-/// `attempts` times more; a few connections wait for that beside accepting, so that those behind them don't.
+/// Admits a new connection and spawns its task. If no descriptor is available at once, up to `attempts`
+/// further attempts are made. A limited number of connections, those with a rejection permit, make them in
+/// their own tasks, so that later connections are accepted at the same time; without one, accepting waits for
+/// the attempts.
 pub async fn admit(driver: &Rc<Driver>, id: ClientId, stream: Async<TcpStream>, attempts: u32) {
     let connected_at = Instant::now();
     let mut permits = driver.clients.acquire_permits(driver, 1).await;
     let mut rejection = None;
     if permits.is_none() {
-        rejection = driver.clients.rejections.acquire_now();
+        rejection = driver.clients.rejection_permits.acquire_now();
         if rejection.is_none() {
             permits = driver.clients.acquire_permits(driver, attempts).await;
         }
@@ -50,35 +52,35 @@
                 drop(rejection);
                 ClientConnection::new(driver, id, stream, permits, connected_at).run().await;
             }
-            // Only a few at a time wait for their clients, or they would occupy more descriptors than there
-            // are.
+            // Rejected connections that wait for their client to close use descriptors as well, so the number
+            // of those is limited by permits.
             None => reject(driver, stream, rejection).await,
         }
     });
     task.into_iter().for_each(Task::detach);
-    // Many may connect at once: other tasks get their turn in between.
+    // Many clients may connect at once; yields so that other tasks run in between.
     future::yield_now().await;
 }
 
 impl ClientRegistry {
-    /// Descriptors for a client, out of the clients' part. Where there are many clients, an unused connection
-    /// makes place, or the one that has been idle for longest; one that has just connected is given a moment,
-    /// and one in the middle of a message is ended only where there is no place at all. Looks `attempts`
-    /// times.
+    /// Acquires the permits for a client, in up to `attempts` attempts, out of the descriptors that clients
+    /// may use. From `eviction_threshold` clients on, this evicts an unused connection or the one that has
+    /// been idle for longest. If no permit is available, it also evicts a connection with an incomplete
+    /// message, and waits between attempts for connections that are still protected from eviction.
     async fn acquire_permits(&self, driver: &Driver, attempts: u32) -> Option<AdmissionPermits> {
         if self.len() >= self.eviction_threshold {
-            self.evict(Eviction::MidMessage(Duration::MAX)).await;
+            self.evict(EvictionPriority::MidMessage(Duration::MAX)).await;
         }
         for remaining in (0..attempts).rev() {
-            if let Some(client) = self.admissions.acquire_now() {
+            if let Some(client) = self.client_permits.acquire_now() {
                 return with_descriptor(driver, client).await;
             }
-            match self.evict(Eviction::Soon).await {
-                Eviction::Never => break,
-                Eviction::Soon if remaining == 0 => break,
-                Eviction::Soon => drop(Timer::after(RETRY_INTERVAL).await),
-                Eviction::MidMessage(_) | Eviction::Idle(_) | Eviction::Unused(_) => {
-                    if let Some(client) = self.admissions.acquire_now() {
+            match self.evict(EvictionPriority::NotYet).await {
+                EvictionPriority::Never => break,
+                EvictionPriority::NotYet if remaining == 0 => break,
+                EvictionPriority::NotYet => drop(Timer::after(RETRY_INTERVAL).await),
+                EvictionPriority::MidMessage(_) | EvictionPriority::Idle(_) | EvictionPriority::Unused(_) => {
+                    if let Some(client) = self.client_permits.acquire_now() {
                         return with_descriptor(driver, client).await;
                     }
                 }
@@ -88,14 +90,15 @@
     }
 }
 
-/// Completes an admission with a descriptor out of the router's budget.
+/// Completes an admission by acquiring a descriptor.
 async fn with_descriptor(driver: &Driver, client: Permit) -> Option<AdmissionPermits> {
     let descriptor = driver.acquire_descriptor().await?;
     Some(AdmissionPermits { _descriptor: descriptor, _client: client })
 }
 
-/// Rejects a client for want of descriptors. Without a permit to wait for it, as much of the error is written
-/// as fits, and that is all.
+/// Rejects a client for lack of descriptors. With a rejection permit, writes the error completely and waits
+/// for the client to close. Without one, writes as much of the error as the socket's send buffer takes and
+/// closes.
 async fn reject(driver: Rc<Driver>, stream: Async<TcpStream>, rejection: Option<Permit>) {
     driver.clients.count_rejected();
     let _ = stream.get_ref().set_nodelay(true);
@@ -103,7 +106,8 @@
     if rejection.is_some() && io::write_all(&stream, &[&error]).await.is_ok() {
         return io::lingering_close(&driver.read_buffer, &stream, future::pending()).await;
     }
-    // Closed over unread bytes, the connection would be reset before the client has read the error.
+    // Closing a socket with unread input resets the connection, possibly before the client has read the
+    // error.
     driver.read_buffer.discard_now(&stream);
     let _ = stream.get_ref().write(&error);
 }
--- a/crates/router/src/transport/client/close.rs
+++ b/crates/router/src/transport/client/close.rs
@@ -1,4 +1,4 @@
-//! How the router closes a client's connection.
+//! Closing of a client connection by the router.
 
 use super::eviction::ConnectionState;
 use super::ClientConnection;
@@ -6,24 +6,24 @@
 use std::time::Instant;
 
 impl ClientConnection {
-    /// Closes the connection from this side, once nothing is left to be answered on it. Closed over unread
-    /// bytes, a connection is reset, and the tail of the last reply may be lost: so the sending ends first,
-    /// and what arrives is dropped until the client closes, too.
+    /// Closes the connection after the last reply has been written. Closing a socket with unread input resets
+    /// the connection, which may lose the end of the last reply, so this shuts down the write side first and
+    /// discards input until the client closes as well.
     pub(super) async fn linger(&self) {
         self.handle.state.set(ConnectionState::Draining(Instant::now()));
         self.handle.message_started.take();
         self.large_permit.take();
-        io::lingering_close(&self.driver.read_buffer, &self.stream, self.wait_until_evicted()).await;
+        io::lingering_close(&self.driver.read_buffer, &self.stream, self.evicted_without_permit()).await;
     }
 
-    /// Waits until this connection is to make place for another and can't linger on. Evicted, it first gives
-    /// up its admission and takes one of the few permits for rejections, which it occupies until it is
-    /// closed; where there is none, the wait is over.
-    async fn wait_until_evicted(&self) {
+    /// Waits until the connection is evicted while no rejection permit is available. On an eviction, the
+    /// connection tries to exchange its admission permits for a rejection permit. If it gets one, it may
+    /// continue to linger and holds the permit until it is closed; if not, this returns.
+    async fn evicted_without_permit(&self) {
         let mut rejection = None;
         loop {
-            if self.handle.is_evicted() && rejection.is_none() {
-                rejection = self.driver.clients.rejections.acquire_now();
+            if self.handle.is_eviction_requested() && rejection.is_none() {
+                rejection = self.driver.clients.rejection_permits.acquire_now();
                 if rejection.is_none() {
                     return;
                 }
@@ -33,13 +33,14 @@
         }
     }
 
-    /// Ends the conversation between two requests. No complete request has been read that is not answered,
-    /// and none will be: a client that sends one meanwhile knows by the close that it was not run.
-    pub(super) fn end_between_requests(&self) {
+    /// Closes the conversation while no request is in flight. Every complete request that was read has its
+    /// reply, and no further input is read, so a client that sends a request at this time can tell from the
+    /// close that it was not executed.
+    pub(super) fn close_between_requests(&self) {
         let mut conversation = self.conversation.borrow_mut();
         match self.driver.clients.close_notice() {
-            true => conversation.end_with_notice(),
-            false => conversation.end(),
+            true => conversation.close_with_notice(),
+            false => conversation.close(),
         }
     }
 }
--- a/crates/router/src/transport/client/eviction.rs
+++ b/crates/router/src/transport/client/eviction.rs
@@ -1,80 +1,90 @@
-//! Which client's connection makes place for another where descriptors are short.
+//! Selection of the client connection to evict when descriptors are short.
 
 use super::registry::ClientRegistry;
 use basalthill_config::router::{CLIENT_EVICTION_IDLE, CLIENT_MESSAGE_TIMEOUT};
 use futures_lite::future;
 use std::time::{Duration, Instant};
 
-/// A client in the middle of a message is left alone for this long, whoever else may connect.
+/// The time for which a client with an incomplete message is not evicted, from the message's first
+/// byte.
 const MESSAGE_PROTECTION: Duration = Duration::from_nanos(CLIENT_MESSAGE_TIMEOUT.0 / 2);
-/// A client that has just connected or been answered is left alone for this long.
+/// The time for which a client is not evicted after it has connected or received its last reply.
 const IDLE_PROTECTION: Duration = Duration::from_nanos(CLIENT_EVICTION_IDLE.0);
 
-/// The state of a client's connection.
+/// The state of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// It has had no request since it connected, at this moment.
+    /// No request has been received since it connected, at this instant.
     Unused(Instant),
-    /// Requests of it are out, or replies are to be written.
+    /// Requests are in flight or replies are still to be written.
     Busy,
-    /// It has had all replies since this moment, and has sent no request after that.
+    /// All replies have been written since this instant, and no further request has been received.
     Idle(Instant),
-    /// The router ends it, since this moment.
+    /// The router has been closing it since this instant.
     Draining(Instant),
 }
 
-/// How readily a connection makes place for another, the readiest last.
+/// The priority of a connection for eviction, in ascending order: the connection with the greatest value is
+/// evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Eviction {
-    /// Not at all.
+pub enum EvictionPriority {
+    /// It must not be evicted.
     Never,
-    /// Not yet, but in a moment.
-    Soon,
-    /// It has been in the middle of a message for so long: it may have sent the rest by now.
+    /// It is still protected, or its eviction has already been requested.
+    NotYet,
+    /// It has had an incomplete message for this long, longer than the protection of such clients.
     MidMessage(Duration),
-    /// It has been idle for so long.
+    /// It has been idle for this long.
     Idle(Duration),
-    /// It has had no request, or is about to end, for so long.
+    /// It has been without a first request, or closing, for this long.
     Unused(Duration),
 }
 
-impl Eviction {
-    /// How readily a connection makes place: by its state, since when a message is incomplete, and whether
-    /// it has been evicted already.
-    pub fn of(state: ConnectionState, message_started: Option<Instant>, evicted: bool) -> Eviction {
+impl EvictionPriority {
+    /// Returns the priority of a connection in this state, where `message_started` is the arrival time of the
+    /// first byte of an incomplete message, and `eviction_requested` tells whether its eviction has been
+    /// requested before.
+    pub fn of(
+        state: ConnectionState,
+        message_started: Option<Instant>,
+        eviction_requested: bool,
+    ) -> EvictionPriority {
         let since = match state {
-            ConnectionState::Busy => return Eviction::Never,
+            ConnectionState::Busy => return EvictionPriority::Never,
             ConnectionState::Unused(since)
             | ConnectionState::Idle(since)
             | ConnectionState::Draining(since) => since,
         };
-        // An evicted connection's task is about to end.
-        if evicted || since.elapsed() < IDLE_PROTECTION {
-            return Eviction::Soon;
+        // The task of an evicted connection is about to close it.
+        if eviction_requested || since.elapsed() < IDLE_PROTECTION {
+            return EvictionPriority::NotYet;
         }
         let mid_message = message_started.map(|started| match started.elapsed() {
-            age if age < MESSAGE_PROTECTION => Eviction::Soon,
-            age => Eviction::MidMessage(age),
+            age if age < MESSAGE_PROTECTION => EvictionPriority::NotYet,
+            age => EvictionPriority::MidMessage(age),
         });
         match state {
-            ConnectionState::Busy => Eviction::Never,
-            ConnectionState::Idle(since) => mid_message.unwrap_or(Eviction::Idle(since.elapsed())),
-            ConnectionState::Unused(since) => mid_message.unwrap_or(Eviction::Unused(since.elapsed())),
-            ConnectionState::Draining(since) => Eviction::Unused(since.elapsed()),
+            ConnectionState::Busy => EvictionPriority::Never,
+            ConnectionState::Idle(since) => mid_message.unwrap_or(EvictionPriority::Idle(since.elapsed())),
+            ConnectionState::Unused(since) => {
+                mid_message.unwrap_or(EvictionPriority::Unused(since.elapsed()))
+            }
+            ConnectionState::Draining(since) => EvictionPriority::Unused(since.elapsed()),
         }
     }
 }
 
 impl ClientRegistry {
-    /// Ends the connection that makes place most readily, if it does so more readily than `threshold`; how
-    /// readily it did.
-    pub async fn evict(&self, threshold: Eviction) -> Eviction {
-        let Some((eviction, handle)) = self.readiest_to_evict() else { return Eviction::Never };
-        if eviction > threshold {
-            handle.evict();
-            // Its task is awake by now and ends before this one goes on.
+    /// Evicts the connection with the highest priority, if that is higher than `threshold`. Returns the
+    /// priority of that connection whether it was evicted or not.
+    pub async fn evict(&self, threshold: EvictionPriority) -> EvictionPriority {
+        let Some((priority, handle)) = self.eviction_candidate() else { return EvictionPriority::Never };
+        if priority > threshold {
+            handle.request_eviction();
+            // The connection's task has been woken; it runs and closes the connection before this task
+            // resumes.
             future::yield_now().await;
         }
-        eviction
+        priority
     }
 }
--- a/crates/router/src/transport/client/mod.rs
+++ b/crates/router/src/transport/client/mod.rs
@@ -1,4 +1,4 @@
-//! Clients' connections: their admission, their registry, and the task that serves each of them.
+//! Client connections: their admission, their registry, and the task that serves each of them.
 
 mod admission;
 mod close;
@@ -7,8 +7,8 @@
 mod serve;
 
 pub use admission::{admit, MAX_ADMISSION_ATTEMPTS};
-pub use eviction::Eviction;
-pub use registry::{ClientRegistry, EndedConnections};
+pub use eviction::EvictionPriority;
+pub use registry::{ClientRegistry, ConnectionCounts};
 
 use super::conversation::Conversation;
 use super::driver::Driver;
@@ -23,13 +23,13 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// An admitted client's connection. Dropped, it is off the registry, its requests are given up, and its
-/// permits and its socket are released.
+/// The connection of an admitted client. When it is dropped, it is removed from the registry, its requests
+/// are abandoned, and its permits and socket are released.
 struct ClientConnection {
     driver: Rc<Driver>,
     id: ClientId,
     handle: Rc<ClientHandle>,
-    /// The permit for a large statement, while one is read.
+    /// The permit for receiving a large statement, held while one is being received.
     large_permit: RefCell<Option<Permit>>,
     connected_at: Instant,
     permits: RefCell<Option<AdmissionPermits>>,
@@ -37,16 +37,16 @@
     stream: Rc<Async<TcpStream>>,
 }
 
-/// Why a conversation is over.
+/// The reason why a connection's task stops serving.
 enum ConnectionEnd {
-    /// The client has closed the connection, or takes nothing any more.
-    ClientGone,
-    /// The router closes the connection: what was written last still has to arrive.
+    /// The client has closed the connection, the connection failed, or the client has stopped reading.
+    Disconnected,
+    /// The router closes the connection, and the client still has to receive what was written last.
     Closed,
 }
 
 impl ClientConnection {
-    /// Registers an admitted client. What it has sent may wait in its socket since `connected_at`.
+    /// Registers an admitted client. Unread input may have been in its socket since `connected_at`.
     fn new(
         driver: Rc<Driver>,
         id: ClientId,
@@ -73,12 +73,16 @@
         }
     }
 
-    /// Serves the client until its connection ends.
+    /// Serves the client until its connection is closed.
     async fn run(self) {
         let end = self.serve().await;
-        if let Some(reason) = self.conversation.borrow().dismissal() {
-            tracing::debug!(client = self.id.0, reason, "client dismissed");
-            self.driver.clients.count_dismissed();
+        if let Some(reason) = self.conversation.borrow().close_reason() {
+            tracing::debug!(
+                client = self.id.0,
+                reason,
+                "closing a client connection for an error or timeout"
+            );
+            self.driver.clients.count_closed();
         }
         if let ConnectionEnd::Closed = end {
             self.linger().await;
--- a/crates/router/src/transport/client/registry.rs
+++ b/crates/router/src/transport/client/registry.rs
@@ -1,7 +1,7 @@
-//! The registry of client connections: where each one's answers are left for its task, and its state as the
-//! others see it.
+//! The registry of client connections: the replies that routing has queued for each connection's task, and
+//! the state of each connection as other tasks see it.
 
-use super::eviction::{ConnectionState, Eviction};
+use super::eviction::{ConnectionState, EvictionPriority};
 use crate::protocol::client::CancelKey;
 use crate::routing::{Answer, ClientId, CommandId};
 use crate::transport::io;
@@ -17,75 +17,75 @@
 use std::task::{Poll, Waker};
 use std::time::Instant;
 
-/// An answer that waits for its client's task.
-pub struct CommandAnswer {
-    /// The command that it belongs to.
+/// A reply that is queued for its client's task.
+pub struct CommandReply {
+    /// The command that the reply belongs to.
     pub command: CommandId,
-    /// The answer.
-    pub answer: Answer,
+    /// The reply.
+    pub reply: Answer,
 }
 
-/// What others know of a client's connection, and what they leave for its task.
+/// The part of a client connection that other tasks access: its state, and what they queue for its task.
 pub struct ClientHandle {
-    /// Answers that its task has not taken yet.
-    pub(super) answers: RefCell<Vec<CommandAnswer>>,
-    /// Its session's token, if one has not gone out yet.
+    /// Replies that the connection's task has not taken yet.
+    pub(super) replies: RefCell<Vec<CommandReply>>,
+    /// The session token to send next, if there is one.
     pub(super) session_token: RefCell<Option<String>>,
-    /// Something was left or has changed since its task looked.
+    /// Whether something was queued or has changed since the connection's task last checked.
     changed: Cell<bool>,
     waker: RefCell<Option<Waker>>,
     pub(super) state: Cell<ConnectionState>,
-    /// When the first byte arrived of the message that is incomplete.
+    /// When the first byte of the incomplete message was received, if there is one.
     pub(super) message_started: Cell<Option<Instant>>,
-    /// It is to make place for another connection.
-    evicted: Cell<bool>,
-    /// Its socket, while its task goes on.
+    /// Whether the connection has to be closed to free its descriptor.
+    eviction_requested: Cell<bool>,
+    /// The connection's socket; it is dropped with the connection's task.
     stream: Weak<Async<TcpStream>>,
     cancel_key: CancelKey,
 }
 
 impl ClientHandle {
-    /// The handle of a client that has just been admitted.
+    /// Creates the handle of a client that has just been admitted.
     pub(super) fn new(stream: &Rc<Async<TcpStream>>, cancel_key: CancelKey) -> ClientHandle {
         ClientHandle {
-            answers: RefCell::default(),
+            replies: RefCell::default(),
             session_token: RefCell::default(),
             changed: Cell::new(false),
             waker: RefCell::default(),
             state: Cell::new(ConnectionState::Unused(Instant::now())),
             message_started: Cell::default(),
-            evicted: Cell::new(false),
+            eviction_requested: Cell::new(false),
             stream: Rc::downgrade(stream),
             cancel_key,
         }
     }
 
-    /// Leaves a command's answer.
-    pub fn push_answer(&self, command: CommandId, answer: Answer) {
-        self.answers.borrow_mut().push(CommandAnswer { command, answer });
+    /// Queues the reply to a command and wakes the connection's task.
+    pub fn push_reply(&self, command: CommandId, reply: Answer) {
+        self.replies.borrow_mut().push(CommandReply { command, reply });
         self.wake();
     }
 
-    /// Leaves the session's token; it replaces one that has not gone out.
+    /// Queues a session token and wakes the connection's task. The token replaces one that has not been sent.
     pub fn set_session_token(&self, token: String) {
         *self.session_token.borrow_mut() = Some(token);
         self.wake();
     }
 
-    /// Has the connection closed, if it is between two requests.
-    pub(super) fn evict(&self) {
-        self.evicted.set(true);
+    /// Requests that the connection be closed as soon as it has no request in flight.
+    pub(super) fn request_eviction(&self) {
+        self.eviction_requested.set(true);
         self.wake();
     }
 
-    /// Whether the connection is to make place for another.
-    pub(super) fn is_evicted(&self) -> bool {
-        self.evicted.get()
+    /// Returns whether the connection has to be closed to free its descriptor.
+    pub(super) fn is_eviction_requested(&self) -> bool {
+        self.eviction_requested.get()
     }
 
-    /// How readily the connection makes place for another.
-    pub(super) fn eviction(&self) -> Eviction {
-        Eviction::of(self.state.get(), self.message_started.get(), self.evicted.get())
+    /// Returns the connection's priority for eviction.
+    pub(super) fn eviction_priority(&self) -> EvictionPriority {
+        EvictionPriority::of(self.state.get(), self.message_started.get(), self.eviction_requested.get())
     }
 
     /// Wakes the connection's task.
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Waits until something was left or has changed.
+    /// Waits until something was queued or has changed since the last call.
     pub(super) async fn changed(&self) {
         poll_fn(|cx| match self.changed.take() {
             true => Poll::Ready(()),
@@ -109,66 +109,66 @@
     }
 }
 
-/// How many connections the router has ended of its own accord since the counts were last taken.
+/// The numbers of client connections that the router has rejected or closed since the counts were last taken.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct EndedConnections {
-    /// Rejected for want of descriptors.
+pub struct ConnectionCounts {
+    /// Connections rejected for lack of descriptors.
     pub rejected: u32,
-    /// Dismissed for what they sent, or did not send.
-    pub dismissed: u32,
+    /// Connections closed for a protocol error, too many unsupported commands or a timeout.
+    pub closed: u32,
 }
 
-/// The clients of a router and the limits on them.
+/// The clients of a router, and the limits on them.
 pub struct ClientRegistry {
     handles: RefCell<BTreeMap<ClientId, Rc<ClientHandle>>>,
-    /// The clients' part of the descriptors.
-    pub(super) admissions: Semaphore,
-    /// From so many clients on, idle ones make place for newcomers.
+    /// The descriptors that client connections may use.
+    pub(super) client_permits: Semaphore,
+    /// The number of clients from which on idle ones are evicted when new clients connect.
     pub(super) eviction_threshold: usize,
-    /// Rejections that may wait for their clients at a time.
-    pub(super) rejections: Semaphore,
-    /// Statements past the large size that may be read at a time.
-    pub(super) large_statements: Semaphore,
-    /// Empty queries are answered: the router has its endpoint list, or has waited for it long enough.
+    /// The rejected or evicted connections that may wait for their client to close at a time.
+    pub(super) rejection_permits: Semaphore,
+    /// The large statements that may be received at a time.
+    pub(super) large_statement_permits: Semaphore,
+    /// Whether empty queries get a reply: the router has an endpoint list, or has timed out waiting for one.
     ready: Cell<bool>,
-    /// Clients are notified when their connection is closed between two requests.
+    /// Whether clients are sent an error message before their connection is closed between two requests.
     close_notice: Cell<bool>,
-    /// Makes the secrets of cancel keys.
-    secrets: RandomState,
-    ended: Cell<EndedConnections>,
+    /// The hasher that derives the secrets of cancel keys.
+    secret_hasher: RandomState,
+    connection_counts: Cell<ConnectionCounts>,
 }
 
 impl ClientRegistry {
-    /// An empty registry with the limits of a configuration.
+    /// Creates an empty registry with the limits of a configuration.
     pub fn new(config: &RouterConfig) -> ClientRegistry {
         ClientRegistry {
             handles: RefCell::default(),
-            admissions: Semaphore::new(config.limits.client_descriptors()),
+            client_permits: Semaphore::new(config.limits.client_descriptors()),
             eviction_threshold: config.limits.client_eviction_threshold(),
-            rejections: Semaphore::new(RESERVED_SOCKETS / 3),
-            large_statements: Semaphore::new(config.limits.max_large_statements()),
+            rejection_permits: Semaphore::new(RESERVED_SOCKETS / 3),
+            large_statement_permits: Semaphore::new(config.limits.max_large_statements()),
             ready: Cell::new(false),
             close_notice: Cell::new(config.local_settings.close_notice),
-            secrets: RandomState::new(),
-            ended: Cell::default(),
+            secret_hasher: RandomState::new(),
+            connection_counts: Cell::default(),
         }
     }
 
-    /// How many clients there are.
+    /// Returns the number of clients.
     pub fn len(&self) -> usize {
         self.handles.borrow().len()
     }
 
-    /// The handle of a client that is connected.
+    /// Returns the handle of a client, if it is connected.
     pub fn handle(&self, client: ClientId) -> Option<Rc<ClientHandle>> {
         self.handles.borrow().get(&client).cloned()
     }
 
-    /// The client whose connection makes place for another most readily, and how readily it does.
-    pub(super) fn readiest_to_evict(&self) -> Option<(Eviction, Rc<ClientHandle>)> {
+    /// Returns the client connection with the highest priority for eviction, and that priority.
+    pub(super) fn eviction_candidate(&self) -> Option<(EvictionPriority, Rc<ClientHandle>)> {
         let handles = self.handles.borrow();
-        let evictions = handles.values().map(|handle| (handle.eviction(), Rc::clone(handle)));
-        evictions.max_by_key(|(eviction, _)| *eviction)
+        let candidates = handles.values().map(|handle| (handle.eviction_priority(), Rc::clone(handle)));
+        candidates.max_by_key(|(priority, _)| *priority)
     }
 
     /// Registers a client.
@@ -181,58 +181,60 @@
         self.handles.borrow_mut().remove(&client);
     }
 
-    /// The cancel key of a client's connection.
+    /// Returns the cancel key of a client's connection.
     pub(super) fn cancel_key(&self, client: ClientId) -> CancelKey {
-        CancelKey { process: client.0 as u32, secret: self.secrets.hash_one(client.0) as u32 }
+        CancelKey { process: client.0 as u32, secret: self.secret_hasher.hash_one(client.0) as u32 }
     }
 
-    /// The client whose connection has this cancel key.
-    pub(super) fn client_of_key(&self, key: CancelKey) -> Option<ClientId> {
+    /// Returns the client whose connection has this cancel key.
+    pub(super) fn client_with_key(&self, key: CancelKey) -> Option<ClientId> {
         let client = ClientId(u64::from(key.process));
         self.handles.borrow().get(&client).filter(|handle| handle.cancel_key == key).map(|_| client)
     }
 
-    /// Whether a client is known to have closed its connection, though its task may not have seen it yet.
+    /// Returns whether a client has closed its connection. The connection's task may not have noticed it yet.
     pub fn has_disconnected(&self, client: ClientId) -> bool {
         let stream = self.handles.borrow().get(&client).and_then(|handle| handle.stream.upgrade());
         stream.is_none_or(|stream| io::at_end(&stream))
     }
 
-    /// Answers empty queries from now on, and has all clients look whether the router stops.
+    /// Makes the router reply to empty queries from now on, and wakes the tasks of all clients, which also
+    /// check whether the router is shutting down.
     pub fn set_ready(&self) {
         self.ready.set(true);
         self.handles.borrow().values().for_each(|handle| handle.wake());
     }
 
-    /// Whether empty queries are answered.
+    /// Returns whether empty queries get a reply.
     pub(super) fn is_ready(&self) -> bool {
         self.ready.get()
     }
 
-    /// Sets whether clients are notified when their connection is closed between two requests.
+    /// Sets whether clients are sent an error message before their connection is closed between two requests.
     pub fn set_close_notice(&self, close_notice: bool) {
         self.close_notice.set(close_notice);
     }
 
-    /// Whether clients are notified when their connection is closed between two requests.
+    /// Returns whether clients are sent an error message before their connection is closed between two
+    /// requests.
     pub(super) fn close_notice(&self) -> bool {
         self.close_notice.get()
     }
 
-    /// Counts a client that was rejected for want of descriptors.
+    /// Counts a connection that was rejected for lack of descriptors.
     pub(super) fn count_rejected(&self) {
-        let ended = self.ended.get();
-        self.ended.set(EndedConnections { rejected: ended.rejected + 1, ..ended });
+        let counts = self.connection_counts.get();
+        self.connection_counts.set(ConnectionCounts { rejected: counts.rejected + 1, ..counts });
     }
 
-    /// Counts a client that was dismissed.
-    pub(super) fn count_dismissed(&self) {
-        let ended = self.ended.get();
-        self.ended.set(EndedConnections { dismissed: ended.dismissed + 1, ..ended });
+    /// Counts a connection that was closed for an error or a timeout.
+    pub(super) fn count_closed(&self) {
+        let counts = self.connection_counts.get();
+        self.connection_counts.set(ConnectionCounts { closed: counts.closed + 1, ..counts });
     }
 
-    /// The connections that the router has ended since this was last called.
-    pub fn take_ended(&self) -> EndedConnections {
-        self.ended.take()
+    /// Returns the numbers of connections rejected or closed since the last call.
+    pub fn take_connection_counts(&self) -> ConnectionCounts {
+        self.connection_counts.take()
     }
 }
--- a/crates/router/src/transport/client/serve.rs
+++ b/crates/router/src/transport/client/serve.rs
@@ -1,5 +1,5 @@
-//! The task of one client's connection: it moves bytes between the socket and the conversation, requests and
-//! answers between the conversation and routing, and keeps the connection's deadlines.
+//! The task of one client connection. It moves bytes between the socket and the conversation, moves requests
+//! and replies between the conversation and routing, and enforces the connection's timeouts.
 
 use super::eviction::ConnectionState;
 use super::{ClientConnection, ConnectionEnd};
@@ -13,20 +13,23 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// How often it is checked whether a client is still there behind what it has sent and what is not read on.
+/// The interval at which the task checks whether the client has disconnected while it does not read from the
+/// socket.
 const HANGUP_CHECK_INTERVAL: Duration = Duration::from_millis(25);
-/// How many messages of one client are handled before others get their turn: it may send without end.
+/// The number of steps of one conversation that are executed before the task yields to others, as a client
+/// may send commands without a pause.
 const MAX_STEPS_AT_ONCE: usize = 16;
-/// How many replies are gathered into one write.
+/// The maximum number of replies in one vectored write.
 const MAX_GATHERED_REPLIES: usize = 16;
-/// How long a client may take to accept a reply that is being written.
+/// The time within which a client has to receive a reply that is being written.
 const WRITE_TIMEOUT: Duration = Duration::from_nanos(CLIENT_WRITE_TIMEOUT.0);
-/// How long a client may take for its first request, and for each message.
+/// The time within which a client has to send its first request after it has connected, and each message from
+/// its first byte to its last.
 const MESSAGE_TIMEOUT: Duration = Duration::from_nanos(CLIENT_MESSAGE_TIMEOUT.0);
-/// How long a client that has just connected may take to send a request while the router stops.
+/// The time within which a client that has just connected has to send a request during the shutdown.
 const SHUTDOWN_GRACE: Duration = Duration::from_nanos(CLIENT_EVICTION_IDLE.0);
 
-/// The moment at which the task has to look again, if nothing happens before.
+/// The time at which the task has to check its timeouts again, if it is not woken before.
 #[derive(Default)]
 struct WakeUp(Option<Instant>);
 
@@ -36,23 +39,23 @@
     }
 }
 
-/// What a check of the connection's state led to.
+/// The result of a check of the connection's state.
 enum Check {
-    /// Nothing: the next check follows.
+    /// Nothing has changed; the next check follows.
     Passed,
-    /// The conversation has changed: its steps come first.
+    /// The conversation has changed; its steps have to be executed before any further check.
     Changed,
 }
 
-/// Whether a client takes the reply that is being written.
+/// The progress of writing to the client.
 #[derive(Default)]
 struct WriteProgress {
-    /// Since when the reply that is being written waits for its client.
+    /// Since when the current reply has been waiting to be written completely.
     blocked_since: Option<Instant>,
 }
 
 impl ClientConnection {
-    /// Carries the conversation up to its end.
+    /// Runs the conversation until the connection has to be closed, and returns the reason.
     pub(super) async fn serve(&self) -> ConnectionEnd {
         let mut write_progress = WriteProgress::default();
         loop {
@@ -64,7 +67,7 @@
                 Ok(Check::Changed) => continue,
                 Ok(Check::Passed) => {}
             }
-            // One that sends without end would otherwise occupy the thread.
+            // A client that sends without a pause would otherwise monopolize the thread.
             future::yield_now().await;
             if more_steps {
                 continue;
@@ -75,15 +78,15 @@
         }
     }
 
-    /// Does what the conversation has to do now; whether there is more to do at once.
+    /// Executes up to [`MAX_STEPS_AT_ONCE`] steps of the conversation. Returns whether more may be ready.
     fn run_steps(&self) -> bool {
         let mut conversation = self.conversation.borrow_mut();
         for _ in 0..MAX_STEPS_AT_ONCE {
             if let Some(token) = self.handle.session_token.take() {
                 conversation.push_session_token(&token);
             }
-            for answered in self.handle.answers.take() {
-                conversation.answer(answered.command, answered.answer);
+            for reply in self.handle.replies.take() {
+                conversation.complete_command(reply.command, reply.reply);
             }
             match conversation.next_step(self.driver.clients.is_ready()) {
                 None => return false,
@@ -93,7 +96,7 @@
                     self.driver.handle(Input::Request(request));
                 }
                 Some(Step::Cancel(key)) => {
-                    if let Some(client) = self.driver.clients.client_of_key(key) {
+                    if let Some(client) = self.driver.clients.client_with_key(key) {
                         self.driver.handle(Input::CancelRequested(client));
                     }
                 }
@@ -102,12 +105,12 @@
         true
     }
 
-    /// Shows the other tasks the connection's state.
+    /// Updates the connection's state in its handle for the other tasks.
     fn publish_state(&self) {
         let conversation = self.conversation.borrow();
         let state = match self.handle.state.get() {
             ConnectionState::Draining(since) => ConnectionState::Draining(since),
-            _ if conversation.is_ending() && conversation.is_answered() => {
+            _ if conversation.is_closing() && conversation.has_replied_to_all() => {
                 ConnectionState::Draining(Instant::now())
             }
             _ if !conversation.is_idle() => ConnectionState::Busy,
@@ -119,31 +122,32 @@
         self.handle.message_started.set(self.message_started());
     }
 
-    /// When the first byte arrived of the message that is incomplete.
+    /// Returns when the first byte of the incomplete message was received, if there is one.
     fn message_started(&self) -> Option<Instant> {
         let started = self.conversation.borrow().message_started();
         started.map(|at| self.driver.clock.instant(at))
     }
 
-    /// Whether nothing is open and the conversation goes on.
+    /// Returns whether no request is in flight, all replies are written and the conversation is not closing.
     fn is_between_requests(&self) -> bool {
         let conversation = self.conversation.borrow();
-        conversation.is_idle() && !conversation.is_ending()
+        conversation.is_idle() && !conversation.is_closing()
     }
 
-    /// Whether the client has sent no request, nor the beginning of one, since it connected.
+    /// Returns whether no complete request has been received since the client connected.
     fn awaits_first_request(&self) -> bool {
         self.is_between_requests() && !self.conversation.borrow().has_been_used()
     }
 
-    /// Checks the end, the deadlines, a stop of the router and an eviction, in this order.
+    /// Checks for the end of the conversation, the timeouts, a shutdown of the router and an eviction, in
+    /// this order.
     fn check(
         &self,
         write_progress: &mut WriteProgress,
         wake_up: &mut WakeUp,
     ) -> Result<Check, ConnectionEnd> {
         let now = Instant::now();
-        if self.conversation.borrow().is_idle() && self.conversation.borrow().is_ending() {
+        if self.conversation.borrow().is_idle() && self.conversation.borrow().is_closing() {
             return Err(ConnectionEnd::Closed);
         }
         self.check_write_timeout(now, write_progress, wake_up)?;
@@ -156,7 +160,7 @@
         self.check_eviction()
     }
 
-    /// Resets the connection of a client that does not take what is written.
+    /// Resets the connection of a client that has not received a reply within [`WRITE_TIMEOUT`].
     fn check_write_timeout(
         &self,
         now: Instant,
@@ -170,13 +174,14 @@
         let deadline = *write_progress.blocked_since.get_or_insert(now) + WRITE_TIMEOUT;
         if now >= deadline {
             io::reset_on_close(&self.stream);
-            return Err(ConnectionEnd::ClientGone);
+            return Err(ConnectionEnd::Disconnected);
         }
         wake_up.at(deadline);
         Ok(())
     }
 
-    /// Dismisses a client that has had its time for its first request, or for a message.
+    /// Closes the conversation of a client that has not sent its first request, or the rest of a message,
+    /// within [`MESSAGE_TIMEOUT`].
     fn check_message_timeout(&self, now: Instant, wake_up: &mut WakeUp) -> Check {
         let first_request = self.awaits_first_request().then_some(self.connected_at);
         let started = self.message_started().into_iter().chain(first_request).min();
@@ -189,8 +194,9 @@
         Check::Passed
     }
 
-    /// While the router stops, takes what has arrived by now and the rest of a message that has begun, and
-    /// ends between two requests. A client that has just connected may still send a request.
+    /// During a shutdown, limits the input to what has been received by now and the rest of a message that
+    /// has begun, and closes the conversation once no request is in flight. A client that has just connected
+    /// may still send a request within [`SHUTDOWN_GRACE`].
     fn check_shutdown(&self, now: Instant, wake_up: &mut WakeUp) -> Result<Check, ConnectionEnd> {
         if !self.driver.shutdown.is_draining() {
             return Ok(Check::Passed);
@@ -208,24 +214,25 @@
             return Ok(Check::Changed);
         }
         if self.is_between_requests() && !self.conversation.borrow().accepts_input() {
-            self.end_between_requests();
+            self.close_between_requests();
             return Ok(Check::Changed);
         }
         Ok(Check::Passed)
     }
 
-    /// Ends a connection that is to make place for another; what has arrived by now is still served.
+    /// Closes an evicted connection once no request is in flight. Input that has been received by now is
+    /// still served.
     fn check_eviction(&self) -> Result<Check, ConnectionEnd> {
-        if !self.handle.is_evicted() || !self.is_between_requests() {
+        if !self.handle.is_eviction_requested() || !self.is_between_requests() {
             return Ok(Check::Passed);
         }
         if self.receive_now()? == 0 {
-            self.end_between_requests();
+            self.close_between_requests();
         }
         Ok(Check::Changed)
     }
 
-    /// Waits for a deadline, a writable socket, a change of the handle, or bytes, whichever is first.
+    /// Waits for the next deadline, a writable socket, a change of the handle or input, whichever is first.
     async fn wait(&self, wake_up: &WakeUp, write_progress: &mut WriteProgress) -> Result<(), ConnectionEnd> {
         let deadline = async {
             match wake_up.0 {
@@ -242,7 +249,7 @@
             if !self.conversation.borrow().has_output() {
                 return future::pending().await;
             }
-            if self.write_output().await.map_err(|_| ConnectionEnd::ClientGone)? {
+            if self.write_output().await.map_err(|_| ConnectionEnd::Disconnected)? {
                 write_progress.blocked_since = None;
             }
             Ok(())
@@ -251,17 +258,17 @@
         future::or(deadline, future::or(write, future::or(changed, read))).await
     }
 
-    /// Reads what has arrived by now, without waiting; how many bytes that were.
+    /// Reads once without waiting. Returns the number of bytes that were read, 0 if there are none.
     fn receive_now(&self) -> Result<usize, ConnectionEnd> {
         match io::uninterrupted(|| self.receive(self.stream.get_ref())) {
-            Ok(0) => Err(ConnectionEnd::ClientGone),
+            Ok(0) => Err(ConnectionEnd::Disconnected),
             Ok(len) => Ok(len),
             Err(e) if e.kind() == ErrorKind::WouldBlock || io::is_transient(&e) => Ok(0),
-            Err(_) => Err(ConnectionEnd::ClientGone),
+            Err(_) => Err(ConnectionEnd::Disconnected),
         }
     }
 
-    /// Reads once into the conversation.
+    /// Reads once from `stream` into the conversation.
     fn receive(&self, stream: &TcpStream) -> std::io::Result<usize> {
         let result = self.driver.read_buffer.read_once(stream, |received| {
             let now = self.driver.clock.now();
@@ -273,36 +280,38 @@
         result
     }
 
-    /// Reads on, as far as the conversation accepts more; notices all the same that the client has gone.
+    /// Reads from the socket once the conversation accepts more input. While it does not, checks every
+    /// [`HANGUP_CHECK_INTERVAL`] whether the client has disconnected.
     async fn read_input(&self) -> Result<(), ConnectionEnd> {
         if !self.conversation.borrow().accepts_input() {
             self.conversation.borrow_mut().pause_reading(self.driver.clock.now());
             while !io::hung_up(&self.stream) {
                 Timer::after(HANGUP_CHECK_INTERVAL).await;
             }
-            return Err(ConnectionEnd::ClientGone);
+            return Err(ConnectionEnd::Disconnected);
         }
         self.acquire_large_permit().await;
         self.conversation.borrow_mut().resume_reading(self.driver.clock.now());
         match io::read_with(&self.stream, |s| self.receive(s)).await {
             Ok(1..) => Ok(()),
-            _ => Err(ConnectionEnd::ClientGone),
+            _ => Err(ConnectionEnd::Disconnected),
         }
     }
 
-    /// Large statements are read a few at a time, or they would fill the memory together.
+    /// Acquires a permit before more of a large statement is read, and releases it after the statement. The
+    /// permits limit the memory that all large statements use together.
     async fn acquire_large_permit(&self) {
         let needs_permit = self.conversation.borrow().needs_large_permit();
         if !needs_permit {
             self.large_permit.take();
         } else if self.large_permit.borrow().is_none() {
             self.conversation.borrow_mut().pause_reading(self.driver.clock.now());
-            let permit = self.driver.clients.large_statements.acquire().await;
+            let permit = self.driver.clients.large_statement_permits.acquire().await;
             self.large_permit.replace(Some(permit));
         }
     }
 
-    /// Writes some of the output; whether a reply is complete with it.
+    /// Writes as much output as the socket accepts. Returns whether a reply was written completely.
     async fn write_output(&self) -> std::io::Result<bool> {
         let call = |mut s: &TcpStream| {
             let conversation = self.conversation.borrow();
--- a/crates/router/src/transport/conversation.rs
+++ b/crates/router/src/transport/conversation.rs
@@ -1,10 +1,11 @@
-//! One client's side of a connection, without I/O: bytes and answers go in; requests to be forwarded, and
-//! bytes to be written, come out. Reading, forwarding and writing don't wait for each other, but within
-//! bounds.
+//! The protocol state of one client connection, without I/O. Its inputs are the bytes that are read from the
+//! client and the replies from routing; its outputs are the requests to forward and the bytes to write.
+//! Reading, forwarding and writing proceed independently of each other. Each of them pauses only while more
+//! than [`LARGE_STATEMENT_LEN`] bytes are queued for the next stage.
 //!
-//! Each complete command gets exactly one reply, in the order of the commands. Reads behind reads are
-//! forwarded side by side, a few at a time. A write waits until all before it is answered, and what stands
-//! behind it waits for its answer: a session's commands take effect in their order.
+//! Each complete command gets exactly one reply, in the order of the commands. Up to [`MAX_CONCURRENT_READS`]
+//! consecutive reads are forwarded concurrently. A write is forwarded once all earlier commands have their
+//! replies, and later commands wait for its reply, so that a session's commands take effect in their order.
 
 mod input;
 mod output;
@@ -21,88 +22,89 @@
 use replies::ReplyQueue;
 use std::io::IoSlice;
 
-/// The type byte of a function call, which has no Sync behind it: its error is the end of the command.
+/// The type byte of a FunctionCall message. No Sync follows it, so the error reply has to end with
+/// ReadyForQuery.
 const FUNCTION_CALL: u8 = b'F';
 
-/// Something to be done for a client.
+/// A step of a conversation, returned by [`Conversation::next_step`].
 #[derive(Debug)]
 pub enum Step {
-    /// Its next request is to be forwarded.
+    /// A request has to be forwarded.
     Forward {
-        /// The command to which the answer belongs.
+        /// The command that the reply will belong to.
         command: CommandId,
-        /// The request itself.
+        /// The statement of the request.
         statement: Box<Statement>,
-        /// When the command's last byte arrived.
+        /// When the last byte of the command was received.
         arrived_at: Time,
     },
-    /// The open request of the connection with this key is to be cancelled.
+    /// The requests in flight of the connection with this key have to be cancelled.
     Cancel(CancelKey),
-    /// The conversation itself has dealt with a message.
+    /// A message has been handled; the caller has nothing to do.
     Handled,
 }
 
-/// What a client's next message was.
+/// The result of taking a client's next message.
 #[derive(Debug)]
-enum Taken {
-    /// None has arrived.
-    Nothing,
-    /// A request, which is pending now.
+enum NextMessage {
+    /// No complete message has been received.
+    Incomplete,
+    /// The message was a request, which is now stored as pending.
     Request,
-    /// Another message, with what is to be done or was done for it.
+    /// The message was of another kind and requires this step.
     Other(Step),
 }
 
-/// A request that waits until it may be forwarded.
+/// A request that can't be forwarded yet.
 #[derive(Debug)]
 struct PendingRequest {
     statement: Box<Statement>,
     arrived_at: Time,
-    /// The length of its text.
+    /// The length of the statement's text.
     bytes: usize,
 }
 
-/// The error with which the router ends a conversation, behind the replies to all that was complete.
+/// The error message that ends a conversation, after the replies to all complete commands.
 #[derive(Clone, Copy, Debug)]
 struct FinalError {
     code: &'static str,
     message: &'static str,
 }
 
-/// A client had its time for a message.
+/// The error for a client that has not sent its first request, or the rest of a message, in time.
 const MESSAGE_TIMED_OUT: FinalError =
     FinalError { code: sqlstate::IDLE_SESSION_TIMEOUT, message: "no whole request has come in time" };
 
-/// The state of one client's connection.
+/// The protocol state of one client connection.
 #[derive(Debug)]
 pub struct Conversation {
     cancel_key: CancelKey,
     input: MessageInput,
-    /// The next request, read and not forwarded yet.
+    /// The next request to forward.
     pending: Option<PendingRequest>,
-    /// Replies to the commands taken, in order, as far as they are not in `output`.
+    /// The replies to the commands taken so far, in order, without those that have been moved to `output`.
     replies: ReplyQueue,
     output: OutputQueue,
-    /// How many requests are forwarded and not answered.
+    /// The number of requests that have been forwarded and have no reply yet.
     in_flight: usize,
-    /// The one in flight is a write.
+    /// Whether the request in flight is a write.
     write_in_flight: bool,
-    /// The number of the next command.
+    /// The id of the next command to forward.
     next_command: u64,
-    /// Commands that are not served, since one was.
+    /// The number of unsupported or invalid commands since the last served request.
     faults: u32,
-    /// A request has been served or answered, or an empty query has arrived.
+    /// Whether a valid request has had its reply, or an empty query has been received.
     used: bool,
-    /// Nothing behind what has arrived complete is taken: this error ends the conversation in that place.
+    /// The error that ends the conversation after the complete commands; input after those is not handled.
     final_error: Option<FinalError>,
-    /// Nothing more is taken; the connection ends once all replies are written.
-    ending: bool,
-    /// Why the client was dismissed, if that was its own doing.
-    dismissal: Option<String>,
+    /// Whether no further input is handled. The connection is closed once all replies are written.
+    closing: bool,
+    /// The error for which the conversation was closed, if the client caused it.
+    close_reason: Option<String>,
 }
 
 impl Conversation {
-    /// The conversation on a connection whose socket may have something to read since `unread_since`.
+    /// Creates the conversation of a connection whose socket may have unread input since `unread_since`.
     pub fn new(cancel_key: CancelKey, unread_since: Time) -> Conversation {
         Conversation {
             cancel_key,
@@ -116,111 +118,113 @@
             faults: 0,
             used: false,
             final_error: None,
-            ending: false,
-            dismissal: None,
+            closing: false,
+            close_reason: None,
         }
     }
 }
 
 /// Reading.
 impl Conversation {
-    /// Takes in bytes that were read now; `drained` if they were all that the socket had.
+    /// Handles bytes that were read at `now`. `drained` tells whether the socket has no more.
     pub fn feed(&mut self, bytes: &[u8], drained: bool, now: Time) {
-        let arrived_at = self.input.arrival(drained, now);
-        if !self.ending && self.final_error.is_none() {
+        let arrived_at = self.input.arrival_time(drained, now);
+        if !self.closing && self.final_error.is_none() {
             self.input.feed(bytes, arrived_at, drained, now);
         }
     }
 
-    /// The socket was found empty.
+    /// Records that the socket has no unread input.
     pub fn socket_drained(&mut self) {
         self.input.socket_drained();
     }
 
-    /// Nothing is read from now on, up to [`Conversation::resume_reading`].
+    /// Records that the socket is not read until [`Conversation::resume_reading`] is called.
     pub fn pause_reading(&mut self, now: Time) {
         self.input.pause(now);
     }
 
-    /// Reading goes on; the time of the pause does not count against the client.
+    /// Records that the socket is read again. The pause does not count towards the message timeout.
     pub fn resume_reading(&mut self, now: Time) {
         self.input.resume(now);
     }
 
-    /// Whether more may be read: up to [`LARGE_STATEMENT_LEN`] bytes may wait here for their turn.
+    /// Returns whether more may be read: at most [`LARGE_STATEMENT_LEN`] bytes of complete messages may be
+    /// queued.
     pub fn accepts_input(&self) -> bool {
-        let is_open = !self.ending && self.final_error.is_none() && self.input.accepts_more();
+        let is_open = !self.closing && self.final_error.is_none() && self.input.accepts_more();
         let pending_bytes = self.pending.as_ref().map_or(0, |pending| pending.bytes);
         is_open && self.input.queued_bytes() + pending_bytes <= LARGE_STATEMENT_LEN
     }
 
-    /// Takes nothing that arrives from now on, but for the `unread` bytes that the socket has, and the rest
-    /// of a message that has begun.
+    /// Limits further input to the `unread` bytes that the socket has now, and the rest of the message that
+    /// is incomplete after them.
     pub fn limit_input(&mut self, unread: usize) {
         self.input.limit_to(unread);
     }
 
-    /// Whether [`Conversation::limit_input`] has been called.
+    /// Returns whether [`Conversation::limit_input`] has been called.
     pub fn is_input_limited(&self) -> bool {
         self.input.is_limited()
     }
 
-    /// The client's time for a message is over; the error stands behind the replies to all that was complete.
+    /// Ends the conversation because of a message timeout. The error is sent after the replies to all
+    /// complete commands.
     pub fn time_out_message(&mut self) {
         self.final_error = Some(MESSAGE_TIMED_OUT);
-        self.input.forget_message_start();
+        self.input.clear_message_start();
     }
 
-    /// Whether the incomplete message is so long that it needs a permit to be read on.
+    /// Returns whether the incomplete message is so long that the rest may only be read with a permit.
     pub fn needs_large_permit(&self) -> bool {
         self.input.partial_bytes() > LARGE_STATEMENT_LEN
     }
 
-    /// Since when a message is incomplete, if one is.
+    /// Returns when the first byte of the incomplete message was received, if there is one.
     pub fn message_started(&self) -> Option<Time> {
-        self.input.message_started().filter(|_| !self.ending)
+        self.input.message_started().filter(|_| !self.closing)
     }
 }
 
 /// Forwarding.
 impl Conversation {
-    /// The next thing that may be done now, if there is one.
+    /// Returns the next step that can be executed now, if there is one.
     pub fn next_step(&mut self, router_is_ready: bool) -> Option<Step> {
         if router_is_ready {
-            self.replies.answer_empty_queries();
+            self.replies.complete_empty_queries();
             self.flush_replies();
         }
-        let output_is_full = self.output.unwritten() > LARGE_STATEMENT_LEN;
-        if self.ending || output_is_full || self.replies.buffered() > LARGE_STATEMENT_LEN {
+        let output_is_full = self.output.unwritten_bytes() > LARGE_STATEMENT_LEN;
+        if self.closing || output_is_full || self.replies.buffered_bytes() > LARGE_STATEMENT_LEN {
             return None;
         }
         if self.pending.is_none() {
             match self.take_message(router_is_ready) {
-                Taken::Nothing => return None,
-                Taken::Request => {}
-                Taken::Other(step) => return Some(step),
+                NextMessage::Incomplete => return None,
+                NextMessage::Request => {}
+                NextMessage::Other(step) => return Some(step),
             }
         }
         self.forward_pending()
     }
 
-    /// Takes the next message.
-    fn take_message(&mut self, router_is_ready: bool) -> Taken {
+    /// Takes the next message from the input and handles it.
+    fn take_message(&mut self, router_is_ready: bool) -> NextMessage {
         match self.input.next_message() {
             Ok(Some(received)) => self.handle_message(received, router_is_ready),
             Ok(None) => {
-                let Some(error) = self.final_error else { return Taken::Nothing };
+                let Some(error) = self.final_error else { return NextMessage::Incomplete };
                 self.close_with_error(error.code, error.message);
-                Taken::Other(Step::Handled)
+                NextMessage::Other(Step::Handled)
             }
             Err(e) => {
                 self.close_with_error(sqlstate::PROTOCOL_VIOLATION, &e.to_string());
-                Taken::Other(Step::Handled)
+                NextMessage::Other(Step::Handled)
             }
         }
     }
 
-    /// Forwards the pending request, if those in flight allow it.
+    /// Forwards the pending request, unless it has to wait for requests in flight.
     fn forward_pending(&mut self) -> Option<Step> {
         let is_write = self.pending.as_ref()?.statement.verb == Verb::Insert;
         let may_forward = match is_write {
@@ -239,14 +243,14 @@
         Some(Step::Forward { command, statement, arrived_at })
     }
 
-    fn handle_message(&mut self, received: ReceivedMessage, ready: bool) -> Taken {
+    fn handle_message(&mut self, received: ReceivedMessage, ready: bool) -> NextMessage {
         match received.message {
             ClientMessage::Encryption => self.push_reply(client::NO_ENCRYPTION.to_vec()),
             ClientMessage::CancelRequest(key) => {
-                self.end();
-                return Taken::Other(Step::Cancel(key));
+                self.close();
+                return NextMessage::Other(Step::Cancel(key));
             }
-            ClientMessage::Terminate => self.end(),
+            ClientMessage::Terminate => self.close(),
             ClientMessage::Startup { newer } => self.push_reply(client::welcome(newer, self.cancel_key)),
             ClientMessage::Unsupported(FUNCTION_CALL) => {
                 self.push_fault(client::error(
@@ -260,7 +264,7 @@
             ClientMessage::Query(text) if text.trim_ascii().is_empty() => self.handle_empty_query(ready),
             ClientMessage::Query(text) => return self.handle_query(text, received.arrived_at),
         }
-        Taken::Other(Step::Handled)
+        NextMessage::Other(Step::Handled)
     }
 
     fn handle_empty_query(&mut self, router_is_ready: bool) {
@@ -271,32 +275,32 @@
         }
     }
 
-    fn handle_query(&mut self, text: Vec<u8>, arrived_at: Time) -> Taken {
+    fn handle_query(&mut self, text: Vec<u8>, arrived_at: Time) -> NextMessage {
         let bytes = text.len();
         match Statement::parse(text) {
             Ok(statement) => {
                 let statement = Box::new(statement);
                 self.pending = Some(PendingRequest { statement, arrived_at, bytes });
-                Taken::Request
+                NextMessage::Request
             }
             Err(e) => {
                 self.push_fault(client::error(e.code, &e.message, None));
-                Taken::Other(Step::Handled)
+                NextMessage::Other(Step::Handled)
             }
         }
     }
 
-    /// Answers a command that is not served.
+    /// Replies to an unsupported or invalid command and counts it.
     fn push_fault(&mut self, reply: Vec<u8>) {
         self.push_reply(reply);
         self.count_fault();
     }
 
-    /// Counts a command that is not served. A client that goes on with such ends its connection: it may send
-    /// them as fast as it can.
+    /// Counts an unsupported or invalid command. Closes the conversation after [`MAX_CLIENT_FAULTS`] of them
+    /// without a served request in between, because a client may send them without a pause.
     fn count_fault(&mut self) {
         self.faults += 1;
-        if self.faults >= MAX_CLIENT_FAULTS && self.dismissal.is_none() {
+        if self.faults >= MAX_CLIENT_FAULTS && self.close_reason.is_none() {
             self.close_with_error(sqlstate::PROTOCOL_VIOLATION, "too many commands that are not served");
         }
     }
@@ -306,7 +310,7 @@
         self.flush_replies();
     }
 
-    /// Moves the replies whose turn it is to the output.
+    /// Moves replies that are ready to the output, up to the first that is not.
     fn flush_replies(&mut self) {
         while let Some(bytes) = self.replies.pop_ready() {
             self.output.push(bytes);
@@ -314,15 +318,15 @@
     }
 }
 
-/// Answering and writing.
+/// Replies and writing.
 impl Conversation {
-    /// Takes the answer to a command.
-    pub fn answer(&mut self, command: CommandId, answer: Answer) {
+    /// Handles the reply to a forwarded command.
+    pub fn complete_command(&mut self, command: CommandId, reply: Answer) {
         let Some(position) = self.replies.position(command) else { return };
         self.in_flight -= 1;
         self.write_in_flight = false;
-        self.used |= !matches!(answer, Answer::Invalid(_));
-        let bytes = match answer {
+        self.used |= !matches!(reply, Answer::Invalid(_));
+        let bytes = match reply {
             Answer::Served(row) => {
                 self.faults = 0;
                 let mut bytes = row.bytes;
@@ -343,75 +347,75 @@
         self.flush_replies();
     }
 
-    /// Takes the session's token, which is written between two replies.
+    /// Queues a session token, which is written between two replies.
     pub fn push_session_token(&mut self, token: &str) {
         self.output.push(client::session_token(token));
     }
 
-    /// Whether something is to be written.
+    /// Returns whether there is output to write.
     pub fn has_output(&self) -> bool {
         !self.output.is_empty()
     }
 
-    /// Fills `slices` with what is to be written next; how many were filled.
+    /// Fills `slices` with the next output. Returns the number of slices filled.
     pub fn fill_output<'a>(&'a self, slices: &mut [IoSlice<'a>]) -> usize {
         self.output.fill(slices)
     }
 
-    /// Takes note that `len` bytes have been written; whether a reply is complete with them.
+    /// Records that `len` bytes have been written. Returns whether they complete a reply.
     pub fn mark_written(&mut self, len: usize) -> bool {
         self.output.mark_written(len)
     }
 }
 
-/// The end.
+/// Closing.
 impl Conversation {
-    /// Takes nothing more, and ends once all that was taken is answered.
-    pub fn end(&mut self) {
-        self.ending = true;
+    /// Stops handling input. The connection is closed once all replies are written.
+    pub fn close(&mut self) {
+        self.closing = true;
         self.input.clear();
         self.final_error = None;
     }
 
-    /// Ends with an error behind the replies to all that was taken. What stands behind that is dropped and
-    /// was never forwarded.
+    /// Closes the conversation with an error after the replies to the commands taken so far. The pending
+    /// request and all later input are dropped; none of it has been forwarded.
     pub fn close_with_error(&mut self, code: &str, message: &str) {
-        self.dismissal = Some(message.to_string());
+        self.close_reason = Some(message.to_string());
         self.pending = None;
         self.push_reply(client::fatal(code, message));
-        self.end();
+        self.close();
     }
 
-    /// Ends between two requests, and notifies the client.
-    pub fn end_with_notice(&mut self) {
+    /// Closes the conversation between two requests, with an error message to the client.
+    pub fn close_with_notice(&mut self) {
         self.push_reply(client::fatal(sqlstate::ADMIN_SHUTDOWN, "closed between two requests"));
-        self.end();
+        self.close();
     }
 
-    /// Why the client was dismissed, if that was its own doing.
-    pub fn dismissal(&self) -> Option<&str> {
-        self.dismissal.as_deref()
+    /// Returns the error for which the conversation was closed, if the client caused it.
+    pub fn close_reason(&self) -> Option<&str> {
+        self.close_reason.as_deref()
     }
 
-    /// Whether nothing more is taken.
-    pub fn is_ending(&self) -> bool {
-        self.ending
+    /// Returns whether no further input is handled.
+    pub fn is_closing(&self) -> bool {
+        self.closing
     }
 
-    /// Whether nothing is open: every complete command is answered, and its reply written.
+    /// Returns whether the reply to every complete command has been written.
     pub fn is_idle(&self) -> bool {
-        self.is_answered() && self.output.is_empty()
+        self.has_replied_to_all() && self.output.is_empty()
     }
 
-    /// Whether every complete command is answered.
-    pub fn is_answered(&self) -> bool {
+    /// Returns whether every complete command has its reply, which may still have to be written.
+    pub fn has_replied_to_all(&self) -> bool {
         self.pending.is_none()
             && self.replies.is_empty()
             && self.input.is_consumed()
             && self.final_error.is_none()
     }
 
-    /// Whether a request of the client has been answered here.
+    /// Returns whether a valid request has had its reply, or an empty query has been received.
     pub fn has_been_used(&self) -> bool {
         self.used
     }
--- a/crates/router/src/transport/conversation/input.rs
+++ b/crates/router/src/transport/conversation/input.rs
@@ -1,25 +1,26 @@
-//! What a client has sent: messages as far as they are complete, each with the moment at which it arrived.
+//! The input from a client: complete messages with their arrival_time times, and the incomplete message after
+//! them.
 
 use crate::protocol::client::{ClientCodec, ReceivedMessage};
 use basalthill_policy::api::Time;
 use basalthill_wire::ProtocolError;
 
-/// The reading side of a client's connection.
+/// The input of a client connection.
 #[derive(Debug)]
 pub struct MessageInput {
     codec: ClientCodec,
-    /// Since when the socket may have something that is not read.
+    /// Since when the socket may have unread input; none if the last read emptied it.
     unread_since: Option<Time>,
-    /// When the first byte arrived of the message that is incomplete.
+    /// When the first byte of the incomplete message was received, if there is one.
     message_started: Option<Time>,
     paused: bool,
-    /// So many bytes more are accepted, and the rest of the message that has begun by then; nothing behind
-    /// it.
+    /// The number of further bytes that are accepted, if it is limited. The rest of the message that is
+    /// incomplete after these bytes is accepted as well, and nothing after it.
     accept_limit: Option<usize>,
 }
 
 impl MessageInput {
-    /// The input of a connection whose socket may have something to read since `unread_since`.
+    /// Creates the input of a connection whose socket may have unread input since `unread_since`.
     pub fn new(unread_since: Time) -> MessageInput {
         MessageInput {
             codec: ClientCodec::default(),
@@ -30,9 +31,9 @@
         }
     }
 
-    /// When the bytes that are read now may have arrived; `drained` tells that they were all that the socket
-    /// had.
-    pub fn arrival(&mut self, drained: bool, now: Time) -> Time {
+    /// Returns the earliest time at which bytes that are read at `now` may have been received. `drained`
+    /// tells whether the socket has no more.
+    pub fn arrival_time(&mut self, drained: bool, now: Time) -> Time {
         let arrived_at = self.unread_since.unwrap_or(now);
         if drained {
             self.unread_since = None;
@@ -40,96 +41,100 @@
         arrived_at
     }
 
-    /// Takes in bytes that were read now and arrived at `arrived_at`.
+    /// Handles bytes that were read at `now` and received at `arrived_at`.
     pub fn feed(&mut self, bytes: &[u8], arrived_at: Time, drained: bool, now: Time) {
         let partial_before = self.codec.partial_bytes();
         let accepted = self.feed_accepted(bytes, arrived_at, drained);
         let partial = self.codec.partial_bytes();
         self.message_started = match self.message_started {
             _ if partial == 0 => None,
-            // All that was fed belongs to the message that had begun before.
+            // All of the bytes belong to the message that was incomplete before.
             Some(started) if partial == partial_before + accepted => Some(started),
             _ => Some(now),
         };
     }
 
-    /// Feeds what is still accepted of the bytes; how many those were.
+    /// Passes the accepted part of the bytes to the codec. Returns its length.
     fn feed_accepted(&mut self, bytes: &[u8], arrived_at: Time, drained: bool) -> usize {
         let Some(limit) = self.accept_limit else {
             self.codec.feed(bytes, arrived_at);
             return bytes.len();
         };
-        let (accepted, behind) = bytes.split_at(limit.min(bytes.len()));
+        let (accepted, rest) = bytes.split_at(limit.min(bytes.len()));
         self.codec.feed(accepted, arrived_at);
         self.accept_limit = Some(if drained { 0 } else { limit - accepted.len() });
-        accepted.len() + self.codec.finish_message(behind, arrived_at)
+        accepted.len() + self.codec.finish_message(rest, arrived_at)
     }
 
-    /// The socket was found empty.
+    /// Records that the socket has no unread input.
     pub fn socket_drained(&mut self) {
         self.unread_since = None;
         self.accept_limit = self.accept_limit.map(|_| 0);
     }
 
-    /// Nothing is read from now on, up to [`MessageInput::resume`]: what arrives may wait unread.
+    /// Records that the socket is not read until [`MessageInput::resume`] is called, so that input received
+    /// from now on may stay unread.
     pub fn pause(&mut self, now: Time) {
         self.unread_since = self.unread_since.or(Some(now));
         self.paused = true;
     }
 
-    /// Reading goes on. The pause was not the client's doing: an incomplete message has its time anew.
+    /// Records that the socket is read again. Restarts the timeout of an incomplete message, because the
+    /// pause was not caused by the client.
     pub fn resume(&mut self, now: Time) {
         if std::mem::take(&mut self.paused) {
             self.message_started = self.message_started.map(|_| now);
         }
     }
 
-    /// Accepts `unread` bytes more, which the socket has by now, and the rest of a message that has begun.
+    /// Limits further input to the `unread` bytes that the socket has now, and the rest of the message that
+    /// is incomplete after them.
     pub fn limit_to(&mut self, unread: usize) {
         self.accept_limit = Some(unread);
     }
 
-    /// Whether [`MessageInput::limit_to`] has been called.
+    /// Returns whether [`MessageInput::limit_to`] has been called.
     pub fn is_limited(&self) -> bool {
         self.accept_limit.is_some()
     }
 
-    /// Whether more bytes are accepted.
+    /// Returns whether more bytes are accepted.
     pub fn accepts_more(&self) -> bool {
         self.accept_limit.is_none_or(|limit| limit > 0 || self.codec.partial_bytes() > 0)
     }
 
-    /// Since when a message is incomplete, if one is and the router reads on.
+    /// Returns when the first byte of the incomplete message was received, if there is one and reading is not
+    /// paused.
     pub fn message_started(&self) -> Option<Time> {
         self.message_started.filter(|_| !self.paused)
     }
 
-    /// The incomplete message has no more time.
-    pub fn forget_message_start(&mut self) {
+    /// Stops the timeout of the incomplete message.
+    pub fn clear_message_start(&mut self) {
         self.message_started = None;
     }
 
-    /// The next complete message.
+    /// Takes the next complete message, if there is one.
     pub fn next_message(&mut self) -> Result<Option<ReceivedMessage>, ProtocolError> {
         self.codec.next_message()
     }
 
-    /// Bytes of complete messages that were not taken yet.
+    /// Returns the number of bytes in complete messages that have not been taken.
     pub fn queued_bytes(&self) -> usize {
         self.codec.queued_bytes()
     }
 
-    /// Bytes of the incomplete message.
+    /// Returns the number of received bytes of the incomplete message.
     pub fn partial_bytes(&self) -> usize {
         self.codec.partial_bytes()
     }
 
-    /// Whether everything complete has been taken, and nothing unreadable stands behind it.
+    /// Returns whether all complete messages have been taken, and no protocol error follows them.
     pub fn is_consumed(&self) -> bool {
         self.codec.queued_bytes() == 0 && !self.codec.is_broken()
     }
 
-    /// Drops what is not taken.
+    /// Drops all input that has not been taken.
     pub fn clear(&mut self) {
         self.codec = ClientCodec::default();
         self.message_started = None;
--- a/crates/router/src/transport/conversation/output.rs
+++ b/crates/router/src/transport/conversation/output.rs
@@ -1,38 +1,38 @@
-//! Bytes that wait to be written to a client.
+//! The queue of output to a client.
 
 use std::collections::VecDeque;
 use std::io::IoSlice;
 
-/// Messages to be written, in order; the first may have been written in part.
+/// The parts to write, in order: replies and session tokens. The first may have been written partially.
 #[derive(Debug, Default)]
 pub struct OutputQueue {
     parts: VecDeque<Vec<u8>>,
-    /// Bytes of all parts that are not written yet.
-    unwritten: usize,
-    /// Bytes of the first part that have been written.
-    written_of_first: usize,
+    /// The number of bytes of all parts that have not been written.
+    unwritten_bytes: usize,
+    /// The number of bytes of the first part that have been written.
+    first_part_written: usize,
 }
 
 impl OutputQueue {
     /// Appends a part.
     pub fn push(&mut self, bytes: Vec<u8>) {
-        self.unwritten += bytes.len();
+        self.unwritten_bytes += bytes.len();
         self.parts.push_back(bytes);
     }
 
-    /// Whether everything is written.
+    /// Returns whether everything has been written.
     pub fn is_empty(&self) -> bool {
         self.parts.is_empty()
     }
 
-    /// Bytes that are not written yet.
-    pub fn unwritten(&self) -> usize {
-        self.unwritten
+    /// Returns the number of bytes that have not been written.
+    pub fn unwritten_bytes(&self) -> usize {
+        self.unwritten_bytes
     }
 
-    /// Fills `slices` with the next bytes to write, a part each; how many were filled.
+    /// Fills `slices` with the next bytes to write, one part per slice. Returns the number of slices filled.
     pub fn fill<'a>(&'a self, slices: &mut [IoSlice<'a>]) -> usize {
-        let mut skip = self.written_of_first;
+        let mut skip = self.first_part_written;
         let mut count = 0;
         for (slice, part) in slices.iter_mut().zip(&self.parts) {
             *slice = IoSlice::new(&part[skip..]);
@@ -42,13 +42,14 @@
         count
     }
 
-    /// Drops `len` bytes that have been written; whether a part is complete with them.
+    /// Removes `len` bytes that have been written. Returns whether they complete a part.
     pub fn mark_written(&mut self, len: usize) -> bool {
         let parts_before = self.parts.len();
-        self.written_of_first += len;
-        self.unwritten -= len;
-        while let Some(first) = self.parts.front().map(Vec::len).filter(|len| *len <= self.written_of_first) {
-            self.written_of_first -= first;
+        self.first_part_written += len;
+        self.unwritten_bytes -= len;
+        while let Some(first) = self.parts.front().map(Vec::len).filter(|len| *len <= self.first_part_written)
+        {
+            self.first_part_written -= first;
             self.parts.pop_front();
         }
         self.parts.len() < parts_before
--- a/crates/router/src/transport/conversation/replies.rs
+++ b/crates/router/src/transport/conversation/replies.rs
@@ -8,80 +8,81 @@
 /// The state of one command's reply.
 #[derive(Debug)]
 enum Reply {
-    /// It is there.
+    /// The reply can be written.
     Ready(Vec<u8>),
-    /// The command has been forwarded.
+    /// The command has been forwarded and has no reply yet.
     Forwarded(CommandId),
-    /// An empty query that arrived before the router was ready.
+    /// The command is an empty query that was received before the router was ready.
     EmptyQuery,
 }
 
-/// Replies that are not moved to the output yet: each leaves behind those before it.
+/// The replies that have not been moved to the output, in the order of their commands.
 #[derive(Debug, Default)]
 pub struct ReplyQueue {
     replies: VecDeque<Reply>,
-    /// Bytes of replies that wait for one before them.
-    buffered: usize,
+    /// The number of bytes in replies that are ready but wait for an earlier one.
+    buffered_bytes: usize,
 }
 
 impl ReplyQueue {
-    /// Appends a reply that is there already.
+    /// Appends a reply that is ready.
     pub fn push_ready(&mut self, bytes: Vec<u8>) {
-        self.buffered += bytes.len();
+        self.buffered_bytes += bytes.len();
         self.replies.push_back(Reply::Ready(bytes));
     }
 
-    /// Appends the place of a reply to a command that is forwarded.
+    /// Appends a placeholder for the reply to a forwarded command.
     pub fn push_forwarded(&mut self, command: CommandId) {
         self.replies.push_back(Reply::Forwarded(command));
     }
 
-    /// Appends the place of a reply to an empty query, which waits for the router to be ready.
+    /// Appends a placeholder for the reply to an empty query, which is sent once the router is ready.
     pub fn push_empty_query(&mut self) {
-        self.buffered += client::empty_query().len();
+        self.buffered_bytes += client::empty_query().len();
         self.replies.push_back(Reply::EmptyQuery);
     }
 
-    /// Answers the empty queries: the router is ready.
-    pub fn answer_empty_queries(&mut self) {
+    /// Completes the replies to all empty queries, once the router is ready.
+    pub fn complete_empty_queries(&mut self) {
         for reply in self.replies.iter_mut().filter(|r| matches!(r, Reply::EmptyQuery)) {
             *reply = Reply::Ready(client::empty_query());
         }
     }
 
-    /// The place of a forwarded command, if its reply is still to come.
+    /// Returns the position of a forwarded command in the queue, if it has no reply yet.
     pub fn position(&self, command: CommandId) -> Option<usize> {
         self.replies.iter().position(|r| matches!(r, Reply::Forwarded(c) if *c == command))
     }
 
-    /// Puts the reply in its place. Empty queries before it don't wait for the router to be ready any more.
+    /// Stores the reply at its position. Empty queries before it are rejected as not ready, so that the reply
+    /// does not wait until the router is ready.
     pub fn complete(&mut self, position: usize, bytes: Vec<u8>) {
-        self.buffered += bytes.len();
+        self.buffered_bytes += bytes.len();
         self.replies[position] = Reply::Ready(bytes);
         for reply in self.replies.iter_mut().take(position).filter(|r| matches!(r, Reply::EmptyQuery)) {
             *reply = Reply::Ready(client::error(CANNOT_CONNECT_NOW, "not ready yet", None));
         }
     }
 
-    /// Takes the first reply, if it is there.
+    /// Takes the first reply, if it is ready.
     pub fn pop_ready(&mut self) -> Option<Vec<u8>> {
         let Some(Reply::Ready(_)) = self.replies.front() else { return None };
         let Some(Reply::Ready(bytes)) = self.replies.pop_front() else { return None };
-        self.buffered = self.buffered.saturating_sub(bytes.len());
+        self.buffered_bytes = self.buffered_bytes.saturating_sub(bytes.len());
         Some(bytes)
     }
 
-    /// Bytes of replies that wait for one before them.
-    pub fn buffered(&self) -> usize {
-        self.buffered
+    /// Returns the number of bytes in replies that are ready but wait for an earlier one.
+    pub fn buffered_bytes(&self) -> usize {
+        self.buffered_bytes
     }
 
-    /// Whether no reply is outstanding.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.replies.is_empty()
     }
 
-    /// How many replies are outstanding.
+    /// Returns the number of replies in the queue, ready or not.
     #[cfg(test)]
     pub fn len(&self) -> usize {
         self.replies.len()
--- a/crates/router/src/transport/conversation/tests.rs
+++ b/crates/router/src/transport/conversation/tests.rs
@@ -15,7 +15,7 @@
     }
 }
 
-fn served_answer(value: &[u8]) -> Answer {
+fn served_reply(value: &[u8]) -> Answer {
     let bytes = row(value);
     let end = bytes.len();
     Answer::Served(Row { bytes, parts: vec![0..end, end..end, end..end], value: None, binary: true })
@@ -27,11 +27,11 @@
     conversation
 }
 
-/// Writes out up to `most` bytes.
-fn write_out(conversation: &mut Conversation, most: usize) -> Vec<u8> {
+/// Takes up to `max_len` bytes of the output as written, and returns them.
+fn write_out(conversation: &mut Conversation, max_len: usize) -> Vec<u8> {
     let mut slices = [IoSlice::new(&[]); 4];
     let count = conversation.fill_output(&mut slices);
-    let all: Vec<u8> = slices[..count].iter().flat_map(|s| s.iter().copied()).take(most).collect();
+    let all: Vec<u8> = slices[..count].iter().flat_map(|s| s.iter().copied()).take(max_len).collect();
     conversation.mark_written(all.len());
     all
 }
@@ -51,7 +51,7 @@
     arrived_at: Time,
 }
 
-/// Steps until nothing can be done now; the requests that were forwarded.
+/// Executes all steps that are possible now. Returns the requests that were forwarded.
 fn forwarded(conversation: &mut Conversation) -> Vec<Forwarded> {
     let mut requests = Vec::new();
     while let Some(step) = conversation.next_step(true) {
@@ -63,7 +63,7 @@
     requests
 }
 
-/// A reply, by the message in it that says most.
+/// A reply as the client received it, represented by its most significant message.
 struct Reply {
     message_type: u8,
     body: Vec<u8>,
@@ -76,7 +76,7 @@
     }
 }
 
-/// The replies in a stream of messages.
+/// Splits a stream of messages into replies.
 fn replies(mut bytes: &[u8]) -> Vec<Reply> {
     let (mut out, mut last) = (Vec::new(), None);
     while let Some(head) = bytes.first_chunk::<5>() {
@@ -89,13 +89,13 @@
             _ => {}
         }
     }
-    assert!(bytes.is_empty(), "half a message");
+    assert!(bytes.is_empty(), "incomplete message at the end");
     out.extend(last);
     out
 }
 
 #[test]
-fn reads_are_forwarded_concurrently_and_answered_in_order() {
+fn reads_are_forwarded_concurrently_and_their_replies_are_in_order() {
     let mut conversation = empty_conversation();
     let commands: Vec<u8> =
         (0..MAX_CONCURRENT_READS + 2).flat_map(|n| query(&statement_text(n, false))).collect();
@@ -104,10 +104,10 @@
     assert_eq!(first.len(), MAX_CONCURRENT_READS);
     assert!(first.iter().all(|request| request.arrived_at == Time::ms(5)));
     write_out_all(&mut conversation);
-    conversation.answer(first[1].command, served_answer(b"second"));
-    assert!(!conversation.has_output(), "the first has no answer yet");
+    conversation.complete_command(first[1].command, served_reply(b"second"));
+    assert!(!conversation.has_output(), "the first command has no reply yet");
     assert_eq!(forwarded(&mut conversation).len(), 1, "another read may be in flight");
-    conversation.answer(first[0].command, served_answer(b"first"));
+    conversation.complete_command(first[0].command, served_reply(b"first"));
     let received = replies(&write_out_all(&mut conversation));
     assert!(
         received[0].body.ends_with(b"first") && received[1].body.ends_with(b"second") && received.len() == 2
@@ -122,12 +122,12 @@
     conversation.feed(&[startup(), commands.concat()].concat(), true, Time(0));
     let reads = forwarded(&mut conversation);
     assert_eq!(reads.len(), 2);
-    conversation.answer(reads[1].command, served_answer(b"b"));
-    assert!(forwarded(&mut conversation).is_empty(), "a read before it is open");
-    conversation.answer(reads[0].command, Answer::Failed);
+    conversation.complete_command(reads[1].command, served_reply(b"b"));
+    assert!(forwarded(&mut conversation).is_empty(), "an earlier read is in flight");
+    conversation.complete_command(reads[0].command, Answer::Failed);
     let write = forwarded(&mut conversation);
     assert_eq!(write.len(), 1);
-    conversation.answer(write[0].command, Answer::Rejected { retry_after_ms: Some(40) });
+    conversation.complete_command(write[0].command, Answer::Rejected { retry_after_ms: Some(40) });
     assert_eq!(forwarded(&mut conversation)[0].statement_id, format!("{:016x}", 3));
 }
 
@@ -137,7 +137,7 @@
     conversation.feed(&startup(), true, Time::ms(1));
     conversation.pause_reading(Time::ms(10));
     conversation.resume_reading(Time::ms(500));
-    // The buffer was full: more may have arrived with it.
+    // The read filled the buffer, so the socket may have had more input.
     conversation.feed(&query(&statement_text(0, false)), false, Time::ms(500));
     conversation.feed(&query(&statement_text(1, false)), true, Time::ms(501));
     conversation.feed(&query(&statement_text(2, false)), true, Time::ms(502));
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_client_that_reads_no_replies_has_no_more_requests_forwarded() {
+fn forwarding_pauses_while_the_client_does_not_read_its_replies() {
     let mut conversation = empty_conversation();
     let commands: Vec<u8> = (0..60).flat_map(|n| query(&statement_text(n, false))).collect();
     conversation.feed(&[startup(), commands].concat(), true, Time(0));
@@ -159,36 +159,36 @@
         }
         count += requests.len();
         for request in requests {
-            conversation.answer(request.command, served_answer(&[7; 8000]));
+            conversation.complete_command(request.command, served_reply(&[7; 8000]));
         }
     }
     assert!(count <= 2 * MAX_CONCURRENT_READS, "{count}");
     write_out_all(&mut conversation);
-    assert!(!forwarded(&mut conversation).is_empty(), "it goes on once the replies are written");
+    assert!(!forwarded(&mut conversation).is_empty(), "forwarding resumes once the replies are written");
 }
 
 #[test]
-fn reading_pauses_while_much_input_is_queued() {
+fn reading_pauses_while_more_than_the_limit_is_queued() {
     let mut conversation = empty_conversation();
     let write = query(&statement_text(0, true));
-    let many = LARGE_STATEMENT_LEN / write.len() + 2;
-    let bytes: Vec<u8> = (0..many).flat_map(|n| query(&statement_text(n, true))).collect();
+    let write_count = LARGE_STATEMENT_LEN / write.len() + 2;
+    let bytes: Vec<u8> = (0..write_count).flat_map(|n| query(&statement_text(n, true))).collect();
     conversation.feed(&[startup(), bytes].concat(), true, Time(0));
-    let mut answered = 0;
+    let mut completed = 0;
     let mut open = forwarded(&mut conversation);
     assert!(!conversation.accepts_input());
     while let Some(request) = open.pop() {
-        conversation.answer(request.command, served_answer(b"x"));
+        conversation.complete_command(request.command, served_reply(b"x"));
         write_out_all(&mut conversation);
-        answered += 1;
+        completed += 1;
         open = forwarded(&mut conversation);
     }
     assert!(conversation.accepts_input() && conversation.is_idle());
-    assert_eq!(answered, many);
+    assert_eq!(completed, write_count);
 }
 
 #[test]
-fn valid_commands_before_too_many_faults_are_answered() {
+fn commands_before_too_many_faults_get_their_replies() {
     let mut conversation = empty_conversation();
     let bad = query("DROP TABLE records");
     let commands = [
@@ -199,19 +199,19 @@
     ];
     conversation.feed(&[startup(), commands.concat()].concat(), true, Time(0));
     let open = forwarded(&mut conversation);
-    assert_eq!(open.len(), 1, "nothing behind the faults is forwarded");
-    conversation.answer(open[0].command, served_answer(b"x"));
+    assert_eq!(open.len(), 1, "nothing after the faults is forwarded");
+    conversation.complete_command(open[0].command, served_reply(b"x"));
     let received = replies(&write_out_all(&mut conversation));
     let faults = MAX_CLIENT_FAULTS as usize;
-    assert_eq!(received.len(), 1 + 1 + faults + 1, "welcome, row, faults, the end");
+    assert_eq!(received.len(), 1 + 1 + faults + 1, "welcome, row, faults, final error");
     assert_eq!(received[1].message_type, b'D');
     assert!(received[2..2 + faults].iter().all(|t| t.error_code() == "42601"));
     assert_eq!(received[2 + faults].error_code(), "08P01");
-    assert!(conversation.is_ending() && conversation.is_idle());
+    assert!(conversation.is_closing() && conversation.is_idle());
 }
 
 #[test]
-fn an_incomplete_message_times_out_behind_the_earlier_replies() {
+fn the_timeout_error_of_an_incomplete_message_follows_the_earlier_replies() {
     let mut conversation = empty_conversation();
     let half = query(&statement_text(1, false));
     conversation.feed(
@@ -224,11 +224,11 @@
     conversation.time_out_message();
     assert!(forwarded(&mut conversation).is_empty() && !conversation.accepts_input());
     write_out_all(&mut conversation);
-    conversation.answer(open[0].command, served_answer(b"x"));
+    conversation.complete_command(open[0].command, served_reply(b"x"));
     forwarded(&mut conversation);
     let received = replies(&write_out_all(&mut conversation));
     assert_eq!((received[0].message_type, received[1].error_code()), (b'D', "57P05"));
-    assert!(conversation.is_ending() && conversation.is_idle());
+    assert!(conversation.is_closing() && conversation.is_idle());
 }
 
 #[test]
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn input_is_taken_up_to_the_limit_and_nothing_behind_it() {
+fn input_is_accepted_up_to_the_limit_and_to_the_end_of_the_message_there() {
     let mut conversation = empty_conversation();
     conversation.feed(&startup(), true, Time(0));
     let (one, two, three) = (
@@ -260,8 +260,8 @@
     assert!(conversation.accepts_input());
     conversation.feed(&[&two[..], &three].concat(), false, Time(0));
     assert!(!conversation.accepts_input());
-    assert_eq!(forwarded(&mut conversation).len(), 2, "the second has begun by then");
-    // A socket that is found empty has no more.
+    assert_eq!(forwarded(&mut conversation).len(), 2, "the second message begins before the limit");
+    // Once the socket is empty, nothing more is accepted, although the limit has not been reached.
     let mut conversation = empty_conversation();
     conversation.limit_input(1000);
     conversation.socket_drained();
@@ -269,11 +269,11 @@
 }
 
 #[test]
-fn an_empty_query_is_answered_once_the_router_is_ready_and_blocks_nothing() {
+fn an_empty_query_gets_its_reply_once_the_router_is_ready_and_blocks_no_later_reply() {
     let mut conversation = empty_conversation();
     conversation.feed(&[startup(), query("")].concat(), true, Time(0));
     while conversation.next_step(false).is_some() {}
-    assert_eq!(replies(&write_out_all(&mut conversation)).len(), 1, "the welcome");
+    assert_eq!(replies(&write_out_all(&mut conversation)).len(), 1, "the welcome only");
     assert!(conversation.next_step(true).is_none());
     assert_eq!(replies(&write_out_all(&mut conversation))[0].message_type, b'I');
     let mut conversation = empty_conversation();
@@ -282,8 +282,8 @@
     while let Some(step) = conversation.next_step(false) {
         open.extend(matches!(step, Step::Forward { .. }).then_some(step));
     }
-    let Some(Step::Forward { command, .. }) = open.pop() else { panic!("the query is forwarded") };
-    conversation.answer(command, Answer::Rejected { retry_after_ms: None });
+    let Some(Step::Forward { command, .. }) = open.pop() else { panic!("the query was not forwarded") };
+    conversation.complete_command(command, Answer::Rejected { retry_after_ms: None });
     let received = replies(&write_out_all(&mut conversation));
     assert_eq!((received[1].error_code(), received[2].error_code()), ("57P03", "53300"));
 }
--- a/crates/router/src/transport/conversation/tests/interleavings.rs
+++ b/crates/router/src/transport/conversation/tests/interleavings.rs
@@ -1,4 +1,4 @@
-//! A property test: whatever a client writes, and whatever happens meanwhile.
+//! Property test of the conversation with arbitrary input, interleaved with arbitrary other events.
 
 use super::*;
 use crate::protocol::statement::StatementError;
@@ -12,14 +12,14 @@
     Read,
     Write,
     Empty,
-    Bad,
+    Invalid,
     Sync,
     Unsupported,
 }
 
-/// Mostly sound commands, or mostly such as are not served.
+/// Generates commands that are mostly valid (4 of 5 cases) or mostly invalid.
 fn commands() -> impl Strategy<Value = Vec<ClientWrite>> {
-    let bad = prop_oneof![1 => client_write(), 3 => Just(ClientWrite::Bad)];
+    let bad = prop_oneof![1 => client_write(), 3 => Just(ClientWrite::Invalid)];
     prop_oneof![4 => prop::collection::vec(client_write(), 0..40), 1 => prop::collection::vec(bad, 0..40)]
 }
 
@@ -28,37 +28,37 @@
         6 => Just(ClientWrite::Read),
         3 => Just(ClientWrite::Write),
         1 => Just(ClientWrite::Empty),
-        1 => Just(ClientWrite::Bad),
+        1 => Just(ClientWrite::Invalid),
         1 => Just(ClientWrite::Sync),
         1 => Just(ClientWrite::Unsupported),
     ]
 }
 
-/// What happens between two pieces of a client's input.
+/// An event between two chunks of a client's input.
 #[derive(Clone, Debug)]
-enum Interleaved {
-    Answered(usize, u8),
+enum Event {
+    Reply(usize, u8),
     Token,
     BytesWritten(usize),
     ShutdownStarts,
     MessageTimesOut,
 }
 
-fn interleaved() -> impl Strategy<Value = Interleaved> {
+fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        8 => (any::<usize>(), any::<u8>()).prop_map(|(n, how)| Interleaved::Answered(n, how)),
-        1 => Just(Interleaved::Token),
-        4 => (1..200usize).prop_map(Interleaved::BytesWritten),
-        1 => Just(Interleaved::ShutdownStarts),
-        1 => Just(Interleaved::MessageTimesOut),
+        8 => (any::<usize>(), any::<u8>()).prop_map(|(n, kind)| Event::Reply(n, kind)),
+        1 => Just(Event::Token),
+        4 => (1..200usize).prop_map(Event::BytesWritten),
+        1 => Just(Event::ShutdownStarts),
+        1 => Just(Event::MessageTimesOut),
     ]
 }
 
-/// A request of the property test that is not answered yet.
+/// A request that has been forwarded and has no reply yet.
 struct OpenRequest {
     command: CommandId,
-    /// Its place among the commands.
-    n: usize,
+    /// The index of the command.
+    index: usize,
     is_write: bool,
 }
 
@@ -69,14 +69,16 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever a client writes, in whatever pieces, interleaved with answers, tokens, a slow reader, a
-    /// shutdown and a timeout: each complete command that is taken gets exactly one reply, in order; a
-    /// connection ends only behind all of them; no read passes a write; and nothing is taken behind its end.
+    /// The input is split into arbitrary chunks and interleaved with replies from routing, session tokens,
+    /// partial writes, a shutdown and a message timeout. Each complete command that is taken gets exactly one
+    /// reply, in order. The connection is closed only after all replies, nothing is forwarded while a write
+    /// is in flight or after the connection is closed, and a write is not forwarded while a read is in
+    /// flight.
     #[test]
     fn each_complete_command_has_one_reply_in_order(
         commands in commands(),
         cuts in prop::collection::vec(any::<usize>(), 0..30),
-        between in prop::collection::vec(interleaved(), 0..120),
+        events in prop::collection::vec(event(), 0..120),
     ) {
         let mut bytes = startup();
         let mut ends = vec![(bytes.len(), None)];
@@ -85,9 +87,9 @@
                 ClientWrite::Read => query(&statement_text(n, false)),
                 ClientWrite::Write => query(&statement_text(n, true)),
                 ClientWrite::Empty => query(""),
-                ClientWrite::Bad => query("EXPLAIN records"),
+                ClientWrite::Invalid => query("EXPLAIN records"),
                 ClientWrite::Sync => b"S\0\0\0\x04".to_vec(),
-                // With the Sync that ends what it began.
+                // The Sync that follows ends the skipping of messages after the error.
                 ClientWrite::Unsupported => b"P\0\0\0\x04S\0\0\0\x04".to_vec(),
             });
             ends.push((bytes.len(), Some(n)));
@@ -98,79 +100,79 @@
         let mut conversation = empty_conversation();
         let mut out = Vec::new();
         let mut open: Vec<OpenRequest> = Vec::new();
-        // How each command that was forwarded was answered.
-        let mut outcomes: BTreeMap<usize, u8> = BTreeMap::new();
+        // The kind of reply to each forwarded command; `u8::MAX` until it has one.
+        let mut reply_kinds: BTreeMap<usize, u8> = BTreeMap::new();
         let mut fed = 0;
-        let mut stopped = false;
-        let mut late = false;
-        let mut between = between.into_iter();
-        let mut pieces = cuts.windows(2);
+        let mut shutdown_started = false;
+        let mut message_timed_out = false;
+        let mut events = events.into_iter();
+        let mut chunks = cuts.windows(2);
         loop {
             while let Some(step) = conversation.next_step(true) {
                 prop_assert!(conversation.replies.len() <= bytes.len());
                 if let Step::Forward { command, statement, .. } = step {
                     let n = usize::from_str_radix(std::str::from_utf8(statement.id()).unwrap(), 16).unwrap();
                     let is_write = statement.verb == Verb::Insert;
-                    let passes_no_write = open.iter().all(|request| !request.is_write && !is_write);
-                    prop_assert!(passes_no_write, "nothing passes a write");
+                    let order_is_kept = open.iter().all(|request| !request.is_write && !is_write);
+                    prop_assert!(order_is_kept, "a write and another request are in flight concurrently");
                     prop_assert!(open.len() < MAX_CONCURRENT_READS);
-                    prop_assert!(outcomes.insert(n, u8::MAX).is_none(), "forwarded once");
-                    open.push(OpenRequest { command, n, is_write });
+                    prop_assert!(reply_kinds.insert(n, u8::MAX).is_none(), "command forwarded twice");
+                    open.push(OpenRequest { command, index: n, is_write });
                 }
             }
-            match between.next() {
-                Some(Interleaved::Answered(which, how)) if !open.is_empty() => {
-                    let OpenRequest { command, n, .. } = open.remove(which % open.len());
-                    let how = how % 5;
-                    outcomes.insert(n, how);
+            match events.next() {
+                Some(Event::Reply(which, kind)) if !open.is_empty() => {
+                    let OpenRequest { command, index: n, .. } = open.remove(which % open.len());
+                    let kind = kind % 5;
+                    reply_kinds.insert(n, kind);
                     let e = StatementError { code: "22023", message: "unknown".into() };
-                    conversation.answer(command, match how {
-                        0 | 1 => served_answer(format!("{n:016x}").as_bytes()),
+                    conversation.complete_command(command, match kind {
+                        0 | 1 => served_reply(format!("{n:016x}").as_bytes()),
                         2 => Answer::Rejected { retry_after_ms: None },
                         3 => Answer::Failed,
                         _ => Answer::Invalid(e),
                     });
                 }
-                Some(Interleaved::Answered(..)) => {}
-                Some(Interleaved::Token) => conversation.push_session_token("token"),
-                Some(Interleaved::BytesWritten(most)) => out.extend(write_out(&mut conversation, most)),
-                Some(Interleaved::ShutdownStarts) if fed > 0 => {
+                Some(Event::Reply(..)) => {}
+                Some(Event::Token) => conversation.push_session_token("token"),
+                Some(Event::BytesWritten(len)) => out.extend(write_out(&mut conversation, len)),
+                Some(Event::ShutdownStarts) if fed > 0 => {
                     conversation.limit_input(0);
-                    stopped = true;
+                    shutdown_started = true;
                 }
-                Some(Interleaved::MessageTimesOut) if conversation.message_started().is_some() => {
+                Some(Event::MessageTimesOut) if conversation.message_started().is_some() => {
                     conversation.time_out_message();
-                    late = true;
+                    message_timed_out = true;
                 }
-                Some(Interleaved::ShutdownStarts | Interleaved::MessageTimesOut) => {}
+                Some(Event::ShutdownStarts | Event::MessageTimesOut) => {}
                 None => {
-                    // The rest, as fast as it goes.
-                    if let Some(OpenRequest { command, n, .. }) = open.pop() {
-                        outcomes.insert(n, 0);
-                        conversation.answer(command, served_answer(format!("{n:016x}").as_bytes()));
+                    // No events are left: completes all requests and writes all output.
+                    if let Some(OpenRequest { command, index: n, .. }) = open.pop() {
+                        reply_kinds.insert(n, 0);
+                        conversation.complete_command(command, served_reply(format!("{n:016x}").as_bytes()));
                     }
                     out.extend(write_out_all(&mut conversation));
-                    let is_consumed = open.is_empty() && pieces.len() == 0;
-                    if is_consumed && conversation.is_answered() && !conversation.has_output() {
+                    let is_consumed = open.is_empty() && chunks.len() == 0;
+                    if is_consumed && conversation.has_replied_to_all() && !conversation.has_output() {
                         break;
                     }
                 }
             }
             if conversation.accepts_input() {
-                if let Some(cut) = pieces.next() {
+                if let Some(cut) = chunks.next() {
                     conversation.feed(&bytes[cut[0]..cut[1]], true, Time(0));
                     fed = cut[1];
                 }
-            } else if conversation.is_ending() || stopped || late {
-                pieces = cuts[..0].windows(2);
+            } else if conversation.is_closing() || shutdown_started || message_timed_out {
+                chunks = cuts[..0].windows(2);
             }
         }
-        // What was received, in the order of the commands.
+        // The replies that the client received, in the order of the commands.
         let received = replies(&out);
         let mut received = received.iter();
         if fed >= ends[0].0 {
             let first = received.next().map(|reply| reply.message_type);
-            prop_assert_eq!(first, Some(b'R'), "a welcome comes first");
+            prop_assert_eq!(first, Some(b'R'), "the first reply is not the welcome");
         }
         let mut faults = 0;
         for (end, n) in ends.iter().skip(1) {
@@ -179,21 +181,25 @@
                 continue;
             }
             let Some(reply) = received.next() else {
-                // Not answered: then nothing behind it is, and it was not taken.
-                prop_assert!(received.next().is_none() && !outcomes.contains_key(n));
-                let is_excused = stopped || late || conversation.is_ending() || *end > fed;
+                // The command has no reply. Then it was not forwarded, and no later command has a reply.
+                prop_assert!(received.next().is_none() && !reply_kinds.contains_key(n));
+                let is_excused =
+                    shutdown_started || message_timed_out || conversation.is_closing() || *end > fed;
                 prop_assert!(is_excused, "command {} has no reply", n);
                 return Ok(());
             };
             let fatal = reply.message_type == b'E' && reply.body.starts_with(b"SFATAL");
             if fatal {
-                prop_assert!(late || faults >= MAX_CLIENT_FAULTS, "a connection ends for a reason");
-                prop_assert!(received.next().is_none(), "nothing comes behind the end");
+                prop_assert!(
+                    message_timed_out || faults >= MAX_CLIENT_FAULTS,
+                    "closed without a timeout or too many faults"
+                );
+                prop_assert!(received.next().is_none(), "a reply after the final error");
                 return Ok(());
             }
-            match (&commands[*n], outcomes.get(n)) {
+            match (&commands[*n], reply_kinds.get(n)) {
                 (ClientWrite::Empty, _) => prop_assert_eq!(reply.message_type, b'I'),
-                (ClientWrite::Bad, _) => {
+                (ClientWrite::Invalid, _) => {
                     faults += 1;
                     prop_assert_eq!(reply.error_code(), "42601");
                 }
@@ -203,7 +209,7 @@
                 }
                 (_, Some(0 | 1)) => {
                     let id = format!("{n:016x}");
-                    prop_assert!(reply.body.ends_with(id.as_bytes()), "another command's answer");
+                    prop_assert!(reply.body.ends_with(id.as_bytes()), "the reply to another command");
                 }
                 (_, Some(2)) | (_, None) => prop_assert_eq!(reply.error_code(), "53300"),
                 (_, Some(3)) => prop_assert_eq!(reply.error_code(), "58000"),
--- a/crates/router/src/transport/driver.rs
+++ b/crates/router/src/transport/driver.rs
@@ -1,7 +1,7 @@
-//! The common state of a router's tasks. Inputs are fed to routing here, and the effects that come of
-//! them are carried out here.
+//! The state that a router's tasks share. It passes inputs to routing and carries out the effects that
+//! routing returns.
 
-use super::client::{ClientRegistry, Eviction};
+use super::client::{ClientRegistry, EvictionPriority};
 use super::exchange::{self, RunningExchanges};
 use super::fleet::FleetLink;
 use super::io::ReadBuffer;
@@ -21,36 +21,36 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The common state of a router's tasks; each field owns one resource.
+/// The state that a router's tasks share; each field owns one resource.
 pub struct Driver {
-    /// The clock by which inputs come.
+    /// The clock that inputs are timestamped with.
     pub clock: Clock,
-    /// The router without its sockets.
+    /// The routing state, without I/O.
     pub router: RefCell<Router>,
-    /// Spawns tasks, up to the shutdown.
+    /// The handle for spawning tasks, until the shutdown.
     pub tasks: TaskSpawner,
-    /// The clients' connections.
+    /// The client connections.
     pub clients: ClientRegistry,
-    /// The exchanges with hosts that are under way.
+    /// The exchanges with hosts that are in flight.
     pub exchanges: RunningExchanges,
-    /// Idle connections to hosts.
+    /// The idle connections to hosts.
     pub pool: HostPool,
-    /// The budget of descriptors, for clients and hosts together.
+    /// The file descriptors that client and host connections may use together.
     pub descriptors: Semaphore,
-    /// The buffer into which sockets are read.
+    /// The buffer that all sockets are read into.
     pub read_buffer: ReadBuffer,
-    /// The watches that follow discovery.
+    /// The watches on discovery's endpoint list.
     pub discovery: DiscoveryWatches,
     /// The link to the other routers of a fleet.
     pub fleet: FleetLink,
-    /// When routing's next timer is due.
+    /// The time until which the timer task sleeps.
     pub timers: TimerDeadline,
-    /// How far the router is in stopping.
+    /// The progress of a graceful shutdown.
     pub shutdown: Shutdown,
 }
 
 impl Driver {
-    /// The state of a router that starts; its tasks run on `executor`.
+    /// Creates the state of a starting router, whose tasks run on `executor`.
     pub fn new(
         config: &RouterConfig,
         known_endpoints: Option<HostList>,
@@ -76,11 +76,11 @@
             timers: TimerDeadline::default(),
             shutdown: Shutdown::default(),
         });
-        driver.apply(effects);
+        driver.apply_effects(effects);
         driver
     }
 
-    /// Feeds an input to routing and carries out the effects.
+    /// Passes an input to routing and carries out the resulting effects.
     pub fn handle(self: &Rc<Driver>, input: Input) {
         let mut effects = Vec::new();
         let now = self.clock.now();
@@ -90,20 +90,20 @@
         }
         router.handle(now, input, &mut effects);
         drop(router);
-        self.apply(effects);
+        self.apply_effects(effects);
     }
 
-    /// Calls the router with the time and carries out the effects that it appends.
+    /// Calls `call` with the routing state and the time, and carries out the effects that it appends.
     pub fn with_router(self: &Rc<Driver>, call: impl FnOnce(&mut Router, Time, &mut Vec<Effect>)) {
         let mut effects = Vec::new();
         let now = self.clock.now();
         call(&mut self.router.borrow_mut(), now, &mut effects);
-        self.apply(effects);
+        self.apply_effects(effects);
     }
 
-    fn apply(self: &Rc<Driver>, effects: Vec<Effect>) {
+    fn apply_effects(self: &Rc<Driver>, effects: Vec<Effect>) {
         for effect in effects {
-            self.apply_one(effect);
+            self.apply_effect(effect);
         }
         let router = self.router.borrow();
         self.timers.wake_before(router.next_due());
@@ -112,7 +112,7 @@
         }
     }
 
-    fn apply_one(self: &Rc<Driver>, effect: Effect) {
+    fn apply_effect(self: &Rc<Driver>, effect: Effect) {
         match effect {
             Effect::StartExchange(start) => self.start_exchange(start),
             Effect::AbortExchange(id) => self.exchanges.abort(id),
@@ -122,11 +122,11 @@
                 }
             }
             Effect::SendDatagram { to, bytes } => self.fleet.send(to, &bytes),
-            // The front end for other proxies does not exist yet.
+            // Produced only by a front end for other proxies, which does not exist yet.
             Effect::ProxyReply { .. } => {}
             Effect::Answer { client, command, answer } => {
                 if let Some(handle) = self.clients.handle(client) {
-                    handle.push_answer(command, answer);
+                    handle.push_reply(command, answer);
                 }
             }
             Effect::CloseIdleConnections(addr) => self.pool.close_all(addr),
@@ -148,14 +148,14 @@
         }
     }
 
-    /// An exchange's task has come to its end; called from within it.
+    /// Passes the result of an exchange to routing. The exchange's own task calls this at its end.
     fn finish_exchange(self: &Rc<Driver>, id: ExchangeId, result: ExchangeResult) {
         self.exchanges.detach(id);
         self.handle(Input::ExchangeFinished(id, result));
     }
 
-    /// A descriptor from the budget. When it is spent, the connection to a host that has been idle for
-    /// longest makes place, or else a client.
+    /// Acquires a permit for a descriptor. If none is left, closes the host connection that has been idle for
+    /// longest, and if that frees none, evicts a client connection. Returns `None` if neither helped.
     pub async fn acquire_descriptor(&self) -> Option<Permit> {
         if let Some(permit) = self.descriptors.acquire_now() {
             return Some(permit);
@@ -164,7 +164,7 @@
         if let Some(permit) = self.descriptors.acquire_now() {
             return Some(permit);
         }
-        self.clients.evict(Eviction::Soon).await;
+        self.clients.evict(EvictionPriority::NotYet).await;
         self.descriptors.acquire_now()
     }
 }
--- a/crates/router/src/transport/maintenance.rs
+++ b/crates/router/src/transport/maintenance.rs
@@ -1,6 +1,6 @@
-//! Periodic work: closing of expired connections, and the log of what the router has counted.
+//! Periodic work: closing expired host connections, and logging counters.
 
-use super::client::EndedConnections;
+use super::client::ConnectionCounts;
 use super::driver::Driver;
 use crate::routing::RequestCounters;
 use async_io::Timer;
@@ -8,18 +8,19 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How often expired connections are closed, and connections that the router has ended are logged.
+/// The interval at which expired host connections are closed, and counts of closed client connections are
+/// logged.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(500);
-/// How often the counters of requests are logged.
+/// The interval at which the request and session counters are logged.
 const COUNTERS_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Runs the periodic work for ever.
+/// Runs the periodic work until the task is dropped.
 pub async fn run(driver: Rc<Driver>) {
     let mut counters_logged_at = Instant::now();
     loop {
         Timer::after(MAINTENANCE_INTERVAL).await;
         driver.pool.close_expired();
-        log_ended_connections(driver.clients.take_ended());
+        log_connection_counts(driver.clients.take_connection_counts());
         if counters_logged_at.elapsed() >= COUNTERS_INTERVAL {
             counters_logged_at = Instant::now();
             log_counters(&driver);
@@ -27,13 +28,13 @@
     }
 }
 
-fn log_ended_connections(ended: EndedConnections) {
-    let EndedConnections { rejected, dismissed } = ended;
-    if ended != EndedConnections::default() {
+fn log_connection_counts(counts: ConnectionCounts) {
+    let ConnectionCounts { rejected, closed } = counts;
+    if counts != ConnectionCounts::default() {
         tracing::warn!(
             rejected,
-            dismissed,
-            "clients: connections rejected for want of descriptors or dismissed"
+            closed,
+            "clients: connections rejected for lack of descriptors, or closed for errors and timeouts"
         );
     }
 }
@@ -52,8 +53,8 @@
     }
 }
 
-/// Logs what has been counted of sessions. Where the router does not make the sessions' floors, the counters
-/// of requests say it all.
+/// Logs the session counters. If the router does not manage session floors itself, there are none to log
+/// beyond the request counters.
 pub fn log_session_counts(driver: &Driver) {
     let mut router = driver.router.borrow_mut();
     let counts = router.take_session_counts();
