--- a/crates/router/src/transport/backoff.rs
+++ b/crates/router/src/transport/backoff.rs
@@ -1,36 +1,38 @@
-//! Exponential backoff between calls of discovery.
+//! Exponential backoff between calls to discovery.
 
 use fastrand::Rng;
 use std::time::Duration;
 
-/// The first delay after a call that brought nothing.
+/// The delay after the first failed call.
 const INITIAL_DELAY: Duration = Duration::from_millis(100);
-/// What discovery has counts as received 6 s after it can be reached, whatever became of calls before. The
-/// longest way to it: a silent watch (2.25 s), a delay, a call that is given up (1.2 s before its head,
-/// 2.25 s after it), a delay, one that is refused, a delay, and the call that brings the list: 5.1 s.
+/// The limit on a delay. The router has to have received discovery's list 6 s after discovery has become
+/// reachable, whatever happened to earlier calls. In the worst case that takes a watch that times out (2.25
+/// s), a delay, a call that times out (1.2 s before its head, 2.25 s after it), a delay, a refused call, a
+/// delay, and the call that receives the list: 5.1 s.
 const MAX_DELAY: Duration = Duration::from_millis(500);
-/// Where calls of all routers are served in turn, discovery serves one of each in eight seconds at the worst.
-/// Called more often by routers that it rejects, it would be busy with calls that are too late by the time
-/// they have their turn, and no router would ever get a list.
+/// The limit on a delay if discovery serves the calls of all routers one after another. Serving one call of
+/// each router takes it up to eight seconds. If rejected routers called more often, discovery would be busy
+/// with calls that have timed out before it serves them, and no router would ever receive a list.
 const MAX_SHARED_DELAY: Duration = Duration::from_millis(8000);
-/// A shared discovery that was unreachable has 6 s for its changes to arrive, too, after however long an
-/// outage: a call that is given up (2.25 s), and the longest delay with jitter (3 s).
+/// The limit on a delay if such a shared discovery is unreachable. The 6 s within which its list has to be
+/// received after an outage of any length have to cover a call that times out (2.25 s) and the longest delay
+/// with jitter (3 s).
 const MAX_UNREACHABLE_DELAY: Duration = Duration::from_millis(2000);
-/// With jitter, a delay is this part of its length at least, and as much more than its length at most.
+/// The smallest factor that jitter applies to a delay; the largest is one more than this.
 const MIN_JITTER: f64 = 0.5;
-/// Spreads the numbers of a router's watches over the seeds (the 64-bit golden ratio).
+/// The multiplier that gives each watch of a router its own jitter seed (the 64-bit golden ratio).
 const SEED_STRIDE: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// What became of a call that has ended.
+/// The reason why a call failed, as far as it matters to the backoff.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
-    /// Nobody answered, or the connection failed.
+    /// Discovery did not respond, or the connection failed.
     Unreachable,
-    /// Discovery is there, and had no capacity for the call.
+    /// Discovery rejected the call for lack of capacity.
     Rejected,
 }
 
-/// Delays that double, up to a limit, until a call succeeds.
+/// Delays that double after each failed call, up to a limit, until a call succeeds.
 #[derive(Debug)]
 pub struct Backoff {
     delay: Duration,
@@ -39,24 +41,26 @@
 }
 
 impl Backoff {
-    /// For a discovery that answers each router by itself, at once and at no cost.
+    /// Creates the backoff for a discovery that responds to each router independently, immediately and at
+    /// negligible cost.
     pub fn without_jitter() -> Backoff {
         Backoff { delay: INITIAL_DELAY, max_delay: MAX_DELAY, jitter: None }
     }
 
-    /// For one that serves all routers in turn. Those that it rejects together call again at different
-    /// moments: each delay is drawn from half to one and a half times its length.
+    /// Creates the backoff for a discovery that serves all routers one after another. Each delay is
+    /// multiplied by a random factor between 0.5 and 1.5, so that routers that are rejected at the same time
+    /// retry at different times.
     pub fn with_jitter(seed: u64, watch: u64) -> Backoff {
         let rng = Rng::with_seed(seed ^ watch.wrapping_mul(SEED_STRIDE));
         Backoff { delay: INITIAL_DELAY, max_delay: MAX_SHARED_DELAY, jitter: Some(rng) }
     }
 
-    /// Starts anew after a call that succeeded.
+    /// Resets the delay after a successful call, to half the initial delay.
     pub fn reset(&mut self) {
         self.delay = INITIAL_DELAY / 2;
     }
 
-    /// The delay before the next call, after what became of the last one.
+    /// Returns the delay before the next call, given the failure of the last one.
     pub fn next_delay(&mut self, failure: CallFailure) -> Duration {
         let limit = match failure {
             CallFailure::Rejected => self.max_delay,
--- a/crates/router/src/transport/backoff/tests.rs
+++ b/crates/router/src/transport/backoff/tests.rs
@@ -14,9 +14,10 @@
     assert_eq!(delays_ms(backoff, 3), [50, 100, 200]);
 }
 
-/// How many routers get a list in time from a discovery that serves calls in turn, `call_ms` each, and lets
-/// one wait for two seconds: a call whose turn comes later has cost its time for nothing, and one that would
-/// wait longer is rejected at once.
+/// Returns how many routers receive a list within `until_ms`. Discovery serves calls one after another,
+/// `call_ms` each. A call that completes more than two seconds after it was made has timed out, though
+/// discovery has spent the time on it. A call that would have to wait longer than that is rejected
+/// immediately.
 fn routers_served(routers: u64, call_ms: u64, until_ms: u64) -> usize {
     let mut backoffs: Vec<Backoff> = (0..routers).map(|n| Backoff::with_jitter(n, 0)).collect();
     let mut calls: Vec<Option<u64>> = vec![Some(0); routers as usize];
@@ -51,17 +52,17 @@
 }
 
 #[test]
-fn routers_rejected_together_by_a_shared_discovery_all_get_through() {
+fn routers_rejected_together_by_a_shared_discovery_all_receive_a_list() {
     for routers in [20, 100, 300] {
         let call_ms = 8000 / routers;
         assert_eq!(routers_served(routers, call_ms, 30_000), routers as usize, "{routers} routers");
     }
 }
 
-/// A list counts as received 6 s after discovery can be reached again; a call that is given up takes 2.25 s
-/// of that.
+/// A list has to be received within 6 s after discovery has become reachable again. A call that times out
+/// takes 2.25 s of these.
 #[test]
-fn after_a_long_outage_no_delay_exceeds_what_the_6_s_rule_allows() {
+fn after_a_long_outage_each_delay_leaves_time_to_receive_a_list_within_6_s() {
     for watch in 0..50 {
         let mut backoff = Backoff::with_jitter(40, watch);
         let longest = (0..30).map(|_| backoff.next_delay(CallFailure::Unreachable)).max();
--- a/crates/router/src/transport/fleet.rs
+++ b/crates/router/src/transport/fleet.rs
@@ -1,5 +1,5 @@
-//! The link to the other routers of a fleet: one UDP socket. Datagrams are checked on a thread of their own,
-//! so that noise costs requests nothing; what passes is handed to the router's thread.
+//! The link to the peers of a fleet: one UDP socket. Received datagrams are verified on a thread of their
+//! own, so that invalid ones don't delay requests; valid ones are passed to the router's thread.
 
 use super::driver::Driver;
 use super::ServeError;
@@ -20,14 +20,14 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Checked datagrams that wait for the router's thread; more are dropped, as by a network.
+/// The maximum number of verified datagrams queued for the router's thread. Further ones are dropped.
 const MAX_QUEUED_DATAGRAMS: usize = 1024;
-/// How long the reader waits for a datagram before it checks whether the router has ended.
+/// The time that the reader waits for a datagram before it checks whether the link has been closed.
 const READ_TIMEOUT: Duration = Duration::from_millis(200);
-/// How often the reader reports what it has dropped.
+/// The interval at which the reader reports the number of invalid datagrams.
 const DROP_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The link of this router, if it is in a fleet.
+/// The link to the peers, if this router belongs to a fleet.
 #[derive(Default)]
 pub struct FleetLink(RefCell<Option<FleetSocket>>);
 
@@ -39,13 +39,13 @@
         }
     }
 
-    /// Closes the socket and ends its reader.
+    /// Closes the socket and stops its reader.
     pub fn close(&self) {
         self.0.borrow_mut().take();
     }
 }
 
-/// Joins the fleet, if the settings name one.
+/// Opens the link and joins the fleet, if the settings name one.
 pub fn join(driver: &Rc<Driver>, config: &RouterConfig) -> Result<(), ServeError> {
     let Some(settings) = &config.local_settings.fleet else { return Ok(()) };
     let Some(listen) = listen_address(&config.name, settings) else { return Ok(()) };
@@ -58,7 +58,8 @@
     Ok(())
 }
 
-/// Takes over the fleet's settings as they were read again; where the socket would change, the old one stays.
+/// Applies the fleet settings that were read again. Changes that affect the socket need a restart and are
+/// logged as warnings.
 pub fn reload(driver: &Rc<Driver>, name: &str, reloaded: Option<&FleetSettings>) {
     let link = driver.fleet.0.borrow();
     let (socket, settings) = match (link.as_ref(), reloaded) {
@@ -83,15 +84,16 @@
     driver.with_router(|router, now, effects| router.reload_fleet(now, settings, effects));
 }
 
-/// Where a router listens for the others.
+/// Returns the address on which a router listens for its peers.
 fn listen_address(name: &str, settings: &FleetSettings) -> Option<SocketAddr> {
     settings.listen.or_else(|| settings.names.get(NodeId::of(name)).map(|peer| peer.addr))
 }
 
-/// The socket, its reader and the task that takes what the reader has checked. Dropped, it ends both.
+/// The socket, its reader thread, and the task that passes verified datagrams to routing. Dropping this stops
+/// both.
 struct FleetSocket {
     socket: UdpSocket,
-    /// Where the settings said to listen.
+    /// The address on which the settings told the router to listen.
     listen: SocketAddr,
     codec: Arc<RwLock<DatagramCodec>>,
     closed: Arc<AtomicBool>,
@@ -100,7 +102,7 @@
 }
 
 impl FleetSocket {
-    /// Binds the socket and starts to read.
+    /// Binds the socket and starts the reader.
     fn open(driver: &Rc<Driver>, listen: SocketAddr, settings: &FleetSettings) -> io::Result<FleetSocket> {
         let socket = UdpSocket::bind(listen)?;
         let reader_socket = socket.try_clone()?;
@@ -117,21 +119,21 @@
             reported_at: Instant::now(),
         };
         let reader = std::thread::Builder::new().name("fleet".into()).spawn(move || reader.run())?;
-        let task = driver.tasks.spawn(take_inputs(Rc::clone(driver), receiver));
+        let task = driver.tasks.spawn(forward_inputs(Rc::clone(driver), receiver));
         let names = settings.names.len();
-        // The harness of the fleet's tests reads the address from this line.
+        // The test harness of the fleet parses the address in this line.
         tracing::info!("fleet: {names} names, listens on {}", socket.local_addr()?);
         Ok(FleetSocket { socket, listen, codec, closed, reader: Some(reader), task })
     }
 
-    /// Sends a datagram. One that can't be sent counts as lost on the way.
+    /// Sends a datagram. A failure is treated like the loss of the datagram in the network.
     fn send(&self, to: SocketAddr, bytes: &[u8]) {
         if let Err(e) = self.socket.send_to(bytes, to) {
-            tracing::debug!(%to, error = %e, "fleet: a datagram can't be sent");
+            tracing::debug!(%to, error = %e, "fleet: sending a datagram failed");
         }
     }
 
-    /// Checks with these keys from now on.
+    /// Uses the keys of these settings for verification from now on.
     fn set_keys(&self, settings: &FleetSettings) {
         let codec = DatagramCodec::new(settings.keys.clone());
         *self.codec.write().unwrap_or_else(PoisonError::into_inner) = codec;
@@ -148,13 +150,13 @@
     }
 }
 
-/// Reads and checks datagrams, on a thread of its own.
+/// The reader thread: receives and verifies datagrams.
 struct DatagramReader {
     socket: UdpSocket,
     codec: Arc<RwLock<DatagramCodec>>,
     closed: Arc<AtomicBool>,
     sender: Sender<FleetInput>,
-    /// Datagrams dropped and not reported yet, by reason.
+    /// The number of datagrams dropped since the last report, by reason.
     dropped: BTreeMap<DropReason, u64>,
     reported_at: Instant,
 }
@@ -164,10 +166,10 @@
         let mut bytes = [0; MAX_DATAGRAM + 1];
         while !self.closed.load(Ordering::Relaxed) {
             match self.socket.recv_from(&mut bytes) {
-                Ok((len, from)) => self.check(&bytes[..len], from),
+                Ok((len, from)) => self.verify(&bytes[..len], from),
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
-                // Some systems report a peer's closed port here.
-                Err(e) => tracing::debug!(error = %e, "fleet: the socket can't be read"),
+                // Some operating systems report the closed port of a peer here.
+                Err(e) => tracing::debug!(error = %e, "fleet: receiving a datagram failed"),
             }
             if !self.dropped.is_empty() && self.reported_at.elapsed() >= DROP_REPORT_INTERVAL {
                 self.report_dropped();
@@ -175,31 +177,31 @@
         }
     }
 
-    /// Hands a datagram on, if it passes.
-    fn check(&mut self, bytes: &[u8], from: SocketAddr) {
+    /// Verifies a datagram, and passes it on if it is valid.
+    fn verify(&mut self, bytes: &[u8], from: SocketAddr) {
         let decoded = self.codec.read().unwrap_or_else(PoisonError::into_inner).decode(bytes);
         match decoded {
-            Ok(Payload::Packet(packet)) => self.hand_on(FleetInput::Packet(packet)),
-            Ok(Payload::Status(query)) => self.hand_on(FleetInput::OperatorQuery { query, from }),
+            Ok(Payload::Packet(packet)) => self.queue_input(FleetInput::Packet(packet)),
+            Ok(Payload::Status(query)) => self.queue_input(FleetInput::OperatorQuery { query, from }),
             Err(reason) => *self.dropped.entry(reason).or_default() += 1,
         }
     }
 
-    /// Where the router's thread does not keep up, inputs are lost, as on a full link.
-    fn hand_on(&self, input: FleetInput) {
+    /// Queues an input for the router's thread. If the queue is full, the input is dropped.
+    fn queue_input(&self, input: FleetInput) {
         let _ = self.sender.try_send(input);
     }
 
     fn report_dropped(&mut self) {
         self.reported_at = Instant::now();
         for (reason, count) in std::mem::take(&mut self.dropped) {
-            self.hand_on(FleetInput::DatagramsDropped { reason, count });
+            self.queue_input(FleetInput::DatagramsDropped { reason, count });
         }
     }
 }
 
-/// Feeds what the reader has checked to routing.
-async fn take_inputs(driver: Rc<Driver>, receiver: Receiver<FleetInput>) {
+/// Passes the reader's inputs to routing.
+async fn forward_inputs(driver: Rc<Driver>, receiver: Receiver<FleetInput>) {
     while let Ok(input) = receiver.recv().await {
         driver.handle(Input::Fleet(input));
     }
--- a/crates/router/src/transport/mod.rs
+++ b/crates/router/src/transport/mod.rs
@@ -1,8 +1,10 @@
-//! Sockets: the listener, clients, connections to hosts, discovery's watch and timers, all on one thread.
-//! It feeds what happens to routing and carries out the effects; it decides nothing.
+//! I/O of the router: the listener, client connections, host connections, the discovery watch and timers.
+//! All of it runs on one thread, except the receiving side of the fleet socket. This module passes inputs to
+//! [`routing`](crate::routing) and carries out the effects that routing returns; it makes no routing
+//! decisions of its own.
 //!
-//! Each resource has one owner, a field of `Driver`, which releases it on drop. Tasks reference the
-//! driver; [`serve`] ends them all before it returns.
+//! Each resource is owned by one field of `Driver` and released when that field is dropped. Tasks hold
+//! references to the driver; [`serve`] drops all tasks before it returns.
 
 mod backoff;
 mod client;
@@ -37,36 +39,36 @@
 use thiserror::Error;
 use watch::DiscoveryWatches;
 
-/// A command of the program to a running router.
+/// A command from the program to a running router.
 #[derive(Debug)]
 pub enum ControlCommand {
-    /// Take over a configuration that has been read again.
+    /// Apply a configuration that has been read again.
     Reload(Box<RouterConfig>),
-    /// Stop in good order.
+    /// Shut down gracefully.
     Stop,
 }
 
-/// Why a router could not start.
+/// The reason why a router could not start.
 #[derive(Debug, Error)]
 pub enum ServeError {
-    /// The listener can't be watched for connections.
+    /// The listener could not be registered with the reactor.
     #[error("listener: {0}")]
     Listener(std::io::Error),
-    /// The fleet's socket can't be opened.
+    /// The fleet's UDP socket could not be opened.
     #[error("fleet: {listen}: {source}")]
     Fleet {
-        /// Where it should listen.
+        /// The address that the socket should have been bound to.
         listen: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// Serves until the commands end or one of them is [`ControlCommand::Stop`], then shuts down gracefully.
+/// Serves clients until `commands` yields [`ControlCommand::Stop`] or ends, then shuts down gracefully.
 ///
 /// # Errors
 ///
-/// A socket that can't be set up at the start; a router that serves does not fail.
+/// Returns an error if a socket can't be set up at startup. A router that is serving does not fail.
 pub fn serve(
     listener: TcpListener,
     config: RouterConfig,
@@ -92,7 +94,8 @@
         shutdown::run(&driver, accepting, shutdown_timeout(&config.deployment)).await;
     }));
     drop(background_tasks);
-    // The tasks reference the driver: without its handle, dropping the executor ends them all.
+    // The tasks reference the driver, and the driver the executor. Closing the driver's handle breaks the
+    // cycle, so that dropping the executor drops all tasks.
     driver.tasks.close();
     driver.discovery.close_all();
     driver.fleet.close();
@@ -100,16 +103,17 @@
     Ok(())
 }
 
-/// Starts what runs beside the listener up to the end.
+/// Spawns the background tasks: the readiness check, the timers and the periodic maintenance. They run until
+/// the shutdown has completed.
 fn spawn_background_tasks(driver: &Rc<Driver>, has_endpoints: bool) -> [Option<Task<()>>; 3] {
     [
-        driver.tasks.spawn(become_ready(Rc::clone(driver), has_endpoints)),
+        driver.tasks.spawn(wait_until_ready(Rc::clone(driver), has_endpoints)),
         driver.tasks.spawn(timers::run(Rc::clone(driver))),
         driver.tasks.spawn(maintenance::run(Rc::clone(driver))),
     ]
 }
 
-/// The endpoint list in the configuration, if there is one that can be read.
+/// Returns the endpoint list in the configuration, if there is a valid one.
 fn known_endpoints(config: &RouterConfig) -> Option<HostList> {
     if config.known_endpoints.is_null() {
         return None;
@@ -117,26 +121,30 @@
     match HostList::deserialize(&config.known_endpoints) {
         Ok(list) => Some(list),
         Err(e) => {
-            tracing::warn!(error = %e, "known: the list can't be read; waiting for discovery");
+            tracing::warn!(error = %e, "configuration: invalid \"known\" list; waiting for discovery");
             None
         }
     }
 }
 
-/// The router is ready, and answers empty queries, once it has an endpoint list, from the configuration or
-/// from discovery; or after a while without one, in which requests are rejected.
-async fn become_ready(driver: Rc<Driver>, has_endpoints: bool) {
+/// Waits until the router is ready and marks it so, which makes it reply to empty queries. It is ready once
+/// it has an endpoint list from the configuration or from discovery, or after [`READY_TIMEOUT`] without one.
+/// Requests are rejected until a list is received.
+async fn wait_until_ready(driver: Rc<Driver>, has_endpoints: bool) {
     if !has_endpoints {
-        let list_arrived = async {
-            driver.discovery.list_arrived().await;
+        let list_received = async {
+            driver.discovery.list_received().await;
             true
         };
         let timed_out = async {
             Timer::after(Duration::from_nanos(READY_TIMEOUT.0)).await;
             false
         };
-        if !future::or(list_arrived, timed_out).await {
-            tracing::warn!("no endpoint list has arrived; requests are rejected until one does");
+        if !future::or(list_received, timed_out).await {
+            tracing::warn!(
+                "no endpoint list received within {:?}; rejecting requests until one is",
+                Duration::from_nanos(READY_TIMEOUT.0)
+            );
         }
     }
     driver.clients.set_ready();
--- a/crates/router/src/transport/snapshot_file.rs
+++ b/crates/router/src/transport/snapshot_file.rs
@@ -1,6 +1,6 @@
-//! The file with the snapshot of the session table: written aside and renamed at a graceful shutdown, and
-//! removed as it is read, so that it never counts twice. Whatever goes wrong costs freshness only, and is
-//! logged in one line.
+//! The snapshot file of the session table. It is written to a temporary file and renamed at a graceful
+//! shutdown, and removed when it is read at startup, so that no snapshot is restored twice. An error only
+//! means that the router starts without the sessions' floors; it is logged.
 
 use super::driver::Driver;
 use basalthill_config::local_settings::{LocalSettings, Snapshot};
@@ -12,26 +12,27 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// A snapshot is never longer than this: the largest session table and its heads.
+/// The limit on the length of a snapshot in bytes. The largest possible session table with its headers is
+/// shorter.
 const MAX_SNAPSHOT_LEN: u64 = 1 << 30;
-/// The suffix of the file into which a snapshot is written before it is renamed.
+/// The suffix of the temporary file that a snapshot is written to before it is renamed.
 const TEMPORARY_SUFFIX: &str = ".new";
 
-/// Why a snapshot's file was not read.
+/// The reason why a snapshot file was not read.
 #[derive(Debug, Error)]
 enum ReadError {
-    /// A call to the system has failed.
+    /// A system call failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// No snapshot is as long as this.
-    #[error("is too long: {len} bytes, {MAX_SNAPSHOT_LEN} at most")]
+    /// The file is longer than any snapshot can be.
+    #[error("file has {len} bytes, which exceeds the limit of {MAX_SNAPSHOT_LEN}")]
     TooLong {
         /// The file's length in bytes.
         len: u64,
     },
 }
 
-/// The sessions of a router that starts, with those of the snapshot that its settings name.
+/// Creates the sessions of a starting router and restores the snapshot that its settings name, if any.
 pub fn load_sessions(now: Time, config: &RouterConfig) -> Sessions {
     let settings = config.local_settings.sessions.as_ref();
     let needs_table = settings.is_some() || config.deployment.tokens == PlatformFloors::Remembered;
@@ -49,24 +50,32 @@
     let bytes = match read_and_remove(&settings.path) {
         Ok(bytes) => bytes,
         Err(ReadError::Io(e)) if e.kind() == ErrorKind::NotFound => {
-            tracing::info!(%path, "snapshot: none; the start is the floor of all sessions");
+            tracing::info!(%path, "snapshot: no file; using the start time as the floor of all sessions");
             return;
         }
         Err(e) => {
-            tracing::warn!(%path, error = %e, "snapshot: unreadable; the start is the floor of all sessions");
+            tracing::warn!(
+                %path,
+                error = %e,
+                "snapshot: not read; using the start time as the floor of all sessions"
+            );
             return;
         }
     };
     match snapshot::restore(sessions, now, router, settings.max_age, &bytes) {
-        Ok(()) => tracing::info!(%path, bytes = bytes.len(), "snapshot: taken over"),
+        Ok(()) => tracing::info!(%path, bytes = bytes.len(), "snapshot: restored"),
         Err(e) => {
-            tracing::warn!(%path, error = %e, "snapshot: unusable; the start is the floor of all sessions");
+            tracing::warn!(
+                %path,
+                error = %e,
+                "snapshot: not restored; using the start time as the floor of all sessions"
+            );
         }
     }
 }
 
-/// Reads a file and removes it. One that can't be removed is not read: after a crash it would be read again,
-/// and what was written since would be missing.
+/// Reads a file and removes it. If the file can't be removed, its content is not used: after a crash, the
+/// router would restore the same snapshot again, without the writes since then.
 fn read_and_remove(path: &Path) -> Result<Vec<u8>, ReadError> {
     let len = path.metadata()?.len();
     if len > MAX_SNAPSHOT_LEN {
@@ -74,31 +83,32 @@
     }
     let bytes = std::fs::read(path)?;
     std::fs::remove_file(path)?;
-    sync_folder(path)?;
+    sync_directory(path)?;
     Ok(bytes)
 }
 
-/// Syncs a file's folder: what happened in it outlives a crash of the machine.
-fn sync_folder(path: &Path) -> io::Result<()> {
-    let folder = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
-    File::open(folder)?.sync_all()
+/// Syncs the directory of a file, so that a rename or removal in it is durable.
+fn sync_directory(path: &Path) -> io::Result<()> {
+    let directory = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    File::open(directory)?.sync_all()
 }
 
-/// Writes the session table's snapshot at a graceful shutdown, all answers given.
+/// Writes the snapshot of the session table at a graceful shutdown, after the last reply.
 pub fn store(driver: &Driver, settings: &LocalSettings, router_name: &str) {
     let Some(settings) = settings.sessions.as_ref().and_then(|s| s.snapshot.as_ref()) else { return };
     let mut router = driver.router.borrow_mut();
     let now = router.unix_time(driver.clock.now());
     let bytes = snapshot::write(router.sessions(), now, router_name);
     let path = settings.path.display();
-    match replace(&settings.path, &bytes) {
+    match write_atomically(&settings.path, &bytes) {
         Ok(()) => tracing::info!(%path, bytes = bytes.len(), "snapshot: stored"),
         Err(e) => tracing::warn!(%path, error = %e, "snapshot: not stored"),
     }
 }
 
-/// Writes a file aside, syncs it and renames it: there is the old content or the new one, never a part.
-fn replace(path: &Path, bytes: &[u8]) -> io::Result<()> {
+/// Replaces a file atomically: writes a temporary file, syncs it and renames it, so that the path always has
+/// either the old or the new content.
+fn write_atomically(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let mut temporary = path.as_os_str().to_owned();
     temporary.push(TEMPORARY_SUFFIX);
     let temporary = PathBuf::from(temporary);
@@ -106,5 +116,5 @@
     file.write_all(bytes)?;
     file.sync_all()?;
     std::fs::rename(&temporary, path)?;
-    sync_folder(path)
+    sync_directory(path)
 }
--- a/crates/router/src/transport/watch.rs
+++ b/crates/router/src/transport/watch.rs
@@ -1,5 +1,6 @@
-//! Discovery's watch: kept open, and opened again when it ends or falls silent. Each address has a watch of
-//! its own, with its versions: those of another discovery may not compare.
+//! The watch on discovery's endpoint list. It is kept open, and reopened when it is closed or times out. Each
+//! discovery address has its own watch with its own version, because the versions of different discovery
+//! services are not comparable.
 
 use super::backoff::{Backoff, CallFailure};
 use super::driver::Driver;
@@ -20,43 +21,45 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// An empty line arrives every two seconds: a watch that brings no complete message for longer has died,
-/// however many bytes drip in, and is opened anew at next to no cost.
-const SILENCE_TIMEOUT: Duration = Duration::from_millis(2250);
-/// Discovery's agent is near, and answers at once: so long for a connection and the answer's head. A packet
-/// that is lost on the way is sent again within it.
+/// The time within which a watch has to receive a complete message. Discovery sends an empty line every two
+/// seconds as a keep-alive, so a watch without a complete message for longer than that has failed, even if it
+/// receives single bytes. Reopening it costs next to nothing.
+const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2250);
+/// The limit on connecting and receiving the head of the response. Discovery's agent is nearby and responds
+/// immediately; the limit leaves time for the retransmission of a lost packet.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(1200);
-/// Where lists are polled, calls of all routers wait in turn, and discovery itself ends one that has waited
-/// for two seconds. One given up before that has cost its work for nothing, and is made again: routers that
-/// did so by hundreds would never get a list.
+/// The same limit if endpoint lists are polled. Discovery then serves the calls of all routers one after
+/// another, and closes a call itself after it has waited for two seconds. A router that gave up earlier would
+/// repeat a call whose work discovery has done in vain; with hundreds of such routers, none would ever
+/// receive a list.
 const SHARED_HEAD_TIMEOUT: Duration = Duration::from_millis(2250);
-/// How often it is checked again whether the budget has a call.
+/// The pause before another attempt to spend the routers' shared budget for calls to discovery.
 const BUDGET_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why a watch has ended.
+/// The reason why a call to discovery has ended.
 #[derive(Debug, Error)]
 enum WatchError {
-    /// The connection has failed.
+    /// The connection failed.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// No complete message has arrived in time.
-    #[error("silent for too long")]
-    Silent,
-    /// Discovery has ended the watch.
-    #[error("the watch has ended")]
+    /// No response head or complete message was received in time.
+    #[error("timed out waiting for a response head or a complete message")]
+    TimedOut,
+    /// Discovery has completed the response.
+    #[error("discovery completed the response")]
     Ended,
     /// Discovery has closed the connection.
-    #[error("the connection has ended")]
+    #[error("discovery closed the connection")]
     Closed,
-    /// Discovery is there and has no capacity for the call: it says so.
-    #[error("the call is rejected ({0})")]
+    /// Discovery has rejected the call for lack of capacity.
+    #[error("discovery rejected the call ({0})")]
     Rejected(DiscoveryError),
-    /// Discovery has ended the call without an answer, which also is for want of capacity.
-    #[error("the call has ended without an answer")]
+    /// Discovery has closed the connection without a response, which it also does for lack of capacity.
+    #[error("discovery closed the connection without a response")]
     Unanswered,
-    /// What has arrived can't be read: the full list is requested next.
+    /// The response is invalid. The next call requests the full list.
     #[error("{0}")]
-    Unreadable(DiscoveryError),
+    InvalidResponse(DiscoveryError),
 }
 
 impl WatchError {
@@ -68,58 +71,59 @@
     }
 }
 
-/// The watches of a router: the newest, and until that has brought its list the one before it.
+/// The watches of a router: the newest, and until that has received a list also the one before it.
 pub struct DiscoveryWatches {
     addr: Cell<SocketAddr>,
-    /// The tasks of the open watches, by their numbers.
+    /// The tasks of the open watches by number, the newest last.
     tasks: RefCell<BTreeMap<u64, Task<()>>>,
-    /// A call has been made.
-    called: Cell<bool>,
-    /// A list has arrived.
-    list_arrived: Notify,
-    /// Discovery serves the calls of all routers in turn.
-    shared: bool,
+    /// Whether a call has been made.
+    has_called: Cell<bool>,
+    /// Notified when a list has been received.
+    list_received: Notify,
+    /// Whether discovery serves the calls of all routers one after another.
+    is_shared: bool,
     /// The seed of the backoff's jitter.
     seed: u64,
 }
 
 impl DiscoveryWatches {
-    /// No watch yet; the first will be of the configuration's address.
+    /// Creates the state without a watch.
     pub fn new(config: &RouterConfig) -> DiscoveryWatches {
         DiscoveryWatches {
             addr: Cell::new(config.discovery),
             tasks: RefCell::default(),
-            called: Cell::new(false),
-            list_arrived: Notify::default(),
-            shared: config.deployment.settings.poll_endpoint_list,
+            has_called: Cell::new(false),
+            list_received: Notify::default(),
+            is_shared: config.deployment.settings.poll_endpoint_list,
             seed: config.seed,
         }
     }
 
-    /// Where discovery answers.
+    /// Returns the address of the newest watch.
     pub fn addr(&self) -> SocketAddr {
         self.addr.get()
     }
 
-    /// Waits until a list has arrived.
-    pub async fn list_arrived(&self) {
-        self.list_arrived.notified().await;
+    /// Waits until a list has been received.
+    pub async fn list_received(&self) {
+        self.list_received.notified().await;
     }
 
-    /// Opens a watch at an address, for changes since `version`. The watch before goes on until the new one
-    /// has brought its list; what is known stays meanwhile.
+    /// Opens a watch on an address, for changes since `version`. The previous watch stays open until the new
+    /// one has received a list. The current endpoint list remains in use.
     pub fn open(driver: &Rc<Driver>, addr: SocketAddr, version: Option<u64>) {
         let watches = &driver.discovery;
         watches.addr.set(addr);
         let number = watches.tasks.borrow().last_key_value().map_or(0, |(newest, _)| newest + 1);
         let watch_driver = Rc::clone(driver);
         let task = driver.tasks.spawn(async move {
-            // Discovery may have had what the first call brings since the router follows this address.
-            let heard_at = watch_driver.clock.now();
-            Watch { driver: watch_driver, number, addr, version, heard_at }.run().await;
+            // The first list that discovery sends may have been valid since the watch was opened.
+            let last_message_at = watch_driver.clock.now();
+            Watch { driver: watch_driver, number, addr, version, last_message_at }.run().await;
         });
         let mut tasks = watches.tasks.borrow_mut();
-        // A watch that has brought no list has nothing to go on with.
+        // Only the oldest of the earlier watches stays open. The others have received no list, because a
+        // watch that receives one closes those before it.
         while tasks.len() > 1 {
             tasks.pop_last();
         }
@@ -133,67 +137,67 @@
         self.tasks.borrow_mut().clear();
     }
 
-    /// A watch has brought a list: those before it are closed. Called from within it.
-    fn supersede_before(&self, number: u64) {
+    /// Closes the watches before this one, which has received a list. Called by the watch's own task.
+    fn close_watches_before(&self, number: u64) {
         self.tasks.borrow_mut().retain(|n, _| *n >= number);
-        self.list_arrived.notify();
+        self.list_received.notify();
     }
 
     fn backoff(&self, watch: u64) -> Backoff {
-        match self.shared {
+        match self.is_shared {
             true => Backoff::with_jitter(self.seed, watch),
             false => Backoff::without_jitter(),
         }
     }
 
     fn head_timeout(&self) -> Duration {
-        match self.shared {
+        match self.is_shared {
             true => SHARED_HEAD_TIMEOUT,
             false => HEAD_TIMEOUT,
         }
     }
 }
 
-/// One address that is followed, call after call.
+/// A watch on one address. It makes one call after another.
 struct Watch {
     driver: Rc<Driver>,
     number: u64,
     addr: SocketAddr,
-    /// The version up to which changes are known; none to request the full list.
+    /// The version of the last list received, or none to request the full list.
     version: Option<u64>,
-    /// When the last message arrived. What a call brings first, discovery may have had since then.
-    heard_at: Time,
+    /// When the last message was received. The first list of the next call may have been valid since then.
+    last_message_at: Time,
 }
 
-/// One call: its connection, and what has arrived on it.
+/// One call: its connection, and what has been received on it.
 struct WatchCall {
     stream: Async<TcpStream>,
     codec: WatchCodec,
-    /// When the call is given up.
+    /// When the call times out.
     deadline: Instant,
-    /// The answer's head has arrived.
+    /// Whether the response's head has been received.
     has_head: bool,
-    /// A complete message has arrived.
+    /// Whether a complete message has been received.
     has_message: bool,
-    /// A list has arrived.
+    /// Whether a list has been received.
     has_list: bool,
-    /// Discovery has closed the connection.
+    /// Whether discovery has closed the connection.
     is_closed: bool,
 }
 
 impl Watch {
-    /// Follows the list for ever.
+    /// Makes calls until the task is dropped.
     async fn run(mut self) {
         let mut backoff = self.driver.discovery.backoff(self.number);
         loop {
             let mut succeeded = false;
             let error = self.call(&mut succeeded).await;
             match &error {
-                WatchError::Unreadable(e) => {
-                    tracing::warn!(error = %e, "discovery: the full list is requested, the old one stays");
+                WatchError::InvalidResponse(e) => {
+                    tracing::warn!(error = %e, "discovery: invalid response; requesting the full list");
                     self.version = None;
                 }
-                e => tracing::warn!(error = %e, "discovery: the watch is opened again, the list stays"),
+                e => tracing::warn!(error = %e, "discovery: reopening the watch; keeping the current list"),
             }
             if succeeded {
                 backoff.reset();
@@ -202,7 +206,7 @@
         }
     }
 
-    /// One call, to its end; `succeeded` shows whether it brought a list.
+    /// Makes one call and returns why it ended. `succeeded` is set if the call received a list.
     async fn call(&mut self, succeeded: &mut bool) -> WatchError {
         let mut call = match self.open().await {
             Ok(call) => call,
@@ -223,12 +227,13 @@
         }
     }
 
-    /// Connects and writes the request, once all routers' budget for such calls has one for it.
+    /// Connects and writes the request, once the routers' shared budget for such calls permits it.
     async fn open(&self) -> Result<WatchCall, WatchError> {
         let discovery = &self.driver.discovery;
         let request = watch_request(&self.addr.to_string(), self.version);
-        // A router that has just started calls whatever the others do: it could not serve otherwise.
-        while discovery.called.replace(true) && !self.spend_budget() {
+        // The first call after the start is made in any case, because the router could not serve without a
+        // list.
+        while discovery.has_called.replace(true) && !self.spend_budget() {
             Timer::after(BUDGET_CHECK_INTERVAL).await;
         }
         let deadline = Instant::now() + discovery.head_timeout();
@@ -237,7 +242,7 @@
             io::write_all(&stream, &[&request]).await?;
             Ok(stream)
         };
-        let stream = future::or(opened, silent_at(deadline)).await?;
+        let stream = future::or(opened, time_out_at(deadline)).await?;
         Ok(WatchCall {
             stream,
             codec: WatchCodec::default(),
@@ -254,7 +259,7 @@
         self.driver.router.borrow_mut().spend_budget(now, Budget::ListCalls)
     }
 
-    /// Handles the messages that are complete.
+    /// Handles the complete messages.
     fn handle_messages(&mut self, call: &mut WatchCall) -> Result<(), WatchError> {
         loop {
             let message = call.codec.next_message();
@@ -266,16 +271,16 @@
                 Ok(Some(WatchMessage::List(list))) => self.handle_list(call, list),
                 Ok(Some(WatchMessage::KeepAlive)) => {
                     call.extend_deadline();
-                    // It stands behind all that there was to send.
-                    self.heard_at = self.driver.clock.now();
+                    // Discovery sends a keep-alive only after it has sent all changes.
+                    self.last_message_at = self.driver.clock.now();
                     call.has_message = true;
                 }
                 Ok(Some(WatchMessage::End)) if call.is_closed => return Err(WatchError::Closed),
                 Ok(Some(WatchMessage::End)) => return Err(WatchError::Ended),
                 Ok(None) => return Ok(()),
-                // What is known stays known: the full list would cost a busy discovery the more.
+                // The version is kept, because requesting the full list would add to discovery's load.
                 Err(e) if call.codec.was_rejected() => return Err(WatchError::Rejected(e)),
-                Err(e) => return Err(WatchError::Unreadable(e)),
+                Err(e) => return Err(WatchError::InvalidResponse(e)),
             }
         }
     }
@@ -283,43 +288,43 @@
     fn handle_list(&mut self, call: &mut WatchCall, list: HostList) {
         call.extend_deadline();
         let now = self.driver.clock.now();
-        let valid_since = if call.has_message { now } else { self.heard_at };
+        let valid_since = if call.has_message { now } else { self.last_message_at };
         self.version = Some(list.version);
-        self.heard_at = now;
+        self.last_message_at = now;
         call.has_message = true;
         call.has_list = true;
         self.driver.handle(Input::EndpointList { list, valid_since });
-        self.driver.discovery.supersede_before(self.number);
+        self.driver.discovery.close_watches_before(self.number);
     }
 }
 
 impl WatchCall {
-    /// A message has arrived: the next one has its time.
+    /// Restarts the timeout after a message.
     fn extend_deadline(&mut self) {
-        self.deadline = Instant::now() + SILENCE_TIMEOUT;
+        self.deadline = Instant::now() + MESSAGE_TIMEOUT;
     }
 
-    /// Reads once, within the deadline.
+    /// Reads once, or fails at the deadline.
     async fn receive(&mut self, driver: &Driver) -> Result<(), WatchError> {
         let WatchCall { stream, codec, deadline, .. } = self;
         let read = async { Ok(driver.read_buffer.read(stream, |bytes| codec.feed(bytes)).await?) };
-        // After a reset or in silence, what has arrived may be part of a line; at the connection's end it is
-        // not.
-        if future::or(read, silent_at(*deadline)).await? > 0 {
+        // After a reset or a timeout, the received bytes may end with an incomplete line. After an orderly
+        // close of the connection they don't.
+        if future::or(read, time_out_at(*deadline)).await? > 0 {
             return Ok(());
         }
         if !self.has_head {
             return Err(WatchError::Unanswered);
         }
-        // A body that ends with its connection may have a last line.
+        // The body may be delimited by the close, and its last line may lack a line break.
         self.codec.on_close();
         self.is_closed = true;
         Ok(())
     }
 }
 
-/// Fails at a deadline.
-async fn silent_at<T>(deadline: Instant) -> Result<T, WatchError> {
+/// Waits until the deadline and returns [`WatchError::TimedOut`].
+async fn time_out_at<T>(deadline: Instant) -> Result<T, WatchError> {
     Timer::at(deadline).await;
-    Err(WatchError::Silent)
+    Err(WatchError::TimedOut)
 }
