--- a/crates/router/src/program/fleet.rs
+++ b/crates/router/src/program/fleet.rs
@@ -1,5 +1,5 @@
-//! `basalthill fleet`: requests the status of a running router over its fleet socket, signed with the fleet's
-//! key.
+//! `basalthill fleet`: requests the status of a running router over its fleet socket, with datagrams signed
+//! with the fleet's key.
 
 use basalthill_config::local_settings::{self, FleetSettings};
 use basalthill_config::ConfigError;
@@ -11,34 +11,34 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Which router to query.
+/// The router to query.
 #[derive(clap::Args)]
 pub(super) struct Options {
-    /// The settings that name the fleet and its keys.
+    /// The local settings file, which names the fleet and its keys.
     #[arg(long, env = "BASALTHILL_SETTINGS")]
     settings: PathBuf,
-    /// The router's name, as the settings have it.
+    /// The name of the router in the settings.
     router: Option<String>,
-    /// Its fleet address, if it is not the name's.
+    /// The fleet address of the router, instead of the one in the settings.
     #[arg(long)]
     at: Option<SocketAddr>,
 }
 
-/// Datagrams may get lost: each page is requested so many times.
+/// The number of times that each page is requested, because datagrams may get lost.
 const MAX_ATTEMPTS: u32 = 5;
-/// How long each attempt waits for its answer.
+/// The time that each attempt waits for the response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Why there is no status to print.
+/// The reason why there is no status to print.
 #[derive(Debug, thiserror::Error)]
 enum StatusError {
     #[error(transparent)]
     Config(#[from] ConfigError),
     #[error("the settings name no fleet")]
     NoFleet,
-    #[error("name a router, or an address by --at")]
+    #[error("no router given: pass its name, or its fleet address with --at")]
     NoRouterGiven,
-    #[error("{name:?} is not on the list")]
+    #[error("{name:?} is not in the settings' list of routers")]
     UnknownRouter { name: String },
     #[error(transparent)]
     Bind(io::Error),
@@ -48,7 +48,7 @@
     NoResponse { address: SocketAddr },
 }
 
-/// Prints the router's status.
+/// Prints the router's status and returns the exit code.
 pub(super) fn run(options: &Options) -> ExitCode {
     match fetch_status(options) {
         Ok(text) => {
@@ -62,11 +62,11 @@
     }
 }
 
-/// The status, which comes in pages of one datagram each.
+/// Fetches the status, which is split into pages of one datagram each.
 fn fetch_status(options: &Options) -> Result<String, StatusError> {
     let fleet = local_settings::load(&options.settings)?.fleet.ok_or(StatusError::NoFleet)?;
     let address = fleet_address(options, &fleet)?;
-    let exchange = StatusExchange::open(address, DatagramCodec::new(fleet.keys))?;
+    let exchange = StatusClient::open(address, DatagramCodec::new(fleet.keys))?;
     let mut text = String::new();
     let mut number = 0;
     loop {
@@ -93,21 +93,21 @@
 /// One page of a status.
 struct StatusPage {
     text: String,
-    /// How many pages there are in all.
+    /// The total number of pages.
     page_count: u16,
 }
 
-/// The requests to one router that together fetch its status.
-struct StatusExchange {
+/// The socket and the identifier for fetching the status of one router.
+struct StatusClient {
     socket: UdpSocket,
     codec: DatagramCodec,
     address: SocketAddr,
-    /// Tells this status from those of other calls.
+    /// The identifier of this status request, which the responses repeat.
     request_id: u64,
 }
 
-impl StatusExchange {
-    fn open(address: SocketAddr, codec: DatagramCodec) -> Result<StatusExchange, StatusError> {
+impl StatusClient {
+    fn open(address: SocketAddr, codec: DatagramCodec) -> Result<StatusClient, StatusError> {
         let any_local = match address {
             SocketAddr::V4(_) => IpAddr::from(Ipv4Addr::UNSPECIFIED),
             SocketAddr::V6(_) => IpAddr::from(Ipv6Addr::UNSPECIFIED),
@@ -115,7 +115,7 @@
         let socket = UdpSocket::bind((any_local, 0)).map_err(StatusError::Bind)?;
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let request_id = unix_time.as_nanos() as u64 ^ u64::from(std::process::id()).rotate_left(32);
-        Ok(StatusExchange { socket, codec, address, request_id })
+        Ok(StatusClient { socket, codec, address, request_id })
     }
 
     fn fetch_page(&self, number: u16) -> Result<StatusPage, StatusError> {
@@ -131,12 +131,11 @@
         Err(StatusError::NoResponse { address })
     }
 
-    /// The page, if it comes by then; other datagrams are passed over.
-    fn receive_page(&self, number: u16, give_up_at: Instant) -> Option<StatusPage> {
+    /// Waits for a page until `deadline`. Other datagrams are ignored.
+    fn receive_page(&self, number: u16, deadline: Instant) -> Option<StatusPage> {
         let mut datagram = [0; MAX_DATAGRAM + 1];
         loop {
-            let remaining =
-                give_up_at.checked_duration_since(Instant::now()).filter(|left| !left.is_zero())?;
+            let remaining = deadline.checked_duration_since(Instant::now()).filter(|left| !left.is_zero())?;
             let _ = self.socket.set_read_timeout(Some(remaining));
             let len = self.socket.recv(&mut datagram).ok()?;
             let Ok(Payload::Status(message)) = self.codec.decode(&datagram[..len]) else { continue };
--- a/crates/router/src/program/logging/format.rs
+++ b/crates/router/src/program/logging/format.rs
@@ -1,4 +1,4 @@
-//! The form of a log line: text, or a JSON object.
+//! The format of a log line: text or a JSON object.
 
 use super::rate_limit::RateLimiter;
 use super::LogFormat;
@@ -16,14 +16,14 @@
 /// The field that carries an event's message.
 const MESSAGE: &str = "message";
 
-/// Writes events as lines, each with the number of lines dropped before it.
+/// Formats events as lines. A line also has the number of lines that were dropped since the previous one.
 pub(super) struct LineFormat {
     format: LogFormat,
     limiter: Arc<RateLimiter>,
 }
 
 impl LineFormat {
-    /// Lines of this form; the count of dropped lines comes from `limiter`.
+    /// Creates the formatter for this format, which takes the number of dropped lines from `limiter`.
     pub(super) fn new(format: LogFormat, limiter: Arc<RateLimiter>) -> LineFormat {
         LineFormat { format, limiter }
     }
@@ -44,20 +44,20 @@
     }
 }
 
-/// What a line says. The JSON form has these keys.
+/// The content of a line. The field names are the keys of the JSON format.
 #[derive(Serialize)]
 struct Line {
-    /// Unix time in seconds, with milliseconds.
+    /// The Unix time, in seconds with millisecond precision.
     #[serde(serialize_with = "seconds")]
     timestamp: Duration,
     level: &'static str,
-    /// The module that the event comes from.
+    /// The path of the module that emitted the event.
     target: &'static str,
     message: String,
-    /// Lines dropped since the line before this one.
+    /// The number of lines dropped since the previous line.
     #[serde(skip_serializing_if = "is_zero")]
     dropped_lines: u32,
-    /// Further fields of the event, in their order.
+    /// The other fields of the event, in the order of the event.
     #[serde(skip_serializing_if = "Vec::is_empty", serialize_with = "by_name")]
     fields: Vec<LineField>,
 }
@@ -93,7 +93,7 @@
         line
     }
 
-    /// `SECONDS.MILLISECONDS (N lines left out) LEVEL message field=value`.
+    /// Writes the line as `SECONDS.MILLISECONDS (N lines left out) LEVEL message field=value`.
     fn write_text(&self, mut out: Writer<'_>) -> fmt::Result {
         write!(out, "{}.{:03} ", self.timestamp.as_secs(), self.timestamp.subsec_millis())?;
         if self.dropped_lines > 0 {
--- a/crates/router/src/program/logging/mod.rs
+++ b/crates/router/src/program/logging/mod.rs
@@ -1,8 +1,8 @@
 //! Logging: `tracing` events as lines on standard error.
 //!
-//! A line is never waited for: it goes through a bounded queue to a thread of its own ([`writer`]). At most
-//! [`MAX_LINES_PER_SECOND`] lines go out; the number of those dropped stands in the next line. Only events of
-//! this project's crates are shown.
+//! Logging never blocks the caller: lines are passed through a bounded queue to a writer thread ([`writer`]).
+//! At most [`MAX_LINES_PER_SECOND`] lines are written per second; the number of dropped lines is part of the
+//! next line. Only events of this project's crates are logged.
 
 mod format;
 mod rate_limit;
@@ -20,26 +20,26 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use writer::WriterThread;
 
-/// Lines that go out in one second at most; further ones are counted and dropped.
+/// The maximum number of lines written per second; further ones are dropped and counted.
 pub(super) const MAX_LINES_PER_SECOND: u32 = 50;
 
-/// Events are shown if their target, a module's path, begins with this.
+/// The prefix of the targets (module paths) whose events are logged.
 const TARGET_PREFIX: &str = "basalthill";
 
-/// The least severe level that is shown.
+/// The least severe level that is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub(super) enum LogLevel {
-    /// Nothing.
+    /// No events.
     Off,
-    /// Errors.
+    /// Errors only.
     Error,
-    /// Warnings too.
+    /// Errors and warnings.
     Warn,
-    /// What happens in ordinary service too.
+    /// Also events of normal operation.
     Info,
-    /// What single connections do too.
+    /// Also events of single connections.
     Debug,
-    /// Everything.
+    /// All events.
     Trace,
 }
 
@@ -56,33 +56,33 @@
     }
 }
 
-/// The form of a line.
+/// The format of a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub(super) enum LogFormat {
-    /// `SECONDS.MILLISECONDS LEVEL message field=value`, the time as Unix time.
+    /// `SECONDS.MILLISECONDS LEVEL message field=value`, where the time is the Unix time.
     Text,
     /// One JSON object per line.
     Json,
 }
 
-/// Keeps the log running; dropping it writes out the lines that are queued.
+/// Keeps the writer thread available; dropping it writes the lines that are still queued.
 #[must_use = "the log is flushed when this is dropped"]
 pub(super) struct LogGuard {
     _writer: Option<WriterThread>,
 }
 
-/// Starts the log. Without a thread to write the lines there is none; a second call changes nothing.
+/// Starts logging. Does nothing if the writer thread can't be started, or if logging was started before.
 pub(super) fn init(level: LogLevel, format: LogFormat) -> LogGuard {
     let limiter = Arc::new(RateLimiter::default());
     let Ok((queue, writer)) = writer::spawn(stderr(), Arc::clone(&limiter)) else {
         return LogGuard { _writer: None };
     };
-    // It fails only if there is a global subscriber already.
+    // This fails only if a global subscriber has been set before.
     let _ = subscriber(level, format, limiter, move || queue.clone()).try_init();
     LogGuard { _writer: Some(writer) }
 }
 
-/// The complete stack: target and level, then the rate limit, then the lines for `lines`.
+/// Returns the subscriber: filters by target and level, applies the rate limit, and writes lines to `lines`.
 fn subscriber<W>(
     level: LogLevel,
     format: LogFormat,
@@ -96,7 +96,7 @@
     let line_format = LineFormat::new(format, Arc::clone(&limiter));
     let output = tracing_subscriber::fmt::layer()
         .with_ansi(false)
-        // They would be written to standard error at once, and waited for.
+        // Internal errors would be written to standard error directly, which may block.
         .log_internal_errors(false)
         .event_format(line_format)
         .with_writer(lines);
--- a/crates/router/src/program/logging/rate_limit.rs
+++ b/crates/router/src/program/logging/rate_limit.rs
@@ -1,4 +1,4 @@
-//! The limit on lines per second, and the count of the lines it dropped.
+//! The limit on log lines per second, and the count of dropped lines.
 
 use super::MAX_LINES_PER_SECOND;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -7,12 +7,12 @@
 use tracing::{Event, Subscriber};
 use tracing_subscriber::layer::{Context, Layer};
 
-/// The span of time that [`MAX_LINES_PER_SECOND`] counts for. It begins with the first line after the last
-/// one.
+/// The length of the window that [`MAX_LINES_PER_SECOND`] applies to. A window begins with the first line
+/// after the end of the previous window.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// Admits [`MAX_LINES_PER_SECOND`] lines in each second, and counts the lines that were dropped since one was
-/// written, here or because the queue was full.
+/// Admits up to [`MAX_LINES_PER_SECOND`] lines per window. Counts the lines that were dropped since the last
+/// written line, either by this limit or because the queue was full.
 #[derive(Debug, Default)]
 pub(super) struct RateLimiter {
     window: Mutex<Option<Window>>,
@@ -26,7 +26,7 @@
 }
 
 impl RateLimiter {
-    /// Whether a line may be written at `now`; one that may not is counted as dropped.
+    /// Returns whether a line may be written at `now`. If not, counts it as dropped.
     pub(super) fn admit(&self, now: Instant) -> bool {
         let Ok(mut current) = self.window.lock() else { return false };
         let window = match current.take() {
@@ -41,24 +41,24 @@
         admitted
     }
 
-    /// Counts a line that was dropped.
+    /// Counts a dropped line.
     pub(super) fn count_dropped(&self) {
         self.dropped.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// The number of lines dropped since the last call.
+    /// Returns the number of lines dropped since the last call.
     pub(super) fn take_dropped(&self) -> u32 {
         self.dropped.swap(0, Ordering::Relaxed)
     }
 }
 
-/// Keeps events beyond the limit from the layers that write them.
+/// A layer that disables events beyond the rate limit.
 pub(super) struct RateLimitLayer {
     limiter: Arc<RateLimiter>,
 }
 
 impl RateLimitLayer {
-    /// A layer with this limiter.
+    /// Creates a layer with this limiter.
     pub(super) fn new(limiter: Arc<RateLimiter>) -> RateLimitLayer {
         RateLimitLayer { limiter }
     }
--- a/crates/router/src/program/logging/tests.rs
+++ b/crates/router/src/program/logging/tests.rs
@@ -6,7 +6,7 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The lines that a test's events gave.
+/// A writer that collects the lines of a test.
 #[derive(Clone, Default)]
 struct Lines(Arc<Mutex<Vec<String>>>);
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// The lines that `events` gives with an info log of this form, after `dropped` lines were dropped.
+/// Returns the lines that `events` produces at level info in this format, after `dropped` lines were dropped.
 fn lines_of(format: LogFormat, dropped: u32, events: impl FnOnce()) -> Vec<String> {
     let (lines, limiter) = (Lines::default(), Arc::new(RateLimiter::default()));
     (0..dropped).for_each(|_| limiter.count_dropped());
@@ -41,13 +41,13 @@
     let before = unix_seconds();
     let lines = lines_of(LogFormat::Text, 0, || tracing::warn!(retries = 3, peer = %"n2", "no answer"));
     let [line] = &lines[..] else { panic!("{lines:?}") };
-    let (stamp, rest) = line.split_once(' ').unwrap();
+    let (timestamp, rest) = line.split_once(' ').unwrap();
     assert_eq!(rest, "WARN no answer retries=3 peer=n2\n");
-    let (_, millis) = stamp.split_once('.').unwrap();
+    let (_, millis) = timestamp.split_once('.').unwrap();
     assert_eq!(millis.len(), 3, "{line}");
-    // The stamp is cut to a millisecond.
-    let stamp: f64 = stamp.parse().unwrap();
-    assert!(stamp >= before - 0.002 && stamp <= unix_seconds() + 0.002, "{line}");
+    // The timestamp is truncated to milliseconds.
+    let timestamp: f64 = timestamp.parse().unwrap();
+    assert!(timestamp >= before - 0.002 && timestamp <= unix_seconds() + 0.002, "{line}");
 }
 
 #[test]
@@ -58,8 +58,8 @@
     let [line] = &lines[..] else { panic!("{lines:?}") };
     assert_eq!(line.matches('\n').count(), 1, "{line}");
     let mut object: Value = serde_json::from_str(line).unwrap();
-    let stamp = object.as_object_mut().unwrap().remove("timestamp").unwrap().as_f64().unwrap();
-    assert!(stamp >= before - 0.002 && stamp <= unix_seconds() + 0.002, "{line}");
+    let timestamp = object.as_object_mut().unwrap().remove("timestamp").unwrap().as_f64().unwrap();
+    assert!(timestamp >= before - 0.002 && timestamp <= unix_seconds() + 0.002, "{line}");
     let expected = serde_json::json!({
         "level": "ERROR",
         "target": module_path!(),
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn the_number_of_dropped_lines_stands_in_the_next_line_once() {
+fn the_next_line_has_the_number_of_dropped_lines_once() {
     let events = || {
         tracing::info!("first");
         tracing::info!("second");
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn only_events_of_this_project_from_the_level_up_are_shown() {
+fn only_events_of_this_project_at_the_level_or_more_severe_are_logged() {
     let events = || {
         tracing::debug!("below the level");
         tracing::error!(target: "polling", "of another crate");
@@ -94,8 +94,8 @@
 }
 
 #[test]
-fn a_burst_is_cut_at_the_limit_and_events_of_other_crates_do_not_count() {
-    let began = Instant::now();
+fn a_burst_is_limited_and_events_of_other_crates_do_not_count() {
+    let started_at = Instant::now();
     let events = || {
         for n in 0..MAX_LINES_PER_SECOND + 10 {
             tracing::info!(target: "polling", "not ours");
@@ -104,8 +104,8 @@
         }
     };
     let lines = lines_of(LogFormat::Text, 0, events);
-    // On a machine that stands still a second may pass meanwhile.
-    if began.elapsed() < Duration::from_secs(1) {
+    // If the machine is stalled for a second, the events fall into more than one window.
+    if started_at.elapsed() < Duration::from_secs(1) {
         assert_eq!(lines.len(), MAX_LINES_PER_SECOND as usize);
     }
 }
@@ -123,11 +123,11 @@
     assert_eq!(limiter.take_dropped(), 0);
     assert_eq!(admitted(1000, MAX_LINES_PER_SECOND + 5), MAX_LINES_PER_SECOND);
     assert_eq!(limiter.take_dropped(), 5);
-    assert_eq!(admitted(1999, 1), 0, "the second counts from its first line");
+    assert_eq!(admitted(1999, 1), 0, "the window begins with its first line");
     assert_eq!(admitted(5000, 1), 1);
 }
 
-/// An output that writes nothing until the test lets it.
+/// An output that blocks each write until the test permits it.
 struct BlockedOutput {
     open: Receiver<()>,
     written: Sender<Vec<u8>>,
@@ -135,7 +135,7 @@
 
 impl Write for BlockedOutput {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        // Without a sender it is open for good.
+        // Returns immediately once the sender has been dropped.
         let _ = self.open.recv();
         self.written.send(line.to_vec()).unwrap();
         Ok(line.len())
@@ -147,29 +147,29 @@
 }
 
 #[test]
-fn a_pipe_that_nobody_reads_is_not_waited_for() {
-    let (opener, open) = channel();
+fn logging_to_a_blocked_output_does_not_block() {
+    let (permit_sender, open) = channel();
     let (written, lines) = channel();
     let limiter = Arc::new(RateLimiter::default());
     let (mut queue, writer) = writer::spawn(BlockedOutput { open, written }, Arc::clone(&limiter)).unwrap();
-    let began = Instant::now();
+    let started_at = Instant::now();
     for n in 0..1000 {
         queue.clone().write_all(format!("{n}\n").as_bytes()).unwrap();
     }
     drop(writer);
-    assert!(began.elapsed() < Duration::from_secs(10), "{:?}", began.elapsed());
-    drop(opener);
+    assert!(started_at.elapsed() < Duration::from_secs(10), "{:?}", started_at.elapsed());
+    drop(permit_sender);
     queue.flush().unwrap();
     drop(queue);
     let lines: Vec<Vec<u8>> = lines.iter().collect();
     let dropped = limiter.take_dropped() as usize;
     assert!(dropped >= 700, "{dropped}");
-    assert_eq!(lines.len() + dropped, 1000, "what is not written is counted");
+    assert_eq!(lines.len() + dropped, 1000, "lines that are not written are counted");
     assert_eq!(lines[..2], [b"0\n".to_vec(), b"1\n".to_vec()]);
 }
 
 #[test]
-fn dropping_the_writer_writes_out_what_is_queued() {
+fn dropping_the_writer_flushes_the_queued_lines() {
     let (written, lines) = channel();
     let (_, open) = channel();
     let limiter = Arc::new(RateLimiter::default());
@@ -177,10 +177,10 @@
     for n in 0..100 {
         queue.clone().write_all(format!("{n}\n").as_bytes()).unwrap();
     }
-    let began = Instant::now();
+    let started_at = Instant::now();
     drop(writer);
-    // The wait for the thread is bounded: on a machine that stands still nothing is promised.
-    if began.elapsed() < Duration::from_millis(100) {
+    // The flush times out after 100 ms, which a stalled machine may exceed.
+    if started_at.elapsed() < Duration::from_millis(100) {
         assert_eq!(lines.try_iter().count(), 100);
     }
 }
--- a/crates/router/src/program/logging/writer.rs
+++ b/crates/router/src/program/logging/writer.rs
@@ -1,7 +1,7 @@
-//! The thread that writes the log, and the bounded queue before it.
+//! The thread that writes log lines, and its bounded queue.
 //!
-//! Standard error may be a pipe that nobody reads: the thread waits for it, the router never does. A line
-//! that finds the queue full is dropped and counted.
+//! Standard error may be a pipe that is not read. Writing to it may then block this thread, but never the
+//! router. Lines that don't fit into the queue are dropped and counted.
 
 use super::rate_limit::RateLimiter;
 use std::io::{self, Write};
@@ -9,22 +9,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Lines that may wait to be written.
+/// The capacity of the queue in lines.
 const MAX_QUEUED_LINES: usize = 256;
 
-/// Stack of the writing thread in bytes: it does nothing but write.
+/// The stack size of the writer thread in bytes. A small stack is enough, as the thread only writes.
 const THREAD_STACK_BYTES: usize = 64 * 1024;
 
-/// How long a flush waits for the thread, which may be waiting for a full pipe itself.
+/// The limit on waiting for the writer thread to flush, as it may be blocked by a full pipe.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
 
 enum Message {
     Line(Vec<u8>),
-    /// All lines before it are written once this is answered.
+    /// Requests a notification on this channel once all earlier lines have been written.
     Flush(SyncSender<()>),
 }
 
-/// Starts the thread that writes to `output`. Lines that find the queue full are counted with `limiter`.
+/// Starts the thread that writes lines to `output`. Lines dropped because the queue is full are counted in
+/// `limiter`.
 pub(super) fn spawn(
     output: impl Write + Send + 'static,
     limiter: Arc<RateLimiter>,
@@ -36,7 +37,7 @@
     Ok((LineQueue { sender, limiter }, writer))
 }
 
-/// Writes line by line until all senders are gone. There is nowhere to report an error to.
+/// Writes lines until all senders are dropped. Write errors are ignored, as there is nowhere to report them.
 fn write_lines(receiver: &Receiver<Message>, mut output: impl Write) {
     for message in receiver {
         match message {
@@ -46,8 +47,8 @@
     }
 }
 
-/// The way to the writing thread; dropping it waits, for [`FLUSH_TIMEOUT`] at most, until the queue is
-/// written.
+/// The handle of the writer thread. Dropping it waits until all queued lines are written, for up to
+/// [`FLUSH_TIMEOUT`].
 #[derive(Debug)]
 pub(super) struct WriterThread {
     sender: SyncSender<Message>,
@@ -62,7 +63,7 @@
     }
 }
 
-/// The queue of lines. Each call of `write` takes one complete line.
+/// The sending side of the queue. Each call of `write` queues one complete line.
 #[derive(Clone, Debug)]
 pub(super) struct LineQueue {
     sender: SyncSender<Message>,
--- a/crates/router/src/program/mod.rs
+++ b/crates/router/src/program/mod.rs
@@ -1,4 +1,4 @@
-//! The command line of `basalthill`: its sub-commands, exit codes and log.
+//! The command line of `basalthill`: its subcommands, exit codes and logging.
 
 mod fleet;
 mod logging;
@@ -20,31 +20,32 @@
 struct Arguments {
     #[command(subcommand)]
     command: Option<Command>,
-    /// The least severe level of the log's lines.
+    /// Log events of this level and of more severe ones.
     #[arg(long, global = true, env = "BALANCER_LOG", default_value = "info", ignore_case = true)]
     log: LogLevel,
-    /// The form of the log's lines.
+    /// The format of log lines.
     #[arg(long, global = true, env = "BALANCER_LOG_FORMAT", default_value = "text", ignore_case = true)]
     log_format: LogFormat,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve clients until SIGTERM or SIGINT; the command when none is given.
+    /// Serve clients until SIGTERM or SIGINT; this is the default command.
     Serve(ConfigArguments),
-    /// Read and check the configuration, print what is wrong with it, and end.
+    /// Read and check the configuration, and print the first error in it.
     CheckConfig(ConfigArguments),
-    /// Check whether a router that listens here is ready; exit code 0 if it is, else 1.
+    /// Check whether the router that listens on an address is ready; exit code 0 if it is, 1 otherwise.
     Ready {
         /// The router's address.
         #[arg(long, env = "BALANCER_LISTEN")]
         listen: SocketAddr,
     },
-    /// Send one query through the routers, as a client with retries and a deadline; exit code 0 if it was
-    /// served, 1 if not, 3 if it may have run all the same.
+    /// Send one request through the routers, as a client with retries and a deadline; exit code 0 if it was
+    /// served, 1 if not, 2 if it could not be sent, 3 if it was not served and may have been executed.
     #[command(visible_alias = "ask")]
     Query(query::Options),
-    /// Query a running router about its fleet: members with their states, each limit with its quotas.
+    /// Print a running router's view of its fleet: the routers with their states, and each limit with its
+    /// quotas.
     Fleet(fleet::Options),
     /// Print the version.
     Version,
@@ -52,16 +53,17 @@
 
 #[derive(clap::Args)]
 struct ConfigArguments {
-    /// The configuration file.
+    /// The configuration file, in JSON.
     #[arg(long, env = "BALANCER_CONFIG")]
     config: Option<PathBuf>,
-    /// The local settings, a KDL file; without it, none of the features that it switches on is on.
+    /// The local settings file, in KDL; the features that it enables are off without it.
     #[arg(long, env = "BASALTHILL_SETTINGS")]
     settings: Option<PathBuf>,
 }
 
 impl ConfigArguments {
-    /// The arguments of a command line without a sub-command: from the environment alone.
+    /// Returns the arguments for a command line without a subcommand, which are read from the environment
+    /// only.
     fn from_environment() -> ConfigArguments {
         let path = |name| std::env::var_os(name).filter(|value| !value.is_empty()).map(PathBuf::from);
         ConfigArguments { config: path("BALANCER_CONFIG"), settings: path("BASALTHILL_SETTINGS") }
@@ -85,7 +87,7 @@
 }
 
 impl ConfigFiles {
-    /// Reads the files and the environment; a key that a variable overrides is logged.
+    /// Reads the files and the environment. Logs each key of the file that an environment variable overrides.
     fn read(&self, phase: LoadPhase) -> Result<RouterConfig, ConfigError> {
         let variable = |name: &str| std::env::var(name).ok();
         let config = load(&self.config, self.settings.as_deref(), variable, phase)?;
@@ -96,13 +98,13 @@
     }
 }
 
-/// The exit code when the configuration is unsound.
+/// The exit code for an invalid configuration.
 const BAD_CONFIGURATION: u8 = 2;
 
 /// Runs the program.
 pub fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    // Dropped last: it writes out the lines that are queued.
+    // Dropped at the end of the function, which writes the lines that are still queued.
     let _log = logging::init(arguments.log, arguments.log_format);
     match arguments.command.unwrap_or_else(|| Command::Serve(ConfigArguments::from_environment())) {
         Command::Serve(arguments) => match ConfigFiles::try_from(arguments) {
--- a/crates/router/src/program/query.rs
+++ b/crates/router/src/program/query.rs
@@ -1,4 +1,4 @@
-//! `basalthill query` (earlier `ask`): one request by the client library, on the command line.
+//! `basalthill query` (formerly `ask`): sends one request with the client library.
 
 use basalthill_client::{
     AttemptRecord, Client, Config, Idempotency, InvalidSession, Request, RequestOutcome, RequestReport,
@@ -10,34 +10,34 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Exit code if the request could not be sent, or its session could not be read or stored.
+/// The exit code if the request could not be sent, or its session file could not be read or written.
 const EXIT_NOT_SENT: u8 = 2;
-/// Exit code of a request that may have run.
+/// The exit code of a request that may have been executed.
 const EXIT_MAY_HAVE_RUN: u8 = 3;
 
-/// The request, and the routers that it is sent to.
+/// The request and the routers that it is sent to.
 #[derive(clap::Args)]
 pub struct Options {
     /// A router's address; may be given several times.
     #[arg(long = "router", value_name = "ROUTER", env = "BALANCER_LISTEN", required = true)]
     routers: Vec<SocketAddr>,
-    /// The request's class.
+    /// The class of the request.
     #[arg(long)]
     class: String,
     /// The group of databases.
     #[arg(long)]
     group: u32,
-    /// The tenant.
+    /// The tenant that the request belongs to.
     #[arg(long, default_value = "")]
     tenant: String,
     /// The deadline, in milliseconds from now.
     #[arg(long = "within-ms", value_name = "WITHIN_MS", default_value_t = 900)]
     timeout_ms: u64,
-    /// A write's key is an idempotency key, whose repeats the group drops for this long, in milliseconds;
-    /// without it a write must never run twice.
+    /// The time in milliseconds for which the group drops repetitions of a write with the same key; without
+    /// it a write is never sent twice if it may have been executed.
     #[arg(long = "keyed-ms", value_name = "KEYED_MS")]
     idempotency_window_ms: Option<u64>,
-    /// A file that stores the session between calls; it is created if it does not exist.
+    /// The file that stores the session between calls; it is created if it does not exist.
     #[arg(long = "session", value_name = "SESSION")]
     session_file: Option<PathBuf>,
     /// The key to read or write.
@@ -46,7 +46,7 @@
     value: Option<String>,
 }
 
-/// Why no request was made, or its session was not stored.
+/// The reason why no request was sent, or its session was not stored.
 #[derive(Debug, thiserror::Error)]
 enum QueryError {
     #[error("read session {}: {source}", path.display())]
@@ -59,7 +59,7 @@
     StartClient(io::Error),
 }
 
-/// Sends one request and prints its outcome.
+/// Sends one request, prints its outcome and returns the exit code.
 pub fn run(options: Options) -> ExitCode {
     match execute(options) {
         Ok(report) => {
@@ -85,7 +85,8 @@
     Ok(report)
 }
 
-/// The session in a file; a new one if there is no file. The name is empty: the key names the session.
+/// Returns the session stored in a file, or a new one if there is no file. A new session has an empty name,
+/// since the key identifies it.
 fn load_session(path: &Path) -> Result<Session, QueryError> {
     let path = path.to_path_buf();
     let session = if path.exists() {
@@ -115,7 +116,8 @@
     request
 }
 
-/// Prints the outcome on standard output, and the attempts on standard error if there is more to know.
+/// Prints the outcome on standard output. Prints the attempts on standard error unless the first one was
+/// served.
 fn print_report(report: &RequestReport) {
     println!("{}", describe(&report.outcome));
     let is_served = matches!(report.outcome, RequestOutcome::Served(_));
@@ -128,7 +130,7 @@
     eprintln!("{elapsed_ms} ms, {} tries: {}", attempts.len(), attempts.join(", "));
 }
 
-/// The line on standard output; its wording is an interface to scripts.
+/// Returns the line for standard output. Scripts match its wording.
 fn describe(outcome: &RequestOutcome) -> String {
     match outcome {
         RequestOutcome::Served(Some(value)) => format!("served: {}", String::from_utf8_lossy(value)),
--- a/crates/router/src/program/ready.rs
+++ b/crates/router/src/program/ready.rs
@@ -1,4 +1,4 @@
-//! `basalthill ready`: checks whether a router answers an empty query, which it does once it is ready.
+//! `basalthill ready`: checks whether a router replies to an empty query, which it does once it is ready.
 
 use crate::protocol::host::{self, HostCodec, HostMessage, QueryOutcome};
 use basalthill_wire::ProtocolError;
@@ -7,24 +7,24 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Limit on connecting, and on each read of the answer.
+/// The limit on connecting, and on each read of the reply.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Bytes read at a time; the complete answer is shorter.
+/// The size of the read buffer in bytes; the complete reply is shorter.
 const READ_BUFFER_LEN: usize = 1024;
 
-/// Why a router does not count as ready.
+/// The reason why a router is not considered ready.
 #[derive(Debug, thiserror::Error)]
 enum NotReady {
     #[error(transparent)]
     Io(#[from] io::Error),
     #[error(transparent)]
     Protocol(#[from] ProtocolError),
-    #[error("it answered {0:?}")]
-    UnexpectedAnswer(Box<HostMessage>),
+    #[error("unexpected reply to an empty query: {0:?}")]
+    UnexpectedReply(Box<HostMessage>),
 }
 
-/// Prints whether the router at `listen` is ready.
+/// Prints whether the router at `listen` is ready, and returns the exit code.
 pub(super) fn run(listen: SocketAddr) -> ExitCode {
     match check(listen) {
         Ok(()) => {
@@ -38,7 +38,7 @@
     }
 }
 
-/// Sends an empty query and waits for its answer.
+/// Sends an empty query and waits for the reply.
 fn check(listen: SocketAddr) -> Result<(), NotReady> {
     let mut stream = TcpStream::connect_timeout(&listen, TIMEOUT)?;
     stream.set_read_timeout(Some(TIMEOUT))?;
@@ -49,7 +49,7 @@
         match codec.next_message()? {
             Some(HostMessage::Ready) => codec.begin_query(),
             Some(HostMessage::QueryEnded(QueryOutcome::Empty, _)) => return Ok(()),
-            Some(other) => return Err(NotReady::UnexpectedAnswer(Box::new(other))),
+            Some(other) => return Err(NotReady::UnexpectedReply(Box::new(other))),
             None => match stream.read(&mut bytes)? {
                 0 => return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into()),
                 len => codec.feed(&bytes[..len]),
--- a/crates/router/src/program/serve.rs
+++ b/crates/router/src/program/serve.rs
@@ -1,4 +1,4 @@
-//! `basalthill serve`: signals, the listening socket, and reloads of the configuration.
+//! `basalthill serve`: signals, the listening socket, and configuration reloads.
 
 use super::{bad_configuration, ConfigFiles};
 use crate::transport::{self, ControlCommand};
@@ -12,24 +12,25 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-/// How long an address that another process still uses is waited for.
+/// The limit on waiting for an address that another process still uses.
 const BIND_TIMEOUT: Duration = Duration::from_secs(5);
 /// The pause between two attempts to bind.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// On a reload, a file that can't be read is read again for this long: it may be just being replaced. Events
-/// from discovery's new address count 4 s after the signal.
+/// The limit on retries at a reload to read a file that can't be read, which may be in the course of being
+/// replaced. It leaves time to receive the list from a changed discovery address within 4 s of the signal.
 const RELOAD_READ_TIMEOUT: Duration = Duration::from_secs(1);
 /// The pause between two attempts to read a file.
 const RELOAD_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// The pause after the system failed a call for signals.
+/// The pause after receiving a signal failed.
 const SIGNAL_RETRY_DELAY: Duration = Duration::from_millis(5);
-/// So many failures of it in a row are an ordinary disturbance; more are logged as a warning, at powers of
-/// two.
-const QUIET_SIGNAL_FAILURES: u32 = 16;
+/// The number of consecutive failures to receive a signal that are logged at debug level only. Above it, each
+/// failure whose number is a power of two is logged as a warning.
+const SIGNAL_FAILURES_BEFORE_WARNING: u32 = 16;
 
-/// Serves until a signal to stop.
+/// Serves until SIGTERM or SIGINT, and returns the exit code.
 pub(super) fn run(files: ConfigFiles) -> ExitCode {
-    // The handlers stand before anything that may take a while: unhandled, SIGHUP would end the program.
+    // The handlers are installed before anything that may block, because an unhandled SIGHUP would terminate
+    // the process.
     let mut signals = match Signals::new([Signal::Term, Signal::Int, Signal::Hup]) {
         Ok(signals) => signals,
         Err(error) => {
@@ -44,7 +45,7 @@
     let (listener, reload) = match bind(config.listen, &mut signals, &files) {
         Ok(Binding::Bound { listener, reload }) => (listener, reload),
         Ok(Binding::Stopped) => {
-            tracing::info!("stopped before it listened");
+            tracing::info!("stopped by a signal before listening");
             return ExitCode::SUCCESS;
         }
         Err(error) => {
@@ -54,7 +55,7 @@
     };
     let address = listener.local_addr().unwrap_or(config.listen);
     tracing::info!("{} listens on {address}", config.name);
-    match transport::serve(listener, config, commands(signals, files, reload)) {
+    match transport::serve(listener, config, control_commands(signals, files, reload)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             tracing::error!("{error}");
@@ -63,29 +64,29 @@
     }
 }
 
-/// The result of waiting for the address.
+/// The result of binding to the address.
 enum Binding {
-    /// The router listens.
+    /// The address is bound.
     Bound {
         listener: TcpListener,
-        /// A reload that was requested meanwhile.
+        /// The reload that was requested while waiting for the address, if any.
         reload: Option<Reload>,
     },
-    /// A signal to stop came first.
+    /// A signal to stop was received first.
     Stopped,
 }
 
-/// Binds to the address; one that an earlier process still uses is waited for, for [`BIND_TIMEOUT`]. Signals
-/// are handled meanwhile.
+/// Binds to the address. If an earlier process still uses it, retries for up to [`BIND_TIMEOUT`] and handles
+/// signals between the attempts.
 fn bind(address: SocketAddr, signals: &mut Signals, files: &ConfigFiles) -> io::Result<Binding> {
-    let give_up_at = Instant::now() + BIND_TIMEOUT;
+    let deadline = Instant::now() + BIND_TIMEOUT;
     let mut reload = None;
     let mut in_use_logged = false;
     loop {
         match TcpListener::bind(address) {
             Ok(listener) => return Ok(Binding::Bound { listener, reload }),
             Err(error) if error.kind() != io::ErrorKind::AddrInUse => return Err(error),
-            Err(error) if Instant::now() >= give_up_at => return Err(error),
+            Err(error) if Instant::now() >= deadline => return Err(error),
             Err(_) => {}
         }
         if !in_use_logged {
@@ -100,7 +101,7 @@
     }
 }
 
-/// The next signal, if one comes within this time.
+/// Returns the next signal, or `None` if none is received within `timeout`.
 async fn signal_within(signals: &mut Signals, timeout: Duration) -> Option<Signal> {
     let signal = async { Some(next_signal(signals).await) };
     let timer = async {
@@ -110,7 +111,8 @@
     future::or(signal, timer).await
 }
 
-/// The next signal. A call for one that fails is repeated: a router that nobody stopped goes on.
+/// Returns the next signal. Failures to receive one are retried, because they are no reason to stop the
+/// router.
 async fn next_signal(signals: &mut Signals) -> Signal {
     for failures in 1u32.. {
         match signals.next().await {
@@ -126,14 +128,14 @@
 }
 
 fn log_signal_failure(failures: u32, error: &io::Error) {
-    if failures > QUIET_SIGNAL_FAILURES && failures.is_power_of_two() {
+    if failures > SIGNAL_FAILURES_BEFORE_WARNING && failures.is_power_of_two() {
         tracing::warn!("signals: receiving failed {failures} times in a row: {error}");
     } else {
         tracing::debug!("signals: receiving failed {failures} times in a row: {error}");
     }
 }
 
-/// A reload under way, on a thread of its own, so that no request waits for the file.
+/// A reload in progress. It runs on another thread, so that requests are not delayed by reading the files.
 type Reload = future::Boxed<Result<Box<RouterConfig>, ConfigError>>;
 
 fn start_reload(files: &ConfigFiles) -> Reload {
@@ -141,12 +143,13 @@
     Box::pin(blocking::unblock(move || read_with_retries(&files)))
 }
 
-/// Reads the files again. One that can't be read at all may be just being replaced.
+/// Reads the files again. Retries for up to [`RELOAD_READ_TIMEOUT`] if one can't be read, because it may be
+/// in the course of being replaced.
 fn read_with_retries(files: &ConfigFiles) -> Result<Box<RouterConfig>, ConfigError> {
-    let give_up_at = Instant::now() + RELOAD_READ_TIMEOUT;
+    let deadline = Instant::now() + RELOAD_READ_TIMEOUT;
     loop {
         match files.read(LoadPhase::Reload) {
-            Err(error) if error.is_unreadable() && Instant::now() < give_up_at => {
+            Err(error) if error.is_unreadable() && Instant::now() < deadline => {
                 std::thread::sleep(RELOAD_RETRY_DELAY);
             }
             result => return result.map(Box::new),
@@ -154,22 +157,22 @@
     }
 }
 
-/// What comes first: a signal, or the end of a reload.
-enum Occurrence {
+/// An event that [`CommandSource`] handles: a signal, or the completion of a reload.
+enum SignalEvent {
     Signal(Signal),
     Reloaded(Result<Box<RouterConfig>, ConfigError>),
 }
 
-/// The state of the stream of commands.
+/// The state of the stream of control commands.
 struct CommandSource {
     signals: Signals,
     files: ConfigFiles,
     reload: Option<Reload>,
 }
 
-/// The commands to the running router that the signals stand for. Another SIGHUP during a reload starts it
-/// anew, so that the newest file counts.
-fn commands(
+/// Returns the stream of commands that the signals request. Another SIGHUP during a reload restarts it, so
+/// that the newest files are read.
+fn control_commands(
     signals: Signals,
     files: ConfigFiles,
     reload: Option<Reload>,
@@ -183,17 +186,17 @@
 impl CommandSource {
     async fn next_command(&mut self) -> ControlCommand {
         loop {
-            match self.next_occurrence().await {
-                Occurrence::Signal(Signal::Hup) => self.reload = Some(start_reload(&self.files)),
-                Occurrence::Signal(_) => {
+            match self.next_event().await {
+                SignalEvent::Signal(Signal::Hup) => self.reload = Some(start_reload(&self.files)),
+                SignalEvent::Signal(_) => {
                     self.reload = None;
                     return ControlCommand::Stop;
                 }
-                Occurrence::Reloaded(Ok(config)) => {
+                SignalEvent::Reloaded(Ok(config)) => {
                     self.reload = None;
                     return ControlCommand::Reload(config);
                 }
-                Occurrence::Reloaded(Err(error)) => {
+                SignalEvent::Reloaded(Err(error)) => {
                     tracing::error!("configuration: reload failed, the previous one stays in force: {error}");
                     self.reload = None;
                 }
@@ -201,12 +204,12 @@
         }
     }
 
-    async fn next_occurrence(&mut self) -> Occurrence {
+    async fn next_event(&mut self) -> SignalEvent {
         let CommandSource { signals, reload, .. } = self;
-        let signal = async { Occurrence::Signal(next_signal(signals).await) };
+        let signal = async { SignalEvent::Signal(next_signal(signals).await) };
         let reloaded = async {
             match reload.as_mut() {
-                Some(reload) => Occurrence::Reloaded(reload.await),
+                Some(reload) => SignalEvent::Reloaded(reload.await),
                 None => future::pending().await,
             }
         };
