--- a/crates/router/src/program/fleet.rs
+++ b/crates/router/src/program/fleet.rs
@@ -40,9 +40,9 @@
     NoRouterGiven,
     #[error("{name:?} is not in the settings' list of routers")]
     UnknownRouter { name: String },
-    #[error(transparent)]
+    #[error("can't open a UDP socket: {0}")]
     Bind(io::Error),
-    #[error("{address}: {source}")]
+    #[error("can't send a request to {address}: {source}")]
     Send { address: SocketAddr, source: io::Error },
     #[error("{address} does not answer; is it a router of this fleet, with this key?")]
     NoResponse { address: SocketAddr },
--- a/crates/router/src/program/mod.rs
+++ b/crates/router/src/program/mod.rs
@@ -32,7 +32,7 @@
 enum Command {
     /// Serve clients until SIGTERM or SIGINT; this is the default command.
     Serve(ConfigArguments),
-    /// Read and check the configuration, and print the first error in it.
+    /// Read and check the configuration, and print the error if it is invalid.
     CheckConfig(ConfigArguments),
     /// Check whether the router that listens on an address is ready; exit code 0 if it is, 1 otherwise.
     Ready {
--- a/crates/router/src/program/query.rs
+++ b/crates/router/src/program/query.rs
@@ -49,13 +49,13 @@
 /// The reason why no request was sent, or its session was not stored.
 #[derive(Debug, thiserror::Error)]
 enum QueryError {
-    #[error("read session {}: {source}", path.display())]
+    #[error("can't read session file {}: {source}", path.display())]
     ReadSession { path: PathBuf, source: io::Error },
-    #[error("session {}: {source}", path.display())]
+    #[error("invalid session file {}: {source}", path.display())]
     InvalidSession { path: PathBuf, source: InvalidSession },
-    #[error("write session {}: {source}", path.display())]
+    #[error("can't write session file {}: {source}", path.display())]
     WriteSession { path: PathBuf, source: io::Error },
-    #[error("start the client: {0}")]
+    #[error("can't start the client: {0}")]
     StartClient(io::Error),
 }
 
--- a/crates/router/src/program/serve.rs
+++ b/crates/router/src/program/serve.rs
@@ -16,8 +16,9 @@
 const BIND_TIMEOUT: Duration = Duration::from_secs(5);
 /// The pause between two attempts to bind.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// The limit on retries at a reload to read a file that can't be read, which may be in the course of being
-/// replaced. It leaves time to receive the list from a changed discovery address within 4 s of the signal.
+/// The limit on retrying to read a file at a reload. A file that can't be read may be in the course of being
+/// replaced. The limit leaves time to receive the list from a changed discovery address within 4 s of the
+/// signal.
 const RELOAD_READ_TIMEOUT: Duration = Duration::from_secs(1);
 /// The pause between two attempts to read a file.
 const RELOAD_RETRY_DELAY: Duration = Duration::from_millis(50);
@@ -34,7 +35,7 @@
     let mut signals = match Signals::new([Signal::Term, Signal::Int, Signal::Hup]) {
         Ok(signals) => signals,
         Err(error) => {
-            eprintln!("basalthill: signals: {error}");
+            eprintln!("basalthill: can't install signal handlers: {error}");
             return ExitCode::FAILURE;
         }
     };
@@ -49,7 +50,7 @@
             return ExitCode::SUCCESS;
         }
         Err(error) => {
-            eprintln!("basalthill: listen {}: {error}", config.listen);
+            eprintln!("basalthill: can't listen on {}: {error}", config.listen);
             return ExitCode::FAILURE;
         }
     };
@@ -90,7 +91,7 @@
             Err(_) => {}
         }
         if !in_use_logged {
-            tracing::warn!("{address} is in use; waiting for it");
+            tracing::warn!("{address} is in use; waiting for it for up to {BIND_TIMEOUT:?}");
             in_use_logged = true;
         }
         match async_io::block_on(signal_within(signals, BIND_RETRY_DELAY)) {
--- a/crates/router/src/transport/client/admission.rs
+++ b/crates/router/src/transport/client/admission.rs
@@ -17,8 +17,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The number of attempts to acquire a descriptor before a client is rejected. They are
-/// [`RETRY_INTERVAL`] apart, so that all together take less time than a client has to send its first request.
+/// The number of attempts to acquire a descriptor before a client is rejected. The attempts are
+/// [`RETRY_INTERVAL`] apart, so they take less time together than a client has to send its first request.
 pub const MAX_ADMISSION_ATTEMPTS: u32 = 8;
 
 /// The permits that an admitted client holds; released on drop.
--- a/crates/router/src/transport/client/eviction.rs
+++ b/crates/router/src/transport/client/eviction.rs
@@ -5,8 +5,7 @@
 use futures_lite::future;
 use std::time::{Duration, Instant};
 
-/// The time for which a client with an incomplete message is not evicted, from the message's first
-/// byte.
+/// The time for which a client with an incomplete message is not evicted, from the message's first byte.
 const MESSAGE_PROTECTION: Duration = Duration::from_nanos(CLIENT_MESSAGE_TIMEOUT.0 / 2);
 /// The time for which a client is not evicted after it has connected or received its last reply.
 const IDLE_PROTECTION: Duration = Duration::from_nanos(CLIENT_EVICTION_IDLE.0);
@@ -14,7 +13,7 @@
 /// The state of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// No request has been received since it connected, at this instant.
+    /// No request has been received since the client connected, at this instant.
     Unused(Instant),
     /// Requests are in flight or replies are still to be written.
     Busy,
@@ -42,8 +41,7 @@
 
 impl EvictionPriority {
     /// Returns the priority of a connection in this state, where `message_started` is the arrival time of the
-    /// first byte of an incomplete message, and `eviction_requested` tells whether its eviction has been
-    /// requested before.
+    /// first byte of an incomplete message, if there is one.
     pub fn of(
         state: ConnectionState,
         message_started: Option<Instant>,
--- a/crates/router/src/transport/conversation.rs
+++ b/crates/router/src/transport/conversation.rs
@@ -1,7 +1,8 @@
 //! The protocol state of one client connection, without I/O. Its inputs are the bytes that are read from the
 //! client and the replies from routing; its outputs are the requests to forward and the bytes to write.
-//! Reading, forwarding and writing proceed independently of each other. Each of them pauses only while more
-//! than [`LARGE_STATEMENT_LEN`] bytes are queued for the next stage.
+//! Reading, forwarding and writing proceed independently of each other, with two limits: reading pauses while
+//! more than [`LARGE_STATEMENT_LEN`] bytes of commands are queued, and forwarding pauses while more than that
+//! many bytes of replies are queued.
 //!
 //! Each complete command gets exactly one reply, in the order of the commands. Up to [`MAX_CONCURRENT_READS`]
 //! consecutive reads are forwarded concurrently. A write is forwarded once all earlier commands have their
@@ -71,7 +72,8 @@
     message: &'static str,
 }
 
-/// The error for a client that has not sent its first request, or the rest of a message, in time.
+/// The error for a client that has not sent its first request, or the rest of a message, within the message
+/// timeout.
 const MESSAGE_TIMED_OUT: FinalError =
     FinalError { code: sqlstate::IDLE_SESSION_TIMEOUT, message: "no whole request has come in time" };
 
@@ -126,7 +128,7 @@
 
 /// Reading.
 impl Conversation {
-    /// Handles bytes that were read at `now`. `drained` tells whether the socket has no more.
+    /// Handles bytes that were read at `now`. `drained` is true if the socket has no more.
     pub fn feed(&mut self, bytes: &[u8], drained: bool, now: Time) {
         let arrived_at = self.input.arrival_time(drained, now);
         if !self.closing && self.final_error.is_none() {
@@ -149,8 +151,8 @@
         self.input.resume(now);
     }
 
-    /// Returns whether more may be read: at most [`LARGE_STATEMENT_LEN`] bytes of complete messages may be
-    /// queued.
+    /// Returns whether more may be read, which is the case while at most [`LARGE_STATEMENT_LEN`] bytes of
+    /// complete messages are queued.
     pub fn accepts_input(&self) -> bool {
         let is_open = !self.closing && self.final_error.is_none() && self.input.accepts_more();
         let pending_bytes = self.pending.as_ref().map_or(0, |pending| pending.bytes);
--- a/crates/router/src/transport/conversation/input.rs
+++ b/crates/router/src/transport/conversation/input.rs
@@ -1,4 +1,4 @@
-//! The input from a client: complete messages with their arrival_time times, and the incomplete message after
+//! The input from a client: complete messages with their arrival times, and the incomplete message after
 //! them.
 
 use crate::protocol::client::{ClientCodec, ReceivedMessage};
@@ -32,7 +32,7 @@
     }
 
     /// Returns the earliest time at which bytes that are read at `now` may have been received. `drained`
-    /// tells whether the socket has no more.
+    /// is true if the socket has no more.
     pub fn arrival_time(&mut self, drained: bool, now: Time) -> Time {
         let arrived_at = self.unread_since.unwrap_or(now);
         if drained {
--- a/crates/router/src/transport/conversation/tests/interleavings.rs
+++ b/crates/router/src/transport/conversation/tests/interleavings.rs
@@ -19,8 +19,8 @@
 
 /// Generates commands that are mostly valid (4 of 5 cases) or mostly invalid.
 fn commands() -> impl Strategy<Value = Vec<ClientWrite>> {
-    let bad = prop_oneof![1 => client_write(), 3 => Just(ClientWrite::Invalid)];
-    prop_oneof![4 => prop::collection::vec(client_write(), 0..40), 1 => prop::collection::vec(bad, 0..40)]
+    let faulty = prop_oneof![1 => client_write(), 3 => Just(ClientWrite::Invalid)];
+    prop_oneof![4 => prop::collection::vec(client_write(), 0..40), 1 => prop::collection::vec(faulty, 0..40)]
 }
 
 fn client_write() -> impl Strategy<Value = ClientWrite> {
--- a/crates/router/src/transport/exchange.rs
+++ b/crates/router/src/transport/exchange.rs
@@ -110,8 +110,8 @@
 }
 
 /// Opens a connection and completes its startup, within the connect timeout. If this router lacks local
-/// resources, such as descriptors, it retries within the timeout, as exchanges that complete release them. If
-/// it still lacks them at the timeout, the result is [`ExchangeResult::Skipped`] and not a failure of the
+/// resources, such as descriptors, it retries within the timeout, because completing exchanges release them.
+/// If it still lacks them at the timeout, the result is [`ExchangeResult::Skipped`] and not a failure of the
 /// host, because the policy would otherwise eject a healthy host.
 async fn connect(driver: &Rc<Driver>, addr: SocketAddr) -> Result<HostConnection, ExchangeResult> {
     let lacks_resources = Cell::new(true);
@@ -127,8 +127,8 @@
     future::or(connected, timed_out).await
 }
 
-/// Opens a connection, retrying while this router lacks the local resources for it. `lacks_resources` is kept
-/// up to date, so that the caller can tell the reason of a timeout.
+/// Opens a connection, retrying while this router lacks the local resources for it. `lacks_resources` shows
+/// the caller at a timeout whether that was the reason.
 async fn connect_with_retries(
     driver: &Rc<Driver>,
     addr: SocketAddr,
--- a/crates/router/src/transport/listener.rs
+++ b/crates/router/src/transport/listener.rs
@@ -1,4 +1,4 @@
-//! The listener: accepts clients until the shutdown, and finally those that are in the backlog by then.
+//! The listener: accepts clients until the shutdown, and then those that are still in the backlog.
 
 use super::client::{self, MAX_ADMISSION_ATTEMPTS};
 use super::driver::Driver;
--- a/crates/router/src/transport/mod.rs
+++ b/crates/router/src/transport/mod.rs
@@ -52,10 +52,10 @@
 #[derive(Debug, Error)]
 pub enum ServeError {
     /// The listener could not be registered with the reactor.
-    #[error("listener: {0}")]
+    #[error("can't register the listener: {0}")]
     Listener(std::io::Error),
     /// The fleet's UDP socket could not be opened.
-    #[error("fleet: {listen}: {source}")]
+    #[error("fleet: can't open the socket on {listen}: {source}")]
     Fleet {
         /// The address that the socket should have been bound to.
         listen: SocketAddr,
--- a/crates/router/src/transport/watch.rs
+++ b/crates/router/src/transport/watch.rs
@@ -194,10 +194,20 @@
             let error = self.call(&mut succeeded).await;
             match &error {
                 WatchError::InvalidResponse(e) => {
-                    tracing::warn!(error = %e, "discovery: invalid response; requesting the full list");
+                    tracing::warn!(
+                        addr = %self.addr,
+                        error = %e,
+                        "discovery: invalid response; requesting the full list"
+                    );
                     self.version = None;
                 }
-                e => tracing::warn!(error = %e, "discovery: reopening the watch; keeping the current list"),
+                e => {
+                    tracing::warn!(
+                        addr = %self.addr,
+                        error = %e,
+                        "discovery: reopening the watch; keeping the current list"
+                    );
+                }
             }
             if succeeded {
                 backoff.reset();
