--- a/crates/router/src/transport/client/mod.rs
+++ b/crates/router/src/transport/client/mod.rs
@@ -82,7 +82,7 @@
                 reason,
                 "closing a client connection for an error or timeout"
             );
-            self.driver.clients.count_closed();
+            self.driver.clients.count_dismissed();
         }
         if let ConnectionEnd::Closed = end {
             self.linger().await;
--- a/crates/router/src/transport/client/registry.rs
+++ b/crates/router/src/transport/client/registry.rs
@@ -115,7 +115,7 @@
     /// Connections rejected for lack of descriptors.
     pub rejected: u32,
     /// Connections closed for a protocol error, too many unsupported commands or a timeout.
-    pub closed: u32,
+    pub dismissed: u32,
 }
 
 /// The clients of a router, and the limits on them.
@@ -228,9 +228,9 @@
     }
 
     /// Counts a connection that was closed for an error or a timeout.
-    pub(super) fn count_closed(&self) {
+    pub(super) fn count_dismissed(&self) {
         let counts = self.connection_counts.get();
-        self.connection_counts.set(ConnectionCounts { closed: counts.closed + 1, ..counts });
+        self.connection_counts.set(ConnectionCounts { dismissed: counts.dismissed + 1, ..counts });
     }
 
     /// Returns the numbers of connections rejected or closed since the last call.
--- a/crates/router/src/transport/client/serve.rs
+++ b/crates/router/src/transport/client/serve.rs
@@ -85,8 +85,8 @@
             if let Some(token) = self.handle.session_token.take() {
                 conversation.push_session_token(&token);
             }
-            for reply in self.handle.replies.take() {
-                conversation.complete_command(reply.command, reply.reply);
+            for completed in self.handle.replies.take() {
+                conversation.complete_command(completed.command, completed.reply);
             }
             match conversation.next_step(self.driver.clients.is_ready()) {
                 None => return false,
--- a/crates/router/src/transport/maintenance.rs
+++ b/crates/router/src/transport/maintenance.rs
@@ -29,11 +29,11 @@
 }
 
 fn log_connection_counts(counts: ConnectionCounts) {
-    let ConnectionCounts { rejected, closed } = counts;
+    let ConnectionCounts { rejected, dismissed } = counts;
     if counts != ConnectionCounts::default() {
         tracing::warn!(
             rejected,
-            closed,
+            dismissed,
             "clients: connections rejected for lack of descriptors, or closed for errors and timeouts"
         );
     }
--- a/crates/router/src/transport/snapshot_file.rs
+++ b/crates/router/src/transport/snapshot_file.rs
@@ -1,6 +1,6 @@
 //! The snapshot file of the session table. It is written to a temporary file and renamed at a graceful
-//! shutdown, and removed when it is read at startup, so that no snapshot is restored twice. An error only
-//! means that the router starts without the sessions' floors; it is logged.
+//! shutdown, and removed when it is read at startup, so that no snapshot is restored twice. An error is
+//! logged and does not stop the router, which then uses its start time as the floor of all sessions.
 
 use super::driver::Driver;
 use basalthill_config::local_settings::{LocalSettings, Snapshot};
