--- a/crates/fleet/src/account/coordinator.rs
+++ b/crates/fleet/src/account/coordinator.rs
@@ -1,35 +1,36 @@
-//! An account where its router is the limit's coordinator: it divides what others deposit among those that
-//! have demand.
+//! The coordinator's part of an account: dividing the units that other routers deposit among the routers with
+//! demand.
 
 use super::QuotaAccount;
 use crate::limit::{Bounds, RATE_UNITS};
 use crate::loan::{Borrowing, LoanRequest, RequestReceipt};
-use crate::packet::{QuotaReply, QuotaReport};
+use crate::packet::{QuotaReport, QuotaResponse};
 use crate::roster::NodeId;
 use basalthill_policy::api::Time;
 use std::collections::BTreeMap;
 
-/// A peer's demand counts for so many periods after it was reported.
+/// The number of periods after which a reported demand of a peer no longer counts.
 const DEMAND_VALID_PERIODS: f64 = 5.0;
-/// The headroom of each router is no more than this many requests of the burst.
+/// The largest headroom of a router, in requests of the burst.
 const MAX_HEADROOM_REQUESTS: f64 = 4.0;
 
-/// What a peer has reported.
+/// The demand that a peer has reported.
 #[derive(Clone, Copy, Debug)]
 struct PeerDemand {
     units: u64,
     reported_at: Time,
 }
 
-/// What the coordinator of a limit knows and decides.
+/// The state of the coordinator of a limit.
 #[derive(Clone, Debug, Default)]
 pub struct Coordination {
-    /// The demand of peers beyond what they have of their own.
+    /// The demand of peers beyond the units of their own.
     peer_demands: BTreeMap<NodeId, PeerDemand>,
-    /// The units of the ledger that the coordinator may use itself, so that its peers get theirs.
+    /// The most units of the ledger that the coordinator uses itself, so that the peers get their allotments;
+    /// `None` while no peer has demand.
     pub own_cap: Option<u64>,
-    /// Units that each router with requests may have beyond its demand, as the coordinator decides; zero
-    /// while some routers get less than their demand.
+    /// Units that each router with requests may use beyond its demand, as decided by the coordinator. It
+    /// shrinks to zero while some routers get less than their demand.
     pub headroom: u64,
 }
 
@@ -49,65 +50,66 @@
         }
     }
 
-    /// Forgets a peer's demand.
+    /// Removes a peer's demand.
     pub fn forget_peer(&mut self, peer: NodeId) {
         self.peer_demands.remove(&peer);
     }
 }
 
-/// What a router gets.
+/// A router's part of the available units.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Allotment {
     units: u64,
-    /// What is left over when all demands are met; `None` if some are not.
-    left_over: Option<u64>,
+    /// The units that remain when all demands are met; `None` if some are not met.
+    remaining: Option<u64>,
 }
 
-/// Max-min fairness, also known as water-filling: all demands are met up to one level, at which the available
-/// units are used up. Returns what one of the demands gets.
+/// Divides `available` units by max-min fairness (water-filling): each demand is met up to a common level, at
+/// which the available units are used up. Returns the allotment for one of the demands.
 fn allot(available: u64, demands: impl Iterator<Item = u64>, demand: u64) -> Allotment {
     let mut demands: Vec<u64> = demands.filter(|units| *units > 0).collect();
     demands.sort_unstable();
-    let mut left = available;
-    let mut unserved = demands.len() as u64;
+    let mut remaining = available;
+    let mut unmet = demands.len() as u64;
     for units in demands {
-        let level = left / unserved;
+        let level = remaining / unmet;
         if units > level {
-            return Allotment { units: demand.min(level), left_over: None };
+            return Allotment { units: demand.min(level), remaining: None };
         }
-        left -= units;
-        unserved -= 1;
+        remaining -= units;
+        unmet -= 1;
     }
-    Allotment { units: demand, left_over: Some(left) }
+    Allotment { units: demand, remaining: Some(remaining) }
 }
 
 impl QuotaAccount {
-    /// Runs a round as the coordinator, whose own demand beyond the reserve is `demand`.
+    /// Runs a round as the coordinator. `demand` is the router's own demand beyond its reserve.
     pub(super) fn coordinate(&mut self, now: Time, demand: u64) {
         let own_use = self.own_leased_use(now);
         let allotment = self.allot(now, demand - own_use);
         let has_peer_demand = !self.coordination.peer_demands.is_empty();
         self.coordination.own_cap = has_peer_demand.then_some(own_use + allotment.units);
-        self.adjust_headroom(allotment.left_over);
+        self.adjust_headroom(allotment.remaining);
     }
 
-    /// Raises the headroom by a part of what is left over; halves it while some demands are not met, so that
-    /// what was granted beyond demand is soon back.
-    fn adjust_headroom(&mut self, left_over: Option<u64>) {
+    /// Raises the headroom by a part of the remaining units. While some demands are not met, halves it, so
+    /// that units granted beyond demand are returned soon.
+    fn adjust_headroom(&mut self, remaining: Option<u64>) {
         let Bounds::Rate { burst, .. } = self.config.bounds else { return };
         let max_headroom = (RATE_UNITS as f64 / burst * MAX_HEADROOM_REQUESTS) as u64;
         let headroom = self.coordination.headroom;
-        self.coordination.headroom = match left_over {
+        self.coordination.headroom = match remaining {
             None => headroom / 2,
-            Some(left_over) => {
+            Some(remaining) => {
                 let routers = self.lent.len() as u64 + 1;
-                (headroom + left_over / (2 * routers)).min(max_headroom)
+                (headroom + remaining / (2 * routers)).min(max_headroom)
             }
         };
     }
 
-    /// Receives a report from a router that takes this one for the coordinator.
-    pub fn receive_report(&mut self, now: Time, from: NodeId, report: &QuotaReport) -> Option<QuotaReply> {
+    /// Handles a report from a peer that considers this router the coordinator. Returns the response, or
+    /// `None` if the report is outdated.
+    pub fn receive_report(&mut self, now: Time, from: NodeId, report: &QuotaReport) -> Option<QuotaResponse> {
         let first_number = self.config.first_loan_number;
         let deposit = self.borrowed.entry(from).or_insert_with(|| Borrowing::numbered_from(first_number));
         if let Some(offer) = report.surplus {
@@ -120,7 +122,7 @@
             RequestReceipt::Duplicate(units) => units,
             RequestReceipt::New => self.grant(now, from, report.demand),
         };
-        Some(QuotaReply {
+        Some(QuotaResponse {
             key: self.config.key,
             number: report.request.number,
             granted,
@@ -129,7 +131,7 @@
         })
     }
 
-    /// Grants a peer its allotment, as far as there are units.
+    /// Grants a peer its allotment, as far as units are available.
     fn grant(&mut self, now: Time, peer: NodeId, demand: u64) -> u64 {
         self.coordination.record_demand(now, peer, demand);
         let allotted = self.allot(now, demand).units;
@@ -142,8 +144,8 @@
         units
     }
 
-    /// Requests a new deposit from a peer. What is not lent on of a deposit that has become smaller goes
-    /// back.
+    /// Requests a new deposit from a peer. Units held beyond the peer's latest deposit are returned as far as
+    /// they are not in use.
     fn request_deposit(&mut self, now: Time, peer: NodeId) -> LoanRequest {
         let free = self.ledger.minimum(now, now.plus(self.config.timing.grant)).max(0) as u64;
         let first_number = self.config.first_loan_number;
@@ -153,13 +155,13 @@
         deposit.request(now, units - excess.min(free), &mut self.ledger)
     }
 
-    /// The units of leased quotas that this router needs itself.
+    /// Returns the units of leased quotas that this router uses for its own demand.
     fn own_leased_use(&self, now: Time) -> u64 {
         let demand = self.demand_units().saturating_sub(self.reserve(now));
         self.leases.active_units(now).min(demand)
     }
 
-    /// What a router with so much demand beyond its own units gets.
+    /// Returns the allotment of a router whose demand beyond its own units is `demand`.
     fn allot(&self, now: Time, demand: u64) -> Allotment {
         let until = now.plus(self.config.timing.lender_span(self.config.timing.grant));
         let lent: u64 = self.lent.values().map(|loan| loan.units_at(now)).sum();
--- a/crates/fleet/src/account/mod.rs
+++ b/crates/fleet/src/account/mod.rs
@@ -1,10 +1,11 @@
-//! The quota account: one limit at one router.
+//! The quota account: the state of one limit at one router.
 //!
-//! Units come from the leased quotas of nodes (this router's own, and those that it is steward of), from
-//! loans, and from a reserve of its own quota that never expires. All but the reserve can be lent. Each limit
-//! has a coordinator, found by rendezvous hashing over the alive routers: routers lend it their surplus, and
-//! it lends to those that have more demand than units. Who the coordinator is matters for how well units are
-//! used, never for how many there are: two routers that disagree on it are only served worse.
+//! Units come from leased quotas (the router's own, and those of unavailable routers whose successor it is),
+//! from loans, and from a reserve, a part of the router's own quota that never expires. All units but the
+//! reserve can be lent. Each limit has a coordinator, chosen by rendezvous hashing over the alive routers.
+//! Routers lend their surplus to it, and it lends to routers whose demand exceeds their units. The choice of
+//! the coordinator affects only how well the units are used, not how many there are: routers that disagree on
+//! the coordinator may get fewer units than they could, but the limit holds.
 
 mod coordinator;
 mod demand;
@@ -26,30 +27,31 @@
 
 pub use loans::LoanReturn;
 
-/// Demand as a multiple of the request rate while the token bucket is empty.
+/// The demanded rate as a multiple of the request rate while the token bucket is empty.
 const DEMAND_FACTOR_EMPTY: f64 = 1.3;
-/// How much the multiple falls until the bucket is full: tokens that are there are used first.
+/// The amount by which the multiple is lower while the bucket is full, because the tokens in it are used
+/// first.
 const DEMAND_FACTOR_DROP: f64 = 0.6;
-/// Slots requested beyond those in use and those that were missing.
+/// Slots demanded beyond the peak number of slots in use or missing.
 const SPARE_SLOTS: u64 = 1;
-/// With less headroom than this many tokens, a low fill level counts as scarcity.
+/// The headroom, in tokens, below which a low fill level counts as scarcity.
 const SCARCE_HEADROOM_TOKENS: f64 = 0.5;
 
-/// How much of the limits on a request is open.
+/// The capacity that the limits on a request leave for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Availability {
-    /// The fill level of the token bucket that has least: zero if one has no token, one if nothing
-    /// limits the request.
+    /// The lowest fill level of the token buckets: zero if one has no token, one if no limit counts the
+    /// request.
     pub fraction: f64,
-    /// When there will be a token if the request is rejected, from now.
+    /// The time, from now, after which the request may be retried if it is rejected.
     pub retry_after: Time,
 }
 
 impl Availability {
-    /// Of requests that no limit counts.
+    /// The availability for a request that no limit counts.
     pub const UNLIMITED: Availability = Availability { fraction: 1.0, retry_after: Time(0) };
 
-    /// Of a request that two limits count.
+    /// Returns the availability for a request that both limits count.
     pub fn and(self, other: Availability) -> Availability {
         Availability {
             fraction: self.fraction.min(other.fraction),
@@ -58,27 +60,28 @@
     }
 }
 
-/// What an account is opened with.
+/// The parameters of an account.
 #[derive(Clone, Copy, Debug)]
 pub struct AccountConfig {
-    /// What it is the account of.
+    /// The limit, and the member if the limit is counted at each member.
     pub key: LimitKey,
     /// The limit's bounds, over all routers.
     pub bounds: Bounds,
-    /// Units of its own quota that this router always keeps.
+    /// The reserve: units of its own quota that this router always keeps.
     pub reserved_units: u64,
-    /// From when on the reserve counts: before, what an earlier incarnation used of it may still be in use.
+    /// The time from which the reserve counts. Before it, units of the reserve may still be used by an
+    /// earlier incarnation.
     pub reserve_from: Time,
-    /// Whether one token at least is always in demand: nobody requests tokens of a budget before they are
-    /// there.
+    /// Whether there is always demand for at least one token. Budgets need it, because their tokens are
+    /// requested only once they are available.
     pub has_standing_demand: bool,
-    /// The number from which requests for loans count.
+    /// The number below that of the first loan request.
     pub first_loan_number: u32,
     /// How long loans are valid.
     pub timing: Timing,
 }
 
-/// One limit at one router.
+/// The state of one limit at one router.
 #[derive(Clone, Debug)]
 pub struct QuotaAccount {
     config: AccountConfig,
@@ -86,7 +89,7 @@
     leases: LeasedQuotas,
     borrowed: BTreeMap<NodeId, Borrowing>,
     lent: BTreeMap<NodeId, Lending>,
-    /// The coordinator's request that the next report answers.
+    /// The coordinator's deposit request, which the next report answers.
     deposit_request: Option<DepositRequest>,
     coordination: Coordination,
     demand: Demand,
@@ -104,22 +107,23 @@
     number: u32,
 }
 
-/// The figures of an account in the status output. Those without a unit are in units of the limit.
+/// The statistics of an account in the status output. Numbers are in units of the limit unless stated
+/// otherwise.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AccountStats {
-    /// The limit over all routers.
+    /// The units over all routers.
     pub total: u64,
-    /// Reserved for this router.
+    /// Units reserved for this router.
     pub reserved: u64,
-    /// From leased quotas.
+    /// Units of leased quotas.
     pub leased: u64,
-    /// Borrowed from other routers.
+    /// Units borrowed from other routers.
     pub borrowed: u64,
-    /// Lent to other routers.
+    /// Units lent to other routers.
     pub lent: u64,
-    /// Usable by this router now.
+    /// Units that this router can use now.
     pub usable: u64,
-    /// This router's demand.
+    /// The demand of this router.
     pub demand: u64,
     /// Slots in use.
     pub in_use: u64,
@@ -127,12 +131,12 @@
     pub admitted: u64,
     /// Requests rejected, or slots missing, since the start.
     pub rejected: u64,
-    /// When units expire or come back next.
+    /// The next time at which units expire or come back.
     pub next_expiry: Option<Time>,
 }
 
 impl QuotaAccount {
-    /// An account that has nothing but its reserve.
+    /// Creates an account without any units but its reserve.
     pub fn new(now: Time, config: AccountConfig) -> QuotaAccount {
         let tokens = match config.bounds {
             Bounds::Rate { per_s, burst } => Some(TokenBucket::new(now, per_s, burst)),
@@ -155,7 +159,7 @@
         }
     }
 
-    /// The reserved units that count at a time.
+    /// Returns the reserved units that count at a time.
     fn reserve(&self, now: Time) -> u64 {
         if now >= self.config.reserve_from {
             self.config.reserved_units
@@ -164,7 +168,8 @@
         }
     }
 
-    /// Brings the account up to `now`. Must be called before anything else is done at a time.
+    /// Settles the account at `now`: refills tokens and removes expired loans and slots. Must be called
+    /// before any other method at a given time.
     pub fn settle(&mut self, now: Time) {
         let reserve = self.reserve(now);
         if let Some(tokens) = &mut self.tokens {
@@ -180,32 +185,32 @@
         self.ledger.discard_expired(now);
     }
 
-    /// Adds a node's leased quota, or replaces it.
+    /// Adds the leased quota of `owner`, or replaces it.
     pub fn add_lease(&mut self, owner: NodeId, units: u64, until: Time) {
         self.leases.add(owner, units, until, &mut self.ledger);
     }
 
-    /// The units of a node's quota that is leased, or was.
+    /// Returns the units of the quota of `owner` if it is leased, or was leased and has not been released.
     pub fn leased_units(&self, owner: NodeId) -> Option<u64> {
         self.leases.units_of(owner)
     }
 
-    /// Marks a node's quota as one that is to be released, or to be used again.
+    /// Sets whether the quota of `owner` is to be released.
     pub fn set_releasing(&mut self, owner: NodeId, releasing: bool) {
         self.leases.set_releasing(owner, releasing);
     }
 
-    /// Whether a node's quota can be released now: nothing that is lent or in use relies on it.
+    /// Returns whether the quota of `owner` can be released now: no loan and no slot in use depends on it.
     pub fn can_release(&self, now: Time, owner: NodeId) -> bool {
         self.leases.can_release(now, owner, &self.ledger)
     }
 
-    /// Releases a node's quota.
+    /// Releases the quota of `owner`.
     pub fn release_lease(&mut self, owner: NodeId) {
         self.leases.release(owner, &mut self.ledger);
     }
 
-    /// Units of the ledger that this router may use now.
+    /// Returns the units of the ledger that this router may use now.
     fn usable_ledger_units(&self, now: Time) -> i64 {
         let units = self.ledger.current(now);
         match self.coordination.own_cap {
@@ -214,16 +219,16 @@
         }
     }
 
-    /// The units that can be used now.
+    /// Returns the units that can be used now.
     pub fn usable_units(&self, now: Time) -> u64 {
         (self.reserve(now) as i64 + self.ledger.current(now)).max(0) as u64
     }
 
-    /// What is open for a request that arrives now. It counts as demand.
+    /// Returns the availability for a request that arrives now, and records the request as demand.
     pub fn availability(&mut self, now: Time) -> Availability {
         self.demand.record_request();
         let Some(tokens) = &self.tokens else { return Availability::UNLIMITED };
-        // While all routers get what they want and more, few tokens are no sign of scarcity.
+        // While all routers get more than their demand, a low fill level is no sign of scarcity.
         let is_scarce = tokens.capacity_of(self.coordination.headroom) < SCARCE_HEADROOM_TOKENS;
         let level = tokens.admission_level();
         let fraction = if level > 0.0 && !is_scarce { 1.0 } else { level };
@@ -231,17 +236,17 @@
         Availability { fraction, retry_after }
     }
 
-    /// Records demand for a token that was not there.
+    /// Records demand for a token when none was available.
     pub fn record_missing_token(&mut self) {
         self.demand.record_request();
     }
 
-    /// The tokens that can be spent now.
+    /// Returns the number of tokens that can be spent now.
     pub fn tokens_left(&self) -> u32 {
         self.tokens.as_ref().map_or(u32::MAX, TokenBucket::available)
     }
 
-    /// Records demand for a token and spends it if it is there. Returns whether it is.
+    /// Records demand for a token, and spends one if available. Returns whether it was.
     pub fn take_token(&mut self, now: Time) -> bool {
         let is_available = self.availability(now).fraction > 0.0;
         if is_available {
@@ -258,7 +263,7 @@
         }
     }
 
-    /// Spends a token on a request that is admitted.
+    /// Spends a token for a request that is admitted.
     pub fn spend(&mut self) {
         self.admitted += 1;
         if let Some(tokens) = &mut self.tokens {
@@ -266,13 +271,13 @@
         }
     }
 
-    /// The slots that can be occupied now for a span.
+    /// Returns the number of slots that can be occupied now, each for at most `span`.
     pub fn free_slots(&self, now: Time, span: Time) -> u64 {
         let reserve = self.reserve(now) as i64 - self.leases.releasing_units(now) as i64;
         (reserve + self.ledger.minimum(now, now.plus(span))).max(0) as u64
     }
 
-    /// Occupies a slot, until a time at the latest.
+    /// Occupies the slot `number` until `until` at the latest.
     pub fn occupy_slot(&mut self, number: u64, until: Time) {
         self.admitted += 1;
         self.slots.occupy(number, until, &mut self.ledger);
@@ -284,13 +289,13 @@
         self.slots.release(number, &mut self.ledger);
     }
 
-    /// Records demand for a slot that was not there.
+    /// Records demand for a slot when none was free.
     pub fn record_missing_slot(&mut self) {
         self.rejected += 1;
         self.demand.record_missing_slot(self.slots.count());
     }
 
-    /// The units that this router wants in all, its reserve among them.
+    /// Returns the demand of this router in units, including its reserve.
     pub fn demand_units(&self) -> u64 {
         match self.config.bounds {
             Bounds::Rate { per_s, burst } => self.rate_demand(per_s, burst),
@@ -301,16 +306,16 @@
     fn rate_demand(&self, per_s: f64, burst: f64) -> u64 {
         let fill_level = self.tokens.as_ref().map_or(0.0, TokenBucket::fill_level);
         let request_rate = self.demand.request_rate(fill_level);
-        let is_quiet = request_rate < MIN_RATE_PER_S;
-        if is_quiet && !self.config.has_standing_demand {
+        let is_idle = request_rate < MIN_RATE_PER_S;
+        if is_idle && !self.config.has_standing_demand {
             return 0;
         }
-        let headroom = if is_quiet { 0 } else { self.coordination.headroom };
-        let wanted_rate = request_rate * (DEMAND_FACTOR_EMPTY - DEMAND_FACTOR_DROP * fill_level);
-        let wanted_units = (wanted_rate / per_s * RATE_UNITS as f64) as u64;
-        // Fewer units than one request of the burst are of no use.
-        let least_units = (RATE_UNITS as f64 / burst).ceil() as u64;
-        (wanted_units.max(least_units) + headroom).min(RATE_UNITS)
+        let headroom = if is_idle { 0 } else { self.coordination.headroom };
+        let demanded_rate = request_rate * (DEMAND_FACTOR_EMPTY - DEMAND_FACTOR_DROP * fill_level);
+        let demanded_units = (demanded_rate / per_s * RATE_UNITS as f64) as u64;
+        // Units for less than one request of the burst are of no use.
+        let min_units = (RATE_UNITS as f64 / burst).ceil() as u64;
+        (demanded_units.max(min_units) + headroom).min(RATE_UNITS)
     }
 
     fn slot_demand(&self, total_slots: u64) -> u64 {
@@ -320,15 +325,15 @@
         }
     }
 
-    /// Forgets a router that has restarted or left the roster. What was lent to it expires in the ledger; its
-    /// new incarnation numbers its requests anew.
+    /// Removes the state of a peer that has restarted or is no longer on the roster. Units lent to it stay
+    /// deducted from the ledger until they expire; its new incarnation starts numbering its requests again.
     pub fn forget_peer(&mut self, peer: NodeId) {
         self.lent.remove(&peer);
         self.coordination.forget_peer(peer);
         self.deposit_request = self.deposit_request.filter(|request| request.coordinator != peer);
     }
 
-    /// The figures for the status output.
+    /// Returns the statistics for the status output.
     pub fn stats(&self, now: Time) -> AccountStats {
         AccountStats {
             total: self.config.bounds.units(),
@@ -345,7 +350,7 @@
         }
     }
 
-    /// Whether nothing is lent, borrowed, in use or in demand.
+    /// Returns whether nothing is lent, borrowed, in use or in demand.
     pub fn is_idle(&self, now: Time) -> bool {
         let nothing_lent = self.lent.values().all(|loan| loan.units_at(now) == 0);
         let nothing_borrowed = self.borrowed.values().all(|loan| loan.units_at(now) == 0);
--- a/crates/fleet/src/codec.rs
+++ b/crates/fleet/src/codec.rs
@@ -1,14 +1,14 @@
-//! Encodes and authenticates datagrams by a key that the routers of an installation have in common.
+//! Encodes and authenticates datagrams with keys that all routers of an installation share.
 //!
-//! A datagram is the version (1 byte), the key's number (1 byte), 16 bytes of HMAC-SHA-256 over those two and
-//! the body, then the body as postcard writes it. The body is authenticated, not encrypted.
+//! A datagram consists of the version (1 byte), the key's number (1 byte), 16 bytes of HMAC-SHA-256 over
+//! these two and the body, and the body as encoded by postcard. The body is authenticated, not encrypted.
 
 use crate::packet::{Payload, MAX_DATAGRAM, VERSION};
 use basalthill_session::token::KeyRing;
 
-/// Bytes before the authentication code: the version and the key's number.
+/// The length of the header before the authentication code: the version and the key's number.
 const HEADER_LEN: usize = 2;
-/// Bytes of the authentication code: HMAC-SHA-256, truncated.
+/// The length of the authentication code: HMAC-SHA-256, truncated.
 const MAC_LEN: usize = 16;
 
 /// Encodes and decodes datagrams.
@@ -20,31 +20,31 @@
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum DropReason {
-    /// It is too short, too long, or can't be decoded.
+    /// The datagram is too short or too long, or can't be decoded.
     #[error("the datagram is malformed")]
     Malformed,
-    /// It is of another version of the format.
+    /// The version of the format is not [`VERSION`].
     #[error("the datagram is of another version")]
     UnsupportedVersion,
-    /// It is signed by a key that is not in force.
+    /// It is signed by a key that is not configured.
     #[error("the datagram is signed by an unknown key")]
     UnknownKey,
     /// Its authentication code is wrong.
     #[error("the datagram's authentication code is wrong")]
     Forged,
-    /// It is from a router that is not on the roster, or addressed to another router.
+    /// The sender is not on the roster, or the packet is addressed to another router.
     #[error("the packet is from an unknown peer or for another router")]
     UnknownPeer,
-    /// It is from an earlier incarnation of its sender, or addressed to one of this router.
+    /// The packet is from an earlier incarnation of its sender, or addressed to one of this router.
     #[error("the packet is from or for another incarnation")]
     OtherIncarnation,
-    /// It has been received before, or is too old to tell.
+    /// The packet has been received before, or its sequence number is too old to check.
     #[error("the packet is a replay")]
     Replayed,
 }
 
 impl DropReason {
-    /// The name of the reason in the status output.
+    /// Returns the name of the reason in the status output.
     pub fn label(self) -> &'static str {
         match self {
             DropReason::Malformed => "malformed",
@@ -59,7 +59,7 @@
 }
 
 impl DatagramCodec {
-    /// A codec with these keys. Their `max_age` is for tokens and has no meaning here.
+    /// Creates a codec with these keys. Their `max_age` is for session tokens and is ignored here.
     pub fn new(keys: KeyRing) -> DatagramCodec {
         DatagramCodec { keys }
     }
@@ -72,11 +72,11 @@
         [&header[..], &mac[..MAC_LEN], &body].concat()
     }
 
-    /// Checks and decodes a datagram. The checks that cost least come first.
+    /// Verifies and decodes a datagram. The cheapest checks are made first.
     ///
     /// # Errors
     ///
-    /// Why the datagram is to be dropped.
+    /// Returns the reason why the datagram is to be dropped.
     pub fn decode(&self, datagram: &[u8]) -> Result<Payload, DropReason> {
         if datagram.len() <= HEADER_LEN + MAC_LEN || datagram.len() > MAX_DATAGRAM {
             return Err(DropReason::Malformed);
--- a/crates/fleet/src/codec/tests.rs
+++ b/crates/fleet/src/codec/tests.rs
@@ -15,7 +15,8 @@
 #[test]
 fn keys_rotate_one_by_one_without_dropped_datagrams() {
     let payload = Payload::Status(StatusMessage::Request { id: 1, page: 0, padding: vec![0; 9] });
-    // The old key, the new one known, the new one signing, the old one gone.
+    // The steps of a rotation: the old key alone, the new key added for verification, the new key signing,
+    // the old key removed.
     let steps = [codec(1, &[]), codec(1, &[2]), codec(2, &[1]), codec(2, &[])];
     for pair in steps.windows(2) {
         for (from, to) in [(&pair[0], &pair[1]), (&pair[1], &pair[0])] {
@@ -23,7 +24,7 @@
         }
     }
     assert_eq!(steps[3].decode(&steps[0].encode(&payload)), Err(DropReason::UnknownKey));
-    // A key of the same number with another secret.
+    // A signature by a key with the same number but another secret.
     let mut forged = steps[0].encode(&payload);
     forged[1] = 2;
     assert_eq!(steps[3].decode(&forged), Err(DropReason::Forged));
@@ -34,11 +35,11 @@
     let payload = Payload::Status(StatusMessage::Request { id: 7, page: 3, padding: vec![5; 30] });
     let codec = codec(1, &[]);
     let datagram = codec.encode(&payload);
-    for n in 0..datagram.len() {
+    for offset in 0..datagram.len() {
         let mut changed = datagram.clone();
-        changed[n] ^= 0x40;
-        assert!(codec.decode(&changed).is_err(), "byte {n}");
-        assert!(codec.decode(&datagram[..n]).is_err(), "cut at {n}");
+        changed[offset] ^= 0x40;
+        assert!(codec.decode(&changed).is_err(), "byte {offset} changed");
+        assert!(codec.decode(&datagram[..offset]).is_err(), "truncated to {offset} bytes");
     }
     assert!(codec.decode(&[&datagram[..], &[0]].concat()).is_err());
     assert_eq!(codec.decode(&vec![1; MAX_DATAGRAM + 1]), Err(DropReason::Malformed));
--- a/crates/fleet/src/fleet/accounts.rs
+++ b/crates/fleet/src/fleet/accounts.rs
@@ -1,4 +1,5 @@
-//! The quota accounts of a router: which there are, which leases they count, and who coordinates each limit.
+//! The quota accounts of a router: opening and closing them, applying leases to them, and the coordinator of
+//! each limit.
 
 use super::config::FleetConfig;
 use super::outbox::Outbox;
@@ -13,14 +14,15 @@
 use basalthill_policy::api::Time;
 use std::collections::BTreeMap;
 
-/// The most accounts of members that peers report on but this router does not know.
+/// The most accounts for members that peers report on but this router does not know.
 const MAX_UNKNOWN_MEMBER_ACCOUNTS: usize = 4096;
 
-/// Accounts that are opened later begin with larger request numbers, one more for each of these spans, in
-/// nanoseconds. An account sends one request a round, far fewer than that.
+/// Length of the time slices, in nanoseconds since the start, that the first loan request number of an
+/// account is derived from. An account that is closed and opened again thus begins with a larger number than
+/// it has used before: it sends one request per round, and a round is much longer than a slice.
 const REQUEST_NUMBER_SPAN_NS: u64 = 10_000_000;
 
-/// The coordinator of a limit while the membership is the same.
+/// The coordinator of a limit, valid while the membership version is the same.
 #[derive(Clone, Copy, Debug)]
 struct ElectedCoordinator {
     membership_version: u64,
@@ -33,14 +35,14 @@
     me: NodeId,
     started_at: Time,
     accounts: BTreeMap<LimitKey, QuotaAccount>,
-    /// Accounts that were opened by a change of the settings count no leases before these times.
+    /// Accounts that were affected by a change of the settings count no leases before these times.
     leases_from: BTreeMap<LimitKey, Time>,
     members: Vec<String>,
     coordinators: BTreeMap<LimitKey, ElectedCoordinator>,
 }
 
 impl AccountTable {
-    /// No accounts, at a router that starts at `now`.
+    /// Creates an empty table for a router that starts at `now`.
     pub fn new(now: Time, me: NodeId) -> AccountTable {
         AccountTable {
             me,
@@ -52,35 +54,36 @@
         }
     }
 
-    /// The accounts by key.
+    /// Returns the accounts by key.
     pub fn iter(&self) -> impl Iterator<Item = (&LimitKey, &QuotaAccount)> {
         self.accounts.iter()
     }
 
-    /// All accounts.
+    /// Returns all accounts.
     pub fn all_mut(&mut self) -> impl Iterator<Item = &mut QuotaAccount> {
         self.accounts.values_mut()
     }
 
-    /// The account of a key.
+    /// Returns the account of a key.
     pub fn get(&self, key: LimitKey) -> Option<&QuotaAccount> {
         self.accounts.get(&key)
     }
 
-    /// The account of a key, to be changed without regard to the time.
+    /// Returns the account of a key, without settling it.
     pub fn get_mut(&mut self, key: LimitKey) -> Option<&mut QuotaAccount> {
         self.accounts.get_mut(&key)
     }
 
-    /// The account of a key, settled.
+    /// Returns the account of a key, settled.
     pub fn settled(&mut self, now: Time, key: LimitKey) -> Option<&mut QuotaAccount> {
         let account = self.accounts.get_mut(&key)?;
         account.settle(now);
         Some(account)
     }
 
-    /// The account of a key, settled. One of a member that this router does not know is opened if there is
-    /// such a limit.
+    /// Returns the account of a key, settled. If there is no account because this router does not know the
+    /// member, one is opened, provided that the key belongs to a limit at each member and
+    /// `MAX_UNKNOWN_MEMBER_ACCOUNTS` is not exceeded.
     pub fn settled_or_open(
         &mut self,
         now: Time,
@@ -101,7 +104,8 @@
         self.settled(now, key)
     }
 
-    /// A new account of a limit. Slots that an earlier incarnation occupied are free from `slots_free_at` on.
+    /// Creates an account of a limit. Slots that an earlier incarnation may have occupied are free from
+    /// `slots_free_at` on.
     fn new_account(
         &self,
         now: Time,
@@ -111,7 +115,8 @@
         slots_free_at: Time,
     ) -> QuotaAccount {
         let is_rate = matches!(limit.bounds, Bounds::Rate { .. });
-        // Tokens are spent at once: their reserve counts at once, and loans of them need not outlast any use.
+        // Tokens are spent at once, so a rate's reserve is usable immediately, and loans of it do not have to
+        // outlast any use.
         let reserve_from = if is_rate { now } else { slots_free_at };
         let timing = if is_rate {
             Timing { lease: config.timing.lease, ..Timing::new(config.timing.drift, Time(0)) }
@@ -130,26 +135,27 @@
         QuotaAccount::new(now, account)
     }
 
-    /// The names of the members that limits are counted at.
+    /// Returns the names of the members that limits are counted at.
     pub fn members(&self) -> &[String] {
         &self.members
     }
 
-    /// Takes another list of members. Returns whether it differs from the one before.
+    /// Replaces the list of members. Returns whether it has changed.
     pub fn set_members(&mut self, members: Vec<String>) -> bool {
-        let differs = members != self.members;
+        let has_changed = members != self.members;
         self.members = members;
-        differs
+        has_changed
     }
 
-    /// Opens the accounts of all limits and members that have none.
+    /// Opens an account for each limit and member that has none.
     pub fn open_missing(&mut self, now: Time, config: &FleetConfig) {
         for limit in &config.limits {
             for key in FleetConfig::keys_of(limit, &self.members) {
                 if self.accounts.contains_key(&key) {
                     continue;
                 }
-                // At a start, and after a change, slots that were occupied before may still be.
+                // At the start of the process and after a change of the settings, slots that were occupied
+                // before may still be in use.
                 let may_be_in_use = self.started_at == now || self.leases_from.contains_key(&key);
                 let slots_free_at = if may_be_in_use { now.plus(config.max_use) } else { now };
                 let account = self.new_account(now, config, limit, key, slots_free_at);
@@ -158,7 +164,8 @@
         }
     }
 
-    /// Closes the accounts of members that are gone once nothing relies on them.
+    /// Closes the accounts of members that are no longer listed, once nothing is lent, borrowed, in use or in
+    /// demand under them.
     pub fn close_unlisted(&mut self, now: Time, config: &FleetConfig) {
         let by_member = config.limits.iter().filter(|limit| limit.subject == Subject::EachMember);
         let listed: Vec<LimitKey> =
@@ -166,8 +173,9 @@
         self.accounts.retain(|key, account| key.member == 0 || listed.contains(key) || !account.is_idle(now));
     }
 
-    /// Closes the accounts that a change of the settings affects. They may be opened anew, but count no
-    /// leases before `leases_from`: until then, units under the old settings may be lent out.
+    /// Closes the accounts that a change of the settings affects. If such an account is opened again, it
+    /// counts no leases before `leases_from`, because until then units may be lent out under the old
+    /// settings.
     pub fn close_changed(&mut self, old: &FleetConfig, new: &FleetConfig, leases_from: Time) {
         let same_roster = old.roster.digest() == new.roster.digest();
         let same_timing = old.timing == new.timing;
@@ -182,12 +190,12 @@
         }
     }
 
-    /// From when on an account counts leases, if that is still to come.
+    /// Returns the time before which an account counts no leases, if that time has not passed.
     pub fn leases_from(&self, key: LimitKey) -> Option<Time> {
         self.leases_from.get(&key).copied()
     }
 
-    /// Has every account count the quotas that this router has leases on.
+    /// Adds the quotas on which this router has a lease to every account.
     pub fn apply_leases(
         &mut self,
         now: Time,
@@ -210,7 +218,8 @@
         }
     }
 
-    /// Runs a round of every account: reports go to the coordinators, and loans that are not needed go back.
+    /// Runs a round of every account: sends reports to the coordinators, and returns loans that are not
+    /// needed.
     pub fn run_round(&mut self, now: Time, swim: &Swim, membership_version: u64, outbox: &mut Outbox) {
         let me = self.me;
         self.coordinators.retain(|key, _| self.accounts.contains_key(key));
--- a/crates/fleet/src/fleet/admission.rs
+++ b/crates/fleet/src/fleet/admission.rs
@@ -1,4 +1,4 @@
-//! What the router queries before it admits work, and what it reports of it.
+//! The interface for admission control: what is available under the limits, and what has been used of it.
 
 use super::Fleet;
 use crate::account::{AccountStats, Availability};
@@ -6,7 +6,8 @@
 use basalthill_policy::api::Time;
 
 impl Fleet {
-    /// What is open for a request that these limits count: of the limit that has least. It counts as demand.
+    /// Returns the availability for a request that these limits count: that of the scarcest limit. Records
+    /// the request as demand.
     pub fn availability(&mut self, now: Time, keys: &[LimitKey]) -> Availability {
         let mut availability = Availability::UNLIMITED;
         for key in keys {
@@ -17,7 +18,7 @@
         availability
     }
 
-    /// Spends a token of each limit on a request that is admitted.
+    /// Spends a token of each limit for a request that is admitted.
     pub fn spend(&mut self, keys: &[LimitKey]) {
         for key in keys {
             if let Some(account) = self.accounts.get_mut(*key) {
@@ -26,7 +27,7 @@
         }
     }
 
-    /// Records that a request is rejected: the next one is given a later time to retry.
+    /// Records that a request is rejected, so that the next one is given a later time to retry.
     pub fn record_rejection(&mut self, keys: &[LimitKey]) {
         for key in keys {
             if let Some(account) = self.accounts.get_mut(*key) {
@@ -35,37 +36,37 @@
         }
     }
 
-    /// The key of a budget, if there is a limit on it.
+    /// Returns the key of a budget, or `None` if it is not limited.
     pub fn budget_key(&self, budget: Budget) -> Option<LimitKey> {
         let limit = self.config.limits.iter().find(|limit| limit.subject == Subject::Budget(budget))?;
         Some(LimitKey::global(&limit.name))
     }
 
-    /// The tokens of a budget that can be spent now; none if it has no account.
+    /// Returns the number of tokens of a budget that can be spent now; zero if the budget has no account.
     pub fn tokens_left(&mut self, now: Time, key: LimitKey) -> u32 {
         self.accounts.settled(now, key).map_or(0, |account| account.tokens_left())
     }
 
-    /// Records demand for a token of a budget that is exhausted.
+    /// Records demand for a token of an exhausted budget.
     pub fn record_missing_token(&mut self, key: LimitKey) {
         if let Some(account) = self.accounts.get_mut(key) {
             account.record_missing_token();
         }
     }
 
-    /// Records demand for a token of a budget and spends it if it is there. Returns whether it is, or there
-    /// is no account for the budget.
+    /// Records demand for a token of a budget, and spends a token if one is available. Returns whether the
+    /// action is allowed: a token was available, or the budget has no account.
     pub fn take_token(&mut self, now: Time, key: LimitKey) -> bool {
         self.accounts.settled(now, key).is_none_or(|account| account.take_token(now))
     }
 
-    /// How many attempts more may be in flight under a key, each for a span at most; no bound if it has no
-    /// account.
+    /// Returns how many further attempts may be in flight under a key, each for at most `span`; `u64::MAX` if
+    /// the key has no account.
     pub fn free_slots(&mut self, now: Time, key: LimitKey, span: Time) -> u64 {
         self.accounts.settled(now, key).map_or(u64::MAX, |account| account.free_slots(now, span))
     }
 
-    /// Occupies a slot by an attempt, until a time at the latest. `number` tells attempts apart.
+    /// Occupies a slot for the attempt `number`, until `until` at the latest.
     pub fn occupy_slot(&mut self, now: Time, key: LimitKey, number: u64, until: Time) {
         if let Some(account) = self.accounts.settled(now, key) {
             account.occupy_slot(number, until);
@@ -79,14 +80,14 @@
         }
     }
 
-    /// Records demand for a slot that was not free.
+    /// Records demand for a slot when none was free.
     pub fn record_missing_slot(&mut self, key: LimitKey) {
         if let Some(account) = self.accounts.get_mut(key) {
             account.record_missing_slot();
         }
     }
 
-    /// The figures of an account.
+    /// Returns the statistics of an account for the status output.
     pub fn account_stats(&self, now: Time, key: LimitKey) -> Option<AccountStats> {
         self.accounts.get(key).map(|account| account.stats(now))
     }
--- a/crates/fleet/src/fleet/config.rs
+++ b/crates/fleet/src/fleet/config.rs
@@ -1,4 +1,4 @@
-//! What the settings say of a fleet.
+//! The configuration of a fleet.
 
 use crate::hash::mix_bits;
 use crate::limit::{Limit, LimitKey, Subject};
@@ -6,36 +6,38 @@
 use crate::timing::Timing;
 use basalthill_policy::api::Time;
 
-/// What the settings say of a fleet.
+/// The configuration of a fleet, as read from the settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetConfig {
-    /// The routers, this one among them.
+    /// The routers of the fleet, including this one.
     pub roster: Roster,
     /// The limits.
     pub limits: Vec<Limit>,
     /// How long leases and loans are valid.
     pub timing: Timing,
-    /// How long units may be in use at a time: what an earlier incarnation had in use may be so for this
-    /// long.
+    /// The longest time for which a unit is in use. After a restart, units of the earlier incarnation may
+    /// still be in use for this long.
     pub max_use: Time,
-    /// How long votes that an earlier incarnation granted may be valid, whatever its limits were.
+    /// The longest time for which votes granted by an earlier incarnation may be valid, whatever limits it
+    /// was configured with.
     pub vote_quarantine: Time,
 }
 
 impl FleetConfig {
-    /// A digest of the limits and of the times that routers must agree on.
+    /// Returns a digest of the limits and of the timing that all routers must agree on.
     pub(super) fn limits_digest(&self) -> u32 {
         let limits = self.limits.iter().map(Limit::digest);
         let times = [self.timing.drift.to_bits(), self.timing.lease.0];
         limits.chain(times).fold(0, |digest, part| mix_bits(digest ^ part)) as u32
     }
 
-    /// The limit that a key is of.
+    /// Returns the limit that a key belongs to.
     pub(super) fn limit_of(&self, key: LimitKey) -> Option<&Limit> {
         self.limits.iter().find(|limit| key.is_of(limit))
     }
 
-    /// The keys of a limit, where these are the members.
+    /// Returns the keys of a limit: one, or one for each of the members if the limit is counted at each
+    /// member.
     pub(super) fn keys_of(limit: &Limit, members: &[String]) -> Vec<LimitKey> {
         match limit.subject {
             Subject::EachMember => {
--- a/crates/fleet/src/fleet/links.rs
+++ b/crates/fleet/src/fleet/links.rs
@@ -1,25 +1,25 @@
-//! The links to the peers: sequence numbers, replay protection, and whether a peer has the same
-//! configuration.
+//! The state kept for each peer about the packets exchanged with it: sequence numbers, replay protection, and
+//! whether its configuration is the same as this router's.
 
 use crate::replay::ReplayWindow;
 use crate::roster::NodeId;
 use basalthill_policy::api::Time;
 use std::collections::BTreeMap;
 
-/// A peer whose packets name a wrong incarnation is corrected no more often than this.
+/// The shortest time between two corrections to a peer whose packets name a wrong incarnation.
 const CORRECTION_INTERVAL: Time = Time::ms(200);
 
-/// What of a peer's configuration differs from this router's.
+/// Which parts of a peer's configuration differ from this router's.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConfigMismatch {
-    /// The roster: neither votes nor units pass between the two.
+    /// The roster. No votes and no units are exchanged with the peer.
     pub roster: bool,
-    /// The limits: no units pass between the two.
+    /// The limits. No units are exchanged with the peer.
     pub limits: bool,
 }
 
 impl ConfigMismatch {
-    /// Whether anything differs.
+    /// Returns whether the roster or the limits differ.
     pub fn any(self) -> bool {
         self.roster || self.limits
     }
@@ -28,9 +28,9 @@
 /// The link to one peer.
 #[derive(Debug, Default)]
 struct PeerLink {
-    /// The sequence number of the last packet to the peer.
+    /// The sequence number of the last packet sent to the peer.
     last_sequence: u64,
-    /// The incarnation of the peer that `received` is of.
+    /// The incarnation of the peer whose packets are recorded in `received`.
     incarnation: u64,
     received: ReplayWindow,
     corrected_at: Option<Time>,
@@ -44,15 +44,15 @@
 }
 
 impl PeerLinks {
-    /// The sequence number for the next packet to a peer.
+    /// Returns the sequence number for the next packet to a peer.
     pub fn next_sequence(&mut self, to: NodeId) -> u64 {
         let link = self.links.entry(to).or_default();
         link.last_sequence += 1;
         link.last_sequence
     }
 
-    /// Records a packet of an incarnation of a peer. Returns whether it is the first with its sequence
-    /// number.
+    /// Records a packet from an incarnation of a peer. Returns whether no packet with its sequence number has
+    /// been recorded before.
     pub fn accept(&mut self, from: NodeId, incarnation: u64, sequence: u64) -> bool {
         let link = self.links.entry(from).or_default();
         if incarnation != link.incarnation {
@@ -62,7 +62,7 @@
         link.received.accept(sequence)
     }
 
-    /// Whether a peer may be sent a correction now; if so, the next one has to wait.
+    /// Returns whether a correction may be sent to a peer now, and if so, records that it is sent.
     pub fn may_correct(&mut self, now: Time, peer: NodeId) -> bool {
         let link = self.links.entry(peer).or_default();
         let is_due = link.corrected_at.is_none_or(|at| now.since(at) >= CORRECTION_INTERVAL);
@@ -72,18 +72,18 @@
         is_due
     }
 
-    /// Records what of a peer's configuration differs. Returns whether that has changed.
+    /// Records which parts of a peer's configuration differ. Returns whether this has changed.
     pub fn set_mismatch(&mut self, peer: NodeId, mismatch: ConfigMismatch) -> bool {
         let link = self.links.entry(peer).or_default();
         std::mem::replace(&mut link.mismatch, mismatch) != mismatch
     }
 
-    /// What of a peer's configuration differs, as of its last packet.
+    /// Returns which parts of a peer's configuration differ, as of its last packet.
     pub fn mismatch(&self, peer: NodeId) -> ConfigMismatch {
         self.links.get(&peer).map_or_else(ConfigMismatch::default, |link| link.mismatch)
     }
 
-    /// Forgets a peer that has left the roster.
+    /// Removes a peer that is no longer on the roster.
     pub fn remove(&mut self, peer: NodeId) {
         self.links.remove(&peer);
     }
--- a/crates/fleet/src/fleet/mod.rs
+++ b/crates/fleet/src/fleet/mod.rs
@@ -1,9 +1,9 @@
-//! One router's part in the fleet. Datagrams and ticks come in, datagrams and log lines go out, and limits
-//! report what is open.
+//! One router's part in the fleet. Its inputs are datagrams, ticks and queries of the limits; its outputs are
+//! datagrams and log lines.
 //!
-//! [`Fleet`] passes each input to what owns the state for it: `links` keeps the links to the peers,
-//! `quota_leases` the votes and claims, `accounts` the quota accounts, `outbox` the messages to be sent.
-//! Membership is [`crate::swim`]'s.
+//! [`Fleet`] dispatches each input to the module that owns the state: `links` has the sequence numbers of
+//! each peer, `quota_leases` the votes and claims, `accounts` the quota accounts, `outbox` the messages to be
+//! sent, and [`crate::swim`] the membership.
 
 mod accounts;
 mod admission;
@@ -32,7 +32,7 @@
 pub use config::FleetConfig;
 pub use counters::Counters;
 
-/// What is to be done after an input.
+/// What the caller has to do after an input.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Send a datagram.
@@ -46,8 +46,8 @@
     Log(String),
 }
 
-/// The first round of each router is put off by a part of a period, in so many steps: rounds of different
-/// routers fall at different times.
+/// The number of steps in a period to which the first round of a router can be offset, so that the rounds of
+/// different routers do not coincide.
 const ROUND_OFFSET_STEPS: u64 = 1000;
 
 /// One router's part in the fleet.
@@ -63,14 +63,15 @@
     links: PeerLinks,
     outbox: Outbox,
     next_round: Time,
-    /// Rises whenever a peer's state or the configuration changes. Until then coordinators and stewards stay.
+    /// Increases whenever a peer's state or the configuration changes. While it is the same, coordinators and
+    /// successors are not computed again.
     membership_version: u64,
     counters: Counters,
 }
 
 impl Fleet {
-    /// A router that has just started. Its incarnation must be later than its earlier ones: a Unix time will
-    /// do. The same seed gives the same choices at random.
+    /// Creates a router that has just started. Its incarnation must be larger than those of its earlier
+    /// starts; a Unix time is suitable. The seed determines all random choices.
     pub fn new(
         now: Time,
         name: &str,
@@ -102,27 +103,27 @@
         }
     }
 
-    /// The limits in force.
+    /// Returns the limits in force.
     pub fn limits(&self) -> &[Limit] {
         &self.config.limits
     }
 
-    /// Who is alive, as this router sees it.
+    /// Returns the membership as this router sees it.
     pub fn swim(&self) -> &Swim {
         &self.swim
     }
 
-    /// The counters of datagrams.
+    /// Returns the counters of datagrams.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Counts datagrams that were dropped before they were passed on to here.
+    /// Counts datagrams that the caller dropped before passing them on.
     pub fn count_dropped(&mut self, reason: DropReason, count: u64) {
         self.counters.count_dropped(reason, count);
     }
 
-    /// Takes the names of the members that limits are counted at.
+    /// Replaces the list of members that limits are counted at.
     pub fn set_members(&mut self, now: Time, members: Vec<String>) {
         if self.accounts.set_members(members) {
             self.accounts.open_missing(now, &self.config);
@@ -131,8 +132,8 @@
         }
     }
 
-    /// Takes other settings. What is lent out under the old settings expires before leases count under the
-    /// new ones.
+    /// Replaces the settings. Leases count under the new settings only after the units that were lent out
+    /// under the old ones have expired.
     pub fn reload(
         &mut self,
         now: Time,
@@ -162,7 +163,7 @@
         }
         self.accounts.close_changed(&old, &self.config, leases_from);
         effects.push(Effect::Log(format!(
-            "fleet: {} names, {} limits from now on; quotas that have changed count after {} ms",
+            "fleet: settings reloaded: {} routers, {} limits; changed quotas count after {} ms",
             self.config.roster.len(),
             self.config.limits.len(),
             leases_from.since(now).0 / 1_000_000
@@ -171,17 +172,17 @@
         self.apply_leases(now);
     }
 
-    /// Has every account count the quotas that this router has leases on.
+    /// Adds the quotas on which this router has a lease to every account.
     fn apply_leases(&mut self, now: Time) {
         self.accounts.apply_leases(now, &self.config, self.leases.valid(now));
     }
 
-    /// When [`Fleet::tick`] is due.
+    /// Returns when [`Fleet::tick`] is due.
     pub fn next_due(&self) -> Time {
         self.next_round.min(self.swim.next_due())
     }
 
-    /// Does what is due.
+    /// Runs the protocol steps that are due.
     pub fn tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
         if now >= self.swim.next_due() {
             let mut outputs = Vec::new();
@@ -191,13 +192,13 @@
         if now >= self.next_round {
             self.run_round(now, effects);
             let due = self.next_round.plus(self.config.timing.period);
-            // Rounds that were missed are not made up for.
+            // Missed rounds are skipped.
             self.next_round = if due > now { due } else { now.plus(self.config.timing.period) };
         }
         self.flush(effects);
     }
 
-    /// Runs a round: claims leases, and reports demand.
+    /// Runs a round: requests and releases leases, and reports demand to the coordinators.
     fn run_round(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let context = RoundContext {
             now,
@@ -211,7 +212,7 @@
         self.accounts.run_round(now, &self.swim, self.membership_version, &mut self.outbox);
     }
 
-    /// Shuts down: reports so to some peers and releases the leases on which nothing relies.
+    /// Shuts down: notifies some peers, and releases the leases that no loan and no unit in use depends on.
     pub fn leave(&mut self, now: Time, effects: &mut Vec<Effect>) {
         let mut outputs = Vec::new();
         self.swim.leave(&mut outputs);
@@ -221,7 +222,7 @@
         self.flush(effects);
     }
 
-    /// Sends the messages in the outbox, with gossip to peers whose incarnation is known.
+    /// Sends the messages in the outbox, with gossip added for peers whose incarnation is known.
     fn flush(&mut self, effects: &mut Vec<Effect>) {
         for (to, messages) in self.outbox.take() {
             let incarnation = self.swim.known_incarnation(to).unwrap_or(0);
@@ -237,7 +238,7 @@
         }
     }
 
-    /// Sends a packet to an incarnation of a peer; zero stands for one that is not known.
+    /// Sends a packet to an incarnation of a peer. Zero stands for an unknown incarnation.
     fn send(&mut self, to: NodeId, to_incarnation: u64, messages: Vec<Message>, effects: &mut Vec<Effect>) {
         let Some(peer) = self.config.roster.get(to) else { return };
         let packet = Packet {
@@ -255,7 +256,7 @@
         effects.push(Effect::Send { to: peer.addr, datagram });
     }
 
-    /// The response to an operator's request for the status, as a datagram; `None` to anything else.
+    /// Returns the datagram with the response to an operator's status request; `None` for any other message.
     pub fn status_response(&self, now: Time, request: &StatusMessage) -> Option<Vec<u8>> {
         let response = status::response(request, || self.status_lines(now))?;
         Some(self.codec.encode(&response))
--- a/crates/fleet/src/fleet/outbox.rs
+++ b/crates/fleet/src/fleet/outbox.rs
@@ -1,10 +1,10 @@
-//! Messages that wait to be sent, and how they are packed into packets.
+//! The queue of messages to be sent, and how they are packed into packets.
 
 use crate::packet::{encoded_len, Message, PAYLOAD_CAPACITY};
 use crate::roster::NodeId;
 use std::collections::BTreeMap;
 
-/// Messages that wait to be sent, by receiver.
+/// Messages to be sent, by receiver.
 #[derive(Debug, Default)]
 pub struct Outbox {
     queued: BTreeMap<NodeId, Vec<Message>>,
@@ -16,25 +16,25 @@
         self.queued.entry(to).or_default().push(message);
     }
 
-    /// Takes all messages, in the order of their receivers' ids.
+    /// Removes and returns all messages, in the order of their receivers' ids.
     pub fn take(&mut self) -> BTreeMap<NodeId, Vec<Message>> {
         std::mem::take(&mut self.queued)
     }
 }
 
-/// Messages for one receiver, packed into packets.
+/// Messages for one receiver, packed into packets of at most [`PAYLOAD_CAPACITY`] bytes.
 #[derive(Debug)]
 pub struct PackedMessages {
-    /// Packets that have no capacity for the message after them.
+    /// All packets but the last. Each had no capacity left for the message that follows it.
     pub full: Vec<Vec<Message>>,
     /// The last packet.
     pub last: Vec<Message>,
-    /// Bytes that are left in the last packet.
+    /// Bytes left in the last packet.
     last_capacity: usize,
 }
 
 impl PackedMessages {
-    /// Packs messages in their order.
+    /// Packs messages, in their order.
     pub fn pack(messages: Vec<Message>) -> PackedMessages {
         let mut packed =
             PackedMessages { full: Vec::new(), last: Vec::new(), last_capacity: PAYLOAD_CAPACITY };
@@ -50,7 +50,7 @@
         packed
     }
 
-    /// Adds a message to the last packet if there is capacity for it.
+    /// Adds a message to the last packet if the packet has capacity left for it; otherwise drops the message.
     pub fn push_if_fits(&mut self, message: Message) {
         if encoded_len(&message) <= self.last_capacity {
             self.last.push(message);
--- a/crates/fleet/src/fleet/quota_leases.rs
+++ b/crates/fleet/src/fleet/quota_leases.rs
@@ -1,5 +1,5 @@
-//! This router's part in the leases on quotas: its votes, its claim to its own quotas, and its claims as the
-//! steward of nodes that are gone.
+//! This router's part in the leases on quotas: the votes that it grants, its claim to its own quotas, and its
+//! claims as the successor of unavailable routers (see [`crate::lease`]).
 
 use super::accounts::AccountTable;
 use super::config::FleetConfig;
@@ -13,10 +13,10 @@
 use basalthill_policy::api::Time;
 use std::collections::BTreeMap;
 
-/// A lease that is valid is claimed again every so many rounds; one that is not, in each.
+/// Rounds between two requests to renew a valid lease. A lease that is not valid is requested in every round.
 const RENEWAL_ROUNDS: u64 = 3;
 
-/// What a round needs to know of the rest of the router.
+/// The state of other modules that a round depends on.
 pub struct RoundContext<'a> {
     /// The time.
     pub now: Time,
@@ -24,55 +24,58 @@
     pub started_at: Time,
     /// The configuration.
     pub config: &'a FleetConfig,
-    /// Who is alive.
+    /// The membership.
     pub swim: &'a Swim,
-    /// Rises whenever somebody's state changes.
+    /// Increases whenever a peer's state or the configuration changes.
     pub membership_version: u64,
 }
 
 impl RoundContext<'_> {
-    /// Whether peers that were never heard of count as gone: a lease's time has passed since the start.
-    fn unheard_are_gone(&self) -> bool {
+    /// Returns whether a peer from or about which nothing was ever received counts as unavailable: more than
+    /// a lease's span has passed since this router started.
+    fn unheard_are_unavailable(&self) -> bool {
         self.now.since(self.started_at) > self.config.timing.lease
     }
 
-    fn is_gone(&self, node: NodeId) -> bool {
-        self.swim.is_gone(node) || (self.unheard_are_gone() && self.swim.is_unheard(node))
+    fn is_unavailable(&self, node: NodeId) -> bool {
+        self.swim.is_dead_or_left(node) || (self.unheard_are_unavailable() && self.swim.is_unheard(node))
     }
 }
 
 /// A lease that has not expired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ValidLease {
-    /// The node whose quotas it is on.
+    /// The router that the leased quotas belong to.
     pub owner: NodeId,
     /// When it expires.
     pub expires_at: Time,
 }
 
-/// What the nodes that are gone were last looked for with.
+/// The inputs of the last search for unavailable routers. The search is repeated only when one of them
+/// changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct GoneScan {
+struct ClaimScan {
     membership_version: u64,
-    unheard_are_gone: bool,
+    unheard_are_unavailable: bool,
 }
 
-/// This router's votes and claims.
+/// The votes that this router has granted, and its claims to leases.
 #[derive(Debug)]
 pub struct QuotaLeases {
     me: NodeId,
     voter: Voter,
-    /// Whether this router is a voter for each node that it was requested to vote on.
+    /// Whether this router is a voter on the quotas of each owner that a vote was requested for.
     is_voter_for: BTreeMap<NodeId, bool>,
     claims: BTreeMap<NodeId, LeaseClaim>,
     rounds: u64,
-    /// The number of the latest vote request, over all claims of this incarnation.
+    /// The number of the latest vote request, counted over all claims of this incarnation.
     last_request: u32,
-    last_scan: Option<GoneScan>,
+    last_scan: Option<ClaimScan>,
 }
 
 impl QuotaLeases {
-    /// A router that starts at `now`: it claims its own quotas, and grants no vote for a while.
+    /// Creates the state of a router that starts at `now`: it claims its own quotas, and grants no vote
+    /// during the quarantine.
     pub fn new(now: Time, me: NodeId, config: &FleetConfig) -> QuotaLeases {
         let mut leases = QuotaLeases {
             me,
@@ -87,12 +90,12 @@
         leases
     }
 
-    /// The claims by the node whose quotas they are to.
+    /// Returns the claims, by the owner of the claimed quotas.
     pub fn claims(&self) -> impl Iterator<Item = (&NodeId, &LeaseClaim)> {
         self.claims.iter()
     }
 
-    /// The leases that are valid.
+    /// Returns the leases that are valid.
     pub fn valid(&self, now: Time) -> impl Iterator<Item = ValidLease> + '_ {
         let lease = |(owner, claim): (&NodeId, &LeaseClaim)| {
             let expires_at = claim.expires_at();
@@ -101,19 +104,20 @@
         self.claims.iter().map(lease).filter(move |lease| lease.expires_at > now)
     }
 
-    /// Starts again with a claim to this router's own quotas alone, after the roster has changed. Leases
-    /// under the old roster expire.
+    /// Replaces all claims by one to this router's own quotas, after the roster has changed. Leases under the
+    /// old roster expire.
     pub fn restart_claims(&mut self, roster: &Roster) {
         self.claims = BTreeMap::from([(self.me, LeaseClaim::new(roster.voters(self.me)))]);
     }
 
-    /// Forgets which nodes this router is a voter for: the roster may have changed.
+    /// Discards the cached answers to whether this router is a voter for an owner, because the roster may
+    /// have changed.
     pub fn forget_voters(&mut self) {
         self.is_voter_for.clear();
     }
 
-    /// Decides on a request for a vote on the quotas of `owner`. Returns the answer, if this router is a
-    /// voter.
+    /// Decides on a request for a vote on the quotas of `owner`. Returns the response, or `None` if this
+    /// router is not a voter on them.
     pub fn decide_vote(
         &mut self,
         now: Time,
@@ -139,8 +143,8 @@
         })
     }
 
-    /// Records a vote for this router's claim to the quotas of `owner`. If it extends the lease, returns when
-    /// the lease would have expired without it.
+    /// Records a vote for this router's claim to the quotas of `owner`. If the vote extends the lease,
+    /// returns the previous expiry of the lease.
     pub fn record_vote(&mut self, owner: NodeId, voter: NodeId, number: u32) -> Option<Time> {
         let claim = self.claims.get_mut(&owner)?;
         let previous_expiry = claim.expires_at();
@@ -148,13 +152,13 @@
         (claim.expires_at() > previous_expiry).then_some(previous_expiry)
     }
 
-    /// A router has released its lease on the quotas of `owner`.
+    /// Withdraws the vote of `candidate`, which has released its lease on the quotas of `owner`.
     pub fn receive_release(&mut self, owner: NodeId, candidate: NodeIncarnation, number: u32) {
         self.voter.release(owner, candidate, number);
     }
 
-    /// Runs a round: claims this router's own quotas and those of nodes that are gone where it is the
-    /// steward, and releases those of nodes that are back.
+    /// Runs a round: requests votes on this router's own quotas and on those of unavailable routers whose
+    /// successor it is, and releases the quotas of routers that are available again.
     pub fn run_round(
         &mut self,
         context: &RoundContext,
@@ -164,17 +168,17 @@
     ) {
         self.rounds += 1;
         self.voter.expire(context.now);
-        self.claim_for_gone_nodes(context);
-        self.release_for_returned_nodes(context, accounts, outbox, effects);
+        self.claim_for_unavailable_owners(context);
+        self.release_for_available_owners(context, accounts, outbox, effects);
         self.request_votes(context, accounts, outbox);
     }
 
-    /// Adds claims to the quotas of nodes that are gone and for which this router has the largest rendezvous
-    /// weight of the alive ones.
-    fn claim_for_gone_nodes(&mut self, context: &RoundContext) {
-        let scan = GoneScan {
+    /// Adds claims to the quotas of unavailable routers for which this router has the largest rendezvous
+    /// weight of all alive routers.
+    fn claim_for_unavailable_owners(&mut self, context: &RoundContext) {
+        let scan = ClaimScan {
             membership_version: context.membership_version,
-            unheard_are_gone: context.unheard_are_gone(),
+            unheard_are_unavailable: context.unheard_are_unavailable(),
         };
         if self.last_scan == Some(scan) {
             return;
@@ -182,48 +186,51 @@
         self.last_scan = Some(scan);
         let alive: Vec<NodeId> = context.swim.alive().collect();
         let roster = &context.config.roster;
-        for owner in roster.ids().filter(|id| *id != self.me && context.is_gone(*id)) {
-            let steward = rendezvous_winner(alive.iter().copied(), owner.0);
-            if steward == Some(self.me) {
+        for owner in roster.ids().filter(|id| *id != self.me && context.is_unavailable(*id)) {
+            let successor = rendezvous_winner(alive.iter().copied(), owner.0);
+            if successor == Some(self.me) {
                 self.claims.entry(owner).or_insert_with(|| LeaseClaim::new(roster.voters(owner)));
             }
         }
     }
 
-    /// Releases the quotas of nodes that are back, as soon as nothing relies on them.
-    fn release_for_returned_nodes(
+    /// Releases the quotas of routers that are available again, once no loan and no unit in use depends on
+    /// them.
+    fn release_for_available_owners(
         &mut self,
         context: &RoundContext,
         accounts: &mut AccountTable,
         outbox: &mut Outbox,
         effects: &mut Vec<Effect>,
     ) {
-        let is_back = |owner: &NodeId| *owner != self.me && !context.is_gone(*owner);
-        let returned: Vec<NodeId> = self.claims.keys().copied().filter(is_back).collect();
-        for owner in returned {
+        let is_available = |owner: &NodeId| *owner != self.me && !context.is_unavailable(*owner);
+        let available: Vec<NodeId> = self.claims.keys().copied().filter(is_available).collect();
+        for owner in available {
             accounts.all_mut().for_each(|account| account.set_releasing(owner, true));
             if self.release(context.now, owner, context.swim.incarnation(), accounts, outbox) {
                 let name = context.config.roster.name(owner);
-                effects.push(Effect::Log(format!("fleet: the share of {name} is given up")));
+                effects.push(Effect::Log(format!(
+                    "fleet: {name} is available again; released the lease on its quota"
+                )));
             }
         }
     }
 
-    /// Requests votes for each claim whose turn it is.
+    /// Requests votes for each claim whose lease is not valid or is due for renewal.
     fn request_votes(&mut self, context: &RoundContext, accounts: &mut AccountTable, outbox: &mut Outbox) {
         let now = context.now;
         let span = context.config.timing.lease;
         let candidate = NodeIncarnation { node: self.me, incarnation: context.swim.incarnation() };
         for (owner, claim) in &mut self.claims {
             let is_own = *owner == self.me;
-            if !is_own && !context.is_gone(*owner) {
+            if !is_own && !context.is_unavailable(*owner) {
                 continue;
             }
             if !is_own {
                 accounts.all_mut().for_each(|account| account.set_releasing(*owner, false));
             }
-            let is_turn = self.rounds % RENEWAL_ROUNDS == owner.0 % RENEWAL_ROUNDS;
-            if !is_turn && claim.expires_at() > now {
+            let is_renewal_due = self.rounds % RENEWAL_ROUNDS == owner.0 % RENEWAL_ROUNDS;
+            if !is_renewal_due && claim.expires_at() > now {
                 continue;
             }
             self.last_request += 1;
@@ -234,12 +241,15 @@
                 claim.record_vote(self.me, number);
             }
             for voter in claim.voters().iter().filter(|voter| **voter != self.me) {
-                outbox.push(*voter, Message::VoteRequest { owner: *owner, number, span_ms: millis(span) });
+                outbox.push(
+                    *voter,
+                    Message::VoteRequest { owner: *owner, number, span_ms: whole_millis(span) },
+                );
             }
         }
     }
 
-    /// Releases all leases on which nothing relies: this router shuts down.
+    /// Releases all leases that no loan and no unit in use depends on, because this router shuts down.
     pub fn release_all(
         &mut self,
         now: Time,
@@ -253,7 +263,8 @@
         }
     }
 
-    /// Releases a node's quotas if nothing relies on them. Returns whether they are released.
+    /// Releases the quotas of `owner` unless a loan or a unit in use depends on them. Returns whether they
+    /// were released.
     fn release(
         &mut self,
         now: Time,
@@ -278,7 +289,7 @@
     }
 }
 
-/// A span in milliseconds, rounded up.
-fn millis(span: Time) -> u32 {
+/// Returns a span in milliseconds, rounded up.
+fn whole_millis(span: Time) -> u32 {
     span.0.div_ceil(1_000_000) as u32
 }
--- a/crates/fleet/src/fleet/receive.rs
+++ b/crates/fleet/src/fleet/receive.rs
@@ -1,4 +1,4 @@
-//! What a router does with the datagrams that it receives.
+//! Handling of received datagrams.
 
 use super::links::ConfigMismatch;
 use super::{Effect, Fleet};
@@ -9,17 +9,17 @@
 use crate::swim::SwimOutput;
 use basalthill_policy::api::Time;
 
-/// The sender of a packet, as far as its messages depend on it.
+/// The sender of a packet, with what determines which of its messages are accepted.
 #[derive(Clone, Copy, Debug)]
 struct Sender {
     id: NodeIncarnation,
-    /// Whether it knows this router's incarnation.
-    knows_receiver: bool,
+    /// Whether the packet names this router's incarnation.
+    knows_receiver_incarnation: bool,
     mismatch: ConfigMismatch,
 }
 
 impl Fleet {
-    /// Receives a datagram.
+    /// Handles a received datagram. One that does not pass the checks is dropped and counted.
     pub fn receive_datagram(&mut self, now: Time, datagram: &[u8], effects: &mut Vec<Effect>) {
         match self.codec.decode(datagram) {
             Ok(Payload::Packet(packet)) => self.receive_packet(now, packet, effects),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Receives a packet whose signature has been checked.
+    /// Handles a packet whose signature has been verified.
     pub fn receive_packet(&mut self, now: Time, packet: Packet, effects: &mut Vec<Effect>) {
         match self.accept_packet(now, &packet, effects) {
             Ok(sender) => self.handle_messages(now, &sender, &packet.messages, effects),
@@ -37,8 +37,8 @@
         self.flush(effects);
     }
 
-    /// Checks whom a packet is from and for, and that it is no replay. A router that uses a wrong incarnation
-    /// is corrected.
+    /// Checks the sender, the receiver and the sequence number of a packet. A peer that uses an outdated
+    /// incarnation of itself or of this router is sent a correction.
     fn accept_packet(
         &mut self,
         now: Time,
@@ -51,13 +51,14 @@
         }
         let latest = self.swim.peer(from).map_or(0, |view| view.incarnation);
         if packet.incarnation < latest {
-            // From the peer itself, or a recorded packet. Only the peer can take the answer for its own.
+            // The packet comes from the peer itself or is a replay. The peer accepts the correction only if
+            // it is addressed to its current incarnation.
             self.correct(now, packet, Message::StaleIncarnation { latest }, effects);
             return Err(DropReason::OtherIncarnation);
         }
-        let knows_receiver = packet.to_incarnation != 0;
-        if knows_receiver && packet.to_incarnation != self.swim.incarnation() {
-            // Any packet tells the peer this router's incarnation.
+        let knows_receiver_incarnation = packet.to_incarnation != 0;
+        if knows_receiver_incarnation && packet.to_incarnation != self.swim.incarnation() {
+            // Every packet carries the sender's incarnation, so any message will do.
             self.correct(now, packet, Message::Ack { number: 0 }, effects);
             return Err(DropReason::OtherIncarnation);
         }
@@ -67,18 +68,18 @@
         self.counters.accepted += 1;
         let mismatch = self.compare_config(packet, effects);
         let id = NodeIncarnation { node: from, incarnation: packet.incarnation };
-        Ok(Sender { id, knows_receiver, mismatch })
+        Ok(Sender { id, knows_receiver_incarnation, mismatch })
     }
 
-    /// Answers a packet at once that names a wrong incarnation, unless its sender was answered so just
-    /// before.
+    /// Sends a correction to the sender of a packet that names a wrong incarnation, unless one was sent
+    /// within the last `CORRECTION_INTERVAL`.
     fn correct(&mut self, now: Time, packet: &Packet, message: Message, effects: &mut Vec<Effect>) {
         if self.links.may_correct(now, packet.from) {
             self.send(packet.from, packet.incarnation, vec![message], effects);
         }
     }
 
-    /// Compares a sender's configuration with this router's. A change is logged.
+    /// Compares a sender's configuration with this router's, and logs a change of the result.
     fn compare_config(&mut self, packet: &Packet, effects: &mut Vec<Effect>) -> ConfigMismatch {
         let mismatch = ConfigMismatch {
             roster: packet.roster_digest != self.config.roster.digest(),
@@ -87,10 +88,10 @@
         if self.links.set_mismatch(packet.from, mismatch) {
             let what = match mismatch {
                 ConfigMismatch { roster: true, .. } => {
-                    "has another list of names: neither votes nor units pass between us"
+                    "has a different list of routers: no votes or units are exchanged with it"
                 }
-                ConfigMismatch { limits: true, .. } => "has other limits: no units pass between us",
-                _ => "has the same names and limits",
+                ConfigMismatch { limits: true, .. } => "has different limits: no units are exchanged with it",
+                _ => "has the same list of routers and the same limits",
             };
             let name = self.config.roster.name(packet.from);
             effects.push(Effect::Log(format!("fleet: {name} {what}")));
@@ -110,22 +111,23 @@
         for message in messages {
             match message {
                 Message::Ping { .. } => self.swim.receive(now, sender.id.node, message, &mut outputs),
-                // A sender that does not know this incarnation may only ping it.
-                _ if !sender.knows_receiver => {}
+                // Of a sender that does not know this router's incarnation, only pings are accepted.
+                _ if !sender.knows_receiver_incarnation => {}
                 Message::Ack { .. }
                 | Message::PingRequest { .. }
                 | Message::IndirectAck { .. }
                 | Message::Gossip(_) => self.swim.receive(now, sender.id.node, message, &mut outputs),
                 Message::StaleIncarnation { latest } => {
-                    effects
-                        .push(Effect::Log(format!("fleet: a later life {latest} of this router is known")));
+                    effects.push(Effect::Log(format!(
+                        "fleet: a peer knows a later incarnation {latest} of this router; taking a newer one"
+                    )));
                     self.swim.supersede_incarnation(*latest);
                 }
                 Message::VoteRequest { .. }
                 | Message::VoteGranted { .. }
                 | Message::VoteDenied { .. }
                 | Message::LeaseReleased { .. } => self.handle_lease_message(now, sender, message, effects),
-                Message::QuotaReport(_) | Message::QuotaReply(_) | Message::LoanReturned { .. } => {
+                Message::QuotaReport(_) | Message::QuotaResponse(_) | Message::LoanReturned { .. } => {
                     self.handle_quota_message(now, sender, message);
                 }
             }
@@ -133,7 +135,7 @@
         self.apply_swim_outputs(now, outputs, effects);
     }
 
-    /// Votes and releases. They pass only between routers with the same roster.
+    /// Handles votes and releases. They are exchanged only between routers with the same roster.
     fn handle_lease_message(
         &mut self,
         now: Time,
@@ -148,8 +150,8 @@
             Message::VoteRequest { owner, number, span_ms } => {
                 let span = Time::ms(u64::from(*span_ms));
                 let request = VoteRequest { candidate: sender.id, number: *number, span };
-                if let Some(answer) = self.leases.decide_vote(now, &self.config, *owner, request) {
-                    self.outbox.push(sender.id.node, answer);
+                if let Some(response) = self.leases.decide_vote(now, &self.config, *owner, request) {
+                    self.outbox.push(sender.id.node, response);
                 }
             }
             Message::VoteGranted { owner, number } => {
@@ -169,13 +171,17 @@
 
     fn log_new_lease(&self, owner: NodeId, effects: &mut Vec<Effect>) {
         effects.push(Effect::Log(if owner == self.me {
-            "fleet: this router has the lease on its own quota, by the votes of a majority".into()
+            "fleet: a majority of the voters granted the lease on this router's own quota".into()
         } else {
-            format!("fleet: {} is gone; its share is held here", self.config.roster.name(owner))
+            format!(
+                "fleet: {} is unavailable; this router holds the lease on its quota",
+                self.config.roster.name(owner)
+            )
         }));
     }
 
-    /// Reports, replies and loans. They pass only between routers with the same configuration.
+    /// Handles reports, responses and loans. They are exchanged only between routers with the same roster and
+    /// limits.
     fn handle_quota_message(&mut self, now: Time, sender: &Sender, message: &Message) {
         if sender.mismatch.any() {
             return;
@@ -184,13 +190,13 @@
         match message {
             Message::QuotaReport(report) => {
                 let account = self.accounts.settled_or_open(now, &self.config, report.key);
-                if let Some(reply) = account.and_then(|a| a.receive_report(now, from, report)) {
-                    self.outbox.push(from, Message::QuotaReply(reply));
+                if let Some(response) = account.and_then(|a| a.receive_report(now, from, report)) {
+                    self.outbox.push(from, Message::QuotaResponse(response));
                 }
             }
-            Message::QuotaReply(reply) => {
-                if let Some(account) = self.accounts.settled_or_open(now, &self.config, reply.key) {
-                    account.receive_reply(now, from, reply);
+            Message::QuotaResponse(response) => {
+                if let Some(account) = self.accounts.settled_or_open(now, &self.config, response.key) {
+                    account.receive_response(now, from, response);
                 }
             }
             Message::LoanReturned { key, request } => {
@@ -202,7 +208,7 @@
         }
     }
 
-    /// Queues SWIM's messages, and takes note of peers whose state has changed.
+    /// Queues SWIM's messages, and logs and applies changes of peers' states.
     pub(super) fn apply_swim_outputs(
         &mut self,
         now: Time,
@@ -224,19 +230,19 @@
                     let what = describe_change(state, restarted);
                     let name = roster.name(node);
                     let reporter = roster.name(reporter);
-                    effects.push(Effect::Log(format!("fleet: {name} {what}, says {reporter}")));
+                    effects.push(Effect::Log(format!("fleet: {name} {what}, reported by {reporter}")));
                 }
             }
         }
     }
 }
 
-/// What the log says of a change of a peer's state.
+/// Returns the log text for a change of a peer's state.
 fn describe_change(state: PeerState, restarted: bool) -> &'static str {
     match state {
-        PeerState::Alive if restarted => "has started again",
+        PeerState::Alive if restarted => "has restarted",
         PeerState::Alive => "is alive",
-        PeerState::Suspect => "does not answer",
+        PeerState::Suspect => "is suspected: a ping was not acknowledged",
         PeerState::Dead => "is dead",
         PeerState::Left => "has left",
     }
--- a/crates/fleet/src/fleet/status_lines.rs
+++ b/crates/fleet/src/fleet/status_lines.rs
@@ -1,4 +1,4 @@
-//! The status of a router as lines of text, for `basalthill fleet`. `docs/operate/fleet.md` explains them.
+//! The status of a router as lines of text for `basalthill fleet`. `docs/operate/fleet.md` explains them.
 
 use super::links::ConfigMismatch;
 use super::Fleet;
@@ -10,7 +10,8 @@
 use basalthill_policy::api::Time;
 
 impl Fleet {
-    /// The status: peers, leases, limits, datagrams, and why something is withheld.
+    /// Returns the status lines: this router, its peers, leases, limits and datagrams, and the reasons why
+    /// votes or units are withheld.
     pub fn status_lines(&self, now: Time) -> Vec<String> {
         let mut lines = vec![self.router_line()];
         lines.extend(self.swim.peers().map(|(id, view)| self.member_line(now, id, view)));
@@ -44,7 +45,7 @@
             state_label(view.state),
             ago(view.since),
             self.config.roster.name(view.reporter),
-            view.heard_at.map_or("never".into(), ago),
+            view.last_received_at.map_or("never".into(), ago),
             view.incarnation
         )
     }
--- a/crates/fleet/src/hash/tests.rs
+++ b/crates/fleet/src/hash/tests.rs
@@ -1,4 +1,4 @@
-//! The values that routers of different builds must agree on.
+//! Fixed values of the hash functions. Routers of different builds must agree on them.
 
 use super::*;
 use crate::limit::LimitKey;
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -1,14 +1,14 @@
-//! Leases on quotas: which router may use the quotas of each node.
+//! Leases on quotas. Each quota belongs to a router, its owner; the lease determines which router may use it.
 //!
-//! A node's own router has the lease while a majority of the node's voters grant it. When that router is
-//! gone, another one takes the lease over by the same vote, as the node's steward.
+//! The owner holds the lease while a majority of the voters on its quotas grant it their votes. When the
+//! owner is unavailable, another router, its successor, acquires the lease by the same vote.
 //!
-//! A voter grants its vote for a span, and to no other router before that span is over by the voter's own
-//! clock. The claimant measures the span from when it sent its request. Two majorities have a voter in
-//! common, so no quota is leased twice. This is the argument of PaxosLease (Trencseni, Gazso, Reinhardt
-//! 2012). No disk is needed: a voter that has just started grants no vote until those of its earlier
-//! incarnation have expired. A router is known by its name and its incarnation: what an earlier incarnation
-//! had leased must expire, too.
+//! A voter grants its vote for a span, and to no other router until that span has passed by the voter's own
+//! clock. The claimant measures the span from the time at which it sent its request. Any two majorities have
+//! a voter in common, so a quota is never leased to two routers at a time. PaxosLease (Trencseni, Gazso,
+//! Reinhardt 2012) rests on the same argument. Voters need no persistent storage: one that has just started
+//! grants no vote until the votes of its earlier incarnation have expired. A candidate is identified by its
+//! name and its incarnation, because the leases of an earlier incarnation have to expire as well.
 
 use crate::roster::NodeId;
 use crate::timing::Timing;
@@ -32,28 +32,28 @@
     pub candidate: NodeIncarnation,
     /// The request's number.
     pub number: u32,
-    /// How long the vote is to be valid by the candidate's clock.
+    /// How long the vote is to be valid, by the candidate's clock.
     pub span: Time,
 }
 
 /// Why a vote is denied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum VoteDenied {
-    /// The request is for longer than [`MAX_LEASE`].
-    #[error("the span {0:?} is longer than the longest lease")]
+    /// The requested span is longer than [`MAX_LEASE`].
+    #[error("the requested span {0:?} exceeds the longest lease")]
     SpanTooLong(Time),
-    /// The voter has started too recently: votes of its earlier incarnation may still be valid.
-    #[error("votes of the voter's earlier incarnation may still be valid")]
+    /// The voter has just started: votes of its earlier incarnation may still be valid.
+    #[error("the voter has just started; votes of its earlier incarnation may still be valid")]
     Quarantined,
     /// Another router, or another incarnation of the same router, has the vote.
-    #[error("{0:?} has the vote")]
+    #[error("{0:?} holds the vote")]
     GrantedTo(NodeIncarnation),
 }
 
 /// The longest span that a vote is granted for.
 pub const MAX_LEASE: Time = Time::ms(120_000);
 
-/// The votes that this router has granted as a voter.
+/// The votes that this router has granted as a voter, by owner.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Voter {
     quarantined_until: Time,
@@ -66,13 +66,13 @@
     candidate: NodeIncarnation,
     /// When it expires, by the voter's clock.
     expires_at: Time,
-    /// The number of the latest request that it answers.
+    /// The number of the latest request that the vote was granted for.
     number: u32,
 }
 
 impl Voter {
-    /// A voter that has just started. It grants no vote for the span `quarantine`, after which all votes of
-    /// its earlier incarnation have expired.
+    /// Creates the state of a voter that has just started. It grants no vote for the span `quarantine`, after
+    /// which all votes of its earlier incarnation have expired.
     pub fn new(now: Time, quarantine: Time) -> Voter {
         Voter { quarantined_until: now.plus(quarantine), votes: BTreeMap::new() }
     }
@@ -101,7 +101,7 @@
             if vote.candidate != request.candidate {
                 return Err(VoteDenied::GrantedTo(vote.candidate));
             }
-            // A request that arrives late must not shorten what a newer one was answered with.
+            // A delayed request must not shorten a vote that was granted for a newer one.
             number = number.max(vote.number);
             expires_at = expires_at.max(vote.expires_at);
         }
@@ -109,8 +109,8 @@
         Ok(())
     }
 
-    /// A router has released its lease and uses no vote that answers its requests up to `number`. A release
-    /// that arrives after a newer request does not affect the vote that this request was answered with.
+    /// Withdraws the vote granted to `candidate`, which has released its lease and uses no vote granted for
+    /// its requests up to `number`. A vote that was granted for a later request remains.
     pub fn release(&mut self, owner: NodeId, candidate: NodeIncarnation, number: u32) {
         if self.votes.get(&owner).is_some_and(|vote| vote.candidate == candidate && vote.number <= number) {
             self.votes.remove(&owner);
@@ -123,36 +123,36 @@
     }
 }
 
-/// The rounds of requests whose votes are still accepted.
+/// The number of latest rounds for which votes are still accepted.
 const OPEN_ROUNDS: usize = 4;
 
-/// One round of requests to all voters.
+/// One round of vote requests to all voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct ClaimRound {
     number: u32,
-    /// When votes that answer it expire, by this router's clock.
+    /// When the votes granted for it expire, by this router's clock.
     votes_expire_at: Time,
 }
 
-/// A router's claim to the lease on a node's quotas.
+/// A router's claim to the lease on an owner's quotas.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LeaseClaim {
     /// The number of the latest round.
     number: u32,
     open_rounds: VecDeque<ClaimRound>,
-    /// When the vote of each voter expires.
+    /// When the vote of each voter expires, by this router's clock.
     votes: BTreeMap<NodeId, Time>,
     voters: Vec<NodeId>,
 }
 
 impl LeaseClaim {
-    /// A claim to quotas with these voters.
+    /// Creates a claim with these voters and no votes.
     pub fn new(voters: Vec<NodeId>) -> LeaseClaim {
         LeaseClaim { voters, ..LeaseClaim::default() }
     }
 
-    /// Begins a round of requests to all voters. Its number must be larger than all that this incarnation has
-    /// used for these quotas.
+    /// Begins a round of requests to all voters. `number` must be larger than all numbers that this
+    /// incarnation has used for these quotas.
     pub fn begin_round(&mut self, now: Time, number: u32, span: Time) {
         self.number = number;
         self.open_rounds.push_back(ClaimRound { number, votes_expire_at: now.plus(span) });
@@ -161,12 +161,13 @@
         }
     }
 
-    /// The number of the latest round.
+    /// Returns the number of the latest round.
     pub fn number(&self) -> u32 {
         self.number
     }
 
-    /// Records the vote of a voter that answers the round `number`.
+    /// Records the vote of a voter that was granted for the round `number`. Ignored if that round is no
+    /// longer among the latest ones.
     pub fn record_vote(&mut self, voter: NodeId, number: u32) {
         let Some(round) = self.open_rounds.iter().find(|round| round.number == number) else { return };
         if self.voters.contains(&voter) {
@@ -175,7 +176,8 @@
         }
     }
 
-    /// When the lease expires: until then the votes of a majority are valid.
+    /// Returns the time at which the lease expires: the time until which the votes of a majority of the
+    /// voters are valid.
     pub fn expires_at(&self) -> Time {
         let mut expiries: Vec<Time> = self.votes.values().copied().collect();
         expiries.sort_unstable_by(|a, b| b.cmp(a));
@@ -183,7 +185,7 @@
         expiries.get(majority - 1).copied().unwrap_or_default()
     }
 
-    /// The voters.
+    /// Returns the voters.
     pub fn voters(&self) -> &[NodeId] {
         &self.voters
     }
--- a/crates/fleet/src/ledger.rs
+++ b/crates/fleet/src/ledger.rs
@@ -1,23 +1,23 @@
-//! The ledger of a limit's units at one router: how many there are, now and at any later time, if nothing
-//! more is done. Units that are leased or borrowed expire at a time of their own; units that are lent out
-//! come back at one.
+//! The ledger of a limit's units at one router: how many units the router has now, and at any later time if
+//! nothing further is credited or debited. Leased and borrowed units expire at a given time; units that are
+//! lent out come back at a given time.
 //!
-//! Times are rounded to ticks, against this router: what it has expires a tick early, what it has lent comes
-//! back a tick late. So there are few different times, and a look at all of the future visits some dozens of
-//! them.
+//! Times are rounded to ticks, so that the router never counts too many units: units that it has expire up to
+//! a tick early, units that it has lent come back up to a tick late. Rounding keeps the number of different
+//! times small, so a scan over all future changes visits a few dozen entries.
 
 use basalthill_policy::api::Time;
 use std::collections::BTreeMap;
 
-/// A tick of the ledger, in nanoseconds.
+/// The length of a tick, in nanoseconds.
 const TICK_NS: u64 = 10_000_000;
 
-/// Units by the time at which they expire or come back.
+/// A balance of units, and the times at which it changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Ledger {
-    /// Units that expire at each tick, less those that come back at it.
+    /// Units that expire at each tick, minus those that come back at it.
     expiries: BTreeMap<u64, i64>,
-    /// Units that are there now: the sum of `expiries`.
+    /// The sum of `expiries`: the units before any of them has expired or come back.
     balance: i64,
 }
 
@@ -31,32 +31,32 @@
         }
     }
 
-    /// Adds units that are there until a time.
+    /// Adds units that expire at `until`.
     pub fn credit(&mut self, units: u64, until: Time) {
         self.add_expiry(until.0 / TICK_NS, units as i64);
     }
 
-    /// Undoes a [`Ledger::credit`].
+    /// Cancels a [`Ledger::credit`].
     pub fn cancel_credit(&mut self, units: u64, until: Time) {
         self.add_expiry(until.0 / TICK_NS, -(units as i64));
     }
 
-    /// Takes units out until a time.
+    /// Deducts units until `until`.
     pub fn debit(&mut self, units: u64, until: Time) {
         self.add_expiry(until.0.div_ceil(TICK_NS), -(units as i64));
     }
 
-    /// Undoes a [`Ledger::debit`].
+    /// Cancels a [`Ledger::debit`].
     pub fn cancel_debit(&mut self, units: u64, until: Time) {
         self.add_expiry(until.0.div_ceil(TICK_NS), units as i64);
     }
 
-    /// The fewest units that are there at any time from `from` on and before `until`. What expired before
-    /// `from` must not have been discarded.
+    /// Returns the smallest number of units at any time from `from` until just before `until`. Entries that
+    /// have expired before `from` must not have been discarded.
     pub fn minimum(&self, from: Time, until: Time) -> i64 {
         let first_tick = from.0 / TICK_NS;
         let end_tick = until.0.div_ceil(TICK_NS).max(first_tick + 1);
-        // At the time of a tick, what expires at it is gone.
+        // Units that expire at a tick are not counted at the time of that tick.
         let expired: i64 = self.expiries.range(..=first_tick).map(|(_, units)| units).sum();
         let mut units = self.balance - expired;
         let mut minimum = units;
@@ -67,19 +67,19 @@
         minimum
     }
 
-    /// The units that are there at this moment.
+    /// Returns the number of units now.
     pub fn current(&self, now: Time) -> i64 {
         self.minimum(now, now.plus(Time(1)))
     }
 
-    /// Discards what has expired by a time.
+    /// Discards entries that have expired at `now`.
     pub fn discard_expired(&mut self, now: Time) {
         while let Some(first) = self.expiries.first_entry().filter(|entry| *entry.key() <= now.0 / TICK_NS) {
             self.balance -= first.remove();
         }
     }
 
-    /// When units expire or come back next.
+    /// Returns the next time at which units expire or come back.
     pub fn next_change(&self) -> Option<Time> {
         self.expiries.first_key_value().map(|(tick, _)| Time(tick * TICK_NS))
     }
--- a/crates/fleet/src/ledger/tests.rs
+++ b/crates/fleet/src/ledger/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn minimum_over_a_span_follows_credits_and_debits() {
+fn the_minimum_over_a_span_accounts_for_credits_and_debits() {
     let mut ledger = Ledger::default();
     ledger.credit(10, Time::ms(100));
     ledger.credit(5, Time::ms(300));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn credits_end_a_tick_early_and_debits_a_tick_late() {
+fn credits_expire_up_to_a_tick_early_and_debits_up_to_a_tick_late() {
     let mut ledger = Ledger::default();
     ledger.credit(1, Time(25_000_000));
     assert_eq!(ledger.minimum(Time(20_000_000), Time(20_000_001)), 0);
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,18 +1,19 @@
-//! Routers that exchange messages with each other: which of them are alive, and limits that hold over all of
-//! them while links fail. No clock and no I/O: datagrams come in with their time, datagrams go out.
+//! A fleet of routers that exchange messages: membership, and limits that hold over all routers even when
+//! links between them fail. The crate uses no clock and does no I/O: the caller passes in received datagrams
+//! with their time, and sends the datagrams that the crate returns.
 //!
-//! [`Fleet`] is one router's part and puts the modules together:
+//! [`Fleet`] is one router's part of it and combines the modules:
 //!
-//! - [`roster`] is the list of routers from the settings, [`limit`] what is limited, [`timing`] how long
-//!   leases and loans are valid.
-//! - [`packet`] and [`codec`] are the wire format, [`replay`] its replay protection, [`status`] the exchange
-//!   with operators, [`hash`] what all routers must compute alike.
-//! - [`swim`] says who is alive.
-//! - [`lease`] says which router may use the quotas of each node, [`loan`] passes units on between two
-//!   routers, [`ledger`] knows how many units there are until when. [`account`] puts them together for one
-//!   limit; [`token_bucket`] and [`slots`] spend them.
+//! - [`roster`] is the list of routers from the settings, [`limit`] defines the limits, and [`timing`] how
+//!   long leases and loans are valid.
+//! - [`packet`] and [`codec`] define the wire format, [`replay`] its replay protection, [`status`] the status
+//!   request of operators, and [`hash`] the hash functions that all routers must compute alike.
+//! - [`swim`] determines which routers are alive.
+//! - [`lease`] decides which router may use the quota of each owner, [`loan`] transfers units between two
+//!   routers, and [`ledger`] records how many units a router has, and until when. [`account`] combines them
+//!   for one limit; [`token_bucket`] and [`slots`] spend the units.
 //!
-//! `docs/design/fleet.md` argues why the units in use never add up to more than a limit.
+//! `docs/design/fleet.md` argues why the units in use never exceed a limit.
 
 pub mod account;
 pub mod codec;
--- a/crates/fleet/src/limit.rs
+++ b/crates/fleet/src/limit.rs
@@ -1,4 +1,4 @@
-//! What is limited over all routers, and by how much.
+//! The limits that hold over all routers together.
 
 use crate::hash::{mix_bits, stable_hash};
 use crate::roster::{NodeId, Roster};
@@ -13,13 +13,14 @@
     Class(String),
     /// Requests for the group with this number.
     Group(u32),
-    /// Attempts in flight at each member, counted for each member by itself.
+    /// Attempts in flight at each member, with a count for each member.
     EachMember,
-    /// What routers do of their own accord.
+    /// Actions that routers take on their own initiative.
     Budget(Budget),
 }
 
-/// What routers do of their own accord, and must not do too often all together.
+/// Actions that routers take on their own initiative, with one limit on the rate of each kind over all
+/// routers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Budget {
     /// Further attempts of requests, after the first.
@@ -33,7 +34,7 @@
 }
 
 impl Budget {
-    /// All budgets, each by its name in the settings.
+    /// All budgets, each with its name in the settings.
     pub const ALL: [(&'static str, Budget); 4] = [
         ("retries", Budget::Retries),
         ("probes", Budget::Probes),
@@ -42,25 +43,25 @@
     ];
 }
 
-/// How much is allowed over all routers.
+/// The amount that is allowed over all routers together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Bounds {
     /// A rate of requests.
     Rate {
-        /// Requests a second.
+        /// Requests per second.
         per_s: f64,
-        /// Requests that may come at once after a rest.
+        /// Requests that may arrive at once after a pause.
         burst: f64,
     },
-    /// This many attempts in flight at a time.
+    /// The number of attempts that may be in flight at a time.
     Concurrent(u32),
 }
 
-/// The units that a rate is divided into: quotas are integers of millionths.
+/// The number of units that a rate is divided into: the quotas of a rate are integers of millionths.
 pub const RATE_UNITS: u64 = 1_000_000;
 
 impl Bounds {
-    /// The units over all routers: millionths of a rate, or slots for attempts in flight.
+    /// Returns the number of units over all routers: millionths of a rate, or slots for attempts in flight.
     pub fn units(&self) -> u64 {
         match self {
             Bounds::Rate { .. } => RATE_UNITS,
@@ -74,29 +75,30 @@
 pub struct Limit {
     /// Its name.
     pub name: String,
-    /// What it counts.
+    /// What the limit counts.
     pub subject: Subject,
-    /// How much is allowed.
+    /// The amount that is allowed.
     pub bounds: Bounds,
-    /// The fraction of its own quota that a router always keeps: it is never lent and never expires.
+    /// The fraction of its own quota that a router always keeps: the reserve, which is never lent and never
+    /// expires.
     pub reserved_fraction: f64,
 }
 
-/// A node's quota of a limit, by what becomes of it when the node is gone.
+/// A router's quota of a limit, split by who may use it when the router is unavailable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaSplit {
-    /// Units that only the node itself may use, at all times.
+    /// Units that only the router itself may use, at all times.
     pub reserved: u64,
-    /// Units that are leased: to the node itself, or to its steward while it is gone.
+    /// Units that are leased: to the router itself, or to its successor while it is unavailable.
     pub leased: u64,
 }
 
-/// Numbers of the kinds of [`Bounds`] in a limit's digest.
+/// Tags of the variants of [`Bounds`] in the digest of a limit.
 const RATE_DIGEST: u64 = 1;
 const CONCURRENT_DIGEST: u64 = 2;
 
 impl Limit {
-    /// A digest of the limit: limits that differ have different digests, but for collisions.
+    /// Returns a digest of the limit. Different limits have different digests, except for collisions.
     pub fn digest(&self) -> u64 {
         let (kind, first, second) = match self.bounds {
             Bounds::Rate { per_s, burst } => (RATE_DIGEST, per_s.to_bits(), burst.to_bits()),
@@ -114,7 +116,7 @@
         parts.iter().fold(0, |digest, part| mix_bits(digest ^ part))
     }
 
-    /// A node's quota under a key of this limit.
+    /// Returns the quota of `owner` under a key of this limit.
     pub fn quota_split(&self, roster: &Roster, key: LimitKey, owner: NodeId) -> QuotaSplit {
         let quota = roster.quota(self.bounds.units(), owner, key.rendezvous_key());
         let reserved = (quota as f64 * self.reserved_fraction) as u64;
@@ -127,27 +129,27 @@
 pub struct LimitKey {
     /// The hash of the limit's name.
     pub limit: u64,
-    /// The hash of the member's name; zero where the limit is not counted by member.
+    /// The hash of the member's name; zero if the limit is not counted at each member.
     pub member: u64,
 }
 
 impl LimitKey {
-    /// The key of a limit that is not counted by member.
+    /// Returns the key of a limit that is not counted at each member.
     pub fn global(name: &str) -> LimitKey {
         LimitKey { limit: stable_hash(name.as_bytes()), member: 0 }
     }
 
-    /// The key of a limit at one member.
+    /// Returns the key of a limit at one member.
     pub fn at_member(name: &str, member: &str) -> LimitKey {
         LimitKey { limit: stable_hash(name.as_bytes()), member: stable_hash(member.as_bytes()).max(1) }
     }
 
-    /// Whether this is a key of a limit, at whatever member.
+    /// Returns whether this is a key of `limit`, at any member.
     pub fn is_of(&self, limit: &Limit) -> bool {
         self.limit == LimitKey::global(&limit.name).limit
     }
 
-    /// The key for rendezvous hashing.
+    /// Returns the key for rendezvous hashing.
     pub fn rendezvous_key(self) -> u64 {
         mix_bits(self.limit ^ mix_bits(self.member))
     }
--- a/crates/fleet/src/loan.rs
+++ b/crates/fleet/src/loan.rs
@@ -1,42 +1,43 @@
 //! Loans of units between two routers, over links that lose, delay, duplicate and reorder datagrams.
 //!
-//! The borrower sends requests with rising numbers. Each says how many units of the loan so far it retains;
-//! it has cut down to them before the request is sent. The lender answers the latest request. The borrower
-//! measures the loan's span from when it sent the request, the lender from when it answered, which is later;
-//! the lender's span is longer by what their clocks may differ. Both record the same schedule: from a request
-//! on, no more than what is retained; from a grant on, what was granted until its end, and what was retained
-//! beyond that until its own end. The lender does so first, whether or not its answer arrives, and each of
-//! its ends comes later. So at any time the borrower uses no more units than the lender has written off.
+//! The borrower sends requests with increasing numbers. Each states how many units of the current loan the
+//! borrower retains; it stops using the others before it sends the request. The lender answers the latest
+//! request. The borrower measures the span of a loan from the time at which it sent the request, the lender
+//! from the later time at which it answered; the lender's span is also longer by the largest difference that
+//! the drift of their clocks allows. Both record the same schedule: after a request, no more than the
+//! retained units; after a grant, the granted units until the end of the grant, and retained units beyond
+//! those until their own end. The lender records it first, whether or not its answer arrives, and each of its
+//! end times is later. So at any time the borrower uses no more units than the lender has deducted.
 //!
-//! The borrower ignores an answer to any but its latest request; the lender ignores a request that is not
-//! newer than the last one. A borrower that restarts has forgotten its loans, and they expire. One that was
-//! suspended finds them expired by its own clock.
+//! The borrower ignores answers to all requests but its latest. The lender ignores requests that are not
+//! newer than the last one. A borrower that restarts has lost its loans, and they expire at the lender. A
+//! borrower that was suspended finds its loans expired by its own clock.
 
 use crate::ledger::Ledger;
 use basalthill_policy::api::Time;
 use serde::{Deserialize, Serialize};
 
-/// Units that are there until a time.
+/// Units that are available until a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Step {
     ends_at: Time,
     units: u64,
 }
 
-/// A number of units that falls in steps as time passes.
+/// A number of units that decreases in steps over time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct StepSchedule {
-    /// The ends rise, the units fall.
+    /// In the order of `ends_at`; `units` decreases strictly.
     steps: Vec<Step>,
 }
 
 impl StepSchedule {
-    /// The units at a time.
+    /// Returns the units at a time.
     fn units_at(&self, at: Time) -> u64 {
         self.steps.iter().find(|step| step.ends_at > at).map_or(0, |step| step.units)
     }
 
-    /// Cuts all steps down to `max_units`.
+    /// Limits all steps to `max_units`.
     fn cap(&mut self, max_units: u64) {
         for step in &mut self.steps {
             step.units = step.units.min(max_units);
@@ -44,7 +45,7 @@
         self.normalize();
     }
 
-    /// Raises the units to at least `units` until a time.
+    /// Raises the units to at least `units` until `until`.
     fn raise(&mut self, units: u64, until: Time) {
         let later = self.steps.partition_point(|step| step.ends_at <= until);
         for step in &mut self.steps[..later] {
@@ -56,7 +57,7 @@
         self.normalize();
     }
 
-    /// Removes steps that are no higher than the next one, or at zero.
+    /// Removes steps that have no more units than the next one, or none.
     fn normalize(&mut self) {
         let mut next_units = 0;
         self.steps.reverse();
@@ -73,18 +74,18 @@
         self.steps.retain(|step| step.ends_at > now);
     }
 
-    /// Whether a step has ended.
+    /// Returns whether a step has ended.
     fn has_expired(&self, now: Time) -> bool {
         self.steps.first().is_some_and(|step| step.ends_at <= now)
     }
 
-    /// The units that end at each step's end.
+    /// Returns, for each step, its end and the units by which the schedule decreases there.
     fn drops(&self) -> impl Iterator<Item = Step> + '_ {
         let next_units = self.steps.iter().skip(1).map(|step| step.units).chain([0]);
         self.steps.iter().zip(next_units).map(|(step, next)| Step { units: step.units - next, ..*step })
     }
 
-    /// Changes the schedule, and posts it to the ledger anew.
+    /// Changes the schedule, and replaces its entries in the ledger accordingly.
     fn change_posted(&mut self, ledger: &mut Ledger, side: &LedgerSide, change: impl FnOnce(&mut Self)) {
         for drop in self.drops() {
             (side.cancel)(ledger, drop.units, drop.ends_at);
@@ -96,7 +97,7 @@
     }
 }
 
-/// How a schedule's units are posted to a ledger, and how that is taken back.
+/// The operations by which a schedule's units are entered in a ledger and removed from it.
 struct LedgerSide {
     post: fn(&mut Ledger, u64, Time),
     cancel: fn(&mut Ledger, u64, Time),
@@ -110,32 +111,32 @@
 /// A borrower's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LoanRequest {
-    /// Rises with each request.
+    /// Increases with each request.
     pub number: u32,
-    /// Units of the loan so far that the borrower retains. It uses no more from now on, until an answer
+    /// Units of the current loan that the borrower retains. It uses no more of the loan until an answer
     /// arrives.
     pub retained: u64,
 }
 
-/// What a router has borrowed from one other.
+/// The units that a router has borrowed from one other router.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Borrowing {
     /// The number of the latest request.
     number: u32,
-    /// When it was sent, until it is answered.
+    /// When the latest request was sent; `None` once it has been answered.
     requested_at: Option<Time>,
     last_granted: u64,
     schedule: StepSchedule,
 }
 
 impl Borrowing {
-    /// A borrowing whose requests are numbered from `number` on.
+    /// Creates an empty borrowing whose first request has the number after `number`.
     pub fn numbered_from(number: u32) -> Borrowing {
         Borrowing { number, ..Borrowing::default() }
     }
 
-    /// Requests a new grant and retains no more than `max_retained` units of the loan so far. What is given
-    /// up leaves the ledger.
+    /// Requests a new grant, and retains at most `max_retained` units of the current loan. The other units
+    /// are removed from the ledger.
     pub fn request(&mut self, now: Time, max_retained: u64, ledger: &mut Ledger) -> LoanRequest {
         self.change(ledger, |schedule| {
             schedule.expire(now);
@@ -146,8 +147,8 @@
         LoanRequest { number: self.number, retained: self.schedule.units_at(now) }
     }
 
-    /// Takes an answer: `units` for `span`, measured from when the request was sent. Ignored if it does not
-    /// answer the latest request, or answers it again.
+    /// Handles an answer that grants `units` for `span`, measured from when the request was sent. Ignored if
+    /// it does not answer the latest request, or if that request has been answered before.
     pub fn receive_grant(&mut self, number: u32, units: u64, span: Time, ledger: &mut Ledger) {
         if number != self.number {
             return;
@@ -162,25 +163,25 @@
         self.schedule.change_posted(ledger, &CREDIT, change);
     }
 
-    /// Removes what has expired.
+    /// Removes borrowed units that have expired.
     pub fn expire(&mut self, now: Time, ledger: &mut Ledger) {
         if self.schedule.has_expired(now) {
             self.change(ledger, |schedule| schedule.expire(now));
         }
     }
 
-    /// The units of the latest grant.
+    /// Returns the units of the latest grant.
     pub fn last_granted(&self) -> u64 {
         self.last_granted
     }
 
-    /// The units that are borrowed at a time.
+    /// Returns the units that are borrowed at a time.
     pub fn units_at(&self, at: Time) -> u64 {
         self.schedule.units_at(at)
     }
 }
 
-/// What a router has lent to one other.
+/// The units that a router has lent to one other router.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Lending {
     /// The number of the latest request.
@@ -189,19 +190,20 @@
     schedule: StepSchedule,
 }
 
-/// What a lender makes of a request.
+/// The result of receiving a loan request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestReceipt {
-    /// It is new: it is to be answered by [`Lending::grant`].
+    /// The request is new and has to be answered with [`Lending::grant`].
     New,
-    /// It has been answered with these units before.
+    /// The request has been answered before, with this many units.
     Duplicate(u64),
-    /// It is older than the latest one.
+    /// The request is older than the latest one.
     Stale,
 }
 
 impl Lending {
-    /// Receives a request. If it is new, the borrower has cut down to what it retains and the rest is back.
+    /// Handles a request. If it is new, the borrower uses only the units that it retains, and the others are
+    /// available to the lender again.
     pub fn receive_request(
         &mut self,
         now: Time,
@@ -223,15 +225,15 @@
         RequestReceipt::New
     }
 
-    /// Answers the latest request with units until a time by this clock: no more than [`Lending::available`]
-    /// for that time.
+    /// Records the answer to the latest request: `units` until `until` by this router's clock. `units` must
+    /// not exceed [`Lending::available`] for that time.
     pub fn grant(&mut self, units: u64, until: Time, ledger: &mut Ledger) {
         self.last_granted = units;
         self.change(ledger, |schedule| schedule.raise(units, until));
     }
 
-    /// The most units that can be granted until a time: what is there, and what the borrower has retained,
-    /// which counts once.
+    /// Returns the most units that can be granted until a time: the units in the ledger, and those that the
+    /// borrower retains, which a new grant includes.
     pub fn available(&self, now: Time, until: Time, ledger: &Ledger) -> u64 {
         let mut without_loan = ledger.clone();
         for drop in self.schedule.drops() {
@@ -244,15 +246,15 @@
         self.schedule.change_posted(ledger, &DEBIT, change);
     }
 
-    /// Removes what has expired.
+    /// Removes loans that have expired.
     pub fn expire(&mut self, now: Time, ledger: &mut Ledger) {
         if self.schedule.has_expired(now) {
-            // The ledger rounds the end up to a tick: there it expires a moment later.
+            // The ledger rounds the end of a debit up to a tick, so its entry expires up to one tick later.
             self.change(ledger, |schedule| schedule.expire(now));
         }
     }
 
-    /// The units that the borrower may have in use at a time.
+    /// Returns the units that the borrower may be using at a time.
     pub fn units_at(&self, at: Time) -> u64 {
         self.schedule.units_at(at)
     }
--- a/crates/fleet/src/loan/tests.rs
+++ b/crates/fleet/src/loan/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn a_schedule_falls_in_steps_through_raises_and_caps() {
+fn a_schedule_decreases_in_steps_after_raises_and_caps() {
     let mut schedule = StepSchedule::default();
     schedule.raise(5, Time(10));
     schedule.raise(3, Time(20));
@@ -30,14 +30,14 @@
     let request = borrowed.request(Time::ms(100), 0, &mut ledger);
     borrowed.receive_grant(request.number, 7, Time::ms(500), &mut ledger);
     assert_eq!((borrowed.units_at(Time::ms(599)), borrowed.units_at(Time::ms(600))), (7, 0));
-    // Again, and larger: the request has had its answer.
+    // A second answer to the same request, with more units, is ignored.
     borrowed.receive_grant(request.number, 9, Time::ms(500), &mut ledger);
     assert_eq!(borrowed.units_at(Time::ms(599)), 7);
-    // An answer to an earlier request, after a newer one has been sent.
+    // An answer to an earlier request is ignored once a newer request has been sent.
     let later = borrowed.request(Time::ms(300), 2, &mut ledger);
     borrowed.receive_grant(request.number, 9, Time::ms(500), &mut ledger);
     assert_eq!((later.retained, borrowed.units_at(Time::ms(301))), (2, 2));
-    // One that arrives after its span.
+    // A grant that arrives after its span adds nothing.
     let late = borrowed.request(Time::ms(700), 9, &mut ledger);
     borrowed.receive_grant(late.number, 9, Time::ms(500), &mut ledger);
     assert_eq!(borrowed.units_at(Time::ms(1300)), 0);
--- a/crates/fleet/src/packet.rs
+++ b/crates/fleet/src/packet.rs
@@ -1,11 +1,11 @@
-//! The wire format between routers: packets and messages, encoded by postcard. One packet is one datagram of
-//! [`MAX_DATAGRAM`] bytes at most.
+//! The wire format between routers: packets and messages, encoded by postcard. A packet is sent as one
+//! datagram of at most [`MAX_DATAGRAM`] bytes.
 //!
-//! A packet names the incarnations that it comes from and is addressed to. One that is addressed to an
-//! earlier incarnation, or comes from one, carries no units. A sender that does not know the receiver's
-//! incarnation may only send a ping.
+//! A packet names the incarnations of its sender and its receiver. A packet from or to an outdated
+//! incarnation is dropped, so it transfers no units. A sender that does not know the receiver's incarnation
+//! may only send pings.
 //!
-//! postcard writes fields and variants by their order alone, so the order of the types below is part of the
+//! postcard encodes fields and variants by their order alone, so the order in the types below is part of the
 //! format.
 
 use crate::lease::NodeIncarnation;
@@ -16,40 +16,42 @@
 
 /// The version of the format. Datagrams of other versions are dropped and counted.
 pub const VERSION: u8 = 1;
-/// The most bytes of a datagram: it passes an Ethernet without fragmentation, also through a tunnel.
+/// The largest size of a datagram, in bytes. It fits in an Ethernet frame without fragmentation, even inside
+/// a tunnel.
 pub const MAX_DATAGRAM: usize = 1200;
-/// Bytes set aside for the signature and the fields of a packet around its messages.
+/// Bytes reserved for the signature and for the fields of a packet other than its messages.
 const PACKET_OVERHEAD: usize = 80;
-/// The bytes that the messages of a packet may take.
+/// The most bytes that the messages of a packet may take.
 pub const PAYLOAD_CAPACITY: usize = MAX_DATAGRAM - PACKET_OVERHEAD;
 
-/// A peer's state in SWIM. Of two updates with the same incarnation and refutations, the one with the later
-/// state in this order wins.
+/// A peer's state in SWIM. Of two updates with the same incarnation and number of refutations, the one with
+/// the later state in this order takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum PeerState {
-    /// It answers, or reports so itself.
+    /// The peer acknowledges pings, or has refuted a suspicion.
     Alive,
-    /// It did not answer a ping.
+    /// The peer did not acknowledge a ping.
     Suspect,
-    /// Its suspicion was not refuted in time.
+    /// The peer did not refute its suspicion in time.
     Dead,
-    /// It has reported that it shuts down.
+    /// The peer has reported that it shuts down.
     Left,
 }
 
-/// A gossip update on a peer's state. Updates of a later incarnation, or with more refutations, win.
+/// A gossip update on a peer's state. An update with a later incarnation, or with the same incarnation and
+/// more refutations, takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembershipUpdate {
     /// The peer.
     pub node: NodeId,
-    /// Its incarnation: a new one begins at each start of its process.
+    /// Its incarnation. A new one begins each time its process starts.
     pub incarnation: u64,
-    /// How often the peer has refuted a suspicion in this incarnation. With `incarnation` this is SWIM's
-    /// incarnation number.
+    /// The number of suspicions that the peer has refuted in this incarnation. Together with `incarnation` it
+    /// is what SWIM calls the incarnation number.
     pub refutations: u32,
     /// Its state.
     pub state: PeerState,
-    /// The router that reported this first.
+    /// The router that first reported this state.
     pub reporter: NodeId,
 }
 
@@ -58,7 +60,7 @@
 pub enum Message {
     /// SWIM's ping.
     Ping {
-        /// Repeated by the acknowledgement.
+        /// The number of the ping, which the acknowledgement repeats.
         number: u32,
     },
     /// SWIM's acknowledgement of a ping.
@@ -68,78 +70,79 @@
     },
     /// SWIM's ping-req: the receiver pings the target on the sender's behalf.
     PingRequest {
-        /// Repeated by the indirect acknowledgement.
+        /// The number of the ping-req, which the indirect acknowledgement repeats.
         number: u32,
         /// The router to ping.
         target: NodeId,
     },
-    /// The target of a ping-req has acknowledged the receiver's ping.
+    /// The target of a ping-req has acknowledged the ping that the sender relayed.
     IndirectAck {
         /// The ping-req's number.
         number: u32,
-        /// The router that has answered.
+        /// The router that has acknowledged the ping.
         target: NodeId,
     },
     /// Membership updates.
     Gossip(Vec<MembershipUpdate>),
-    /// The receiver's incarnation is an earlier one than this, which the sender knows of.
+    /// The sender knows a later incarnation of the receiver than the one that the receiver uses.
     StaleIncarnation {
-        /// The latest incarnation of the receiver that is known.
+        /// The latest incarnation of the receiver that the sender knows.
         latest: u64,
     },
-    /// The sender requests a vote for the lease of a node's quotas.
+    /// The sender requests a vote for the lease on an owner's quotas.
     VoteRequest {
-        /// The node that the quotas belong to.
+        /// The router that the quotas belong to.
         owner: NodeId,
         /// The request's number.
         number: u32,
-        /// How long the vote is to be valid, in milliseconds. Routers with other limits request other spans.
+        /// How long the vote is to be valid, in milliseconds. It differs between routers with different
+        /// limits.
         span_ms: u32,
     },
     /// The vote is granted.
     VoteGranted {
-        /// The node that the quotas belong to.
+        /// The router that the quotas belong to.
         owner: NodeId,
         /// The request's number.
         number: u32,
     },
     /// The vote is denied.
     VoteDenied {
-        /// The node that the quotas belong to.
+        /// The router that the quotas belong to.
         owner: NodeId,
-        /// The router that has the vote, if any has.
+        /// The router that holds the vote, or `None` if no router does.
         granted_to: Option<NodeIncarnation>,
     },
-    /// The sender no longer uses a node's quotas, nor any vote for them up to this request.
+    /// The sender no longer uses the quotas of `owner`, nor any vote on them that it has requested.
     LeaseReleased {
-        /// The node that the quotas belong to.
+        /// The router that the quotas belong to.
         owner: NodeId,
-        /// The number of the latest request that is given up.
+        /// The number of the latest request whose vote is released.
         number: u32,
     },
-    /// To the coordinator of a limit.
+    /// The report of a router to the coordinator of a limit.
     QuotaReport(QuotaReport),
-    /// From the coordinator of a limit.
-    QuotaReply(QuotaReply),
-    /// The sender gives borrowed units back. No answer is expected.
+    /// The response of the coordinator of a limit to a report.
+    QuotaResponse(QuotaResponse),
+    /// The sender returns borrowed units. No response is sent.
     LoanReturned {
         /// The limit.
         key: LimitKey,
-        /// The request by which the loan shrinks.
+        /// The request that reduces the loan.
         request: LoanRequest,
     },
 }
 
-/// What a router needs of a limit, and what it can lend.
+/// The demand of a router for units of a limit, and the units that it can lend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaReport {
     /// The limit.
     pub key: LimitKey,
     /// The request for a grant.
     pub request: LoanRequest,
-    /// Units wanted in all by this loan.
+    /// The units that the router needs in total from this loan.
     pub demand: u64,
-    /// The answer to the coordinator's request for a deposit.
+    /// The units lent in response to the coordinator's deposit request; `None` if there is none.
     pub surplus: Option<SurplusOffer>,
 }
 
@@ -152,18 +155,18 @@
     pub units: u64,
 }
 
-/// What the coordinator grants, and what it requests.
+/// The units that the coordinator grants, and its request for a deposit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct QuotaReply {
+pub struct QuotaResponse {
     /// The limit.
     pub key: LimitKey,
-    /// The number of the request that is answered.
+    /// The number of the loan request that this answers.
     pub number: u32,
     /// Units lent.
     pub granted: u64,
     /// The coordinator's request for a deposit.
     pub deposit_request: LoanRequest,
-    /// Units that each router with requests may have beyond its demand.
+    /// Units that each router with requests may use beyond its demand.
     pub headroom: u64,
 }
 
@@ -176,9 +179,9 @@
     pub incarnation: u64,
     /// The receiver.
     pub to: NodeId,
-    /// The receiver's incarnation; zero if the sender does not know it.
+    /// The receiver's incarnation, or zero if the sender does not know it.
     pub to_incarnation: u64,
-    /// Rises with each packet from this incarnation to this receiver.
+    /// Increases with each packet from this incarnation to this receiver.
     pub sequence: u64,
     /// The digest of the sender's roster.
     pub roster_digest: u32,
@@ -188,24 +191,24 @@
     pub messages: Vec<Message>,
 }
 
-/// What an operator's command requests of a router, and the response: the status as pages of lines.
+/// A status request of the operators' command, or the response to it: a page of lines.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StatusMessage {
     /// Requests a page of the status.
     Request {
-        /// Repeated by the response.
+        /// An id that the response repeats.
         id: u64,
         /// The page, counted from zero.
         page: u16,
-        /// Zeros that make the request as long as the longest response, so that a forged sender address can't
-        /// be used to amplify traffic.
+        /// Zeros that make the request as long as the longest response, so that requests with a forged sender
+        /// address can't be used to amplify traffic.
         padding: Vec<u8>,
     },
     /// A page of the status.
     Response {
-        /// As in the request.
+        /// The id of the request.
         id: u64,
-        /// As in the request.
+        /// The page that was requested, counted from zero.
         page: u16,
         /// The number of pages.
         pages: u16,
@@ -214,7 +217,7 @@
     },
 }
 
-/// What a datagram carries.
+/// The content of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
     /// Messages between routers.
@@ -223,7 +226,7 @@
     Status(StatusMessage),
 }
 
-/// The bytes that a message takes in a packet.
+/// Returns the number of bytes that a message takes in a packet.
 pub fn encoded_len(message: &Message) -> usize {
     postcard::to_allocvec(message).map_or(usize::MAX, |bytes| bytes.len())
 }
--- a/crates/fleet/src/packet/tests.rs
+++ b/crates/fleet/src/packet/tests.rs
@@ -1,4 +1,5 @@
-//! The encoding of each message. Routers of different builds exchange these bytes, so they must not change.
+//! Tests of the encoding of each message. Routers of different builds exchange these bytes, so they must not
+//! change.
 
 use super::*;
 
@@ -25,7 +26,8 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Asserts that a packet with this message ends in these bytes, and is decoded to the same message.
+/// Asserts that a packet with this message is encoded with these bytes at its end, and that decoding yields
+/// the same message.
 fn assert_encoding(message: Message, expected: &str) {
     let payload = packet_of(vec![message]);
     assert_eq!(hex(&payload), format!("{PACKET_HEAD}01{expected}"), "{payload:?}");
@@ -93,7 +95,13 @@
     );
     let deposit_request = LoanRequest { number: 21, retained: 22 };
     assert_encoding(
-        Message::QuotaReply(QuotaReply { key: KEY, number: 19, granted: 20, deposit_request, headroom: 23 }),
+        Message::QuotaResponse(QuotaResponse {
+            key: KEY,
+            number: 19,
+            granted: 20,
+            deposit_request,
+            headroom: 23,
+        }),
         "0bac0280201314151617",
     );
     let request = LoanRequest { number: 24, retained: 25 };
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/roster.rs
@@ -1,19 +1,19 @@
-//! The roster: the routers of a fleet by the names that the settings give them.
+//! The roster: the routers of a fleet, with the names that the settings give them.
 //!
-//! A router that is not on the roster is not in the fleet. Which of them are alive is for [`crate::swim`] to
-//! say.
+//! A router that is not on the roster does not belong to the fleet. Which routers are alive is determined by
+//! [`crate::swim`].
 
 use crate::hash::{mix_bits, rendezvous_weight, stable_hash};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A router's id: the hash of its name, as it goes over the wire.
+/// A router's id: the hash of its name. Packets carry the id, not the name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NodeId(pub u64);
 
 impl NodeId {
-    /// The id of the router with this name.
+    /// Returns the id of the router with this name.
     pub fn of(name: &str) -> NodeId {
         NodeId(stable_hash(name.as_bytes()))
     }
@@ -30,15 +30,15 @@
     pub zone: Option<String>,
 }
 
-/// Why a list of routers is no roster.
+/// The reason why a list of routers is not a valid roster.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RosterError {
-    /// Two routers have the same id, by an equal name or by a collision of the hash.
+    /// Two routers have the same id, because of equal names or a hash collision.
     #[error("routers {first:?} and {second:?} have the same id")]
     DuplicateId {
-        /// The name of the one that comes first.
+        /// The name of the router that is listed first.
         first: String,
-        /// The name of the other.
+        /// The name of the other router.
         second: String,
     },
 }
@@ -50,12 +50,12 @@
     digest: u32,
 }
 
-/// Voters on the lease of each node's quotas, the node itself among them. Seven of them tolerate three
-/// failures.
+/// The largest number of voters on the lease of an owner's quotas, including the owner. Seven voters tolerate
+/// three failures.
 pub const VOTERS_PER_NODE: usize = 7;
 
 impl Roster {
-    /// A roster of these routers.
+    /// Creates a roster of these routers.
     ///
     /// # Errors
     ///
@@ -69,49 +69,52 @@
             }
             by_id.insert(id, peer);
         }
-        // Addresses may differ from router to router; names may not.
+        // Only names count: addresses of a router may differ as seen from different routers.
         let count = by_id.len() as u64;
         let digest = by_id.keys().fold(count, |digest, id| mix_bits(digest ^ id.0)) as u32;
         Ok(Roster { peers: by_id, digest })
     }
 
-    /// A digest of the names. Rosters with different names have different digests, but for collisions.
+    /// Returns a digest of the names. Rosters with different names have different digests, except for
+    /// collisions.
     pub fn digest(&self) -> u32 {
         self.digest
     }
 
-    /// The number of routers.
+    /// Returns the number of routers.
     pub fn len(&self) -> usize {
         self.peers.len()
     }
 
-    /// Whether there are no routers.
+    /// Returns whether there are no routers.
     pub fn is_empty(&self) -> bool {
         self.peers.is_empty()
     }
 
-    /// The ids of all routers, in rising order.
+    /// Returns the ids of all routers, in ascending order.
     pub fn ids(&self) -> impl Iterator<Item = NodeId> + '_ {
         self.peers.keys().copied()
     }
 
-    /// The router with this id.
+    /// Returns the router with this id.
     pub fn get(&self, id: NodeId) -> Option<&Peer> {
         self.peers.get(&id)
     }
 
-    /// Whether a router is on the roster.
+    /// Returns whether a router is on the roster.
     pub fn contains(&self, id: NodeId) -> bool {
         self.peers.contains_key(&id)
     }
 
-    /// A router's name for logs and status output; its id in hexadecimal if it is not on the roster.
+    /// Returns the name of a router for logs and status output, or its id in hexadecimal if it is not on the
+    /// roster.
     pub fn name(&self, id: NodeId) -> String {
         self.peers.get(&id).map_or_else(|| format!("({:016x})", id.0), |peer| peer.name.clone())
     }
 
-    /// The voters on the lease of a node's quotas: the node itself, and the others with the largest
-    /// rendezvous weight for it. Their number is odd, so that one of two halves always has a majority.
+    /// Returns the voters on the lease of the quotas of `owner`: the owner itself, and the other routers with
+    /// the largest rendezvous weights for it. Their number is odd, so that when the voters are split in two,
+    /// one side has a majority.
     pub fn voters(&self, owner: NodeId) -> Vec<NodeId> {
         let others = self.peers.len().saturating_sub(1);
         let mut weighted: Vec<(u64, NodeId)> =
@@ -122,16 +125,18 @@
         std::iter::once(owner).chain(chosen).collect()
     }
 
-    /// A node's quota of a number of units. Quotas differ by one unit at most and add up to `units`. Which
-    /// nodes get the odd units differs from key to key.
+    /// Returns the quota of `owner` when `units` are divided among all routers. Quotas differ by at most one
+    /// unit and add up to `units`. If the division leaves a remainder, which routers get one unit more
+    /// differs from key to key.
     pub fn quota(&self, units: u64, owner: NodeId, key: u64) -> u64 {
         let count = self.peers.len() as u64;
         if count == 0 || !self.contains(owner) {
             return 0;
         }
         let own_rank = (rendezvous_weight(owner, key), owner);
-        let before = self.ids().filter(|id| (rendezvous_weight(*id, key), *id) > own_rank).count() as u64;
-        units / count + u64::from(before < units % count)
+        let higher_ranked =
+            self.ids().filter(|id| (rendezvous_weight(*id, key), *id) > own_rank).count() as u64;
+        units / count + u64::from(higher_ranked < units % count)
     }
 }
 
--- a/crates/fleet/src/slots.rs
+++ b/crates/fleet/src/slots.rs
@@ -1,18 +1,19 @@
-//! Slots of a concurrency limit that are occupied at one router, each until a time at the latest.
+//! The slots of a concurrency limit that are occupied at one router. Each has a time at which it is released
+//! at the latest.
 
 use crate::ledger::Ledger;
 use basalthill_policy::api::Time;
 use std::collections::BTreeMap;
 
-/// The occupied slots. Each takes a unit out of the ledger.
+/// The occupied slots. Each deducts one unit from the ledger.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OccupiedSlots {
-    /// When each slot becomes free at the latest, by the number that its user gave.
+    /// The time at which each slot is released at the latest, by the number that its user gave.
     expiries: BTreeMap<u64, Time>,
 }
 
 impl OccupiedSlots {
-    /// Occupies a slot, until a time at the latest.
+    /// Occupies a slot until `until` at the latest.
     pub fn occupy(&mut self, number: u64, until: Time, ledger: &mut Ledger) {
         if let Some(previous) = self.expiries.insert(number, until) {
             ledger.cancel_debit(1, previous);
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Releases slots whose time is over.
+    /// Releases slots whose latest release time has passed.
     pub fn expire(&mut self, now: Time, ledger: &mut Ledger) {
         let expired: Vec<u64> =
             self.expiries.iter().filter(|(_, until)| **until <= now).map(|(number, _)| *number).collect();
@@ -36,7 +37,7 @@
         }
     }
 
-    /// The number of occupied slots.
+    /// Returns the number of occupied slots.
     pub fn count(&self) -> u64 {
         self.expiries.len() as u64
     }
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -1,15 +1,17 @@
-//! The status exchange with the operators' command: lines of text, split into pages of a datagram each.
+//! The status request and response of the operators' command `basalthill fleet`: lines of text, split into
+//! pages that each fit in a datagram.
 
 use crate::packet::{Payload, StatusMessage, MAX_DATAGRAM, PAYLOAD_CAPACITY};
 
-/// The bytes of lines on a page.
+/// The most bytes of text on a page.
 const PAGE_LEN: usize = PAYLOAD_CAPACITY - 40;
 /// The most bytes that one character takes in UTF-8.
 const MAX_CHAR_LEN: usize = 4;
-/// The padding of a request. A response is never longer than the padding of its request.
+/// The bytes of padding in a request. A response is never longer than the padding of its request, so that a
+/// forged sender address can't be used to amplify traffic.
 pub const PADDING: usize = MAX_DATAGRAM - 60;
 
-/// Splits lines into pages. Lines that are longer than a page are cut off.
+/// Splits lines into pages. Lines that are longer than a page are truncated.
 pub fn paginate(lines: &[String]) -> Vec<String> {
     let mut pages = vec![String::new()];
     for line in lines {
@@ -25,12 +27,12 @@
     pages
 }
 
-/// The request for a page.
+/// Returns the request for a page.
 pub fn request(id: u64, page: u16) -> Payload {
     Payload::Status(StatusMessage::Request { id, page, padding: vec![0; PADDING] })
 }
 
-/// The response to a request; `None` to anything else, and for a page that does not exist.
+/// Returns the response to a request; `None` for any other message, and for a page that does not exist.
 pub fn response(message: &StatusMessage, lines: impl FnOnce() -> Vec<String>) -> Option<Payload> {
     let StatusMessage::Request { id, page, padding } = message else { return None };
     let pages = paginate(&lines());
--- a/crates/fleet/src/swim/detector.rs
+++ b/crates/fleet/src/swim/detector.rs
@@ -1,4 +1,4 @@
-//! The failure detector: pings, suspicions and verdicts.
+//! The failure detector: pings peers, suspects those that do not acknowledge, and declares suspects dead.
 
 use super::probe::{Probe, RelayedPing};
 use super::{PeerView, Swim, SwimOutput, ACK_TIMEOUT, INDIRECT_PROBES, PERIOD};
@@ -6,19 +6,20 @@
 use crate::roster::NodeId;
 use basalthill_policy::api::Time;
 
-/// The shortest suspicion, in periods and by the decimal logarithm of the fleet's size.
+/// Shortest suspicion timeout in protocol periods, per decimal logarithm of the fleet's size.
 const MIN_SUSPICION_PERIODS: f64 = 3.0;
-/// The longest suspicion is this many times as long.
+/// Ratio of the longest suspicion timeout to the shortest.
 const MAX_SUSPICION_FACTOR: f64 = 3.0;
-/// Every so many periods a peer is pinged that is not taken for alive.
-const DEAD_PROBE_PERIODS: u64 = 3;
-/// A ping on behalf of another router is open for so many periods.
-const RELAY_PERIODS: f64 = 4.0;
-/// A tick that comes later than this after it was due means that this router itself was suspended.
-const SUSPENDED_AFTER: Time = Time::ms(400);
+/// Once in this many periods, the ping goes to a peer that is not alive or suspected.
+const INACTIVE_PROBE_PERIODS: u64 = 3;
+/// Periods after which the acknowledgement of a ping on behalf of another router is no longer accepted.
+const RELAYED_PING_PERIODS: f64 = 4.0;
+/// A tick this long after its due time means that this process was suspended.
+const SUSPENSION_THRESHOLD: Time = Time::ms(400);
 
 impl Swim {
-    /// Receives an acknowledgement of a ping, this router's own or one on behalf of another.
+    /// Handles the acknowledgement of a ping: either this router's own ping or one on behalf of another
+    /// router.
     pub(super) fn receive_ack(&mut self, from: NodeId, number: u32, outputs: &mut Vec<SwimOutput>) {
         self.complete_probe(number, from);
         if let Some(ping) = self.relayed.take_answered(number, from) {
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Ends the ping in flight if a router's acknowledgement answers it.
+    /// Completes the ping in flight if the acknowledgement from `node` matches it.
     pub(super) fn complete_probe(&mut self, number: u32, node: NodeId) {
         if self.probe.is_some_and(|probe| probe.is_answered_by(number, node)) {
             self.probe = None;
@@ -48,7 +49,7 @@
             return;
         }
         let number = self.next_number();
-        let expires_at = now.plus(PERIOD.times(RELAY_PERIODS));
+        let expires_at = now.plus(PERIOD.times(RELAYED_PING_PERIODS));
         self.relayed.push(RelayedPing { number, target, requester, requester_number, expires_at });
         outputs.push(SwimOutput::Send { to: target, message: Message::Ping { number } });
     }
@@ -58,7 +59,7 @@
         self.last_number
     }
 
-    /// When [`Swim::tick`] is due.
+    /// Returns when [`Swim::tick`] is due.
     pub fn next_due(&self) -> Time {
         match self.probe {
             Some(probe) if !probe.indirect_sent => probe.indirect_at.min(self.next_period),
@@ -66,18 +67,19 @@
         }
     }
 
-    /// How long a peer is suspected before it is dead, with so many routers that suspect it.
-    fn suspicion_timeout(&self, witnesses: usize) -> Time {
+    /// Returns the time for which a peer is suspected before it is declared dead. It shrinks with the number
+    /// of routers that suspect the peer.
+    fn suspicion_timeout(&self, suspecting_routers: usize) -> Time {
         let log_size = ((self.peers.len() + 1) as f64).log10().max(1.0);
         let min_periods = MIN_SUSPICION_PERIODS * log_size;
         let max_periods = min_periods * MAX_SUSPICION_FACTOR;
-        let confirmed = (witnesses as f64).ln_1p() / (INDIRECT_PROBES as f64 + 1.0).ln_1p();
+        let confirmed = (suspecting_routers as f64).ln_1p() / (INDIRECT_PROBES as f64 + 1.0).ln_1p();
         PERIOD.times((max_periods - (max_periods - min_periods) * confirmed).max(min_periods))
     }
 
-    /// Does what is due.
+    /// Runs the pings and timeouts that are due.
     pub fn tick(&mut self, now: Time, outputs: &mut Vec<SwimOutput>) {
-        if now.since(self.next_due()) > SUSPENDED_AFTER {
+        if now.since(self.next_due()) > SUSPENSION_THRESHOLD {
             self.resume_after_suspension(now);
             return;
         }
@@ -86,7 +88,7 @@
             return;
         }
         self.relayed.expire(now);
-        if let Some(probe) = self.probe.take_if(|probe| now >= probe.ends_at) {
+        if let Some(probe) = self.probe.take_if(|probe| now >= probe.times_out_at) {
             self.degrade_health();
             self.suspect(now, probe.target, outputs);
         }
@@ -97,8 +99,9 @@
         self.next_period = now.plus(PERIOD);
     }
 
-    /// This router was suspended. Answers may lie unread, so no peer is blamed, and suspicions have not run
-    /// meanwhile.
+    /// Resumes after a suspension of this process. Acknowledgements may be waiting unread in the socket, so
+    /// the ping in flight is dropped without suspecting its target, and running suspicions are extended by
+    /// the length of the suspension.
     fn resume_after_suspension(&mut self, now: Time) {
         self.probe = None;
         self.degrade_health();
@@ -109,7 +112,7 @@
         self.next_period = now.plus(PERIOD);
     }
 
-    /// Requests others to ping the target of a ping that is not acknowledged in time.
+    /// Requests other routers to ping the target whose acknowledgement is late.
     fn send_indirect_pings(&mut self, now: Time, outputs: &mut Vec<SwimOutput>) {
         let Some(probe) = self.probe.as_mut().filter(|p| now >= p.indirect_at && !p.indirect_sent) else {
             return;
@@ -130,55 +133,56 @@
         self.apply_update(now, update, outputs);
     }
 
-    /// Declares suspects dead whose time to refute is over.
+    /// Declares suspects dead that have not refuted the suspicion within its timeout.
     fn expire_suspicions(&mut self, now: Time, outputs: &mut Vec<SwimOutput>) {
-        let is_over = |view: &PeerView| {
+        let has_timed_out = |view: &PeerView| {
             let is_suspect = view.state == Some(PeerState::Suspect);
             is_suspect && now.since(view.since) >= self.suspicion_timeout(view.suspected_by.len())
         };
-        let overdue = self.peers.iter().filter(|(_, view)| is_over(view));
-        let verdicts: Vec<MembershipUpdate> =
-            overdue.map(|(id, view)| view.update(*id, PeerState::Dead, self.me)).collect();
-        for update in verdicts {
+        let timed_out = self.peers.iter().filter(|(_, view)| has_timed_out(view));
+        let updates: Vec<MembershipUpdate> =
+            timed_out.map(|(id, view)| view.update(*id, PeerState::Dead, self.me)).collect();
+        for update in updates {
             self.apply_update(now, update, outputs);
         }
     }
 
-    /// Pings the next peer: now and then one that is not taken for alive, else one of the others in turn.
+    /// Pings the next peer: every `INACTIVE_PROBE_PERIODS` periods an inactive one, otherwise the next
+    /// active one.
     fn start_probe(&mut self, now: Time, outputs: &mut Vec<SwimOutput>) {
         self.periods += 1;
         if let Some(target) = self.choose_inactive_target() {
-            // An answer makes it alive; silence changes nothing, so no probe is kept in flight.
+            // An acknowledgement marks the peer alive. A missing one changes nothing, so no probe is kept.
             let number = self.next_number();
             outputs.push(SwimOutput::Send { to: target, message: Message::Ping { number } });
             return;
         }
         if let Some(target) = self.next_target() {
             let number = self.next_number();
-            let patience = f64::from(1 + self.health_score);
+            let timeout_factor = f64::from(1 + self.health_score);
             self.probe = Some(Probe {
                 number,
                 target,
-                indirect_at: now.plus(ACK_TIMEOUT.times(patience)),
-                ends_at: now.plus(PERIOD.times(patience)),
+                indirect_at: now.plus(ACK_TIMEOUT.times(timeout_factor)),
+                times_out_at: now.plus(PERIOD.times(timeout_factor)),
                 indirect_sent: false,
             });
             outputs.push(SwimOutput::Send { to: target, message: Message::Ping { number } });
         }
     }
 
-    /// A peer that is not taken for alive, if it is the turn of one.
+    /// Returns a random inactive peer if one is to be pinged in this period.
     fn choose_inactive_target(&mut self) -> Option<NodeId> {
         let inactive: Vec<NodeId> =
             self.peers.iter().filter(|(_, view)| !view.is_active()).map(|(id, _)| *id).collect();
-        let is_turn = self.periods % DEAD_PROBE_PERIODS == 0 || inactive.len() == self.peers.len();
-        if inactive.is_empty() || !is_turn {
+        let is_due = self.periods % INACTIVE_PROBE_PERIODS == 0 || inactive.len() == self.peers.len();
+        if inactive.is_empty() || !is_due {
             return None;
         }
         Some(inactive[self.rng.usize(..inactive.len())])
     }
 
-    /// The next active peer, in an order that is shuffled for each pass over all of them.
+    /// Returns the next active peer. The order is shuffled for each pass over all peers.
     fn next_target(&mut self) -> Option<NodeId> {
         if self.probe_order.is_empty() {
             self.probe_order = self.peers.keys().copied().collect();
--- a/crates/fleet/src/swim/mod.rs
+++ b/crates/fleet/src/swim/mod.rs
@@ -1,18 +1,20 @@
 //! Membership: which routers of the roster are alive. The protocol is SWIM (Das, Gupta, Motivala 2002) with
-//! what Lifeguard (Dadgar, Phillips, Currey 2018) adds for slow processes:
+//! the Lifeguard extensions for slow processes (Dadgar, Phillips, Currey 2018):
 //!
-//! - Once a period one peer is pinged, in a shuffled order. If it does not answer, three others are requested
-//!   to ping it. If no answer arrives by the period's end, it is suspected.
-//! - Updates ride on all packets, each a number of times that grows with the logarithm of the fleet's size:
-//!   the cost for a router does not grow with the fleet.
-//! - A router that learns that it is suspected refutes that. A suspicion becomes a verdict after a time that
-//!   shrinks with each further router that suspects the peer from its own experience.
-//! - A router that misses answers, or has to refute, takes itself for slow and gives others more time. One
-//!   that was suspended blames nobody for it.
-//! - A suspect learns of the suspicion with the next packet that is sent to it.
+//! - In each protocol period, one peer is pinged, in a shuffled order. If it does not acknowledge in time,
+//!   three other routers are requested to ping it. If no acknowledgement arrives by the end of the period,
+//!   the peer is suspected.
+//! - Updates are piggybacked on all packets. Each is sent a number of times that grows with the logarithm of
+//!   the fleet's size; the load on a router does not grow with the fleet.
+//! - A router that learns that it is suspected refutes the suspicion. Otherwise it is declared dead after a
+//!   timeout that shrinks with each further router whose own pings to it are not acknowledged.
+//! - A router that misses acknowledgements, or has to refute a suspicion, assumes that it is slow itself and
+//!   lengthens its timeouts. A router whose process was suspended suspects no peer for acknowledgements
+//!   missed in that time.
+//! - A suspect is notified of the suspicion with the next packet that is sent to it.
 //!
-//! The roster is given: no router has to join, and dead ones are pinged from time to time, so that a split
-//! heals.
+//! The roster is configured: routers do not have to join, and dead ones are pinged periodically, so that
+//! membership recovers after a partition heals.
 
 mod detector;
 mod gossip;
@@ -31,16 +33,17 @@
 
 /// SWIM's protocol period: one peer is pinged in each.
 pub const PERIOD: Time = Time::ms(250);
-/// Without an answer for so long, other routers are requested to ping the target.
+/// If a ping is not acknowledged within this time, other routers are requested to ping the target.
 const ACK_TIMEOUT: Time = Time::ms(90);
-/// How many others (SWIM's `k`), and how many further witnesses shorten a suspicion to its least.
+/// The number of routers that are requested to ping a target (SWIM's `k`), and of further suspecting routers
+/// at which the suspicion timeout is shortest.
 const INDIRECT_PROBES: usize = 3;
 /// The largest value of Lifeguard's local health multiplier.
 const MAX_HEALTH_SCORE: u32 = 8;
-/// A router that shuts down reports it to this many others; gossip spreads it from there.
+/// The number of routers that a router notifies when it shuts down; gossip spreads the update further.
 const LEAVE_REPORTS: usize = 2 * INDIRECT_PROBES;
 
-/// What SWIM wants done after an input.
+/// What the caller has to do after an input.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SwimOutput {
     /// Send a message.
@@ -56,20 +59,20 @@
         node: NodeId,
         /// Its state now.
         state: PeerState,
-        /// Whether its incarnation is a new one.
+        /// Whether the peer has restarted: its incarnation is a new one.
         restarted: bool,
         /// The router that reported it first.
         reporter: NodeId,
     },
 }
 
-/// One router's view of who is alive.
+/// The membership of the fleet as one router sees it.
 pub struct Swim {
     me: NodeId,
     incarnation: u64,
     refutations: u32,
     peers: BTreeMap<NodeId, PeerView>,
-    /// The peers that are still to be pinged in this pass over all of them.
+    /// The peers that have not yet been pinged in the current pass over all peers.
     probe_order: Vec<NodeId>,
     periods: u64,
     probe: Option<Probe>,
@@ -77,16 +80,16 @@
     /// The number of the latest ping.
     last_number: u32,
     gossip: GossipQueue,
-    /// Lifeguard's local health multiplier: zero for a router that answers in time.
+    /// Lifeguard's local health multiplier: zero for a router that receives acknowledgements in time.
     health_score: u32,
-    /// When the next period begins.
+    /// When the next protocol period begins.
     next_period: Time,
     leaving: bool,
     rng: fastrand::Rng,
 }
 
 impl Swim {
-    /// A router that has just started.
+    /// Creates the state of a router that has just started.
     pub fn new(now: Time, me: NodeId, incarnation: u64, roster: &Roster, seed: u64) -> Swim {
         let mut swim = Swim {
             me,
@@ -105,13 +108,13 @@
             rng: fastrand::Rng::with_seed(seed),
         };
         swim.set_roster(now, roster);
-        // Routers that start together do not ping at the same time.
+        // A random offset keeps routers that start together from pinging at the same time.
         swim.next_period = now.plus(PERIOD.times(swim.rng.f64()));
         swim.gossip.push(swim.own_update(PeerState::Alive));
         swim
     }
 
-    /// Takes another roster.
+    /// Replaces the roster. Peers that are on both rosters keep their state.
     pub fn set_roster(&mut self, now: Time, roster: &Roster) {
         self.peers.retain(|id, _| roster.contains(*id));
         for id in roster.ids().filter(|id| *id != self.me) {
@@ -121,44 +124,44 @@
         self.probe_order.clear();
     }
 
-    /// What is known of the peers, by id.
+    /// Returns what is known about the peers, by id.
     pub fn peers(&self) -> impl Iterator<Item = (NodeId, &PeerView)> {
         self.peers.iter().map(|(id, view)| (*id, view))
     }
 
-    /// What is known of a peer.
+    /// Returns what is known about a peer.
     pub fn peer(&self, id: NodeId) -> Option<&PeerView> {
         self.peers.get(&id)
     }
 
-    /// The incarnation of a peer that has been heard of.
+    /// Returns the incarnation of a peer; `None` if no packet from it and no update on it has been received.
     pub fn known_incarnation(&self, id: NodeId) -> Option<u64> {
         self.peers.get(&id).filter(|view| view.state.is_some()).map(|view| view.incarnation)
     }
 
-    /// This router and the peers that are alive or suspected.
+    /// Returns this router and the peers that are alive or suspected.
     pub fn alive(&self) -> impl Iterator<Item = NodeId> + '_ {
         let me = (!self.leaving).then_some(self.me);
         let peers = self.peers.iter().filter(|(_, view)| view.is_active()).map(|(id, _)| *id);
         me.into_iter().chain(peers)
     }
 
-    /// Whether a router is dead or has left.
-    pub fn is_gone(&self, id: NodeId) -> bool {
+    /// Returns whether a router is dead or has left.
+    pub fn is_dead_or_left(&self, id: NodeId) -> bool {
         self.peers.get(&id).is_some_and(|view| matches!(view.state, Some(PeerState::Dead | PeerState::Left)))
     }
 
-    /// Whether nothing was ever received from a peer or about it.
+    /// Returns whether no packet from a peer and no update on it has ever been received.
     pub fn is_unheard(&self, id: NodeId) -> bool {
         self.peers.get(&id).is_some_and(|view| view.state.is_none())
     }
 
-    /// This router's incarnation.
+    /// Returns this router's incarnation.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Lifeguard's local health multiplier: how many times slower than usual this router takes itself for.
+    /// Returns Lifeguard's local health multiplier: ping timeouts are multiplied by one more than this.
     pub fn health_score(&self) -> u32 {
         self.health_score
     }
@@ -171,7 +174,7 @@
         self.health_score = self.health_score.saturating_sub(1);
     }
 
-    /// The update on this router itself.
+    /// Returns an update that reports this router in `state`.
     fn own_update(&self, state: PeerState) -> MembershipUpdate {
         MembershipUpdate {
             node: self.me,
@@ -182,8 +185,8 @@
         }
     }
 
-    /// Takes an incarnation after a later one of this router's that others know of: the system clock that
-    /// incarnations are derived from was set back.
+    /// Changes to an incarnation later than `latest`, which a peer knows of this router. `latest` exceeds the
+    /// current one if the system clock, from which incarnations are derived, was set back.
     pub fn supersede_incarnation(&mut self, latest: u64) {
         self.incarnation = self.incarnation.max(latest) + 1;
         self.refutations = 0;
@@ -191,7 +194,7 @@
         self.gossip.push(self.own_update(PeerState::Alive));
     }
 
-    /// Records that a packet was received from an incarnation of a peer.
+    /// Records that a packet was received from `from` in this incarnation.
     pub fn record_contact(
         &mut self,
         now: Time,
@@ -201,23 +204,23 @@
     ) {
         let me = self.me;
         let Some(view) = self.peers.get_mut(&from) else { return };
-        view.heard_at = Some(now);
+        view.last_received_at = Some(now);
         if view.state.is_none() || incarnation > view.incarnation {
             let state = PeerState::Alive;
             let update = MembershipUpdate { node: from, incarnation, refutations: 0, state, reporter: me };
             self.apply_update(now, update, outputs);
             return;
         }
-        let informed_recently = view.informed_at.is_some_and(|at| now.since(at) < ACK_TIMEOUT);
-        if view.state != Some(PeerState::Alive) && !informed_recently {
-            // It does not know how it is taken; it refutes that once it does.
-            view.informed_at = Some(now);
+        let notified_recently = view.notified_at.is_some_and(|at| now.since(at) < ACK_TIMEOUT);
+        if view.state != Some(PeerState::Alive) && !notified_recently {
+            // The peer refutes its state once it has been notified of it.
+            view.notified_at = Some(now);
             let update = view.update(from, view.state.unwrap_or(PeerState::Dead), me);
             outputs.push(SwimOutput::Send { to: from, message: Message::Gossip(vec![update]) });
         }
     }
 
-    /// Handles a message of SWIM's; ignores others.
+    /// Handles a SWIM message; ignores all others.
     pub fn receive(&mut self, now: Time, from: NodeId, message: &Message, outputs: &mut Vec<SwimOutput>) {
         match message {
             Message::Ping { number } => {
@@ -235,7 +238,7 @@
         }
     }
 
-    /// Applies an update. It is gossiped on if it says anything new.
+    /// Applies an update, and gossips it further if it takes precedence over what is known.
     pub fn apply_update(&mut self, now: Time, update: MembershipUpdate, outputs: &mut Vec<SwimOutput>) {
         if update.node == self.me {
             self.refute(update, outputs);
@@ -245,8 +248,8 @@
         let known = view.precedence();
         let updated = Precedence::of(&update);
         if update.state == PeerState::Suspect && updated == known {
-            let is_wanted = view.suspected_by.len() <= INDIRECT_PROBES;
-            if is_wanted && view.suspected_by.insert(update.reporter) {
+            let lowers_timeout = view.suspected_by.len() <= INDIRECT_PROBES;
+            if lowers_timeout && view.suspected_by.insert(update.reporter) {
                 self.gossip.push(update);
             }
             return;
@@ -276,29 +279,29 @@
         }
     }
 
-    /// Refutes an update on this router itself, unless it is right.
+    /// Refutes an update that reports this router suspect, dead or left, unless this router is leaving.
     fn refute(&mut self, update: MembershipUpdate, outputs: &mut Vec<SwimOutput>) {
-        let is_right = update.state == PeerState::Alive || self.leaving;
-        if update.incarnation != self.incarnation || is_right {
+        let is_correct = update.state == PeerState::Alive || self.leaving;
+        if update.incarnation != self.incarnation || is_correct {
             return;
         }
         if update.refutations >= self.refutations {
             self.refutations = update.refutations + 1;
             self.degrade_health();
         }
-        // A reporter that has not heard of an earlier refutation hears of it now.
+        // The reporter may not have received an earlier refutation, so it is sent one directly.
         let refutation = self.own_update(PeerState::Alive);
         self.gossip.push(refutation);
         outputs.push(SwimOutput::Send { to: update.reporter, message: Message::Gossip(vec![refutation]) });
     }
 
-    /// The updates for the next packet.
+    /// Returns the updates for the next packet.
     pub fn next_gossip(&mut self) -> Vec<MembershipUpdate> {
         self.gossip.next_batch(self.peers.len())
     }
 
-    /// Reports to some others that this router shuts down. To all at once it would be a burst in a large
-    /// fleet; gossip spreads it.
+    /// Notifies `LEAVE_REPORTS` random routers that this router shuts down; gossip spreads the update
+    /// further. Notifying all routers at once would cause a burst of packets in a large fleet.
     pub fn leave(&mut self, outputs: &mut Vec<SwimOutput>) {
         self.leaving = true;
         let update = self.own_update(PeerState::Left);
--- a/crates/fleet/src/swim/peer_view.rs
+++ b/crates/fleet/src/swim/peer_view.rs
@@ -1,11 +1,11 @@
-//! What a router knows of each peer.
+//! The state that a router keeps about each peer.
 
 use crate::packet::{MembershipUpdate, PeerState};
 use crate::roster::NodeId;
 use basalthill_policy::api::Time;
 use std::collections::BTreeSet;
 
-/// The order of updates on one peer: the larger one wins.
+/// The order of updates on one peer; the larger one takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Precedence {
     incarnation: u64,
@@ -23,24 +23,24 @@
     }
 }
 
-/// What is known of a peer.
+/// What a router knows about a peer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerView {
-    /// Its state; `None` if nothing was ever received from it or about it.
+    /// Its state; `None` if no packet from it and no update on it has been received.
     pub state: Option<PeerState>,
     /// Its incarnation.
     pub incarnation: u64,
     /// How often it has refuted a suspicion in this incarnation.
     pub refutations: u32,
-    /// Since when it is in this state.
+    /// When it entered this state, by this router's clock.
     pub since: Time,
     /// The router that reported the state first.
     pub reporter: NodeId,
-    /// When a packet was last received from it.
-    pub heard_at: Option<Time>,
-    /// When the peer was last informed that it is not taken for alive.
-    pub(super) informed_at: Option<Time>,
-    /// The routers that suspect it from their own experience.
+    /// When the last packet from it was received.
+    pub last_received_at: Option<Time>,
+    /// When the peer was last notified that it is considered suspect, dead or left.
+    pub(super) notified_at: Option<Time>,
+    /// The routers that suspect it because it did not acknowledge their own pings.
     pub(super) suspected_by: BTreeSet<NodeId>,
 }
 
@@ -52,8 +52,8 @@
             refutations: 0,
             since: now,
             reporter: me,
-            heard_at: None,
-            informed_at: None,
+            last_received_at: None,
+            notified_at: None,
             suspected_by: BTreeSet::new(),
         }
     }
@@ -62,12 +62,13 @@
         Precedence { incarnation: self.incarnation, refutations: self.refutations, state: self.state }
     }
 
-    /// Whether it takes part: alive, or suspected and not yet dead.
+    /// Returns whether the peer is alive, or suspected and not yet declared dead.
     pub(super) fn is_active(&self) -> bool {
         matches!(self.state, Some(PeerState::Alive | PeerState::Suspect))
     }
 
-    /// An update that reports this peer in another state, in the incarnation that is known.
+    /// Returns an update that reports this peer in `state`, with the incarnation and refutations that are
+    /// known.
     pub(super) fn update(&self, node: NodeId, state: PeerState, reporter: NodeId) -> MembershipUpdate {
         MembershipUpdate {
             node,
--- a/crates/fleet/src/swim/probe.rs
+++ b/crates/fleet/src/swim/probe.rs
@@ -3,26 +3,26 @@
 use crate::roster::NodeId;
 use basalthill_policy::api::Time;
 
-/// The most pings on behalf of other routers that are open at a time.
+/// The most pings on behalf of other routers that are in flight at a time.
 const MAX_RELAYED_PINGS: usize = 64;
 
-/// A ping of this router's own that is not acknowledged yet.
+/// A ping of this router that has not been acknowledged yet.
 #[derive(Clone, Copy, Debug)]
 pub struct Probe {
     /// The ping's number.
     pub number: u32,
     /// The router that is pinged.
     pub target: NodeId,
-    /// When other routers are to ping the target, too.
+    /// When other routers are requested to ping the target as well.
     pub indirect_at: Time,
-    /// When the target is suspected.
-    pub ends_at: Time,
+    /// When the target is suspected for lack of an acknowledgement.
+    pub times_out_at: Time,
     /// Whether other routers have been requested to ping the target.
     pub indirect_sent: bool,
 }
 
 impl Probe {
-    /// Whether an acknowledgement from a router answers this ping.
+    /// Returns whether an acknowledgement from `node` with this number is the one for this ping.
     pub fn is_answered_by(&self, number: u32, node: NodeId) -> bool {
         self.number == number && self.target == node
     }
@@ -35,11 +35,11 @@
     pub number: u32,
     /// The router that is pinged.
     pub target: NodeId,
-    /// The router that has requested it.
+    /// The router that requested the ping.
     pub requester: NodeId,
-    /// The requester's number for it.
+    /// The number of the requester's ping-req.
     pub requester_number: u32,
-    /// When its acknowledgement counts no longer.
+    /// When its acknowledgement is no longer accepted.
     pub expires_at: Time,
 }
 
@@ -50,23 +50,23 @@
 }
 
 impl RelayedPings {
-    /// Whether no more of them may be open.
+    /// Returns whether the limit on relayed pings in flight is reached.
     pub fn is_full(&self) -> bool {
         self.pings.len() >= MAX_RELAYED_PINGS
     }
 
-    /// Adds one.
+    /// Adds a ping.
     pub fn push(&mut self, ping: RelayedPing) {
         self.pings.push(ping);
     }
 
-    /// Removes the one that an acknowledgement answers.
+    /// Removes and returns the ping that an acknowledgement from `node` with this number answers.
     pub fn take_answered(&mut self, number: u32, node: NodeId) -> Option<RelayedPing> {
         let position = self.pings.iter().position(|ping| ping.number == number && ping.target == node)?;
         Some(self.pings.swap_remove(position))
     }
 
-    /// Removes those whose time is over.
+    /// Removes the pings that have expired.
     pub fn expire(&mut self, now: Time) {
         self.pings.retain(|ping| now < ping.expires_at);
     }
--- a/crates/fleet/src/token_bucket.rs
+++ b/crates/fleet/src/token_bucket.rs
@@ -1,20 +1,22 @@
 //! The token bucket of a rate at one router.
 //!
-//! Tokens fill at the fraction of the rate that the router's units stand for, and never exceed the same
-//! fraction of the burst. So the tokens of all routers together never exceed the burst and fill no faster
-//! than the rate.
+//! Tokens are refilled at the fraction of the rate that the router's units represent, up to the same fraction
+//! of the burst. So the tokens of all routers together never exceed the burst and are refilled no faster than
+//! the rate.
 
 use crate::ledger::Ledger;
 use crate::limit::RATE_UNITS;
 use crate::timing::Timing;
 use basalthill_policy::api::Time;
 
-/// The rate below which the time until the next token is not computed, in tokens a second.
+/// The lowest rate, in tokens per second, that retry times are computed with: it bounds them when the router
+/// has almost no units.
 const MIN_RETRY_RATE_PER_S: f64 = 1e-3;
-/// Rejected requests are spread over the time in which this many bursts refill, and no further.
+/// The number of bursts after which deferred requests are no longer counted. Retry times are spread over the
+/// time in which this many bursts are refilled.
 const MAX_DEFERRED_BURSTS: f64 = 4.0;
 
-/// The tokens of a rate.
+/// The token bucket of a rate limit at one router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TokenBucket {
     per_s: f64,
@@ -22,23 +24,24 @@
     tokens: f64,
     /// The time of the last refill.
     refilled_at: Time,
-    /// Rejected requests whose retry time has not come: each has been given a token of its own.
+    /// Rejected requests whose retry time has not passed. Each was given the time at which a token of its own
+    /// is refilled.
     deferred: f64,
-    /// The most tokens that the units allow, as of the last refill.
+    /// The largest number of tokens that the units allow, as of the last refill.
     capacity: f64,
 }
 
 impl TokenBucket {
-    /// An empty bucket: the tokens of an earlier incarnation may have been spent.
+    /// Creates an empty bucket, because the tokens of an earlier incarnation may have been spent.
     pub fn new(now: Time, per_s: f64, burst: f64) -> TokenBucket {
         TokenBucket { per_s, burst, tokens: 0.0, refilled_at: now, deferred: 0.0, capacity: 0.0 }
     }
 
-    /// Refills up to now. `reserved` units are there whatever the ledger says; of the ledger's units, no more
-    /// than `max_ledger_units` are used.
+    /// Refills the bucket up to `now`. `reserved` units count in addition to those in the ledger; of the
+    /// ledger's units, at most `max_ledger_units` are used.
     ///
-    /// Over a span in which the units changed, the fewest of them count: after a suspension nothing is filled
-    /// by units that expired in it.
+    /// The refill since the last one uses the smallest number of units in that span, so after a suspension of
+    /// the process no tokens come from units that expired during it.
     pub fn refill(
         &mut self,
         now: Time,
@@ -63,7 +66,7 @@
         self.tokens = self.tokens.min(self.capacity);
     }
 
-    /// How full the bucket is, from 0 to 1; zero if its capacity is less than one token.
+    /// Returns how full the bucket is, from 0 to 1; zero if its capacity is less than one token.
     pub fn fill_level(&self) -> f64 {
         if self.capacity < 1.0 {
             return 0.0;
@@ -71,8 +74,8 @@
         (self.tokens / self.capacity).clamp(0.0, 1.0)
     }
 
-    /// The fill level for a request that arrives now: zero if there is no token for it, and above zero
-    /// otherwise. [`TokenBucket::refill`] must have been called at this time.
+    /// Returns the fill level for a request that arrives now: zero if there is no token for it, and above
+    /// zero otherwise. [`TokenBucket::refill`] must have been called at this time.
     pub fn admission_level(&self) -> f64 {
         if self.tokens >= 1.0 {
             self.fill_level().max(f64::MIN_POSITIVE)
@@ -81,12 +84,12 @@
         }
     }
 
-    /// The capacity that so many units give.
+    /// Returns the capacity of the bucket with this many units.
     pub fn capacity_of(&self, units: u64) -> f64 {
         units as f64 / RATE_UNITS as f64 * self.burst
     }
 
-    /// The number of tokens that can be spent now.
+    /// Returns the number of tokens that can be spent now.
     pub fn available(&self) -> u32 {
         self.tokens.max(0.0) as u32
     }
@@ -96,8 +99,9 @@
         self.tokens -= 1.0;
     }
 
-    /// When a request that is rejected now may be retried, at a rate of so many units. Each rejected request
-    /// is given another moment, at the rate at which tokens will be there.
+    /// Returns the time, from now, after which a request that is rejected now may be retried, at the refill
+    /// rate of `reserved` and `ledger_units`. Each rejected request is given a later time than the one
+    /// before, spaced by the time that one token takes to refill.
     pub fn retry_after(&self, reserved: u64, ledger_units: i64) -> Time {
         let units = (reserved as i64 + ledger_units).max(0);
         let per_s = units as f64 / RATE_UNITS as f64 * self.per_s;
@@ -106,7 +110,7 @@
         Time((wait_s * 1e9) as u64)
     }
 
-    /// Records that a request was rejected and given the time of [`TokenBucket::retry_after`].
+    /// Records that a request was rejected and given the time returned by [`TokenBucket::retry_after`].
     pub fn record_rejection(&mut self) {
         self.deferred = (self.deferred + 1.0).min(MAX_DEFERRED_BURSTS * self.burst);
     }
--- a/crates/fleet/src/token_bucket/tests.rs
+++ b/crates/fleet/src/token_bucket/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A rate of units until a time.
+/// Returns a ledger with all units of a rate until `until`.
 fn ledger_until(until: Time) -> Ledger {
     let mut ledger = Ledger::default();
     ledger.credit(RATE_UNITS, until);
@@ -11,7 +11,7 @@
     Timing::new(0.01, Time(0))
 }
 
-/// Spends all tokens that are there. Returns how many they were.
+/// Spends all tokens that are available. Returns their number.
 fn spend_all(tokens: &mut TokenBucket) -> f64 {
     let mut spent = 0.0;
     while tokens.admission_level() > 0.0 {
@@ -21,7 +21,7 @@
     spent
 }
 
-/// Spends whatever is there every 7 ms. Returns how many tokens they were.
+/// Spends all available tokens every 7 ms. Returns their number.
 fn spend_over(tokens: &mut TokenBucket, ledger: &Ledger, from: Time, until: Time) -> f64 {
     let mut now = from;
     let mut spent = 0.0;
@@ -37,10 +37,10 @@
 fn a_fast_clock_refills_no_faster_than_the_rate() {
     let ledger = ledger_until(Time::ms(1_000_000));
     let mut tokens = TokenBucket::new(Time(0), 100.0, 10.0);
-    // A hundred true seconds on a clock that is a hundredth fast.
+    // A hundred seconds of true time on a clock that runs one percent fast.
     let admitted = spend_over(&mut tokens, &ledger, Time(0), Time::ms(101_000));
-    assert!(admitted <= 100.0 * 100.0 + 10.0, "{admitted} in a hundred seconds at 100 a second");
-    assert!(admitted >= 0.98 * 10_000.0, "{admitted}");
+    assert!(admitted <= 100.0 * 100.0 + 10.0, "{admitted} requests admitted in 100 s at 100 per second");
+    assert!(admitted >= 0.98 * 10_000.0, "only {admitted} requests admitted");
 }
 
 #[test]
@@ -49,7 +49,7 @@
     let mut tokens = TokenBucket::new(Time(0), 100.0, 100.0);
     tokens.refill(Time::ms(500), 0, &ledger, None, &timing());
     spend_all(&mut tokens);
-    // It is suspended over the end of its units, and gets new ones as it resumes.
+    // The process is suspended while its units expire, and gets new units after it resumes.
     ledger.credit(RATE_UNITS, Time::ms(90_000));
     ledger.cancel_credit(RATE_UNITS, Time::ms(90_000));
     tokens.refill(Time::ms(30_000), 0, &ledger, None, &timing());
