--- a/crates/fleet/tests/model/leases.rs
+++ b/crates/fleet/tests/model/leases.rs
@@ -1,4 +1,4 @@
-//! Leases on one node's quotas: no two routers have one at a time.
+//! Model of the lease on one owner's quotas: no two routers hold it at a time.
 
 use crate::{advance, assert_properties, timing, SPAN};
 use basalthill_fleet::lease::{LeaseClaim, NodeIncarnation, VoteRequest, Voter};
@@ -6,13 +6,13 @@
 use basalthill_policy::api::Time;
 use stateright::{Checker, Model, Property};
 
-const ONE_LEASE_AT_A_TIME: &str = "one lease at a time";
-/// The routers: all vote, the first two also claim the lease.
+const ONE_LEASE_AT_A_TIME: &str = "no two routers hold the lease at a time";
+/// The number of routers. All of them vote; the first [`CLAIMANTS`] also claim the lease.
 const ROUTERS: usize = 3;
 const CLAIMANTS: usize = 2;
-/// The router that only votes; it is the one that crashes.
+/// The router that votes but does not claim the lease. Only this router crashes.
 const VOTER_ONLY: usize = 2;
-/// The node whose quotas are claimed.
+/// The router whose quotas are claimed.
 const OWNER: NodeId = NodeId(1);
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -34,7 +34,7 @@
     clocks: [Time; ROUTERS],
     voters: [Voter; ROUTERS],
     claims: [LeaseClaim; CLAIMANTS],
-    /// The rounds of requests that each claimant has sent.
+    /// The number of rounds of requests that each claimant has begun.
     requests: [u32; CLAIMANTS],
     crashes: u32,
     network: Vec<Datagram>,
@@ -55,18 +55,18 @@
     max_requests: u32,
     max_crashes: u32,
     network_capacity: usize,
-    /// Leases may be released.
+    /// Whether leases may be released.
     releases: bool,
-    /// A fault that the checker has to find.
+    /// A fault that is built into the model and that the checker has to find.
     fault: Fault,
 }
 
 #[derive(Clone, Copy, PartialEq)]
 enum Fault {
     None,
-    /// A voter that restarts grants its vote at once.
+    /// A voter that restarts grants votes without a quarantine.
     NoQuarantine,
-    /// A release counts whenever it arrives.
+    /// A release withdraws the vote even if the vote was granted for a later request.
     LateRelease,
 }
 
@@ -163,7 +163,7 @@
         vec![LeaseState {
             clock_steps: 0,
             clocks: [Time::ms(1000); ROUTERS],
-            // They have run for long: none of them is quarantined.
+            // The voters have been running for some time, so none of them is quarantined.
             voters: [(); ROUTERS].map(|()| Voter::default()),
             claims: [(); CLAIMANTS].map(|()| new_claim()),
             requests: [0; CLAIMANTS],
@@ -229,7 +229,7 @@
             Property::always(ONE_LEASE_AT_A_TIME, |_: &LeaseModel, state: &LeaseState| {
                 !(state.has_lease(0) && state.has_lease(1))
             }),
-            Property::sometimes("the second has it after the first", |_: &LeaseModel, state: &LeaseState| {
+            Property::sometimes("the second claimant takes over", |_: &LeaseModel, state: &LeaseState| {
                 state.has_lease(1) && state.requests[0] > 0
             }),
         ]
@@ -249,22 +249,22 @@
 }
 
 #[test]
-fn one_router_has_the_lease_at_a_time() {
+fn no_two_routers_hold_the_lease_at_a_time() {
     check_leases(4, 1, 0, false);
 }
 
 #[test]
-fn one_router_has_a_lease_at_a_time_that_is_released_and_claimed_again() {
+fn no_two_routers_hold_the_lease_at_a_time_with_releases_and_renewed_claims() {
     check_leases(1, 2, 0, true);
 }
 
 #[test]
 #[ignore = "takes half a minute and some GiB; run it when crates/fleet/src/lease.rs changes"]
-fn one_router_has_the_lease_at_a_time_though_a_voter_crashes() {
+fn no_two_routers_hold_the_lease_at_a_time_when_a_voter_crashes() {
     check_leases(4, 1, 1, false);
 }
 
-fn is_detected(fault: Fault, releases: bool) -> bool {
+fn finds_violation(fault: Fault, releases: bool) -> bool {
     let model = LeaseModel {
         max_clock_steps: if releases { 1 } else { 3 },
         max_requests: if releases { 2 } else { 1 },
@@ -278,11 +278,11 @@
 }
 
 #[test]
-fn a_voter_that_restarts_without_quarantine_is_detected() {
-    assert!(is_detected(Fault::NoQuarantine, false));
+fn the_checker_finds_a_voter_that_restarts_without_quarantine() {
+    assert!(finds_violation(Fault::NoQuarantine, false));
 }
 
 #[test]
-fn a_release_that_counts_after_a_newer_request_is_detected() {
-    assert!(is_detected(Fault::LateRelease, true));
+fn the_checker_finds_a_release_that_withdraws_a_newer_vote() {
+    assert!(finds_violation(Fault::LateRelease, true));
 }
--- a/crates/fleet/tests/model/loans.rs
+++ b/crates/fleet/tests/model/loans.rs
@@ -1,4 +1,5 @@
-//! Loans between a lender and a borrower: the units that the two use never exceed what the lender had.
+//! Model of loans between a lender and a borrower: the units that the two use together never exceed the
+//! total.
 
 use crate::{advance, assert_properties, timing, SPAN};
 use basalthill_fleet::ledger::Ledger;
@@ -6,7 +7,7 @@
 use basalthill_policy::api::Time;
 use stateright::{Checker, Model, Property};
 
-const NEVER_MORE_THAN_ALL: &str = "no more units are used than there are";
+const USE_WITHIN_TOTAL: &str = "units in use never exceed the total";
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Datagram {
@@ -14,13 +15,13 @@
     Grant { incarnation: u8, number: u32, units: u64 },
 }
 
-/// A lender of some units, which uses what it has not lent, and a borrower.
+/// The state of a lender, which uses the units that it has not lent, and of a borrower.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct LoanState {
     clock_steps: u32,
     lender: Lender,
     borrower: Borrower,
-    /// Requests sent, over all incarnations of the borrower.
+    /// The number of requests sent, over all incarnations of the borrower.
     requests: u32,
     network: Vec<Datagram>,
 }
@@ -30,7 +31,7 @@
     now: Time,
     ledger: Ledger,
     lending: Lending,
-    /// The borrower's incarnation that the lender knows.
+    /// The latest incarnation of the borrower that the lender knows.
     known_incarnation: u8,
 }
 
@@ -57,7 +58,7 @@
     max_requests: u32,
     max_crashes: u8,
     network_capacity: usize,
-    /// The lender does not stretch spans by the drift: the checker has to find the fault.
+    /// The lender does not lengthen spans by the drift. This is a fault that the checker has to find.
     ignores_drift: bool,
 }
 
@@ -82,7 +83,8 @@
         borrower.ledger.discard_expired(borrower.now);
     }
 
-    /// The lender's answer to a request; `None` if `granted` is none of the answers that it may give.
+    /// Returns the units that the lender grants in answer to a request, or `None` if the model may not grant
+    /// `granted` units.
     fn answer(&self, lender: &mut Lender, request: LoanRequest, granted: u64) -> Option<u64> {
         match lender.lending.receive_request(lender.now, request, &mut lender.ledger) {
             RequestReceipt::New => {
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Delivers a datagram. Returns `None` if that is not possible with these units.
+    /// Delivers a datagram. Returns `None` if the lender can't grant `granted` units.
     fn deliver(&self, state: &mut LoanState, datagram: Datagram, granted: u64) -> Option<()> {
         match datagram {
             Datagram::Request { incarnation, number, retained } => {
@@ -108,7 +110,7 @@
                     return Some(());
                 }
                 if incarnation > lender.known_incarnation {
-                    // As an account does when its peer has restarted.
+                    // This is what `QuotaAccount` does when its peer has restarted.
                     lender.known_incarnation = incarnation;
                     lender.lending = Lending::default();
                 }
@@ -206,7 +208,7 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(NEVER_MORE_THAN_ALL, |model: &LoanModel, state: &LoanState| {
+            Property::always(USE_WITHIN_TOTAL, |model: &LoanModel, state: &LoanState| {
                 state.units_in_use() <= model.units
             }),
             Property::sometimes("all units are lent", |model: &LoanModel, state: &LoanState| {
@@ -229,18 +231,18 @@
 }
 
 #[test]
-fn lender_and_borrower_never_use_more_than_all_units() {
+fn lender_and_borrower_together_never_use_more_than_the_total() {
     check_loans(2, 2);
 }
 
 #[test]
 #[ignore = "takes half a minute and some GiB; run it when crates/fleet/src/loan.rs changes"]
-fn lender_and_borrower_never_use_more_than_all_units_with_three_requests() {
+fn lender_and_borrower_together_never_use_more_than_the_total_with_three_requests() {
     check_loans(2, 3);
 }
 
 #[test]
-fn a_lender_that_ignores_drift_is_detected() {
+fn the_checker_finds_a_lender_that_ignores_clock_drift() {
     let model = LoanModel {
         units: 1,
         max_clock_steps: 6,
@@ -250,5 +252,5 @@
         ignores_drift: true,
     };
     let checker = model.checker().threads(4).spawn_bfs().join();
-    assert!(checker.discovery(NEVER_MORE_THAN_ALL).is_some());
+    assert!(checker.discovery(USE_WITHIN_TOTAL).is_some());
 }
--- a/crates/fleet/tests/model/main.rs
+++ b/crates/fleet/tests/model/main.rs
@@ -1,6 +1,6 @@
-//! Model checking of the safety of loans and leases in small fleets: every order of events, under clocks that
-//! run at different rates, datagrams that are lost, delayed or duplicated, and crashes. The cores are the
-//! real ones.
+//! Model checking of the safety of loans and leases in small fleets. The checker explores every order of
+//! events, with clocks that run at different rates, datagrams that are lost, delayed or duplicated, and
+//! crashes. The models run the production code of `lease`, `loan` and `ledger`.
 
 mod leases;
 mod loans;
@@ -11,16 +11,17 @@
 use std::fmt::Debug;
 use std::hash::Hash;
 
-/// The steps of a clock, in nanoseconds, in one step of true time, at the rates that [`DRIFT`] allows: two
-/// thirds and four thirds.
+/// The time by which a clock advances in one step of true time, in nanoseconds, at the two extreme rates that
+/// [`DRIFT`] allows: two thirds and four thirds of the true rate.
 const CLOCK_STEPS_NS: [u64; 2] = [20_000_000, 40_000_000];
 const DRIFT: f64 = 1.0 / 3.0;
-/// The span of loans and votes, by the borrower's and the claimant's clock.
+/// The span of loans and votes, by the clock of the borrower or the claimant.
 const SPAN: Time = Time::ms(60);
-/// A model that is checked has more states than this, or its bounds are too narrow to show anything.
+/// The number of states that a checked model has to exceed. With fewer, its bounds are too narrow for the
+/// result to mean anything.
 const MIN_STATES: usize = 100_000;
 
-/// Visits all states of a model and asserts its properties.
+/// Explores all states of a model and asserts its properties.
 fn assert_properties<M>(name: &str, model: M)
 where
     M: Model + Send + Sync + 'static,
@@ -37,7 +38,7 @@
     Timing { drift: DRIFT, period: Time::ms(10), grant: SPAN, deposit: SPAN, lease: SPAN }
 }
 
-/// A clock's time after one step of true time, at one of the rates.
+/// Returns a clock's time after one step of true time, at the rate with this index.
 fn advance(clock: Time, rate: usize) -> Time {
     clock.plus(Time(CLOCK_STEPS_NS[rate]))
 }
