--- a/crates/fleet/src/account/mod.rs
+++ b/crates/fleet/src/account/mod.rs
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Returns the reserved units that count at a time.
+    /// Returns the units of the reserve, or zero before the time from which it counts.
     fn reserve(&self, now: Time) -> u64 {
         if now >= self.config.reserve_from {
             self.config.reserved_units
--- a/crates/fleet/src/codec.rs
+++ b/crates/fleet/src/codec.rs
@@ -17,14 +17,14 @@
     keys: KeyRing,
 }
 
-/// Why a datagram is dropped.
+/// The reason for dropping a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum DropReason {
     /// The datagram is too short or too long, or can't be decoded.
     #[error("the datagram is malformed")]
     Malformed,
     /// The version of the format is not [`VERSION`].
-    #[error("the datagram is of another version")]
+    #[error("the datagram has an unsupported format version")]
     UnsupportedVersion,
     /// It is signed by a key that is not configured.
     #[error("the datagram is signed by an unknown key")]
@@ -76,7 +76,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the reason why the datagram is to be dropped.
+    /// Returns the reason for dropping the datagram.
     pub fn decode(&self, datagram: &[u8]) -> Result<Payload, DropReason> {
         if datagram.len() <= HEADER_LEN + MAC_LEN || datagram.len() > MAX_DATAGRAM {
             return Err(DropReason::Malformed);
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -36,7 +36,7 @@
     pub span: Time,
 }
 
-/// Why a vote is denied.
+/// The reason for denying a vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum VoteDenied {
     /// The requested span is longer than [`MAX_LEASE`].
@@ -45,7 +45,7 @@
     /// The voter has just started: votes of its earlier incarnation may still be valid.
     #[error("the voter has just started; votes of its earlier incarnation may still be valid")]
     Quarantined,
-    /// Another router, or another incarnation of the same router, has the vote.
+    /// Another router, or another incarnation of the same router, holds the vote.
     #[error("{0:?} holds the vote")]
     GrantedTo(NodeIncarnation),
 }
@@ -81,7 +81,7 @@
     ///
     /// # Errors
     ///
-    /// Why the vote is denied.
+    /// Returns the reason for denying the vote.
     pub fn request_vote(
         &mut self,
         now: Time,
--- a/crates/fleet/src/packet.rs
+++ b/crates/fleet/src/packet.rs
@@ -110,14 +110,15 @@
     VoteDenied {
         /// The router that the quotas belong to.
         owner: NodeId,
-        /// The router that holds the vote, or `None` if no router does.
+        /// The router that holds the vote; `None` if the vote is denied for another reason.
         granted_to: Option<NodeIncarnation>,
     },
-    /// The sender no longer uses the quotas of `owner`, nor any vote on them that it has requested.
+    /// The sender no longer uses the quotas of `owner`, nor any vote on them granted for its requests up to
+    /// `number`.
     LeaseReleased {
         /// The router that the quotas belong to.
         owner: NodeId,
-        /// The number of the latest request whose vote is released.
+        /// The number of the latest request that the release covers.
         number: u32,
     },
     /// The report of a router to the coordinator of a limit.
--- a/crates/fleet/src/roster/tests.rs
+++ b/crates/fleet/src/roster/tests.rs
@@ -3,7 +3,7 @@
 fn roster_of(count: usize) -> Roster {
     let addr = SocketAddr::from(([127, 0, 0, 1], 1));
     let peers = (0..count).map(|n| Peer { name: format!("n{n}"), addr, zone: None }).collect();
-    Roster::new(peers).expect("names that differ")
+    Roster::new(peers).expect("distinct names")
 }
 
 #[test]
--- a/crates/fleet/src/swim/mod.rs
+++ b/crates/fleet/src/swim/mod.rs
@@ -61,7 +61,7 @@
         state: PeerState,
         /// Whether the peer has restarted: its incarnation is a new one.
         restarted: bool,
-        /// The router that reported it first.
+        /// The router that reported the state first.
         reporter: NodeId,
     },
 }
--- a/crates/fleet/src/timing.rs
+++ b/crates/fleet/src/timing.rs
@@ -38,8 +38,8 @@
     }
 
     /// Returns the span for which a lender counts units as lent when the borrower measures `span` by its own
-    /// clock. The lender's clock may be fast by the drift and the borrower's slow, so this is `span * (1 +
-    /// drift) / (1 - drift)`, rounded up.
+    /// clock. It is `span * (1 + drift) / (1 - drift)`, rounded up, because the lender's clock may be fast by
+    /// the drift and the borrower's slow by as much.
     pub fn lender_span(&self, span: Time) -> Time {
         span.times((1.0 + self.drift) / (1.0 - self.drift)).plus(Time(1))
     }
--- a/crates/fleet/tests/limits.rs
+++ b/crates/fleet/tests/limits.rs
@@ -230,8 +230,8 @@
     }
     fleet.run_until(seconds(45.0));
     assert_never_exceeded(&fleet);
-    // The last incarnation can borrow, although lenders have answered loan requests of earlier incarnations
-    // of the same router.
+    // Guards against a lender that compares the loan request numbers of a new incarnation with those of
+    // earlier ones and ignores its requests.
     let used = utilization(&fleet, 38.0, 45.0);
     assert!(used >= 0.85, "{used} of the rate is used");
 }
