--- a/crates/fleet/src/hash/tests.rs
+++ b/crates/fleet/src/hash/tests.rs
@@ -1,4 +1,4 @@
-//! The values that routers of different builds must agree on.
+//! Fixed values of the hash functions. Routers of different builds must agree on them.
 
 use super::*;
 use crate::limit::LimitKey;
@@ -11,7 +11,7 @@
         addr: SocketAddr::from(([127, 0, 0, 1], 1)),
         zone: None,
     });
-    Roster::new(peers.collect()).expect("names that differ")
+    Roster::new(peers.collect()).expect("distinct names")
 }
 
 #[test]
