--- a/crates/fleet/tests/limits.rs
+++ b/crates/fleet/tests/limits.rs
@@ -4,7 +4,7 @@
 use basalthill_fleet::{Bounds, FleetConfig, Limit, LimitKey, Subject, Timing};
 use basalthill_policy::api::Time;
 use basalthill_standin::simulated_fleet::{
-    max_concurrent, numbered_names, rate_excess, RecordedDatagram, SimulatedFleet,
+    max_concurrent, numbered_roster, rate_excess, RecordedDatagram, SimulatedFleet,
 };
 use proptest::prelude::*;
 
@@ -31,7 +31,7 @@
         reserved_fraction: 0.1,
     };
     FleetConfig {
-        roster: numbered_names(routers),
+        roster: numbered_roster(routers),
         limits: vec![rate, slots],
         timing: Timing::new(0.01, MAX_USE),
         max_use: MAX_USE,
@@ -77,7 +77,7 @@
 }
 
 fn demand_twice_the_limit(fleet: &mut SimulatedFleet, routers: usize) {
-    (0..routers).for_each(|n| fleet.demand(n, 2.0 * PER_S / routers as f64, 60.0 / routers as f64));
+    (0..routers).for_each(|n| fleet.set_demand(n, 2.0 * PER_S / routers as f64, 60.0 / routers as f64));
 }
 
 /// Runs a fleet until `from`, in parts that hear nothing of each other until `until`, both in seconds, and
@@ -101,7 +101,7 @@
     let mut fleet = start_fleet(24, 1);
     for n in 0..24 {
         let per_s = if n % 2 == 0 { 60.0 } else { 6.0 };
-        fleet.demand(n, per_s, per_s / 4.0);
+        fleet.set_demand(n, per_s, per_s / 4.0);
     }
     fleet.run_until(seconds(20.0));
     assert_never_exceeded(&fleet);
@@ -114,7 +114,7 @@
     for (routers, of_limit, most) in [(24, 0.7, 0.02), (100, 0.5, 0.05)] {
         let mut fleet = start_fleet(routers, 20);
         let unit = of_limit * PER_S / (routers as f64 / 2.0 * 11.0);
-        (0..routers).for_each(|n| fleet.demand(n, if n % 2 == 0 { 10.0 * unit } else { unit }, 0.0));
+        (0..routers).for_each(|n| fleet.set_demand(n, if n % 2 == 0 { 10.0 * unit } else { unit }, 0.0));
         fleet.run_until(seconds(9.0));
         let (requests, admitted) = (fleet.observations.requests, fleet.observations.admitted.len());
         fleet.run_until(seconds(19.0));
@@ -130,8 +130,8 @@
 #[test]
 fn a_busy_router_borrows_the_surplus_of_idle_ones() {
     let mut fleet = start_fleet(24, 2);
-    (1..24).for_each(|n| fleet.demand(n, 2.0, 0.2));
-    fleet.demand(0, 500.0, 30.0);
+    (1..24).for_each(|n| fleet.set_demand(n, 2.0, 0.2));
+    fleet.set_demand(0, 500.0, 30.0);
     fleet.run_until(seconds(20.0));
     assert_never_exceeded(&fleet);
     let used = utilization(&fleet, 8.0, 20.0);
@@ -141,10 +141,10 @@
 #[test]
 fn units_follow_demand_to_another_router_within_two_seconds() {
     let mut fleet = start_fleet(12, 3);
-    fleet.demand(0, 600.0, 0.0);
+    fleet.set_demand(0, 600.0, 0.0);
     fleet.run_until(seconds(15.0));
-    fleet.demand(0, 0.0, 0.0);
-    fleet.demand(1, 600.0, 0.0);
+    fleet.set_demand(0, 0.0, 0.0);
+    fleet.set_demand(1, 600.0, 0.0);
     fleet.run_until(seconds(25.0));
     assert_never_exceeded(&fleet);
     let (before, after) = (utilization(&fleet, 8.0, 15.0), utilization(&fleet, 17.0, 25.0));
@@ -210,7 +210,7 @@
 #[test]
 fn a_router_killed_with_most_units_borrows_again_after_its_restart() {
     let mut fleet = start_fleet(8, 9);
-    fleet.demand(0, 800.0, 60.0);
+    fleet.set_demand(0, 800.0, 60.0);
     fleet.run_until(seconds(10.0));
     for n in 0..6 {
         fleet.kill(0);
@@ -228,7 +228,7 @@
 #[test]
 fn former_coordinators_return_their_deposits_after_a_partition_heals() {
     let mut fleet = start_fleet(8, 77);
-    (0..8).for_each(|n| fleet.demand(n, if n < 2 { 333.0 } else { 40.0 }, 0.0));
+    (0..8).for_each(|n| fleet.set_demand(n, if n < 2 { 333.0 } else { 40.0 }, 0.0));
     run_through_partition(&mut fleet, &[(0..4).collect(), (4..8).collect()], 12.0, 18.0);
     fleet.run_until(seconds(25.0));
     assert_never_exceeded(&fleet);
@@ -246,7 +246,7 @@
     }
     let logged = |part: &str| fleet.observations.log_lines.iter().filter(|l| l.text.contains(part)).count();
     assert!(logged("n3 does not answer") > 0, "seed {seed}: it was never suspected");
-    let alive = (0..12).all(|n| fleet.fleet(n).is_some_and(|f| f.swim().alive().count() == 12));
+    let alive = (0..12).all(|n| fleet.core(n).is_some_and(|f| f.swim().alive().count() == 12));
     assert!(alive, "seed {seed}: all are alive again");
     logged("n3 is dead")
 }
@@ -272,7 +272,7 @@
     config.limits[1].reserved_fraction = 1.0;
     let mut fleet = SimulatedFleet::new(config, None, Some(LimitKey::global("hosts")), MAX_USE, 19);
     (0..4).for_each(|n| fleet.start(n));
-    (0..4).for_each(|n| fleet.demand(n, 0.0, 60.0));
+    (0..4).for_each(|n| fleet.set_demand(n, 0.0, 60.0));
     for n in 0..20 {
         fleet.run_until(seconds(3.0 + f64::from(n)));
         fleet.kill(n as usize % 4);
@@ -287,7 +287,7 @@
 fn a_resumed_router_spends_no_expired_units() {
     let mut fleet = start_fleet(8, 10);
     demand_twice_the_limit(&mut fleet, 8);
-    fleet.demand(0, 800.0, 60.0);
+    fleet.set_demand(0, 800.0, 60.0);
     for n in 0..5 {
         fleet.run_until(seconds(10.0 + 8.0 * f64::from(n)));
         run_through_pause(&mut fleet, 0, 16.0 + 8.0 * f64::from(n));
@@ -318,7 +318,7 @@
 fn three_hundred_routers_started_together_discover_each_other() {
     let mut fleet = start_fleet(300, 12);
     fleet.run_until(seconds(10.0));
-    let alive = (0..300).map(|n| fleet.fleet(n).map_or(0, |f| f.swim().alive().count()));
+    let alive = (0..300).map(|n| fleet.core(n).map_or(0, |f| f.swim().alive().count()));
     let fewest = alive.min().unwrap_or(0);
     assert!(fewest >= 299, "{fewest} of 300 are known alive somewhere");
     let per_router = fleet.observations.datagrams as f64 / 300.0 / 10.0;
@@ -378,7 +378,7 @@
             30 + isolated as u64,
         );
         (4..8).for_each(|n| fleet.start(n));
-        fleet.set_plan(rates_only.clone());
+        fleet.set_config(rates_only.clone());
         (0..4).for_each(|n| fleet.start(n));
         demand_twice_the_limit(&mut fleet, 8);
         fleet.run_until(seconds(12.0));
@@ -395,13 +395,13 @@
 #[test]
 fn a_router_added_to_the_roster_gets_its_quota_and_the_limit_is_not_exceeded() {
     let mut fleet = SimulatedFleet::new(config(9), Some(LimitKey::global("acme")), None, MAX_USE, 15);
-    fleet.set_plan(config(8));
+    fleet.set_config(config(8));
     (0..8).for_each(|n| fleet.start(n));
     demand_twice_the_limit(&mut fleet, 8);
     fleet.run_until(seconds(8.0));
-    fleet.set_plan(config(9));
+    fleet.set_config(config(9));
     fleet.start(8);
-    fleet.demand(8, 100.0, 0.0);
+    fleet.set_demand(8, 100.0, 0.0);
     (0..8).for_each(|n| {
         fleet.reload(n, config(9));
         fleet.run_until(seconds(8.0 + 0.2 * n as f64));
@@ -453,7 +453,7 @@
             fleet.inject(*to, &bytes);
         }
     }
-    let counts = fleet.fleet(0).map(|f| f.counters().clone()).unwrap_or_default();
+    let counts = fleet.core(0).map(|f| f.counters().clone()).unwrap_or_default();
     for reason in [
         DropReason::Forged,
         DropReason::UnsupportedVersion,
@@ -464,12 +464,12 @@
     }
     // All of it again to one that was not restarted: it has received them.
     recorded.iter().filter(|sent| sent.to == 1).for_each(|sent| fleet.inject(sent.to, &sent.bytes));
-    let counts = fleet.fleet(1).map(|f| f.counters().clone()).unwrap_or_default();
+    let counts = fleet.core(1).map(|f| f.counters().clone()).unwrap_or_default();
     assert!(counts.dropped.get(&DropReason::Replayed).is_some_and(|n| *n > 10), "{counts:?}");
     assert_eq!(before.iter().filter(|l| l.starts_with("share")).count(), 1);
     // What is addressed to another router.
     recorded.iter().filter(|sent| sent.to == 2).for_each(|sent| fleet.inject(1, &sent.bytes));
-    let counts = fleet.fleet(1).map(|f| f.counters().clone()).unwrap_or_default();
+    let counts = fleet.core(1).map(|f| f.counters().clone()).unwrap_or_default();
     assert!(counts.dropped.get(&DropReason::UnknownPeer).is_some_and(|n| *n > 10), "{counts:?}");
     fleet.run_until(seconds(20.0));
     assert_never_exceeded(&fleet);
@@ -537,7 +537,7 @@
                 Fault::Delay(most) => fleet.links.delay_us = 50..50 + most,
                 Fault::Demand(n, per_s) => {
                     let per_s = f64::from(per_s);
-                    fleet.demand(n % routers, per_s, per_s / 8.0);
+                    fleet.set_demand(n % routers, per_s, per_s / 8.0);
                 }
             }
         }
--- a/crates/lab/src/client_load/naive.rs
+++ b/crates/lab/src/client_load/naive.rs
@@ -1,7 +1,7 @@
 //! Clients as small teams write them: one connection, one request at a time, and retries without a pause.
 
 use super::{ClientKind, ClientRecord, EndedRequest, NextRequest, RequestSchedule, RunningLoad};
-use basalthill_standin::client::{Answer, Client};
+use basalthill_standin::client::{Client, Reply};
 use std::io::ErrorKind;
 use std::time::{Duration, Instant};
 
@@ -72,7 +72,7 @@
             self.record.attempts += 1;
             let text = self.statement(request);
             match self.connection.as_mut().and_then(|c| c.query(&text).ok()) {
-                Some(Answer::Row(_)) => return Instant::now() <= deadline,
+                Some(Reply::Row(_)) => return Instant::now() <= deadline,
                 Some(_) => {}
                 None => {
                     self.connection = None;
--- a/crates/lab/src/cost.rs
+++ b/crates/lab/src/cost.rs
@@ -8,7 +8,7 @@
 use basalthill_policy::api::{GroupId, SessionKey, Time};
 use basalthill_session::token::{issue, verify, Key, KeyId, KeyRing, SessionIdentity};
 use basalthill_session::GroupFloors;
-use basalthill_standin::client::{Answer, Client};
+use basalthill_standin::client::{Client, Reply};
 use basalthill_standin::deployment::Deployment;
 use basalthill_standin::group::GroupBehavior;
 use basalthill_standin::router_process::RouterProcess;
@@ -97,7 +97,7 @@
             let sent_at = Instant::now();
             let answer = client.query(&text)?;
             self.latencies_us.push(sent_at.elapsed().as_micros() as u32);
-            if !matches!(answer, Answer::Row(_)) {
+            if !matches!(answer, Reply::Row(_)) {
                 bail!("not served: {answer:?}");
             }
             self.token = client.token.take().or(self.token.take());
--- a/crates/lab/src/fleet_limits/gossip_cost.rs
+++ b/crates/lab/src/fleet_limits/gossip_cost.rs
@@ -4,7 +4,7 @@
 use crate::{CommonOptions, Outcome};
 use basalthill_fleet::{Bounds, FleetConfig, Limit, LimitKey, Subject, Timing};
 use basalthill_policy::api::Time;
-use basalthill_standin::simulated_fleet::{numbered_names, SimulatedFleet};
+use basalthill_standin::simulated_fleet::{numbered_roster, SimulatedFleet};
 use std::time::Instant;
 
 /// Sizes of fleets; those above what the options name are left out, but for the first.
@@ -42,7 +42,7 @@
     let timing = Timing::new(0.01, Time(0));
     let vote_quarantine = timing.lender_span(timing.lease);
     FleetConfig {
-        roster: numbered_names(routers),
+        roster: numbered_roster(routers),
         limits: vec![limit],
         timing,
         max_use: Time(0),
@@ -52,7 +52,7 @@
 
 /// Datagrams that each router has sent.
 fn datagrams_by_router(fleet: &SimulatedFleet, routers: usize) -> Vec<u64> {
-    (0..routers).map(|n| fleet.fleet(n).map_or(0, |core| core.counters().sent)).collect()
+    (0..routers).map(|n| fleet.core(n).map_or(0, |core| core.counters().sent)).collect()
 }
 
 /// Lets time go on, and takes what gossip costs meanwhile. CPU is that of the simulation.
@@ -95,7 +95,7 @@
         fleet.run_until(START_TIME);
         let idle = measure(&mut fleet, routers);
         for n in 0..routers {
-            fleet.demand(n, if n % 2 == 0 { HIGH_DEMAND } else { LOW_DEMAND }, 0.0);
+            fleet.set_demand(n, if n % 2 == 0 { HIGH_DEMAND } else { LOW_DEMAND }, 0.0);
         }
         fleet.run_until(fleet.now.plus(DEMAND_SETTLING_TIME));
         let busy = measure(&mut fleet, routers);
--- a/crates/lab/src/host_records.rs
+++ b/crates/lab/src/host_records.rs
@@ -22,7 +22,7 @@
     let mut late_statements = 0;
     let mut written_keys = BTreeSet::new();
     for host in &deployment.group.hosts {
-        let seen = host.seen.lock();
+        let seen = host.record.lock();
         for statement in &seen.statements {
             let Some(key) = statement.text.split('\'').nth(1) else { continue };
             statements += 1;
--- a/crates/lab/src/overhead.rs
+++ b/crates/lab/src/overhead.rs
@@ -5,7 +5,7 @@
 use async_executor::LocalExecutor;
 use basalthill_client::{Client, Config, Request, RequestOutcome};
 use basalthill_standin::client::Client as BareClient;
-use basalthill_standin::host::{Host, Reply};
+use basalthill_standin::host::{Host, Response};
 use futures_lite::future::block_on;
 use std::time::{Duration, Instant};
 
@@ -114,8 +114,8 @@
 
 /// Runs the experiment.
 pub fn run(options: &Options, common: &CommonOptions) -> anyhow::Result<Outcome> {
-    let host = Host::start(|_| (Reply::Row(b"v".to_vec()), Vec::new()))?;
-    let forget_statements = || host.seen.change(|seen| seen.statements.clear());
+    let host = Host::start(|_| (Response::Row(b"v".to_vec()), Vec::new()))?;
+    let forget_statements = || host.record.change(|seen| seen.statements.clear());
     let (mut rows, mut summaries) = (Vec::new(), Vec::new());
     for in_flight in IN_FLIGHT {
         forget_statements();
--- a/crates/lab/src/restart.rs
+++ b/crates/lab/src/restart.rs
@@ -3,7 +3,7 @@
 use crate::results::{print_and_write_table, Table};
 use crate::{CommonOptions, Outcome};
 use anyhow::bail;
-use basalthill_standin::client::{Answer, Client};
+use basalthill_standin::client::{Client, Reply};
 use basalthill_standin::deployment::Deployment;
 use basalthill_standin::group::{GroupBehavior, StaleRead};
 use std::io;
@@ -81,7 +81,7 @@
     for n in 0..sessions {
         let text =
             format!("SELECT v FROM records WHERE k = 's{n}' /* id=r{n},c=own,t=acme,d=900,cluster=2 */");
-        let Answer::Row(value) = client.query(&text)? else { continue };
+        let Reply::Row(value) = client.query(&text)? else { continue };
         let value = String::from_utf8_lossy(&value).into_owned();
         if !value.starts_with("1@") {
             bail!("s{n} did not see its write: {value:?}");
--- a/crates/router/tests/at_most_once.rs
+++ b/crates/router/tests/at_most_once.rs
@@ -4,9 +4,9 @@
 
 mod common;
 
-use basalthill_standin::client::{startup, Answer, Client};
+use basalthill_standin::client::{startup, Client, Reply};
 use basalthill_standin::discovery::{endpoint_list, Endpoint};
-use basalthill_standin::host::{Host, Reply};
+use basalthill_standin::host::{Host, Response};
 use basalthill_standin::{unix_ms, Watched};
 use common::served::{
     error_code, primary_host, primary_report, primary_with_row, row, RouterThread, DESCRIPTORS,
@@ -117,10 +117,10 @@
 fn keyed_write_is_not_retried_after_its_deduplication_window_over_a_late_connection() {
     let host = Host::start(|text| match text {
         "SHOW vitals" => {
-            (Reply::RowThenClose(format!("x0={}.0,x1=1", unix_ms() / 1000).into_bytes()), Vec::new())
+            (Response::RowThenClose(format!("x0={}.0,x1=1", unix_ms() / 1000).into_bytes()), Vec::new())
         }
-        text if text.contains("id=short") => (Reply::Close, Vec::new()),
-        _ => (Reply::RowThenClose(b"x".to_vec()), primary_report()),
+        text if text.contains("id=short") => (Response::Close, Vec::new()),
+        _ => (Response::RowThenClose(b"x".to_vec()), primary_report()),
     })
     .unwrap();
     let window = Duration::from_millis(300);
@@ -134,12 +134,12 @@
     client.send(&write("short")).unwrap();
     host.wait_for_statement("id=short").unwrap();
     // Its connection was lost after the last byte; the next ones come up late, after the window.
-    host.seen.change(|host| host.withhold_welcome = true);
+    host.record.change(|host| host.withhold_startup_response = true);
     std::thread::sleep(window + Duration::from_millis(100));
-    host.seen.change(|host| host.withhold_welcome = false);
-    assert!(matches!(client.read_answer().unwrap(), Answer::Error(..)));
+    host.record.change(|host| host.withhold_startup_response = false);
+    assert!(matches!(client.read_reply().unwrap(), Reply::Error(..)));
     assert_eq!(router.client().query(&write("after")).unwrap(), row(b"x"));
-    let seen = host.seen.lock();
+    let seen = host.record.lock();
     let attempts: Vec<_> = seen.statements.iter().filter(|s| s.text.contains("id=short")).collect();
     let span = attempts.last().unwrap().received_at - attempts[0].received_at;
     assert!(span < window, "{} attempts, the last {span:?} after the first", attempts.len());
@@ -149,7 +149,7 @@
 fn slow_connecting_host_does_not_delay_requests_to_other_hosts() {
     let slow = primary_with_row(b"x");
     let quick = primary_with_row(b"x");
-    slow.seen.change(|host| host.withhold_welcome = true);
+    slow.record.change(|host| host.withhold_startup_response = true);
     let members = [
         Endpoint::new("s-1", quick.addr, 2, "active", "source"),
         Endpoint::new("s-2", slow.addr, 3, "active", "source"),
@@ -168,7 +168,7 @@
         assert!(started.elapsed() < Duration::from_secs(1), "{:?}", started.elapsed());
     }
     for client in &mut waiting {
-        assert!(matches!(client.read_answer().unwrap(), Answer::Error(..)), "it ends by its deadline");
+        assert!(matches!(client.read_reply().unwrap(), Reply::Error(..)), "it ends by its deadline");
     }
     assert_eq!(slow.statement_count("INSERT"), 0);
 }
@@ -177,14 +177,14 @@
 /// was started.
 #[test]
 fn late_connection_forwards_only_the_remaining_deadline() {
-    let host = primary_host(|_| Reply::RowThenClose(b"x".to_vec()));
+    let host = primary_host(|_| Response::RowThenClose(b"x".to_vec()));
     let router = RouterThread::with_settings(host.addr, &with_long_connect_timeout(SETTINGS));
     let mut client = router.client();
-    host.seen.change(|host| host.withhold_welcome = true);
+    host.record.change(|host| host.withhold_startup_response = true);
     let sent_at = Instant::now();
     client.send(&write("late")).unwrap();
     std::thread::sleep(Duration::from_millis(600));
-    host.seen.change(|host| host.withhold_welcome = false);
+    host.record.change(|host| host.withhold_startup_response = false);
     let statement = host.wait_for_statement("id=late").unwrap();
     let (_, rest) = statement.text.split_once(",d=").unwrap();
     let (deadline_ms, _) = rest.split_once(',').unwrap();
--- a/crates/router/tests/client.rs
+++ b/crates/router/tests/client.rs
@@ -265,5 +265,5 @@
     let Message { kind, body } = client.read_message().unwrap();
     assert_eq!(kind, b'E');
     assert!(String::from_utf8_lossy(&body).contains("C57P01"));
-    assert!(client.is_closed());
+    assert!(client.wait_for_close());
 }
--- a/crates/router/tests/client_edge_cases.rs
+++ b/crates/router/tests/client_edge_cases.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use basalthill_standin::client::{query, startup, Client, Message};
-use basalthill_standin::host::{Host, Reply};
+use basalthill_standin::host::{Host, Response};
 use basalthill_standin::{unix_ms, Watched, TIMEOUT};
 use common::served::{error_code, primary_host, primary_report, primary_with_row, row, RouterThread};
 use common::{statement_text, SETTINGS};
@@ -37,7 +37,7 @@
 fn cancel(addr: SocketAddr, key: &[u8]) {
     let mut client = Client::connect_without_startup(addr).unwrap();
     client.stream.write_all(&[&[0, 0, 0, 16, 4, 210, 22, 46], key].concat()).unwrap();
-    assert!(client.is_closed());
+    assert!(client.wait_for_close());
 }
 
 /// A router whose host closes each connection after one answer, and now accepts connections without welcoming
@@ -45,24 +45,24 @@
 fn router_with_connecting_host() -> (Host, RouterThread) {
     let host = Host::start(|text| match text {
         "SHOW vitals" => {
-            (Reply::RowThenClose(format!("x0={}.0,x1=1", unix_ms() / 1000).into_bytes()), Vec::new())
+            (Response::RowThenClose(format!("x0={}.0,x1=1", unix_ms() / 1000).into_bytes()), Vec::new())
         }
-        _ => (Reply::RowThenClose(b"x".to_vec()), primary_report()),
+        _ => (Response::RowThenClose(b"x".to_vec()), primary_report()),
     })
     .unwrap();
     let settings = SETTINGS.replace("\"connectTimeout\": 250000000", "\"connectTimeout\": 2000000000");
     let router = RouterThread::with_settings(host.addr, &settings);
     assert_eq!(router.client().query(&write_statement("first")).unwrap(), row(b"x"));
-    host.seen.change(|s| s.withhold_welcome = true);
+    host.record.change(|s| s.withhold_startup_response = true);
     (host, router)
 }
 
 /// A client whose write waits for a connection that its host has accepted. The client has read nothing yet.
 fn send_waiting_write(host: &Host, router: &RouterThread, id: &str) -> Client {
-    let before = host.seen.lock().accepted;
+    let before = host.record.lock().accepted;
     let mut client = Client::connect_without_startup(router.addr).unwrap();
     client.stream.write_all(&[startup(), query(&write_statement(id))].concat()).unwrap();
-    host.seen.wait(|s| (s.accepted > before).then_some(())).unwrap();
+    host.record.wait(|s| (s.accepted > before).then_some(())).unwrap();
     client
 }
 
@@ -74,7 +74,7 @@
     disconnect(client);
     // This long after a client has gone, a host may not be sent anything for it.
     std::thread::sleep(Duration::from_millis(100));
-    host.seen.change(|s| s.withhold_welcome = false);
+    host.record.change(|s| s.withhold_startup_response = false);
     assert_eq!(router.client().query(&write_statement("after")).unwrap(), row(b"x"));
     host.wait_for_statement("id=after").unwrap();
     std::thread::sleep(Duration::from_millis(50));
@@ -106,18 +106,18 @@
 fn a_cancelled_write_is_answered_immediately_and_never_sent() {
     let (host, router) = router_with_connecting_host();
     let (mut client, key) = connect_with_cancel_key(router.addr);
-    let before = host.seen.lock().accepted;
+    let before = host.record.lock().accepted;
     client.send(&write_statement("cancelled")).unwrap();
-    host.seen.wait(|s| (s.accepted > before).then_some(())).unwrap();
+    host.record.wait(|s| (s.accepted > before).then_some(())).unwrap();
     // A wrong secret, and a key that nobody has.
     cancel(router.addr, &[&key[..4], &[key[4] ^ 1], &key[5..]].concat());
     cancel(router.addr, &[0; 8]);
     let cancelled_at = Instant::now();
     cancel(router.addr, &key);
-    assert_eq!(error_code(&client.read_answer().unwrap()), "57014");
+    assert_eq!(error_code(&client.read_reply().unwrap()), "57014");
     assert!(cancelled_at.elapsed() < Duration::from_millis(1500), "{:?}", cancelled_at.elapsed());
     std::thread::sleep(Duration::from_millis(100));
-    host.seen.change(|s| s.withhold_welcome = false);
+    host.record.change(|s| s.withhold_startup_response = false);
     assert_eq!(client.query(&write_statement("after")).unwrap(), row(b"x"), "its connection stays open");
     assert_eq!(host.statement_count("id=cancelled"), 0);
     // Without an open request it cancels nothing.
@@ -158,13 +158,13 @@
         went.change(|w| w.push(Instant::now()));
         std::thread::sleep(Duration::from_millis(5));
     }
-    host.seen.change(|s| s.withhold_welcome = false);
+    host.record.change(|s| s.withhold_startup_response = false);
     let began = Instant::now();
     assert_eq!(router.client().query(&write_statement("after")).unwrap(), row(b"x"));
     assert!(began.elapsed() < Duration::from_secs(3), "others are not delayed: {:?}", began.elapsed());
     std::thread::sleep(Duration::from_millis(200));
     busy.store(false, Ordering::Relaxed);
-    let seen = host.seen.lock();
+    let seen = host.record.lock();
     let late = seen.statements.iter().filter(|s| {
         let left = s.text.split("id=left").nth(1).and_then(|t| t[..2].parse::<usize>().ok());
         left.is_some_and(|n| s.received_at > went.lock()[n] + Duration::from_millis(100))
@@ -189,13 +189,13 @@
     half.stream.write_all(&request[..60]).unwrap();
     router.stop();
     // They are closed together: the first that ends shows the moment.
-    assert!(sentinel.is_closed());
+    assert!(sentinel.wait_for_close());
     half.stream.write_all(&request[60..]).unwrap();
     for (n, client) in resting.iter_mut().enumerate() {
         // A connection that is closed already may accept nothing; that is no answer either.
         let _ = client.stream.write_all(&query(&write_statement(&format!("cross{n:02}"))));
     }
-    assert_eq!(half.read_answer().unwrap(), row(b"x"), "a request that had begun to arrive is completed");
+    assert_eq!(half.read_reply().unwrap(), row(b"x"), "a request that had begun to arrive is completed");
     for (n, client) in resting.iter_mut().enumerate() {
         let (bytes, reset) = read_to_close(&mut client.stream);
         assert!(!reset, "client {n} is reset");
@@ -213,7 +213,7 @@
 fn a_close_with_unread_input_keeps_the_last_answer_complete() {
     let value = vec![7; 60_000];
     let large = value.clone();
-    let host = primary_host(move |_| Reply::Row(large.clone()));
+    let host = primary_host(move |_| Response::Row(large.clone()));
     let mut router = RouterThread::with_primary(&host);
     let mut slow = router.client();
     let mut sentinel = router.client();
@@ -224,10 +224,10 @@
     }
     host.wait_for_statement(&format!("id=large{:02}", REQUESTS - 1)).unwrap();
     router.stop();
-    assert!(sentinel.is_closed());
+    assert!(sentinel.wait_for_close());
     slow.stream.write_all(&query(&write_statement("cross"))[..50]).unwrap();
     for n in 0..REQUESTS {
-        assert_eq!(slow.read_answer().unwrap(), row(&value), "answer {n}");
+        assert_eq!(slow.read_reply().unwrap(), row(&value), "answer {n}");
     }
     let _ = read_to_close(&mut slow.stream);
 }
@@ -250,7 +250,7 @@
 
 #[test]
 fn at_the_shutdown_deadline_queued_requests_are_answered_too() {
-    let host = primary_host(|_| Reply::NoAnswer);
+    let host = primary_host(|_| Response::NoResponse);
     let mut router = RouterThread::with_primary(&host);
     let mut client = router.client();
     let patient = |id: &str| statement_text("report", "").replace("id=9", id).replace("d=480", "d=60000");
@@ -259,10 +259,10 @@
     client.stream.write_all(&[query(&patient("id=1")), query(&behind)].concat()).unwrap();
     host.wait_for_statement("id=1").unwrap();
     router.stop();
-    assert_eq!(error_code(&client.read_answer().unwrap()), "58000");
+    assert_eq!(error_code(&client.read_reply().unwrap()), "58000");
     // It was read with the one before: it is rejected at once, and never forwarded.
-    assert_eq!(error_code(&client.read_answer().unwrap()), "53300");
-    assert!(client.is_closed());
+    assert_eq!(error_code(&client.read_reply().unwrap()), "53300");
+    assert!(client.wait_for_close());
     assert_eq!(host.statement_count("id=2"), 0);
     assert!(router.stopped.wait(|o| o.then_some(())).is_some());
 }
@@ -275,7 +275,7 @@
         if text.contains("id=1") {
             std::thread::sleep(Duration::from_millis(700)); // processing time
         }
-        Reply::Row(b"x".to_vec())
+        Response::Row(b"x".to_vec())
     });
     let router = RouterThread::with_primary(&host);
     let mut client = router.client();
@@ -284,10 +284,10 @@
     };
     let commands = [timed("id=1", 2900), timed("id=2", 600), timed("id=3", 5000)];
     client.stream.write_all(&commands.concat()).unwrap();
-    assert_eq!(client.read_answer().unwrap(), row(b"x"));
-    assert_eq!(error_code(&client.read_answer().unwrap()), "53300", "its client no longer waits for it");
+    assert_eq!(client.read_reply().unwrap(), row(b"x"));
+    assert_eq!(error_code(&client.read_reply().unwrap()), "53300", "its client no longer waits for it");
     assert_eq!(
-        client.read_answer().unwrap(),
+        client.read_reply().unwrap(),
         row(b"x"),
         "the next one has time left, and the connection stays open"
     );
@@ -324,8 +324,8 @@
 fn slow_clients_do_not_delay_other_clients() {
     let value = vec![7; 60_000];
     let host = primary_host(move |text| match text.contains("id=slow") {
-        true => Reply::Row(value.clone()),
-        false => Reply::Row(b"x".to_vec()),
+        true => Response::Row(value.clone()),
+        false => Response::Row(b"x".to_vec()),
     });
     let router = RouterThread::with_descriptors(&host, 64);
     let mut slow = router.client();
--- a/crates/router/tests/common/served.rs
+++ b/crates/router/tests/common/served.rs
@@ -4,9 +4,9 @@
 use async_io::Async;
 use basalthill_config::router::{parse, LoadPhase, RouterConfig};
 use basalthill_router::transport::{self, ControlCommand};
-use basalthill_standin::client::{Answer, Client};
+use basalthill_standin::client::{Client, Reply};
 use basalthill_standin::discovery::{endpoint_list, Discovery, Endpoint};
-use basalthill_standin::host::{Host, ParameterStatuses, Reply};
+use basalthill_standin::host::{Host, ParameterStatuses, Response};
 use basalthill_standin::{unix_ms, Watched};
 use futures_lite::{stream, AsyncReadExt};
 use std::io::Write;
@@ -129,9 +129,9 @@
 }
 
 /// A primary that answers health checks by itself and statements by `answers`.
-pub fn primary_host(answers: impl Fn(&str) -> Reply + Send + Sync + 'static) -> Host {
+pub fn primary_host(answers: impl Fn(&str) -> Response + Send + Sync + 'static) -> Host {
     Host::start(move |text| match text {
-        "SHOW vitals" => (Reply::Row(format!("x0={}.0,x1=1", unix_ms() / 1000).into_bytes()), Vec::new()),
+        "SHOW vitals" => (Response::Row(format!("x0={}.0,x1=1", unix_ms() / 1000).into_bytes()), Vec::new()),
         text => (answers(text), primary_report()),
     })
     .unwrap()
@@ -139,7 +139,7 @@
 
 /// A primary that serves each statement with a row of this value.
 pub fn primary_with_row(value: &'static [u8]) -> Host {
-    primary_host(move |_| Reply::Row(value.to_vec()))
+    primary_host(move |_| Response::Row(value.to_vec()))
 }
 
 /// A primary, which serves the row `one`, and the one that replaces it, which serves the row `two`.
@@ -153,14 +153,14 @@
 }
 
 /// The answer with a row of one value.
-pub fn row(value: &[u8]) -> Answer {
-    Answer::Row(value.to_vec())
+pub fn row(value: &[u8]) -> Reply {
+    Reply::Row(value.to_vec())
 }
 
 /// The SQLSTATE of an error.
-pub fn error_code(answer: &Answer) -> &str {
+pub fn error_code(answer: &Reply) -> &str {
     match answer {
-        Answer::Error(code, _) => code,
+        Reply::Error(code, _) => code,
         other => panic!("an error expected, not {other:?}"),
     }
 }
--- a/crates/router/tests/discovery_faults.rs
+++ b/crates/router/tests/discovery_faults.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use basalthill_standin::client::{Answer, Client};
+use basalthill_standin::client::{Client, Reply};
 use basalthill_standin::discovery::{endpoint_list, Discovery, Endpoint, ResponseMode};
 use basalthill_standin::host::Host;
 use common::served::{primary_and_successor, primary_list, primary_with_row, row, RouterThread};
@@ -58,7 +58,7 @@
 
 /// When a host received its last write.
 fn last_write(host: &Host) -> Option<Instant> {
-    let seen = host.seen.lock();
+    let seen = host.record.lock();
     let writes = seen.statements.iter().filter(|s| s.text.contains("INSERT"));
     writes.map(|s| s.received_at).max()
 }
@@ -68,7 +68,7 @@
 fn assert_drain_takes_effect_after(calls: &[ResponseMode]) {
     let (one, two) = primary_and_successor();
     let known = primary_list(1, one.addr);
-    let discovery = discovery_with_responses(known.clone(), &[ResponseMode::Drip]);
+    let discovery = discovery_with_responses(known.clone(), &[ResponseMode::EndlessLine]);
     let router = RouterThread::start(&known, discovery.addr, 64, SETTINGS);
     assert_eq!(router.client().query(&statement_text("write", "")).unwrap(), row(b"one"));
     let clients: Vec<_> = (0..80).map(|_| Client::connect_without_startup(router.addr).unwrap()).collect();
@@ -90,17 +90,17 @@
 
 #[test]
 fn a_drain_takes_effect_in_time_after_a_silent_and_a_closed_call() {
-    assert_drain_takes_effect_after(&[ResponseMode::Silent, ResponseMode::Closed]);
+    assert_drain_takes_effect_after(&[ResponseMode::NoResponse, ResponseMode::Close]);
 }
 
 #[test]
 fn a_drain_takes_effect_in_time_after_a_closed_call_and_one_cut_after_its_head() {
-    assert_drain_takes_effect_after(&[ResponseMode::Closed, ResponseMode::HeadOnly]);
+    assert_drain_takes_effect_after(&[ResponseMode::Close, ResponseMode::HeadOnly]);
 }
 
 #[test]
 fn a_drain_takes_effect_in_time_after_two_closed_calls_and_a_silent_one() {
-    assert_drain_takes_effect_after(&[ResponseMode::Closed, ResponseMode::Closed, ResponseMode::Silent]);
+    assert_drain_takes_effect_after(&[ResponseMode::Close, ResponseMode::Close, ResponseMode::NoResponse]);
 }
 
 /// Discovery is unreachable for so long that calls are far apart; as it recovers, it has the drain.
@@ -126,8 +126,8 @@
 fn a_new_discovery_address_is_followed_in_time_though_its_first_call_is_lost() {
     let (one, two) = primary_and_successor();
     let known = primary_list(70, one.addr);
-    let old = discovery_with_responses(known.clone(), &[ResponseMode::Silent; 8]);
-    let new = discovery_with_responses(drained(3, true, &one, &two), &[ResponseMode::Silent]);
+    let old = discovery_with_responses(known.clone(), &[ResponseMode::NoResponse; 8]);
+    let new = discovery_with_responses(drained(3, true, &one, &two), &[ResponseMode::NoResponse]);
     let router = RouterThread::start(&known, old.addr, 64, SETTINGS);
     assert_eq!(router.client().query(&statement_text("write", "")).unwrap(), row(b"one"));
     let clients: Vec<_> = (0..80).map(|_| Client::connect_without_startup(router.addr).unwrap()).collect();
@@ -144,7 +144,7 @@
     let one = primary_with_row(b"one");
     let known = primary_list(1, one.addr);
     let leaving = endpoint_list(2, true, &[Endpoint::new("s-1", one.addr, 2, "leaving", "source")]);
-    let discovery = discovery_with_responses(leaving, &[ResponseMode::Silent]);
+    let discovery = discovery_with_responses(leaving, &[ResponseMode::NoResponse]);
     let router = RouterThread::start(&known, discovery.addr, 64, SETTINGS);
     assert_eq!(router.client().query(&statement_text("write", "")).unwrap(), row(b"one"));
     discovery.state.wait(|t| (t.requests.len() >= 2).then_some(())).unwrap();
@@ -182,5 +182,5 @@
     let router = RouterThread::start(&known, discovery.addr, 64, SETTINGS);
     assert!(time_until_failover(router.addr, Duration::from_millis(1)) < Duration::from_secs(2));
     let mut client = router.client();
-    assert!(matches!(client.query(&statement_text("write", "")), Ok(Answer::Row(_))));
+    assert!(matches!(client.query(&statement_text("write", "")), Ok(Reply::Row(_))));
 }
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -234,7 +234,7 @@
 fn retries_at(harness: &FleetHarness) -> Vec<Instant> {
     let mut all = Vec::new();
     for host in &harness.hosts {
-        let seen = host.host.seen.lock();
+        let seen = host.host.record.lock();
         let id = |text: &str| Some(text.split("id=").nth(1)?[..16].to_string());
         all.extend(seen.statements.iter().filter_map(|s| Some((s.received_at, id(&s.text)?))));
     }
@@ -271,12 +271,14 @@
 #[test]
 fn connects_of_all_routers_stay_within_their_budget() {
     let limits = r#"limit "new" budget="connects" per-s=60"#;
-    let harness =
-        start_harness(HarnessConfig { host_behavior: HostBehavior::Close, ..harness_config(8, limits) });
+    let harness = start_harness(HarnessConfig {
+        host_behavior: HostBehavior::ServeThenClose,
+        ..harness_config(8, limits)
+    });
     let clients = start_clients(&harness, 2, 1400, 6, |n| if n < 2 { 40.0 } else { 8.0 });
     sleep_ms(12_000);
     let mut accepted: Vec<Instant> =
-        harness.hosts.iter().flat_map(|h| h.host.seen.lock().accepted_at.clone()).collect();
+        harness.hosts.iter().flat_map(|h| h.host.record.lock().accepted_at.clone()).collect();
     accepted.sort_unstable();
     let ClientTotals { served, rejected, failed } = clients.totals();
     println!("{} connects, {served} served, {rejected} rejected, {failed} failed", accepted.len());
--- a/crates/router/tests/pipelines.rs
+++ b/crates/router/tests/pipelines.rs
@@ -3,9 +3,9 @@
 
 mod common;
 
-use basalthill_standin::client::{query, startup, Answer, Client};
+use basalthill_standin::client::{query, startup, Client, Reply};
 use basalthill_standin::discovery::{endpoint_list, Discovery, Endpoint, ResponseMode};
-use basalthill_standin::host::{Host, Reply};
+use basalthill_standin::host::{Host, Response};
 use basalthill_standin::router_process::{write_unique_file, RouterOptions, RouterProcess};
 use basalthill_standin::TIMEOUT;
 use common::served::{error_code, primary_list, unreachable_address};
@@ -31,10 +31,10 @@
     let report = || vec![("rank", "source".into()), ("as_of", basalthill_standin::unix_ms().to_string())];
     let answer = move |text: &str| match text {
         "SHOW vitals" => {
-            Reply::Row(format!("x0={}.0,x1=1", basalthill_standin::unix_ms() / 1000).into_bytes())
+            Response::Row(format!("x0={}.0,x1=1", basalthill_standin::unix_ms() / 1000).into_bytes())
         }
-        text if text.contains("INSERT") => Reply::Row(id_of(text).as_bytes().to_vec()),
-        text => Reply::Row(value(id_of(text), bytes)),
+        text if text.contains("INSERT") => Response::Row(id_of(text).as_bytes().to_vec()),
+        text => Response::Row(value(id_of(text), bytes)),
     };
     Host::start(move |text| (answer(text), report())).unwrap()
 }
@@ -70,8 +70,8 @@
 fn read_in_order(client: &mut Client, class: &str, who: u32, count: usize) -> usize {
     let mut rows = 0;
     for n in 0..count {
-        match client.read_answer().unwrap_or_else(|e| panic!("{who}: no answer to command {n}: {e}")) {
-            Answer::Row(row) => {
+        match client.read_reply().unwrap_or_else(|e| panic!("{who}: no answer to command {n}: {e}")) {
+            Reply::Row(row) => {
                 let id = format!("{who:08x}{n:08x}");
                 assert!(row.starts_with(id.as_bytes()), "{class}: {n} has another's answer");
                 assert!(row == value(&id, row.len()), "{class}: {n} is incomplete");
@@ -91,7 +91,7 @@
         let mut client = Client::connect(addr).unwrap();
         while busy.load(Ordering::Relaxed) || n == 0 {
             let began = Instant::now();
-            assert!(matches!(client.query(&statement("write", 99, n)).unwrap(), Answer::Row(_)));
+            assert!(matches!(client.query(&statement("write", 99, n)).unwrap(), Reply::Row(_)));
             longest = longest.max(began.elapsed());
             n += 1;
         }
@@ -168,7 +168,7 @@
     router.signal("TERM").unwrap();
     for (who, client) in (0..).zip(&mut clients) {
         read_in_order(client, "write", who, 60);
-        assert!(client.is_closed());
+        assert!(client.wait_for_close());
     }
     assert!(router.wait_for_exit().unwrap().success());
 }
@@ -176,10 +176,10 @@
 #[test]
 fn a_pipeline_beyond_the_buffer_limit_is_answered_completely_over_a_shutdown() {
     let host = Host::start(|text| match text {
-        "SHOW vitals" => (Reply::Row(b"x1=1".to_vec()), Vec::new()),
+        "SHOW vitals" => (Response::Row(b"x1=1".to_vec()), Vec::new()),
         text => {
             std::thread::sleep(Duration::from_millis(4)); // processing time
-            (Reply::Row(id_of(text).as_bytes().to_vec()), vec![("rank", "source".into())])
+            (Response::Row(id_of(text).as_bytes().to_vec()), vec![("rank", "source".into())])
         }
     })
     .unwrap();
@@ -190,7 +190,7 @@
     host.wait_for_statement("INSERT").unwrap();
     router.signal("TERM").unwrap();
     read_in_order(&mut client, "write", 6, 400);
-    assert!(client.is_closed());
+    assert!(client.wait_for_close());
     assert!(router.wait_for_exit().unwrap().success());
 }
 
@@ -227,7 +227,7 @@
     wait_until("requests go to the new primary", || {
         let mut client = Client::connect(router.addr).unwrap();
         let before = two.statement_count("INSERT");
-        matches!(client.query(&statement("write", 8, 0)), Ok(Answer::Row(_)))
+        matches!(client.query(&statement("write", 8, 0)), Ok(Reply::Row(_)))
             && two.statement_count("INSERT") > before
     });
 }
@@ -264,7 +264,7 @@
             continue;
         }
         for _ in 0..12 {
-            match client.read_answer() {
+            match client.read_reply() {
                 Ok(_) => counts.answered += 1,
                 Err(_) => {
                     counts.closed += 1;
@@ -311,7 +311,7 @@
         .iter()
         .map(|r| {
             let mut client = Client::connect(r.addr).unwrap();
-            assert_eq!(client.query("").unwrap(), Answer::Empty);
+            assert_eq!(client.query("").unwrap(), Reply::Empty);
             began.elapsed()
         })
         .collect();
@@ -342,7 +342,7 @@
                     let mut n = 0;
                     loop {
                         let write = statement("write", who, n).replace("d=60000", "d=900");
-                        if matches!(client.query(&write), Ok(Answer::Row(_))) {
+                        if matches!(client.query(&write), Ok(Reply::Row(_))) {
                             return;
                         }
                         assert!(began.elapsed() < Duration::from_secs(10), "{what}: n{who} serves nobody");
@@ -353,11 +353,11 @@
         });
     };
     all_serve(&routers, "at the start");
-    discovery.state.change(|t| t.silent = true);
+    discovery.state.change(|t| t.withhold_responses = true);
     routers.iter_mut().for_each(|r| r.kill().unwrap());
     routers.iter_mut().for_each(|r| r.restart().unwrap());
     all_serve(&routers, "restarted, and the list silent");
-    discovery.state.change(|t| t.silent = false);
+    discovery.state.change(|t| t.withhold_responses = false);
     let moved = Discovery::start(just_started(endpoint_list(
         9,
         true,
@@ -396,11 +396,11 @@
     let settings = SETTINGS.replace("\"balancers\": 2", "\"balancers\": 1024");
     let router = router("n1", "null", discovery.addr, 256, &settings);
     let mut client = Client::connect(router.addr).unwrap();
-    assert_eq!(client.query("").unwrap(), Answer::Empty);
+    assert_eq!(client.query("").unwrap(), Reply::Empty);
     let mut n = 0;
     wait_until("the last of them serves", || {
         n += 1;
-        matches!(client.query(&statement("write", 5, n)).unwrap(), Answer::Row(_))
+        matches!(client.query(&statement("write", 5, n)).unwrap(), Reply::Row(_))
     });
     router.wait_for_log("1024 members").unwrap();
     let (memory, descriptors) = (router.resident_kib().unwrap(), router.descriptors().unwrap());
--- a/crates/router/tests/platform.rs
+++ b/crates/router/tests/platform.rs
@@ -1,7 +1,7 @@
 //! The platform's requirements on the process, tested without the platform: which libraries it loads, which
 //! system calls it can do without, what it starts, and that it is idle without requests.
 
-use basalthill_standin::client::{query, Answer, Client};
+use basalthill_standin::client::{query, Client, Reply};
 use basalthill_standin::deployment::Deployment;
 use basalthill_standin::group::GroupBehavior;
 use basalthill_standin::session_load::{ConnectionMode, SessionLoad};
@@ -94,7 +94,7 @@
 fn send_read(world: &Deployment, n: usize) {
     let mut client = Client::connect(world.routers[0].addr).unwrap();
     let text = format!("SELECT v FROM records WHERE k = 'a' /* id=a{n},c=view,t=acme,d=900,cluster=2 */");
-    assert!(matches!(client.query(&text), Ok(Answer::Row(_))), "request {n}");
+    assert!(matches!(client.query(&text), Ok(Reply::Row(_))), "request {n}");
 }
 
 #[test]
--- a/crates/router/tests/program.rs
+++ b/crates/router/tests/program.rs
@@ -2,9 +2,9 @@
 
 mod common;
 
-use basalthill_standin::client::{Answer, Client};
+use basalthill_standin::client::{Client, Reply};
 use basalthill_standin::discovery::{endpoint_list, Discovery, Endpoint};
-use basalthill_standin::host::{Host, Reply};
+use basalthill_standin::host::{Host, Response};
 use common::{statement_text, SETTINGS};
 use std::io::{BufRead, BufReader, Read};
 use std::net::{SocketAddr, TcpListener};
@@ -154,8 +154,8 @@
 #[test]
 fn sigterm_drains_accepted_requests_and_exits_with_0() {
     let host = Host::start(|text| match text.contains("INSERT") {
-        true => (Reply::RowOnRelease(b"x".to_vec()), vec![("rank", "source".into())]),
-        false => (Reply::Row(b"x1=1".to_vec()), Vec::new()),
+        true => (Response::RowOnRelease(b"x".to_vec()), vec![("rank", "source".into())]),
+        false => (Response::Row(b"x1=1".to_vec()), Vec::new()),
     })
     .unwrap();
     let (mut child, addr) = start_router(&host);
@@ -166,8 +166,8 @@
     host.wait_for_statement("INSERT").unwrap();
     signal(&child, "TERM");
     host.release();
-    assert_eq!(client.read_answer().unwrap(), Answer::Row(b"x".to_vec()));
-    assert!(client.is_closed());
+    assert_eq!(client.read_reply().unwrap(), Reply::Row(b"x".to_vec()));
+    assert!(client.wait_for_close());
     assert_eq!(child.wait().unwrap().code(), Some(0));
     let ready = program().args(["ready", "--listen", &addr.to_string()]).output().unwrap();
     assert_eq!(ready.status.code(), Some(1), "{}", printed(&ready));
@@ -175,20 +175,20 @@
 
 #[test]
 fn the_address_can_be_bound_at_once_after_sigkill() {
-    let host = Host::start(|_| (Reply::Row(b"x1=1".to_vec()), Vec::new())).unwrap();
+    let host = Host::start(|_| (Response::Row(b"x1=1".to_vec()), Vec::new())).unwrap();
     let (mut child, addr) = start_router(&host);
     let mut client = Client::connect(addr).unwrap();
-    assert_eq!(client.query("").unwrap(), Answer::Empty);
+    assert_eq!(client.query("").unwrap(), Reply::Empty);
     signal(&child, "KILL");
     child.wait().unwrap();
-    assert!(client.is_closed());
+    assert!(client.wait_for_close());
     let again = TcpListener::bind(addr);
     assert!(again.is_ok(), "the address is free again: {again:?}");
 }
 
 #[test]
 fn startup_waits_for_an_address_in_use() {
-    let host = Host::start(|_| (Reply::Row(b"x1=1".to_vec()), Vec::new())).unwrap();
+    let host = Host::start(|_| (Response::Row(b"x1=1".to_vec()), Vec::new())).unwrap();
     let occupied = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = occupied.local_addr().unwrap();
     let mut child = spawn_router(&host, &addr.to_string());
@@ -197,14 +197,14 @@
     drop(occupied);
     assert!(lines.any(|line| line.unwrap().contains("listens on")));
     std::thread::spawn(move || lines.for_each(drop));
-    assert_eq!(Client::connect(addr).unwrap().query("").unwrap(), Answer::Empty);
+    assert_eq!(Client::connect(addr).unwrap().query("").unwrap(), Reply::Empty);
     signal(&child, "TERM");
     assert_eq!(child.wait().unwrap().code(), Some(0));
 }
 
 #[test]
 fn sigterm_ends_the_wait_for_an_address_in_use() {
-    let host = Host::start(|_| (Reply::Row(b"x1=1".to_vec()), Vec::new())).unwrap();
+    let host = Host::start(|_| (Response::Row(b"x1=1".to_vec()), Vec::new())).unwrap();
     let occupied = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut child = spawn_router(&host, &occupied.local_addr().unwrap().to_string());
     let mut lines = BufReader::new(child.stderr.take().unwrap()).lines();
@@ -220,8 +220,8 @@
 #[test]
 fn sigterm_with_hanging_hosts_answers_every_client_and_exits_in_time() {
     let host = Host::start(|text| match text {
-        "SHOW vitals" => (Reply::Row(b"x1=1".to_vec()), Vec::new()),
-        _ => (Reply::NoAnswer, Vec::new()),
+        "SHOW vitals" => (Response::Row(b"x1=1".to_vec()), Vec::new()),
+        _ => (Response::NoResponse, Vec::new()),
     })
     .unwrap();
     let (mut child, addr) = start_router(&host);
@@ -237,8 +237,8 @@
     signal(&child, "HUP");
     signal(&child, "TERM");
     for (n, client) in clients.iter_mut().enumerate() {
-        assert!(matches!(client.read_answer().unwrap(), Answer::Error(..)), "client {n}");
-        assert!(client.is_closed(), "client {n}");
+        assert!(matches!(client.read_reply().unwrap(), Reply::Error(..)), "client {n}");
+        assert!(client.wait_for_close(), "client {n}");
     }
     assert_eq!(child.wait().unwrap().code(), Some(0));
     // The longest deadline, three seconds at most, and what the operators leave beyond it.
@@ -248,7 +248,7 @@
 /// Ready means that a client's empty query is answered. Without any list of members requests are turned away.
 #[test]
 fn a_restart_without_discovery_is_ready_in_time_with_any_last_known_list() {
-    let host = Host::start(|_| (Reply::Row(b"x1=1".to_vec()), vec![("rank", "source".into())])).unwrap();
+    let host = Host::start(|_| (Response::Row(b"x1=1".to_vec()), vec![("rank", "source".into())])).unwrap();
     let gone = host.addr.to_string();
     let stale = endpoint_list(1, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]);
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -279,19 +279,19 @@
     for ((known, discovery, served), (_child, addr)) in cases.iter().zip(&started) {
         let case = format!("known {known:.40}, discovery {discovery}");
         let mut client = Client::connect(*addr).unwrap();
-        assert_eq!(client.query("").unwrap(), Answer::Empty, "{case}");
+        assert_eq!(client.query("").unwrap(), Reply::Empty, "{case}");
         assert!(began.elapsed() < Duration::from_secs(8), "{case}: {:?}", began.elapsed());
         let answer = client.query(&statement_text("write", "")).unwrap();
         match served {
-            true => assert_eq!(answer, Answer::Row(b"x1=1".to_vec()), "{case}, {gone}"),
-            false => assert!(matches!(&answer, Answer::Error(code, Some(_)) if code == "53300"), "{case}"),
+            true => assert_eq!(answer, Reply::Row(b"x1=1".to_vec()), "{case}, {gone}"),
+            false => assert!(matches!(&answer, Reply::Error(code, Some(_)) if code == "53300"), "{case}"),
         }
     }
 }
 
 #[test]
 fn sighup_reloads_the_file_and_an_unsound_one_changes_nothing() {
-    let host = Host::start(|_| (Reply::Row(b"x1=1".to_vec()), Vec::new())).unwrap();
+    let host = Host::start(|_| (Response::Row(b"x1=1".to_vec()), Vec::new())).unwrap();
     let known = endpoint_list(1, true, &[Endpoint::new("s-1", host.addr, 2, "active", "source")]);
     let (one, two) = (Discovery::start(known.clone()).unwrap(), Discovery::start(known.clone()).unwrap());
     let text = |discovery: SocketAddr, name: &str, settings: &str| {
@@ -326,7 +326,7 @@
         signal(&child.0, "HUP");
         let line = log_line_with("stays in force");
         assert!(line.contains(key), "{line}");
-        assert_eq!(client.query("").unwrap(), Answer::Empty, "the connection stays");
+        assert_eq!(client.query("").unwrap(), Reply::Empty, "the connection stays");
     }
     std::fs::remove_file(&path).unwrap();
     signal(&child.0, "HUP");
@@ -343,10 +343,10 @@
     (0..20).for_each(|_| signal(&child.0, "HUP"));
     log_line_with("name has changed, which needs a restart");
     assert!(two.state.wait(|t| (!t.requests.is_empty()).then_some(())).is_some());
-    assert_eq!(client.query("").unwrap(), Answer::Empty);
+    assert_eq!(client.query("").unwrap(), Reply::Empty);
     signal(&child.0, "HUP");
     signal(&child.0, "TERM");
-    assert!(client.is_closed());
+    assert!(client.wait_for_close());
     assert_eq!(child.0.wait().unwrap().code(), Some(0));
 }
 
@@ -408,10 +408,10 @@
         };
         let query = |listen, text: &str| Client::connect(listen).unwrap().query(text).unwrap();
         let (first, listen) = router();
-        assert_eq!(query(listen, write), Answer::Row(b"mine".to_vec()));
-        assert_eq!(query(listen, read), Answer::Row(sees.as_bytes().to_vec()), "settings: {settings}");
+        assert_eq!(query(listen, write), Reply::Row(b"mine".to_vec()));
+        assert_eq!(query(listen, read), Reply::Row(sees.as_bytes().to_vec()), "settings: {settings}");
         drop(first);
         let (_second, listen) = router();
-        assert_eq!(query(listen, read), Answer::Row(sees.as_bytes().to_vec()), "settings: {settings}");
+        assert_eq!(query(listen, read), Reply::Row(sees.as_bytes().to_vec()), "settings: {settings}");
     }
 }
--- a/crates/router/tests/reconnect.rs
+++ b/crates/router/tests/reconnect.rs
@@ -76,7 +76,7 @@
     assert_eq!(served(&round(2, 300 * MS)), CLIENTS as usize);
     assert!(after(returned).len() < 20, "{:?}", after(returned));
     for host in &world.group.hosts {
-        let seen = host.seen.lock();
+        let seen = host.record.lock();
         for statement in &seen.statements {
             let (text, at) = (&statement.text, &statement.received_at);
             let Some(key) = text.split('\'').nth(1) else { continue };
--- a/crates/router/tests/sessions.rs
+++ b/crates/router/tests/sessions.rs
@@ -1,7 +1,7 @@
 //! Session consistency through real router processes that are killed and restarted, against a group of
 //! members that knows what each read must see.
 
-use basalthill_standin::client::{Answer, Client};
+use basalthill_standin::client::{Client, Reply};
 use basalthill_standin::deployment::Deployment;
 use basalthill_standin::group::{GroupBehavior, StaleRead};
 use basalthill_standin::router_process::{write_unique_file, RouterProcess};
@@ -79,7 +79,7 @@
 /// Sends a statement and reads the answer, which must be a row.
 fn query(client: &mut Client, text: &str) -> Served {
     let answer = client.query(text);
-    let Ok(Answer::Row(row)) = answer else { panic!("{answer:?}") };
+    let Ok(Reply::Row(row)) = answer else { panic!("{answer:?}") };
     let row = String::from_utf8(row).unwrap();
     // Members annotate rows as `VALUE@SERIAL@ROLE`.
     let parts: Vec<&str> = row.split('@').collect();
@@ -161,7 +161,7 @@
         }
         deployment.group.wait_for_commit("anne").unwrap();
         deployment.routers[0].kill_and_restart().unwrap();
-        assert!(client.is_closed(), "no answer");
+        assert!(client.wait_for_close(), "no answer");
         let token = token_of(&client);
         assert_eq!(!token.is_empty(), has_tokens);
         for n in [1, 0] {
@@ -330,7 +330,7 @@
 /// The statement with this part, as a host received it.
 fn received_statement(deployment: &Deployment, part: &str) -> String {
     let of_host = |host: &basalthill_standin::host::Host| {
-        let received = host.seen.lock();
+        let received = host.record.lock();
         let statement = received.statements.iter().find(|statement| statement.text.contains(part));
         statement.map(|statement| statement.text.clone())
     };
--- a/crates/router/tests/shutdown_soak.rs
+++ b/crates/router/tests/shutdown_soak.rs
@@ -9,7 +9,7 @@
 
 use basalthill_standin::client::{query, startup, Client};
 use basalthill_standin::discovery::{endpoint_list, Discovery, Endpoint};
-use basalthill_standin::host::{Host, Reply};
+use basalthill_standin::host::{Host, Response};
 use basalthill_standin::router_process::{write_unique_file, RouterOptions, RouterProcess};
 use basalthill_standin::{unix_ms, SETTINGS};
 use common::shim::failing;
@@ -42,10 +42,10 @@
         let report = vec![("rank", rank.into()), ("as_of", unix_ms().to_string())];
         let Some(id) = text.split_once("id=").and_then(|t| u64::from_str_radix(t.1.get(..4)?, 16).ok())
         else {
-            return (Reply::Row(format!("x0={}.0,x1=0", unix_ms() / 1000).into_bytes()), report);
+            return (Response::Row(format!("x0={}.0,x1=0", unix_ms() / 1000).into_bytes()), report);
         };
         std::thread::sleep(Duration::from_millis(if id % 7 == 0 { id % 90 } else { 1 }));
-        (if id % 23 == 0 { Reply::NoAnswer } else { Reply::Row(b"v".to_vec()) }, report)
+        (if id % 23 == 0 { Response::NoResponse } else { Response::Row(b"v".to_vec()) }, report)
     })
     .unwrap()
 }
@@ -148,7 +148,7 @@
     ) -> bool {
         for (position, request) in requests.iter().enumerate() {
             let answer = match &sent {
-                Ok(sent_at) => connection.read_answer().map(|answer| (answer, sent_at.elapsed())),
+                Ok(sent_at) => connection.read_reply().map(|answer| (answer, sent_at.elapsed())),
                 Err(e) => Err(e.kind().into()),
             };
             match answer {
@@ -240,7 +240,7 @@
     }
     let reports: Vec<ClientReport> = clients.into_iter().map(|c| c.join().unwrap()).collect();
     drop(idle_clients);
-    let statements = hosts.iter().flat_map(|h| h.seen.lock().statements.clone());
+    let statements = hosts.iter().flat_map(|h| h.record.lock().statements.clone());
     let received: Vec<String> = statements.map(|s| s.text).collect();
     for report in reports {
         violations.extend(report.violations);
--- a/crates/router/tests/system_call_faults.rs
+++ b/crates/router/tests/system_call_faults.rs
@@ -4,11 +4,11 @@
 
 mod common;
 
-use basalthill_standin::client::{Answer, Client};
+use basalthill_standin::client::{Client, Reply};
 use basalthill_standin::deployment::Deployment;
 use basalthill_standin::discovery::{endpoint_list, Discovery, Endpoint};
 use basalthill_standin::group::GroupBehavior;
-use basalthill_standin::host::{Host, Reply};
+use basalthill_standin::host::{Host, Response};
 use basalthill_standin::router_process::{write_unique_file, RouterOptions, RouterProcess};
 use basalthill_standin::{unix_ms, SETTINGS, TIMEOUT};
 use common::shim::{failing, library, program, FOLDER};
@@ -31,17 +31,17 @@
     for n in 0..20 {
         let mut client = Client::connect(addr).unwrap();
         let statements = [10 * n, 10 * n + 1, 10 * n + 2].map(read_statement);
-        assert!(matches!(client.query(&statements[0]), Ok(Answer::Row(_))), "{calls:?}, client {n}");
+        assert!(matches!(client.query(&statements[0]), Ok(Reply::Row(_))), "{calls:?}, client {n}");
         statements[1..].iter().for_each(|text| client.send(text).unwrap());
         for _ in 1..statements.len() {
-            assert!(matches!(client.read_answer(), Ok(Answer::Row(_))), "{calls:?}, client {n}, in a row");
+            assert!(matches!(client.read_reply(), Ok(Reply::Row(_))), "{calls:?}, client {n}, in a row");
         }
     }
     let router = &mut world.routers[0];
     router.signal("HUP").unwrap();
     assert!(router.wait_for_log("configuration: read again").is_some(), "{calls:?}");
     assert!(
-        matches!(Client::connect(addr).unwrap().query(&read_statement(900)), Ok(Answer::Row(_))),
+        matches!(Client::connect(addr).unwrap().query(&read_statement(900)), Ok(Reply::Row(_))),
         "{calls:?}"
     );
     router.signal("TERM").unwrap();
@@ -91,8 +91,8 @@
     waiting.send(&format!("{write} /* id=a1,c=write,t=acme,d=1500,cluster=2 */")).unwrap();
     serve_others();
     drop(crowd);
-    let answer = waiting.read_answer();
-    assert!(matches!(answer, Ok(Answer::Row(_))), "{answer:?}");
+    let answer = waiting.read_reply();
+    assert!(matches!(answer, Ok(Reply::Row(_))), "{answer:?}");
 }
 
 /// The system's clock is off by `ahead_ms` as the router starts, and is then set right. Reads with a
@@ -108,7 +108,7 @@
             let as_of = unix_ms() - lag.load(Ordering::SeqCst);
             let vitals = format!("x0={},x1={}", as_of as f64 / 1000.0, u8::from(rank == "source"));
             let value = if text == "SHOW vitals" { vitals } else { name.into() };
-            (Reply::Row(value.into_bytes()), vec![("rank", rank.into()), ("as_of", as_of.to_string())])
+            (Response::Row(value.into_bytes()), vec![("rank", rank.into()), ("as_of", as_of.to_string())])
         };
         Host::start(answer).unwrap()
     };
@@ -132,12 +132,12 @@
     };
     let router = RouterProcess::start("n1", start).unwrap();
     let mut client = Client::connect(router.addr).unwrap();
-    assert!(matches!(client.query(&read_statement(0)), Ok(Answer::Row(_))));
+    assert!(matches!(client.query(&read_statement(0)), Ok(Reply::Row(_))));
     std::fs::write(&clock_offset, 0i64.to_ne_bytes()).unwrap();
     for n in 1..40 {
         assert_eq!(
             client.query(&read_statement(n)).unwrap(),
-            Answer::Row(b"first".to_vec()),
+            Reply::Row(b"first".to_vec()),
             "read {n}, {ahead_ms} ms"
         );
     }
@@ -146,7 +146,7 @@
     let until = Instant::now() + TIMEOUT;
     for n in 100.. {
         match client.query(&read_statement(n)).unwrap() {
-            Answer::Row(value) if value == b"second" => break,
+            Reply::Row(value) if value == b"second" => break,
             other => assert!(Instant::now() < until, "{other:?}"),
         }
     }
--- a/crates/router/tests/transport.rs
+++ b/crates/router/tests/transport.rs
@@ -2,9 +2,9 @@
 
 mod common;
 
-use basalthill_standin::client::{query, startup, Answer, Client};
+use basalthill_standin::client::{query, startup, Client, Reply};
 use basalthill_standin::discovery::{endpoint_list, Discovery, Endpoint};
-use basalthill_standin::host::{self, Reply};
+use basalthill_standin::host::{self, Response};
 use basalthill_standin::TIMEOUT;
 use common::served::{
     error_code, primary_and_successor, primary_host, primary_list, primary_with_row, row,
@@ -23,7 +23,7 @@
     // Startup and the first query in one segment.
     client.stream.write_all(&[startup(), query(&statement_text("write", ""))].concat()).unwrap();
     client.read_until_ready().unwrap();
-    assert_eq!(client.read_answer().unwrap(), row(b"\x9f\x03"));
+    assert_eq!(client.read_reply().unwrap(), row(b"\x9f\x03"));
     let seen = host.wait_for_statement("INSERT").unwrap().text;
     let (before, after) = seen.split_once(",d=").unwrap();
     let (figure, after) = after.split_once(',').unwrap();
@@ -33,7 +33,7 @@
 
 #[test]
 fn split_and_pipelined_queries_are_answered_in_order() {
-    let host = primary_host(|text| Reply::Row(text.split("id=").nth(1).unwrap().as_bytes()[..1].to_vec()));
+    let host = primary_host(|text| Response::Row(text.split("id=").nth(1).unwrap().as_bytes()[..1].to_vec()));
     let router = RouterThread::with_primary(&host);
     let mut client = router.client();
     let numbered = |n: u8| statement_text("status", "").replace("id=9", &format!("id={n}"));
@@ -43,11 +43,11 @@
     for part in all.chunks(7) {
         client.stream.write_all(part).unwrap();
     }
-    assert_eq!(client.read_answer().unwrap(), row(b"1"));
-    assert_eq!(client.read_answer().unwrap(), Answer::Empty);
-    assert_eq!(client.read_answer().unwrap(), row(b"2"));
-    assert_eq!(error_code(&client.read_answer().unwrap()), "42601");
-    assert_eq!(client.read_answer().unwrap(), row(b"3"));
+    assert_eq!(client.read_reply().unwrap(), row(b"1"));
+    assert_eq!(client.read_reply().unwrap(), Reply::Empty);
+    assert_eq!(client.read_reply().unwrap(), row(b"2"));
+    assert_eq!(error_code(&client.read_reply().unwrap()), "42601");
+    assert_eq!(client.read_reply().unwrap(), row(b"3"));
     assert_eq!(host.statement_count("SELECT 1"), 0, "what is no statement of ours never reaches a host");
 }
 
@@ -62,18 +62,18 @@
     assert_eq!(&no, b"N");
     client.stream.write_all(&startup()).unwrap();
     client.read_until_ready().unwrap();
-    assert_eq!(client.query("").unwrap(), Answer::Empty);
+    assert_eq!(client.query("").unwrap(), Reply::Empty);
     client.stream.write_all(b"X\0\0\0\x04").unwrap();
-    assert!(client.is_closed());
+    assert!(client.wait_for_close());
     let mut client = Client::connect_without_startup(router.addr).unwrap();
     client.stream.write_all(b"GET / HTTP/1.1\r\n\r\n").unwrap();
-    assert_eq!(error_code(&client.read_answer().unwrap()), "08P01");
-    assert!(client.is_closed());
+    assert_eq!(error_code(&client.read_reply().unwrap()), "08P01");
+    assert!(client.wait_for_close());
 }
 
 #[test]
 fn a_host_connection_lost_after_the_last_byte_fails_the_write_without_retry() {
-    let host = primary_host(|_| Reply::Close);
+    let host = primary_host(|_| Response::Close);
     let router = RouterThread::with_primary(&host);
     assert_eq!(error_code(&router.client().query(&statement_text("write", "")).unwrap()), "58000");
     assert_eq!(host.statement_count("INSERT"), 1);
@@ -81,10 +81,10 @@
 
 #[test]
 fn a_fatal_53300_from_a_host_means_the_request_did_not_run() {
-    let host = primary_host(|_| Reply::Fatal("53300"));
+    let host = primary_host(|_| Response::Fatal("53300"));
     let router = RouterThread::with_primary(&host);
     let answer = router.client().query(&statement_text("write", "")).unwrap();
-    let Answer::Error(code, Some(after)) = answer else { panic!("{answer:?}") };
+    let Reply::Error(code, Some(after)) = answer else { panic!("{answer:?}") };
     assert_eq!(code, "53300");
     assert!(after.parse::<u64>().unwrap() > 0);
 }
@@ -97,7 +97,7 @@
 
 #[test]
 fn a_malformed_host_response_is_never_forwarded() {
-    let host = primary_host(|_| Reply::Raw(b"D\0\0\0\x08\0\x01\0\0Z\0\0\0\x05I".to_vec()));
+    let host = primary_host(|_| Response::Raw(b"D\0\0\0\x08\0\x01\0\0Z\0\0\0\x05I".to_vec()));
     let router = RouterThread::with_primary(&host);
     assert_eq!(error_code(&router.client().query(&statement_text("write", "")).unwrap()), "58000");
     assert_eq!(host.statement_count("INSERT"), 1);
@@ -106,8 +106,8 @@
 #[test]
 fn a_late_answer_is_never_given_to_the_next_request() {
     let host = primary_host(|text| match text.contains("id=1") {
-        true => Reply::RowOnRelease(b"late".to_vec()),
-        false => Reply::Row(b"good".to_vec()),
+        true => Response::RowOnRelease(b"late".to_vec()),
+        false => Response::Row(b"good".to_vec()),
     });
     let router = RouterThread::with_primary(&host);
     let mut client = router.client();
@@ -118,7 +118,7 @@
         assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"good"));
     }
     let given_up = host.wait_for_statement("id=1").unwrap().connection;
-    let last = host.seen.lock().statements.iter().rfind(|s| s.connection == given_up).cloned();
+    let last = host.record.lock().statements.iter().rfind(|s| s.connection == given_up).cloned();
     let last = last.unwrap().text;
     assert!(last.contains("id=1"), "the connection that was given up is not used again: {last}");
 }
@@ -126,8 +126,8 @@
 #[test]
 fn pooled_connections_are_reused_and_closed_ones_replaced() {
     let host = primary_host(|text| match text.contains("id=1") {
-        true => Reply::RowThenClose(b"last".to_vec()),
-        false => Reply::Row(b"x".to_vec()),
+        true => Response::RowThenClose(b"last".to_vec()),
+        false => Response::Row(b"x".to_vec()),
     });
     let router = RouterThread::with_primary(&host);
     let mut client = router.client();
@@ -135,12 +135,12 @@
         assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"x"));
     }
     // A second may have been opened for the health check at the start.
-    let accepted = host.seen.lock().accepted;
+    let accepted = host.record.lock().accepted;
     assert!(accepted <= 2, "{accepted} connections for five requests, one after another");
     for _ in 0..10 {
-        let open = host.seen.lock().open;
+        let open = host.record.lock().open;
         assert_eq!(client.query(&statement_text("write", "").replace("id=9", "id=1")).unwrap(), row(b"last"));
-        host.seen.wait(|s| (s.open < open.max(1)).then_some(())).unwrap();
+        host.record.wait(|s| (s.open < open.max(1)).then_some(())).unwrap();
         assert_eq!(
             client.query(&statement_text("write", "")).unwrap(),
             row(b"x"),
@@ -157,42 +157,42 @@
     let settings = settings.replace("\"probes\": true", "\"probes\": false");
     let router = RouterThread::with_settings(host.addr, &settings);
     assert_eq!(router.client().query(&statement_text("write", "")).unwrap(), row(b"x"));
-    assert_eq!(host.seen.lock().open, 1);
-    assert!(host.seen.wait(|s| (s.open == 0).then_some(())).is_some());
+    assert_eq!(host.record.lock().open, 1);
+    assert!(host.record.wait(|s| (s.open == 0).then_some(())).is_some());
 }
 
 #[test]
 fn a_disconnected_clients_read_is_aborted_at_the_host() {
-    let host = primary_host(|_| Reply::NoAnswer);
+    let host = primary_host(|_| Response::NoResponse);
     let router = RouterThread::with_primary(&host);
     let mut client = router.client();
     client.send(&statement_text("status", "").replace("d=480", "d=9000")).unwrap();
     host.wait_for_statement("SELECT v").unwrap();
-    let open = host.seen.lock().open;
+    let open = host.record.lock().open;
     client.stream.shutdown(Shutdown::Both).unwrap();
-    assert!(host.seen.wait(|s| (s.open < open).then_some(())).is_some());
+    assert!(host.record.wait(|s| (s.open < open).then_some(())).is_some());
 }
 
 #[test]
 fn a_64_kib_value_reaches_a_slow_reader_complete() {
     let value: Vec<u8> = (0..65536u32).map(|n| n as u8).collect();
     let big = value.clone();
-    let host = primary_host(move |_| Reply::Row(big.clone()));
+    let host = primary_host(move |_| Response::Row(big.clone()));
     let router = RouterThread::with_primary(&host);
     let mut clients: Vec<Client> = (0..4).map(|_| router.client()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&statement_text("write", "").replace("id=9", &format!("id={n}"))).unwrap();
     }
-    host.seen
+    host.record
         .wait(|s| (s.statements.iter().filter(|s| s.text.contains("INSERT")).count() == 4).then_some(()));
     for client in &mut clients {
-        assert_eq!(client.read_answer().unwrap(), row(&value));
+        assert_eq!(client.read_reply().unwrap(), row(&value));
     }
 }
 
 #[test]
 fn clients_beyond_the_descriptor_budget_are_rejected_cleanly() {
-    let host = primary_host(|_| Reply::RowOnRelease(b"x".to_vec()));
+    let host = primary_host(|_| Response::RowOnRelease(b"x".to_vec()));
     let router = RouterThread::with_descriptors(&host, 48);
     // 24 are reserved; of the other 24 half are for clients, and the members have the rest.
     let mut clients: Vec<Client> = (0..12).map(|_| router.client()).collect();
@@ -206,11 +206,11 @@
     }
     let mut newcomer = Client::connect_without_startup(router.addr).unwrap();
     newcomer.stream.write_all(&startup()).unwrap();
-    assert_eq!(error_code(&newcomer.read_answer().unwrap()), "53300");
-    assert!(newcomer.is_closed());
+    assert_eq!(error_code(&newcomer.read_reply().unwrap()), "53300");
+    assert!(newcomer.wait_for_close());
     host.release();
     for client in &mut clients {
-        assert_eq!(client.read_answer().unwrap(), row(b"x"), "admitted clients stay");
+        assert_eq!(client.read_reply().unwrap(), row(b"x"), "admitted clients stay");
     }
     let until = Instant::now() + TIMEOUT;
     let newcomer = std::iter::from_fn(|| (Instant::now() < until).then(|| Client::connect(router.addr)));
@@ -232,7 +232,7 @@
         .collect();
     let last = clients.split_off(40);
     assert!(
-        clients.iter_mut().all(Client::is_closed),
+        clients.iter_mut().all(Client::wait_for_close),
         "the clients that have been idle for longest are evicted"
     );
     for mut client in last.into_iter().skip(12) {
@@ -266,7 +266,7 @@
         .collect();
     for client in &mut slow {
         client.stream.write_all(&request[40..]).unwrap();
-        assert_eq!(client.read_answer().unwrap(), row(b"x"));
+        assert_eq!(client.read_reply().unwrap(), row(b"x"));
     }
     drop(clients);
 }
@@ -319,10 +319,10 @@
     let mut stream = client.stream.try_clone().unwrap();
     std::thread::spawn(move || stream.write_all(&many));
     for n in 0..16 {
-        assert_eq!(error_code(&client.read_answer().unwrap()), ["42601", "22023", "22023"][n % 3]);
+        assert_eq!(error_code(&client.read_reply().unwrap()), ["42601", "22023", "22023"][n % 3]);
     }
-    assert_eq!(error_code(&client.read_answer().unwrap()), "08P01");
-    assert!(client.is_closed());
+    assert_eq!(error_code(&client.read_reply().unwrap()), "08P01");
+    assert!(client.wait_for_close());
     assert_eq!(router.client().query(&statement_text("write", "")).unwrap(), row(b"x"));
     assert_eq!(host.statement_count("INSERT"), 1, "no invalid command has reached a member");
 }
@@ -338,7 +338,7 @@
         let _ = stream.write_all(&[b"Q", &(size as u32 + 4).to_be_bytes()[..]].concat());
         (0..size / 65536).try_for_each(|_| stream.write_all(&[b'7'; 65536]))
     });
-    assert_eq!(error_code(&client.read_answer().unwrap()), "08P01");
+    assert_eq!(error_code(&client.read_reply().unwrap()), "08P01");
     let _ = sender.join().unwrap();
     assert_eq!(router.client().query(&statement_text("write", "")).unwrap(), row(b"x"));
 }
@@ -346,8 +346,8 @@
 #[test]
 fn shutdown_answers_open_requests_and_serves_new_connections_for_a_grace_period() {
     let host = primary_host(|text| match text.contains("id=1") {
-        true => Reply::RowOnRelease(b"released".to_vec()),
-        false => Reply::Row(b"x".to_vec()),
+        true => Response::RowOnRelease(b"released".to_vec()),
+        false => Response::Row(b"x".to_vec()),
     });
     let mut router = RouterThread::with_primary(&host);
     let (mut idle, mut busy) = (router.client(), router.client());
@@ -357,25 +357,25 @@
     // New connections are accepted for a while, and existing ones go on being served.
     assert_eq!(router.client().query(&statement_text("write", "")).unwrap(), row(b"x"));
     assert_eq!(idle.query(&statement_text("write", "")).unwrap(), row(b"x"));
-    assert!(idle.is_closed(), "then idle connections are closed");
+    assert!(idle.wait_for_close(), "then idle connections are closed");
     assert!(!*router.stopped.lock(), "open requests are waited for");
     host.release();
-    assert_eq!(busy.read_answer().unwrap(), row(b"released"));
-    assert!(busy.is_closed());
+    assert_eq!(busy.read_reply().unwrap(), row(b"released"));
+    assert!(busy.wait_for_close());
     assert!(router.stopped.wait(|o| o.then_some(())).is_some());
     assert!(TcpStream::connect(router.addr).is_err());
 }
 
 #[test]
 fn shutdown_fails_unanswered_requests_and_ends_in_time() {
-    let host = primary_host(|_| Reply::NoAnswer);
+    let host = primary_host(|_| Response::NoResponse);
     let mut router = RouterThread::with_primary(&host);
     let mut client = router.client();
     client.send(&statement_text("report", "").replace("d=480", "d=60000")).unwrap();
     host.wait_for_statement("SELECT v").unwrap();
     router.stop();
-    assert_eq!(error_code(&client.read_answer().unwrap()), "58000");
-    assert!(client.is_closed());
+    assert_eq!(error_code(&client.read_reply().unwrap()), "58000");
+    assert!(client.wait_for_close());
     assert!(router.stopped.wait(|o| o.then_some(())).is_some());
 }
 
@@ -409,14 +409,14 @@
 fn without_a_known_list_the_router_is_ready_after_the_first_list() {
     let host = primary_with_row(b"x");
     let discovery = Discovery::start(primary_list(1, host.addr)).unwrap();
-    discovery.state.change(|t| t.silent = true);
+    discovery.state.change(|t| t.withhold_responses = true);
     let router = RouterThread::start("null", discovery.addr, DESCRIPTORS, SETTINGS);
     let mut client = Client::connect_without_startup(router.addr).unwrap();
     client.stream.write_all(&[startup(), query("")].concat()).unwrap();
     discovery.state.wait(|t| (!t.requests.is_empty()).then_some(())).unwrap();
-    discovery.state.change(|t| t.silent = false);
+    discovery.state.change(|t| t.withhold_responses = false);
     client.read_until_ready().unwrap();
-    assert_eq!(client.read_answer().unwrap(), Answer::Empty);
+    assert_eq!(client.read_reply().unwrap(), Reply::Empty);
     assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"x"));
 }
 
@@ -455,8 +455,8 @@
     }
     assert_eq!(host.statement_count("id=2"), 0);
     first.stream.write_all(&part[100_000..]).unwrap();
-    assert_eq!(first.read_answer().unwrap(), row(b"x"));
-    assert_eq!(second.read_answer().unwrap(), row(b"x"));
+    assert_eq!(first.read_reply().unwrap(), row(b"x"));
+    assert_eq!(second.read_reply().unwrap(), row(b"x"));
     assert_eq!(host.statement_count("id=1") + host.statement_count("id=2"), 2);
 }
 
@@ -483,7 +483,7 @@
     let count = malformed.len();
     let host = primary_host(move |text| {
         let reply = malformed.iter().enumerate().find(|(n, _)| text.contains(&format!("id=bad{n}")));
-        reply.map_or(Reply::Row(b"x".to_vec()), |(_, bytes)| Reply::Raw(bytes.clone()))
+        reply.map_or(Response::Row(b"x".to_vec()), |(_, bytes)| Response::Raw(bytes.clone()))
     });
     let router = RouterThread::with_primary(&host);
     let mut client = router.client();
@@ -503,7 +503,7 @@
     let (one, two) = primary_and_successor();
     let known = primary_list(70, one.addr);
     let old = Discovery::start(known.clone()).unwrap();
-    old.state.change(|t| t.silent = true);
+    old.state.change(|t| t.withhold_responses = true);
     // Its version is lower: versions of two discoveries can't be compared.
     let new =
         Discovery::start(endpoint_list(3, true, &[Endpoint::new("s-2", two.addr, 2, "active", "source")]))
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -18,7 +18,7 @@
 
 /// What a router answered to a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum Reply {
     /// A row's single value.
     Row(Vec<u8>),
     /// An error: its SQLSTATE, and its detail if it has one.
@@ -27,11 +27,11 @@
     Empty,
 }
 
-impl Answer {
+impl Reply {
     /// Whether a router rejected the request without sending it to a host: by `too_many_connections` or
     /// `cannot_connect_now`.
     pub fn is_rejection(&self) -> bool {
-        matches!(self, Answer::Error(sqlstate, _) if sqlstate == "53300" || sqlstate == "57P03")
+        matches!(self, Reply::Error(sqlstate, _) if sqlstate == "53300" || sqlstate == "57P03")
     }
 }
 
@@ -106,9 +106,9 @@
     }
 
     /// Sends a query and waits for its answer.
-    pub fn query(&mut self, text: &str) -> io::Result<Answer> {
+    pub fn query(&mut self, text: &str) -> io::Result<Reply> {
         self.send(text)?;
-        self.read_answer()
+        self.read_reply()
     }
 
     /// Sends a query without waiting for its answer.
@@ -119,19 +119,19 @@
     }
 
     /// Reads an answer up to its ReadyForQuery, or up to a fatal error. `InvalidData` if there was no answer.
-    pub fn read_answer(&mut self) -> io::Result<Answer> {
+    pub fn read_reply(&mut self) -> io::Result<Reply> {
         let mut answer = None;
         loop {
             let Message { kind, body } = self.read_message()?;
             match kind {
                 READY_FOR_QUERY => return answer.ok_or_else(|| ErrorKind::InvalidData.into()),
                 DATA_ROW => {
-                    answer = Some(Answer::Row(body.get(DATA_ROW_PREFIX..).unwrap_or_default().to_vec()));
+                    answer = Some(Reply::Row(body.get(DATA_ROW_PREFIX..).unwrap_or_default().to_vec()));
                 }
-                EMPTY_QUERY_RESPONSE => answer = Some(Answer::Empty),
+                EMPTY_QUERY_RESPONSE => answer = Some(Reply::Empty),
                 ERROR_RESPONSE => {
                     let sqlstate = error_field(&body, SQLSTATE_FIELD).unwrap_or_default();
-                    let error = Answer::Error(sqlstate, error_field(&body, DETAIL_FIELD));
+                    let error = Reply::Error(sqlstate, error_field(&body, DETAIL_FIELD));
                     // No ReadyForQuery follows a fatal error.
                     if error_field(&body, SEVERITY_FIELD).as_deref() == Some("FATAL") {
                         return Ok(error);
@@ -144,7 +144,7 @@
     }
 
     /// Waits for one byte: whether the other side has closed or reset the connection instead of sending one.
-    pub fn is_closed(&mut self) -> bool {
+    pub fn wait_for_close(&mut self) -> bool {
         let end = self.stream.read(&mut [0]);
         matches!(end, Ok(0)) || matches!(end, Err(e) if e.kind() == ErrorKind::ConnectionReset)
     }
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -16,7 +16,7 @@
 const CHUNKED: &str = "Transfer-Encoding: chunked\r\n\r\n";
 /// What tells a watch from a poll in a request line.
 const WATCH_PARAMETER: &str = "watch=1";
-/// Between two bytes of [`ResponseMode::Drip`].
+/// Between two bytes of [`ResponseMode::EndlessLine`].
 const DRIP_INTERVAL: Duration = Duration::from_millis(50);
 /// Between two events of a watch, so that each of them is a segment of its own.
 const EVENT_INTERVAL: Duration = Duration::from_millis(1);
@@ -25,15 +25,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseMode {
     /// Its connection is closed at once.
-    Closed,
+    Close,
     /// It is never answered.
-    Silent,
+    NoResponse,
     /// It is rejected with status 503.
     Unavailable,
     /// Its response ends with the head, and the connection stays open.
     HeadOnly,
     /// The response is the list on one line; then half a line follows byte by byte and never ends.
-    Drip,
+    EndlessLine,
     /// The list is indented, over many lines.
     Indented,
 }
@@ -46,7 +46,7 @@
     /// Request lines received, in order.
     pub requests: Vec<String>,
     /// While this is set, requests get no answer at all, and never will.
-    pub silent: bool,
+    pub withhold_responses: bool,
     /// How the next requests are answered, in order; those after them as usual.
     pub next_responses: VecDeque<ResponseMode>,
     /// Watches begun so far.
@@ -65,7 +65,7 @@
             is_watch,
             watch_number: self.watches,
             list: self.lines[0].clone(),
-            silent: self.silent,
+            withhold_responses: self.withhold_responses,
             mode: self.next_responses.pop_front(),
         }
     }
@@ -78,7 +78,7 @@
     watch_number: usize,
     /// The complete list.
     list: String,
-    silent: bool,
+    withhold_responses: bool,
     mode: Option<ResponseMode>,
 }
 
@@ -133,8 +133,8 @@
     let request_line = lines.next().unwrap_or_else(|| Ok(String::new()))?;
     while !lines.next().unwrap_or_else(|| Ok(String::new()))?.is_empty() {}
     let request = state.change(|s| s.receive(request_line));
-    if request.silent {
-        state.wait(|s| (!s.silent).then_some(()));
+    if request.withhold_responses {
+        state.wait(|s| (!s.withhold_responses).then_some(()));
         return Ok(());
     }
     let list = &request.list;
@@ -148,14 +148,14 @@
 /// Answers a request in an unusual way.
 fn respond_in_mode(mut stream: TcpStream, mode: ResponseMode, list: &str) -> io::Result<()> {
     match mode {
-        ResponseMode::Closed => Ok(()),
-        ResponseMode::Silent => wait_until_closed(stream),
+        ResponseMode::Close => Ok(()),
+        ResponseMode::NoResponse => wait_until_closed(stream),
         ResponseMode::Unavailable => stream.write_all(UNAVAILABLE.as_bytes()),
         ResponseMode::HeadOnly => {
             write!(stream, "{OK_HEAD}{CHUNKED}")?;
             wait_until_closed(stream)
         }
-        ResponseMode::Drip => {
+        ResponseMode::EndlessLine => {
             write!(stream, "{OK_HEAD}\r\n{list}\n{{")?;
             loop {
                 stream.write_all(b" ")?;
--- a/crates/standin/src/group/member.rs
+++ b/crates/standin/src/group/member.rs
@@ -1,7 +1,7 @@
 //! What a member of a replicated group answers to statements.
 
 use super::{Commit, GroupBehavior, GroupState, StaleRead, PRIMARY_RANK};
-use crate::host::{ParameterStatuses, Reply};
+use crate::host::{ParameterStatuses, Response};
 use crate::Watched;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -36,13 +36,13 @@
 
 impl Member {
     /// Answers a statement; where the members' capacity is limited, waits for it first.
-    pub fn respond(&self, text: &str) -> (Reply, ParameterStatuses) {
+    pub fn respond(&self, text: &str) -> (Response, ParameterStatuses) {
         let behavior = self.state.lock().behavior.clone();
         if behavior.max_concurrent == 0 || !text.contains("records") {
             return self.execute(text, &behavior);
         }
         if !self.reserve_capacity(behavior.max_concurrent) {
-            return (Reply::Error(NO_CAPACITY), Vec::new());
+            return (Response::Error(NO_CAPACITY), Vec::new());
         }
         let answer = self.execute(text, &behavior);
         self.state.change(|s| s.busy[self.index] -= 1);
@@ -64,13 +64,13 @@
     }
 
     /// Executes a statement, whose kind its number of literals shows.
-    fn execute(&self, text: &str, behavior: &GroupBehavior) -> (Reply, ParameterStatuses) {
+    fn execute(&self, text: &str, behavior: &GroupBehavior) -> (Response, ParameterStatuses) {
         let reply = match &literals(text)[..] {
             [] if text == "SHOW vitals" => self.load_report(),
-            [] if text == "SELECT 1" => Reply::Row(b"1".to_vec()),
+            [] if text == "SELECT 1" => Response::Row(b"1".to_vec()),
             [key] => self.read(key, comment_number(text, "after").unwrap_or(0), behavior),
             [key, value] => return self.write(key, &decoded(value), behavior),
-            _ => Reply::Error(UNKNOWN_STATEMENT),
+            _ => Response::Error(UNKNOWN_STATEMENT),
         };
         (reply, self.statuses())
     }
@@ -82,24 +82,24 @@
         vec![("rank", state.rank(self.index).into()), ("as_of", position.to_string())]
     }
 
-    fn load_report(&self) -> Reply {
+    fn load_report(&self) -> Response {
         let state = self.state.lock();
         let seconds = state.applied_position(self.index) as f64 / 1000.0;
         let is_primary = u8::from(self.index == state.primary);
-        Reply::Row(format!("x0={seconds:.3},x1={is_primary}").into_bytes())
+        Response::Row(format!("x0={seconds:.3},x1={is_primary}").into_bytes())
     }
 
     /// Commits a write at the primary. The connection breaks if a failover loses it before its answer.
-    fn write(&self, key: &str, value: &str, behavior: &GroupBehavior) -> (Reply, ParameterStatuses) {
+    fn write(&self, key: &str, value: &str, behavior: &GroupBehavior) -> (Response, ParameterStatuses) {
         let [before_commit, before_answer] = behavior.write_delays;
         std::thread::sleep(before_commit);
         let written = self.commit(key, value);
         std::thread::sleep(before_answer);
         let Some(Written { serial, position }) = written else {
-            return (Reply::Error(READ_ONLY), self.statuses());
+            return (Response::Error(READ_ONLY), self.statuses());
         };
         if !self.mark_answered(key, serial) {
-            return (Reply::Close, Vec::new());
+            return (Response::Close, Vec::new());
         }
         let statuses = vec![("rank", PRIMARY_RANK.into()), ("as_of", position.to_string())];
         (row(behavior, value, serial, PRIMARY_RANK), statuses)
@@ -137,7 +137,7 @@
     }
 
     /// Reads the newest value that the member has applied, an empty one of serial 0 if there is none.
-    fn read(&self, key: &str, floor: u64, behavior: &GroupBehavior) -> Reply {
+    fn read(&self, key: &str, floor: u64, behavior: &GroupBehavior) -> Response {
         let deadline = match behavior.stale_reads {
             StaleRead::Wait(patience) => Instant::now() + patience,
             StaleRead::Serve | StaleRead::Reject => Instant::now(),
@@ -155,7 +155,7 @@
             }
             drop(state);
             if Instant::now() >= deadline {
-                return Reply::Error(NOT_APPLIED);
+                return Response::Error(NOT_APPLIED);
             }
             std::thread::sleep(Duration::from_millis((floor - applied).min(APPLY_POLL_MS)));
         }
@@ -163,9 +163,9 @@
 }
 
 /// A row with a value, annotated with its serial number and the member's rank where that is wanted.
-fn row(behavior: &GroupBehavior, value: &str, serial: u64, rank: &str) -> Reply {
+fn row(behavior: &GroupBehavior, value: &str, serial: u64, rank: &str) -> Response {
     let value = if behavior.annotated { format!("{value}@{serial}@{rank}") } else { value.to_string() };
-    Reply::Row(value.into_bytes())
+    Response::Row(value.into_bytes())
 }
 
 /// The quoted literals of a statement, without their quotes; its comment is left out.
--- a/crates/standin/src/harness.rs
+++ b/crates/standin/src/harness.rs
@@ -5,7 +5,7 @@
 
 use crate::discovery::{endpoint_list, Discovery, Endpoint};
 use crate::group::{PRIMARY_RANK, REPLICA_RANK};
-use crate::host::{Host, Reply};
+use crate::host::{Host, Response};
 use crate::router_process::{write_unique_file, RouterOptions, RouterProcess};
 use crate::udp_proxy::UdpProxy;
 use crate::{simulated_fleet, unix_ms, StandinError, SETTINGS};
@@ -60,7 +60,7 @@
     /// One in three fails.
     FailSome,
     /// They close the connection after each, and routers may not send health checks.
-    Close,
+    ServeThenClose,
 }
 
 /// A host that counts the statements it works on.
@@ -110,7 +110,7 @@
         let direct_addrs = free_addrs(if config.direct { config.routers } else { 0 })?;
         for n in 0..config.routers {
             let peers: Vec<SocketAddr> = match &harness.proxy {
-                Some(proxy) => (0..config.routers).map(|m| proxy.port(n, m)).collect(),
+                Some(proxy) => (0..config.routers).map(|m| proxy.link_addr(n, m)).collect(),
                 None => direct_addrs.clone(),
             };
             let own = config.limits.as_ref().map(|limits| fleet_settings(config, n, &peers, limits));
@@ -203,7 +203,7 @@
     pub fn arrivals(&self, part: &str) -> Vec<Instant> {
         let mut arrivals = Vec::new();
         for counting_host in &self.hosts {
-            let seen = counting_host.host.seen.lock();
+            let seen = counting_host.host.record.lock();
             let statements = seen.statements.iter().filter(|s| s.text.contains(part));
             arrivals.extend(statements.map(|s| s.received_at));
         }
@@ -245,9 +245,9 @@
             }
             let fails = || is_request && received.fetch_add(1, Ordering::Relaxed) % FAIL_EVERY == 0;
             let reply = match behavior {
-                HostBehavior::FailSome if fails() => Reply::Error("XX000"),
-                HostBehavior::Serve | HostBehavior::FailSome => Reply::Row(b"v".to_vec()),
-                HostBehavior::Close => Reply::RowThenClose(b"v".to_vec()),
+                HostBehavior::FailSome if fails() => Response::Error("XX000"),
+                HostBehavior::Serve | HostBehavior::FailSome => Response::Row(b"v".to_vec()),
+                HostBehavior::ServeThenClose => Response::RowThenClose(b"v".to_vec()),
             };
             (reply, vec![("as_of", unix_ms().to_string()), ("rank", REPLICA_RANK.to_string())])
         })?;
@@ -268,7 +268,7 @@
 /// The deployment's settings (JSON). The longest deadlines are cut to 1.5 s, so that limits are free again
 /// soon after a router has died.
 fn platform_settings(config: &HarnessConfig) -> String {
-    let probes = config.host_behavior != HostBehavior::Close;
+    let probes = config.host_behavior != HostBehavior::ServeThenClose;
     SETTINGS
         .replace("\"balancers\": 2", &format!("\"balancers\": {}", config.routers))
         .replace("6000000000", "1500000000")
--- a/crates/standin/src/host.rs
+++ b/crates/standin/src/host.rs
@@ -19,7 +19,7 @@
 
 /// What a host does with a statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Reply {
+pub enum Response {
     /// Serves it: one row of one binary value.
     Row(Vec<u8>),
     /// Serves it, then closes the connection.
@@ -29,7 +29,7 @@
     /// Answers with an error of this SQLSTATE and closes the connection without ReadyForQuery.
     Fatal(&'static str),
     /// Never answers, and keeps the connection.
-    NoAnswer,
+    NoResponse,
     /// Closes the connection without an answer.
     Close,
     /// Sends these bytes as they are.
@@ -64,13 +64,13 @@
     /// Connections that are open.
     pub open: usize,
     /// While this is set, startup messages on accepted connections get no answer.
-    pub withhold_welcome: bool,
-    /// Whether [`Reply::RowOnRelease`] may be answered.
+    pub withhold_startup_response: bool,
+    /// Whether [`Response::RowOnRelease`] may be answered.
     released: bool,
 }
 
 /// Decides what a host does with a statement.
-type Responder = dyn Fn(&str) -> (Reply, ParameterStatuses) + Send + Sync;
+type Responder = dyn Fn(&str) -> (Response, ParameterStatuses) + Send + Sync;
 
 /// A database host on a port of its own on loopback. It runs until the process ends.
 #[derive(Clone)]
@@ -78,43 +78,43 @@
     /// Where it listens.
     pub addr: SocketAddr,
     /// What it has seen.
-    pub seen: Arc<Watched<HostRecord>>,
+    pub record: Arc<Watched<HostRecord>>,
 }
 
 impl Host {
     /// Starts a host that does with each statement what `respond` returns. Each connection has a thread.
     pub fn start(
-        respond: impl Fn(&str) -> (Reply, ParameterStatuses) + Send + Sync + 'static,
+        respond: impl Fn(&str) -> (Response, ParameterStatuses) + Send + Sync + 'static,
     ) -> io::Result<Host> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
-        let host = Host { addr: listener.local_addr()?, seen: Arc::default() };
-        let seen = Arc::clone(&host.seen);
+        let host = Host { addr: listener.local_addr()?, record: Arc::default() };
+        let record = Arc::clone(&host.record);
         let respond: Arc<Responder> = Arc::new(respond);
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let number = seen.change(HostRecord::count_accepted);
+                let number = record.change(HostRecord::count_accepted);
                 let connection =
-                    Connection { stream, number, seen: Arc::clone(&seen), respond: Arc::clone(&respond) };
+                    Connection { stream, number, record: Arc::clone(&record), respond: Arc::clone(&respond) };
                 std::thread::spawn(move || connection.run());
             }
         });
         Ok(host)
     }
 
-    /// Lets all [`Reply::RowOnRelease`] be answered, from now on.
+    /// Lets all [`Response::RowOnRelease`] be answered, from now on.
     pub fn release(&self) {
-        self.seen.change(|s| s.released = true);
+        self.record.change(|s| s.released = true);
     }
 
     /// Waits for a statement that contains `part`, also one that arrived earlier. `None` after
     /// [`crate::TIMEOUT`].
     pub fn wait_for_statement(&self, part: &str) -> Option<ReceivedStatement> {
-        self.seen.wait(|seen| seen.statements.iter().find(|s| s.text.contains(part)).cloned())
+        self.record.wait(|seen| seen.statements.iter().find(|s| s.text.contains(part)).cloned())
     }
 
     /// How many statements so far contain `part`.
     pub fn statement_count(&self, part: &str) -> usize {
-        self.seen.lock().statements.iter().filter(|s| s.text.contains(part)).count()
+        self.record.lock().statements.iter().filter(|s| s.text.contains(part)).count()
     }
 }
 
@@ -153,7 +153,7 @@
 struct Connection {
     stream: TcpStream,
     number: usize,
-    seen: Arc<Watched<HostRecord>>,
+    record: Arc<Watched<HostRecord>>,
     respond: Arc<Responder>,
 }
 
@@ -170,13 +170,13 @@
         // The other side may close or reset it at any time.
         let _ = self.serve();
         let _ = self.stream.shutdown(Shutdown::Both);
-        self.seen.change(|s| s.open -= 1);
+        self.record.change(|s| s.open -= 1);
     }
 
     fn serve(&mut self) -> io::Result<()> {
         self.stream.set_nodelay(true)?;
         self.read_startup()?;
-        self.seen.wait(|s| (!s.withhold_welcome).then_some(()));
+        self.record.wait(|s| (!s.withhold_startup_response).then_some(()));
         let welcome = [
             message(AUTHENTICATION, &[0; 4]),
             parameter_status("server_version", "15.0"),
@@ -211,7 +211,7 @@
             return Ok(None);
         }
         let text = String::from_utf8_lossy(body.strip_suffix(&[0]).unwrap_or(&body)).into_owned();
-        self.seen.change(|s| {
+        self.record.change(|s| {
             s.statements.push(ReceivedStatement {
                 connection: self.number,
                 text: text.clone(),
@@ -221,29 +221,29 @@
         Ok(Some(text))
     }
 
-    fn send(&mut self, reply: Reply, statuses: &ParameterStatuses) -> io::Result<Next> {
+    fn send(&mut self, reply: Response, statuses: &ParameterStatuses) -> io::Result<Next> {
         let statuses: Vec<u8> =
             statuses.iter().flat_map(|(name, value)| parameter_status(name, value)).collect();
         let answer = match reply {
-            Reply::Row(value) => [row(&value), statuses, ready_for_query()].concat(),
-            Reply::RowThenClose(value) => {
+            Response::Row(value) => [row(&value), statuses, ready_for_query()].concat(),
+            Response::RowThenClose(value) => {
                 self.stream.write_all(&[row(&value), statuses, ready_for_query()].concat())?;
                 return Ok(Next::Close);
             }
-            Reply::Error(sqlstate) => [error(sqlstate), statuses, ready_for_query()].concat(),
-            Reply::Fatal(sqlstate) => {
+            Response::Error(sqlstate) => [error(sqlstate), statuses, ready_for_query()].concat(),
+            Response::Fatal(sqlstate) => {
                 self.stream.write_all(&error(sqlstate))?;
                 return Ok(Next::Close);
             }
-            Reply::NoAnswer => {
+            Response::NoResponse => {
                 // Until the other side gives up.
                 let _ = self.stream.read(&mut [0]);
                 return Ok(Next::Close);
             }
-            Reply::Close => return Ok(Next::Close),
-            Reply::Raw(bytes) => bytes,
-            Reply::RowOnRelease(value) => {
-                self.seen.wait(|s| s.released.then_some(()));
+            Response::Close => return Ok(Next::Close),
+            Response::Raw(bytes) => bytes,
+            Response::RowOnRelease(value) => {
+                self.record.wait(|s| s.released.then_some(()));
                 [row(&value), statuses, ready_for_query()].concat()
             }
         };
--- a/crates/standin/src/paced_clients.rs
+++ b/crates/standin/src/paced_clients.rs
@@ -1,6 +1,6 @@
 //! Clients that send reads to routers at a given rate, and count the answers.
 
-use crate::client::{Answer, Client};
+use crate::client::{Client, Reply};
 use crate::Rng;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -167,7 +167,7 @@
         let sent_at = Instant::now();
         let answer = self.connection.as_mut().and_then(|c| c.query(&text).ok());
         match answer {
-            Some(Answer::Row(_)) => {
+            Some(Reply::Row(_)) => {
                 self.counts.served.fetch_add(1, Ordering::Relaxed);
                 let took_us = sent_at.elapsed().as_micros() as u32;
                 let mut latencies = self.counts.latencies_us.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/standin/src/session_load/session.rs
+++ b/crates/standin/src/session_load/session.rs
@@ -1,7 +1,7 @@
 //! One session of a load: rounds of a write and a few reads, through routers that it moves between.
 
 use super::{ConnectionMode, SessionLoad, SessionLoadReport};
-use crate::client::{Answer, Client};
+use crate::client::{Client, Reply};
 use crate::group::{Group, REPLICA_RANK};
 use crate::Rng;
 use std::net::SocketAddr;
@@ -114,7 +114,7 @@
     }
 
     /// Sends one statement. `None` if the connection broke or could not be opened.
-    fn query(&mut self, text: &str) -> Option<Answer> {
+    fn query(&mut self, text: &str) -> Option<Reply> {
         let Some(mut client) = self.take_connection() else {
             std::thread::sleep(CONNECT_RETRY);
             return None;
@@ -145,7 +145,7 @@
         let (name, value) = (&self.name, self.sequence);
         let text = format!("INSERT INTO records (k, v) VALUES ('{name}', '{value}') RETURNING v {comment}");
         match self.query(&text) {
-            Some(Answer::Row(_)) => self.report.writes += 1,
+            Some(Reply::Row(_)) => self.report.writes += 1,
             Some(answer) if answer.is_rejection() => self.report.not_served += 1,
             _ => {
                 self.report.unknown += 1;
@@ -173,7 +173,7 @@
         let sent_at = Instant::now();
         let answer = self.query(&text);
         let took = sent_at.elapsed();
-        let Some(Answer::Row(value)) = answer else {
+        let Some(Reply::Row(value)) = answer else {
             self.report.not_served += 1;
             return false;
         };
--- a/crates/standin/src/simulated_fleet.rs
+++ b/crates/standin/src/simulated_fleet.rs
@@ -88,7 +88,7 @@
 }
 
 /// A roster of routers `n0`, `n1` and so on, at ports that are their numbers plus one.
-pub fn numbered_names(count: usize) -> Roster {
+pub fn numbered_roster(count: usize) -> Roster {
     let peer = |n: usize| Peer {
         name: format!("n{n}"),
         addr: SocketAddr::from(([127, 0, 0, 1], n as u16 + 1)),
@@ -178,7 +178,7 @@
     }
 
     /// Sets the demand at a router: requests a second that count under the rate, and that need permits.
-    pub fn demand(&mut self, router: usize, per_s: f64, permits_per_s: f64) {
+    pub fn set_demand(&mut self, router: usize, per_s: f64, permits_per_s: f64) {
         let node = &mut self.nodes[router];
         node.per_s = per_s;
         node.permits_per_s = permits_per_s;
@@ -188,14 +188,14 @@
     }
 
     /// A router's core, if it runs.
-    pub fn fleet(&self, router: usize) -> Option<&Fleet> {
+    pub fn core(&self, router: usize) -> Option<&Fleet> {
         self.nodes[router].core.as_ref()
     }
 
     /// The status that a router reports; nothing if it does not run.
     pub fn status_lines(&self, router: usize) -> Vec<String> {
         let now = self.local_now(router);
-        self.fleet(router).map(|core| core.status_lines(now)).unwrap_or_default()
+        self.core(router).map(|core| core.status_lines(now)).unwrap_or_default()
     }
 
     /// Has a router take another configuration while it runs.
@@ -206,7 +206,7 @@
     }
 
     /// Sets the configuration that routers are started with from now on.
-    pub fn set_plan(&mut self, config: FleetConfig) {
+    pub fn set_config(&mut self, config: FleetConfig) {
         self.config = config;
     }
 
--- a/crates/standin/src/udp_proxy.rs
+++ b/crates/standin/src/udp_proxy.rs
@@ -67,7 +67,7 @@
     }
 
     /// Where one router reaches another.
-    pub fn port(&self, from: usize, to: usize) -> SocketAddr {
+    pub fn link_addr(&self, from: usize, to: usize) -> SocketAddr {
         self.ports[from][to]
     }
 
