--- a/crates/router/tests/sessions.rs
+++ b/crates/router/tests/sessions.rs
@@ -200,12 +200,12 @@
         let mut client = Client::connect(deployment.routers[0].addr).unwrap();
         query(&mut client, text)
     };
-    assert!(deployment.routers[0].wait_for_log("none; the start is the floor").is_some());
+    assert!(deployment.routers[0].wait_for_log("no file; using the start time as the floor").is_some());
     assert_eq!(query_once(&deployment, &write(1, "anne", "7", "")).value, "7");
     assert_eq!(query_once(&deployment, &read(1, "anne", "")).value, "7", "it sees its write, wherever");
     std::thread::sleep(Duration::from_millis(950)); // the replicas have it by now
     deployment.routers[0].stop_and_restart().unwrap();
-    assert!(deployment.routers[0].wait_for_log("taken over").is_some());
+    assert!(deployment.routers[0].wait_for_log("snapshot: restored").is_some());
     assert!(!path.exists(), "a snapshot is valid once");
     let anne = query_once(&deployment, &read(2, "anne", ""));
     assert_eq!(anne, served_by_replica("7"), "the snapshot's floor");
