--- a/crates/config/src/local_settings/fleet.rs
+++ b/crates/config/src/local_settings/fleet.rs
@@ -19,7 +19,7 @@
     /// Largest error of any clock's rate, as a fraction.
     pub drift: f64,
     /// The routers, this one among them.
-    pub names: Roster,
+    pub roster: Roster,
     /// The limits over all of them.
     pub limits: Vec<Limit>,
 }
@@ -64,10 +64,10 @@
         }
     }
     let router_count = peers.len() as f64;
-    let names = read_roster(reader, node, peers)?;
+    let roster = read_roster(reader, node, peers)?;
     let limits = check_limits(reader, limits, router_count)?;
     let keys = keys::read(reader, node, "fleet", NO_MAX_AGE)?;
-    Ok(FleetSettings { listen, keys, drift: drift_percent / 100.0, names, limits })
+    Ok(FleetSettings { listen, keys, drift: drift_percent / 100.0, roster, limits })
 }
 
 fn read_peer(reader: &KdlReader, node: &KdlNode, key: &str, peers: &[Peer]) -> Result<Peer, ConfigError> {
--- a/crates/config/src/local_settings/sessions.rs
+++ b/crates/config/src/local_settings/sessions.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SessionSettings {
     /// What the floors follow.
-    pub plan: SessionConfig,
+    pub config: SessionConfig,
     /// Where the session-floor table is stored over a graceful stop.
     pub snapshot: Option<Snapshot>,
 }
@@ -42,7 +42,7 @@
 /// Reads the section.
 pub(super) fn read(reader: &KdlReader, node: &KdlNode) -> Result<SessionSettings, ConfigError> {
     reader.check_entries(node, "sessions", 0, &["floor"])?;
-    let mut plan = SessionConfig {
+    let mut config = SessionConfig {
         default_floor: read_default_floor(reader, node)?,
         skew: DEFAULT_SKEW,
         settle_time: DEFAULT_SETTLE_TIME,
@@ -61,15 +61,15 @@
         }
         seen.push(name);
         match name {
-            "skew-ms" => plan.skew = reader.milliseconds(child, &key)?,
-            "settle-ms" => plan.settle_time = reader.milliseconds(child, &key)?,
-            "lead-ms" => plan.lead = reader.milliseconds(child, &key)?,
-            "tokens" => read_tokens(reader, child, &mut plan)?,
+            "skew-ms" => config.skew = reader.milliseconds(child, &key)?,
+            "settle-ms" => config.settle_time = reader.milliseconds(child, &key)?,
+            "lead-ms" => config.lead = reader.milliseconds(child, &key)?,
+            "tokens" => read_tokens(reader, child, &mut config)?,
             "snapshot" => snapshot = Some(read_snapshot(reader, child, &key)?),
             _ => return Err(reader.node_error(child, &key, Problem::UnknownKey)),
         }
     }
-    Ok(SessionSettings { plan, snapshot })
+    Ok(SessionSettings { config, snapshot })
 }
 
 fn read_default_floor(reader: &KdlReader, node: &KdlNode) -> Result<DefaultFloor, ConfigError> {
@@ -90,17 +90,17 @@
     Ok(Snapshot { path, max_age })
 }
 
-fn read_tokens(reader: &KdlReader, node: &KdlNode, plan: &mut SessionConfig) -> Result<(), ConfigError> {
+fn read_tokens(reader: &KdlReader, node: &KdlNode, config: &mut SessionConfig) -> Result<(), ConfigError> {
     let key = "sessions.tokens";
     reader.check_entries(node, key, 0, &["with", "early", "max-age-s"])?;
-    plan.token_delivery = read_token_delivery(reader, node)?;
-    plan.early_tokens = reader.flag(node, "sessions.tokens.early", "early")?;
+    config.token_delivery = read_token_delivery(reader, node)?;
+    config.early_tokens = reader.flag(node, "sessions.tokens.early", "early")?;
     let max_age = read_max_age(reader, node, key, DEFAULT_TOKEN_AGE_S)?;
     if let Some(child) = node.iter_children().find(|child| child.name().value() != "key") {
         let key = format!("{key}.{}", child.name().value());
         return Err(reader.node_error(child, &key, Problem::UnknownKey));
     }
-    plan.keys = Some(keys::read(reader, node, key, max_age)?);
+    config.keys = Some(keys::read(reader, node, key, max_age)?);
     Ok(())
 }
 
--- a/crates/config/src/router/mod.rs
+++ b/crates/config/src/router/mod.rs
@@ -236,7 +236,7 @@
 /// Rejects a fleet without this router, and limits on names that the deployment does not have.
 fn check_fleet_names(config: &RouterConfig) -> Result<(), ConfigError> {
     let Some(fleet) = &config.local_settings.fleet else { return Ok(()) };
-    if fleet.names.get(NodeId::of(&config.name)).is_none() {
+    if fleet.roster.get(NodeId::of(&config.name)).is_none() {
         let problem = Problem::RouterNotInFleet { name: config.name.clone() };
         return Err(ConfigError::invalid("fleet.router", problem));
     }
--- a/crates/config/src/router/timeouts.rs
+++ b/crates/config/src/router/timeouts.rs
@@ -17,7 +17,7 @@
 pub const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
 
 /// A member that has begun an answer writes the rest of it without pausing for this long, or it never will.
-pub const ANSWER_STALL_TIMEOUT: Time = Time::ms(100);
+pub const RESPONSE_STALL_TIMEOUT: Time = Time::ms(100);
 
 /// After an answer, a connection to a member is not used again for this long: what the member sends right
 /// behind an answer shows itself by then, and is never taken for the next one.
--- a/crates/config/src/settings/mod.rs
+++ b/crates/config/src/settings/mod.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReportSource {
     /// In answers and in answers to probes.
-    InAnswers,
+    InResponses,
     /// In answers to probes alone.
     InProbes,
     /// Not at all.
@@ -31,7 +31,7 @@
     /// The settings of the routing policy.
     pub settings: Settings,
     /// How session floors are known.
-    pub tokens: PlatformFloors,
+    pub platform_floors: PlatformFloors,
     /// The origin of positions in the simulator's frames. On sockets they are Unix times.
     pub position_epoch: Time,
     /// Names of a load report's values.
@@ -45,7 +45,7 @@
     /// Names of the zones, in the order of their ids.
     pub zones: Vec<String>,
     /// A connection idle for this long is closed by its member.
-    pub conn_idle: Time,
+    pub idle_timeout: Time,
     /// A connection that is not up within this has failed.
     pub connect_timeout: Time,
 }
@@ -69,17 +69,17 @@
     let classes = classes(&json)?;
     let load_reports = load_report_source(&json.reporting.via)?;
     let settings = policy_settings(&json, classes, load_reports)?;
-    let tokens = platform_floors(&json.replication.token_mode)?;
+    let platform_floors = platform_floors(&json.replication.token_mode)?;
     Ok(Deployment {
         settings,
-        tokens,
+        platform_floors,
         position_epoch: Time(json.replication.position_epoch_ns),
         report_columns: json.reporting.columns,
         load_reports,
         classes: json.classes.into_iter().map(|class| class.name).collect(),
         tenants: json.tenants.into_iter().map(|tenant| tenant.name).collect(),
         zones: json.zones,
-        conn_idle: Time(json.bounds.idle_timeout_ns),
+        idle_timeout: Time(json.bounds.idle_timeout_ns),
         connect_timeout: Time(json.bounds.connect_timeout_ns),
     })
 }
@@ -188,7 +188,7 @@
 
 fn load_report_source(word: &str) -> Result<LoadReportSource, ConfigError> {
     let choices = [
-        ("answers", LoadReportSource::InAnswers),
+        ("answers", LoadReportSource::InResponses),
         ("probe", LoadReportSource::InProbes),
         ("none", LoadReportSource::None),
     ];
--- a/crates/config/tests/local_settings.rs
+++ b/crates/config/tests/local_settings.rs
@@ -31,21 +31,21 @@
 fn the_shipped_file_is_sound_and_shows_the_defaults() {
     let shipped = load(&shipped_path()).unwrap();
     let sessions = shipped.sessions.unwrap();
-    let keys = sessions.plan.keys.clone().unwrap();
+    let keys = sessions.config.keys.clone().unwrap();
     assert_eq!((keys.signing.id, keys.verifying.len()), (KeyId(2), 1));
     assert_eq!(
-        (sessions.plan.token_delivery, sessions.plan.early_tokens),
+        (sessions.config.token_delivery, sessions.config.early_tokens),
         (TokenDelivery::WritesOnly, false)
     );
     assert_eq!(sessions.snapshot, None);
     let bare = parse("sessions floor=\"connection\"").unwrap().sessions.unwrap();
-    assert_eq!((bare.plan.keys, bare.plan.token_delivery), (None, TokenDelivery::Never));
+    assert_eq!((bare.config.keys, bare.config.token_delivery), (None, TokenDelivery::Never));
     let same = |a: &Time, b: &Time| assert_eq!(a, b, "the file shows the defaults");
-    same(&bare.plan.skew, &sessions.plan.skew);
-    same(&bare.plan.settle_time, &sessions.plan.settle_time);
-    same(&bare.plan.lead, &sessions.plan.lead);
+    same(&bare.config.skew, &sessions.config.skew);
+    same(&bare.config.settle_time, &sessions.config.settle_time);
+    same(&bare.config.lead, &sessions.config.lead);
     let defaults = parse(&format!("sessions floor=\"connection\" {{ tokens with=\"writes\" {{ {KEY} }} }}"));
-    assert_eq!(defaults.unwrap().sessions.unwrap().plan.keys.unwrap().max_age, keys.max_age);
+    assert_eq!(defaults.unwrap().sessions.unwrap().config.keys.unwrap().max_age, keys.max_age);
 }
 
 #[test]
@@ -57,16 +57,16 @@
         "ab".repeat(32)
     );
     let sessions = parse(&text).unwrap().sessions.unwrap();
-    let plan = &sessions.plan;
+    let config = &sessions.config;
     assert_eq!(
-        (plan.default_floor, plan.skew, plan.settle_time),
+        (config.default_floor, config.skew, config.settle_time),
         (DefaultFloor::ReadArrival, Time::ms(7), Time(0))
     );
     assert_eq!(
-        (plan.lead, plan.token_delivery, plan.early_tokens),
+        (config.lead, config.token_delivery, config.early_tokens),
         (Time::ms(20), TokenDelivery::WritesAndReads, true)
     );
-    let keys = plan.keys.as_ref().unwrap();
+    let keys = config.keys.as_ref().unwrap();
     assert_eq!((keys.max_age, keys.verifying[0].id), (Time::ms(60_000), KeyId(7)));
     let snapshot = sessions.snapshot.unwrap();
     assert_eq!((snapshot.path.to_str(), snapshot.max_age), (Some("/var/x"), Time::ms(9000)));
@@ -78,7 +78,7 @@
     ];
     for (word, default_floor) in words {
         let sessions = parse(&format!("sessions floor={word:?}")).unwrap().sessions.unwrap();
-        assert_eq!(sessions.plan.default_floor, default_floor);
+        assert_eq!(sessions.config.default_floor, default_floor);
     }
     assert_eq!(parse("").unwrap(), LocalSettings::default());
     assert!(parse("clients {\n farewell #true\n}").unwrap().close_notice);
@@ -140,10 +140,10 @@
 fn a_fleet_is_read_and_is_off_in_the_shipped_file() {
     assert_eq!(load(&shipped_path()).unwrap().fleet, None);
     let fleet = parse(&fleet_file()).unwrap().fleet.unwrap();
-    assert_eq!((fleet.names.len(), fleet.drift, fleet.limits.len()), (3, 0.01, 5));
+    assert_eq!((fleet.roster.len(), fleet.drift, fleet.limits.len()), (3, 0.01, 5));
     assert_eq!((fleet.keys.signing.id, fleet.keys.verifying.len()), (KeyId(2), 1));
     assert_eq!(fleet.listen, "0.0.0.0:7946".parse().ok());
-    let peer = fleet.names.get(NodeId::of("n2")).unwrap();
+    let peer = fleet.roster.get(NodeId::of("n2")).unwrap();
     assert_eq!((peer.addr.to_string().as_str(), peer.zone.as_deref()), ("10.0.0.12:7946", Some("b")));
     let limit = |name: &str| fleet.limits.iter().find(|l| l.name == name).unwrap();
     let acme = limit("acme");
@@ -163,8 +163,8 @@
     let name = |n: usize| format!("router \"r{n}\" \"10.0.{}.{}:7946\"\n", n / 250, n % 250 + 1);
     let routers: String = (0..1024).map(name).collect();
     let fleet = parse(&format!("fleet {{\n{KEY}\n{routers}\n}}")).unwrap().fleet.unwrap();
-    assert_eq!(fleet.names.len(), 1024);
-    assert!((0..1024).all(|n| fleet.names.get(NodeId::of(&format!("r{n}"))).is_some()));
+    assert_eq!(fleet.roster.len(), 1024);
+    assert!((0..1024).all(|n| fleet.roster.get(NodeId::of(&format!("r{n}"))).is_some()));
 }
 
 #[test]
--- a/crates/config/tests/router.rs
+++ b/crates/config/tests/router.rs
@@ -40,10 +40,10 @@
     let c = load(&sound_file()).unwrap();
     assert_eq!((c.name.as_str(), c.listen.port(), c.seed), ("n1", 5432, 0x8c1f_30d2_7a5b_e964));
     assert_eq!((c.limits.sockets, c.limits.memory_mb), (512, 100));
-    assert_eq!((c.deployment.conn_idle, c.deployment.connect_timeout), (Time::ms(15_000), Time::ms(250)));
+    assert_eq!((c.deployment.idle_timeout, c.deployment.connect_timeout), (Time::ms(15_000), Time::ms(250)));
     assert_eq!(
         (c.deployment.load_reports, c.deployment.classes.as_slice()),
-        (LoadReportSource::InAnswers, &["w".to_string(), "r".into()][..])
+        (LoadReportSource::InResponses, &["w".to_string(), "r".into()][..])
     );
     let classes = &c.deployment.settings.classes;
     assert_eq!(
--- a/crates/router/src/program/fleet.rs
+++ b/crates/router/src/program/fleet.rs
@@ -84,7 +84,7 @@
         return Ok(address);
     }
     let name = options.router.as_ref().ok_or(StatusError::NoRouterGiven)?;
-    match fleet.names.get(NodeId::of(name)) {
+    match fleet.roster.get(NodeId::of(name)) {
         Some(peer) => Ok(peer.addr),
         None => Err(StatusError::UnknownRouter { name: name.clone() }),
     }
--- a/crates/router/src/routing/fleet_limits.rs
+++ b/crates/router/src/routing/fleet_limits.rs
@@ -35,7 +35,7 @@
     // have been granted under other limits, so the longest use counts here in any case.
     let any_limits = Timing::new(fleet.drift, longest);
     FleetConfig {
-        roster: fleet.names.clone(),
+        roster: fleet.roster.clone(),
         limits: fleet.limits.clone(),
         timing: Timing::new(fleet.drift, max_use),
         max_use,
--- a/crates/router/src/routing/sessions.rs
+++ b/crates/router/src/routing/sessions.rs
@@ -37,7 +37,7 @@
         let consistency = self.deployment.settings.classes[usize::from(class.0)].consistency;
         let is_write = consistency == Consistency::Write;
         let remembers_writes =
-            self.sessions.manages_floors() || self.deployment.tokens == PlatformFloors::Remembered;
+            self.sessions.manages_floors() || self.deployment.platform_floors == PlatformFloors::Remembered;
         let is_tracked = consistency == Consistency::Session || (is_write && remembers_writes);
         if !is_tracked {
             return SessionStart::default();
--- a/crates/router/src/transport/driver.rs
+++ b/crates/router/src/transport/driver.rs
@@ -172,7 +172,7 @@
 fn pool_timeouts(config: &RouterConfig) -> PoolTimeouts {
     PoolTimeouts {
         reuse_delay: Duration::from_nanos(HOST_REUSE_DELAY.0),
-        idle: Duration::from_nanos(config.deployment.conn_idle.times(IDLE_TIMEOUT_FRACTION).0),
+        idle: Duration::from_nanos(config.deployment.idle_timeout.times(IDLE_TIMEOUT_FRACTION).0),
         connect: Duration::from_nanos(config.deployment.connect_timeout.0),
     }
 }
--- a/crates/router/src/transport/exchange.rs
+++ b/crates/router/src/transport/exchange.rs
@@ -8,7 +8,7 @@
 use crate::routing::{ExchangeId, ExchangeResult, ExchangeStart, Input, Query};
 use async_executor::Task;
 use async_io::{Async, Timer};
-use basalthill_config::router::ANSWER_STALL_TIMEOUT;
+use basalthill_config::router::RESPONSE_STALL_TIMEOUT;
 use basalthill_fleet::Budget;
 use futures_lite::future;
 use std::cell::{Cell, RefCell};
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 /// An answer that has begun is given up after a pause of this length.
-const STALL_TIMEOUT: Duration = Duration::from_nanos(ANSWER_STALL_TIMEOUT.0);
+const STALL_TIMEOUT: Duration = Duration::from_nanos(RESPONSE_STALL_TIMEOUT.0);
 /// The end of a string in a message.
 const TERMINATOR: &[u8] = &[0];
 /// Nanoseconds in a millisecond.
--- a/crates/router/src/transport/fleet.rs
+++ b/crates/router/src/transport/fleet.rs
@@ -85,7 +85,7 @@
 
 /// Where a router listens for the others.
 fn listen_address(name: &str, settings: &FleetSettings) -> Option<SocketAddr> {
-    settings.listen.or_else(|| settings.names.get(NodeId::of(name)).map(|peer| peer.addr))
+    settings.listen.or_else(|| settings.roster.get(NodeId::of(name)).map(|peer| peer.addr))
 }
 
 /// The socket, its reader and the task that takes what the reader has checked. Dropped, it ends both.
@@ -118,7 +118,7 @@
         };
         let reader = std::thread::Builder::new().name("fleet".into()).spawn(move || reader.run())?;
         let task = driver.tasks.spawn(take_inputs(Rc::clone(driver), receiver));
-        let names = settings.names.len();
+        let names = settings.roster.len();
         // The harness of the fleet's tests reads the address from this line.
         tracing::info!("fleet: {names} names, listens on {}", socket.local_addr()?);
         Ok(FleetSocket { socket, listen, codec, closed, reader: Some(reader), task })
--- a/crates/router/src/transport/reload.rs
+++ b/crates/router/src/transport/reload.rs
@@ -18,7 +18,7 @@
 }
 
 fn reload_sessions(driver: &Driver, started: &RouterConfig, reloaded: &RouterConfig) {
-    let plan = reloaded.local_settings.sessions.as_ref().map(|s| s.plan.clone());
+    let plan = reloaded.local_settings.sessions.as_ref().map(|s| s.config.clone());
     let table_bytes = started.limits.session_table_bytes();
     let mut router = driver.router.borrow_mut();
     let now = router.unix_time(driver.clock.now());
--- a/crates/router/src/transport/snapshot_file.rs
+++ b/crates/router/src/transport/snapshot_file.rs
@@ -34,10 +34,10 @@
 /// The sessions of a router that starts, with those of the snapshot that its settings name.
 pub fn load_sessions(now: Time, config: &RouterConfig) -> Sessions {
     let settings = config.local_settings.sessions.as_ref();
-    let needs_table = settings.is_some() || config.deployment.tokens == PlatformFloors::Remembered;
+    let needs_table = settings.is_some() || config.deployment.platform_floors == PlatformFloors::Remembered;
     let table_bytes = if needs_table { config.limits.session_table_bytes() } else { 0 };
-    let plan = settings.map(|s| s.plan.clone());
-    let mut sessions = Sessions::new(now, config.deployment.tokens, plan, table_bytes, config.seed);
+    let plan = settings.map(|s| s.config.clone());
+    let mut sessions = Sessions::new(now, config.deployment.platform_floors, plan, table_bytes, config.seed);
     if let Some(snapshot) = settings.and_then(|s| s.snapshot.as_ref()) {
         restore(&mut sessions, now, snapshot, &config.name);
     }
--- a/crates/sim/src/router.rs
+++ b/crates/sim/src/router.rs
@@ -35,9 +35,9 @@
     pub(crate) fn new(now: Time, seed: u64, deployment: Deployment) -> Router {
         let policy = Policy::new(deployment.settings.clone(), seed);
         // Without a session configuration the platform's floors hold; without memory the table is never used.
-        let remembers = deployment.tokens == PlatformFloors::Remembered;
+        let remembers = deployment.platform_floors == PlatformFloors::Remembered;
         let table_bytes = if remembers { MAX_SESSION_TABLE_BYTES } else { 0 };
-        let sessions = Sessions::new(now, deployment.tokens, None, table_bytes, seed);
+        let sessions = Sessions::new(now, deployment.platform_floors, None, table_bytes, seed);
         Router { policy, sessions, deployment, writes: BTreeMap::new() }
     }
 
@@ -74,7 +74,7 @@
             accepted_at: now,
         };
         match class.consistency {
-            Consistency::Write if self.deployment.tokens == PlatformFloors::Remembered => {
+            Consistency::Write if self.deployment.platform_floors == PlatformFloors::Remembered => {
                 let tracked = self.sessions.begin_request(now, &session_request, true);
                 self.writes.insert(request.id, SessionWrite { group: request.group, tracked });
                 Some(Time(0))
