--- a/crates/router/src/routing/fleet_limits.rs
+++ b/crates/router/src/routing/fleet_limits.rs
@@ -37,7 +37,7 @@
     // present limit bounds concurrency.
     let any_limits = Timing::new(fleet.drift, longest);
     FleetConfig {
-        roster: fleet.names.clone(),
+        roster: fleet.roster.clone(),
         limits: fleet.limits.clone(),
         timing: Timing::new(fleet.drift, max_use),
         max_use,
--- a/crates/router/src/transport/fleet.rs
+++ b/crates/router/src/transport/fleet.rs
@@ -86,7 +86,7 @@
 
 /// Returns the address on which a router listens for its peers.
 fn listen_address(name: &str, settings: &FleetSettings) -> Option<SocketAddr> {
-    settings.listen.or_else(|| settings.names.get(NodeId::of(name)).map(|peer| peer.addr))
+    settings.listen.or_else(|| settings.roster.get(NodeId::of(name)).map(|peer| peer.addr))
 }
 
 /// The socket, its reader thread, and the task that passes verified datagrams to routing. Dropping this stops
@@ -120,7 +120,7 @@
         };
         let reader = std::thread::Builder::new().name("fleet".into()).spawn(move || reader.run())?;
         let task = driver.tasks.spawn(forward_inputs(Rc::clone(driver), receiver));
-        let names = settings.names.len();
+        let names = settings.roster.len();
         // The test harness of the fleet parses the address in this line.
         tracing::info!("fleet: {names} names, listens on {}", socket.local_addr()?);
         Ok(FleetSocket { socket, listen, codec, closed, reader: Some(reader), task })
