--- a/crates/session/src/config.rs
+++ b/crates/session/src/config.rs
@@ -1,62 +1,67 @@
-//! How a router is configured to track sessions.
+//! Configuration of session tracking.
 
 use crate::token::KeyRing;
 use basalthill_policy::api::Time;
 
-/// Where session floors come from by the platform's settings. They apply where there is no
+/// The source of session floors according to the platform's settings. It applies if there is no
 /// [`SessionConfig`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PlatformFloors {
-    /// The read names its session's last write; a session whose read names none has written nothing.
+    /// The read names the position of its session's last write. A session whose read names none is taken to
+    /// have written nothing.
     #[default]
     FromRequest,
-    /// The router remembers the writes that it has answered since it started.
+    /// The router remembers the writes that it has served since it started.
     Remembered,
 }
 
 /// The floor of a session that sends neither a token nor an `after` position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DefaultFloor {
-    /// None, as by the platform's rules: such a session has written nothing, and an `after` position alone is
-    /// passed on unchanged.
+    /// No floor, as by the platform's rules: such a session is taken to have written nothing. An `after`
+    /// position without a token is used as it is, and remembered writes do not apply.
     Platform,
-    /// None but what this router remembers of the session itself.
+    /// The floor that this router remembers for the session, and no floor if it remembers none.
     RememberedOnly,
-    /// What this router remembers, and its start for everything else.
+    /// The floor that this router remembers for the session, but at least the time from which its floor table
+    /// covers all writes: the start of the router, or the time in a restored snapshot.
     RouterStart,
-    /// The moment at which the read's connection was accepted.
+    /// The time at which the read's connection was accepted.
     ConnectionAccept,
-    /// The moment at which the read arrived.
+    /// The time at which the read arrived.
     ReadArrival,
 }
 
-/// Which answers carry a session token.
+/// The kinds of reply that carry a session token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TokenDelivery {
-    /// None.
+    /// No replies.
     Never,
-    /// Answers to writes.
+    /// Replies to writes.
     WritesOnly,
-    /// Answers to session reads too, so that a session never goes back in time.
+    /// Replies to writes and to session reads, so that no read of a session sees an older state than an
+    /// earlier read.
     WritesAndReads,
 }
 
-/// How session consistency is enforced, by the operators' own settings.
+/// The operators' settings of session consistency.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SessionConfig {
     /// The floor of sessions that send neither a token nor an `after` position.
     pub default_floor: DefaultFloor,
-    /// How far the clocks of routers and hosts may be apart.
+    /// Maximum difference between the clocks of routers and hosts.
     pub skew: Time,
-    /// A write whose outcome is unknown commits within this time after it ended, if ever.
+    /// Time within which a write of unknown outcome commits, if ever, counted from when the router stopped
+    /// waiting for its response.
     pub settle_time: Time,
-    /// How far a replica's expected position may be behind a read's floor for the read to wait for it.
+    /// Maximum distance of a replica's expected position behind a read's floor at which the read waits for
+    /// that replica.
     pub lead: Time,
-    /// Which answers carry tokens.
+    /// The kinds of reply that carry tokens.
     pub token_delivery: TokenDelivery,
-    /// Whether a token that covers a write is delivered as the write is sent, so that the client has one if
-    /// this router dies before the answer.
+    /// Whether a token that covers a write is delivered when the write is sent, so that the client has a
+    /// token if this router exits before the reply.
     pub early_tokens: bool,
-    /// The keys of tokens; without keys, tokens are neither delivered nor accepted.
+    /// The keys that sign and verify tokens. Without keys, tokens are neither delivered nor accepted.
     pub keys: Option<KeyRing>,
 }
--- a/crates/session/src/counts.rs
+++ b/crates/session/src/counts.rs
@@ -1,25 +1,26 @@
-//! Counters of session reads, tokens and writes, for the operators' log.
+//! Counters of session reads, tokens and writes, for the log.
 
 use std::fmt;
 
-/// What was counted since the counters were last taken.
+/// The counters since they were last taken and reset.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SessionCounts {
     /// Session reads that sent at least one token, all of them valid.
     pub by_token: u64,
-    /// Session reads that sent an `after` position and no token.
+    /// Other session reads that sent an `after` position.
     pub by_after: u64,
-    /// Session reads that got the default floor.
+    /// Other session reads that got the default floor, or whose token was rejected.
     pub by_default_floor: u64,
     /// Session reads without any floor.
     pub no_floor: u64,
-    /// Reads whose floor was lowered to their arrival: it was later, or a write of the session is unsettled.
+    /// Session reads whose floor was lowered to the time of their arrival plus the skew, because it was later
+    /// or because a write of the session is unsettled.
     pub clipped: u64,
     /// Tokens issued.
     pub issued: u64,
     /// Tokens that cannot be decoded, or are of an unknown version.
     pub malformed: u64,
-    /// Tokens whose key is not in force.
+    /// Tokens whose key is not in the key ring.
     pub unknown_key: u64,
     /// Tokens whose signature does not match.
     pub forged: u64,
@@ -27,18 +28,18 @@
     pub other_session: u64,
     /// Tokens older than the keys' `max_age`.
     pub expired: u64,
-    /// Tokens issued later than the skew between clocks allows.
+    /// Tokens issued later than now by more than the clock skew.
     pub issued_in_future: u64,
-    /// Positions that hosts reported further ahead of this clock than the configured skew.
+    /// Positions reported by hosts that are ahead of this router's clock by more than the configured skew.
     pub clock_ahead: u64,
-    /// Writes that ended without it being known whether they executed.
+    /// Writes that completed with an unknown outcome.
     pub unknown_writes: u64,
-    /// Floors that the table evicted and that raised their bucket's common floor.
+    /// Evictions from the floor table that raised their bucket's shared floor.
     pub evicted: u64,
 }
 
 impl SessionCounts {
-    /// Each counter with its label in the log.
+    /// Returns each counter with its label in the log.
     fn labelled(&self) -> [(u64, &'static str); 15] {
         [
             (self.by_token, "by token"),
--- a/crates/session/src/floor_table.rs
+++ b/crates/session/src/floor_table.rs
@@ -1,17 +1,18 @@
-//! Session floors in bounded memory.
+//! A hash table of session floors in bounded memory.
 //!
 //! The table is an array of buckets, each the size of a cache line. A bucket has seven slots, each with the
-//! 32-bit fingerprint of a session and its floor as a 32-bit tick, and one floor for all sessions evicted
-//! from it. A session that finds no free slot evicts the lowest floor of its bucket into that common floor,
-//! which so rises for the sessions evicted there and for no others. A floor that every replica has passed
-//! costs nothing, wherever it is stored: evicting the lowest first is what makes old entries free. Two
-//! sessions with the same fingerprint in a bucket both get the higher floor.
+//! 32-bit fingerprint of a session and its floor as a 32-bit tick, and one shared floor for all sessions
+//! evicted from the bucket. When a session finds no free slot, the lowest floor of its bucket is evicted: the
+//! shared floor is raised to it, for the sessions evicted from this bucket only. A floor that every replica
+//! has passed restricts no read, so a shared floor does no harm as long as it is old; this is why the lowest
+//! floor is evicted first. Two sessions with the same fingerprint in one bucket both get the higher floor.
 
 use basalthill_policy::api::{GroupId, SessionKey, Time};
 
-/// Slots of a bucket.
+/// Number of slots in a bucket.
 const SLOTS: usize = 7;
-/// Words of a bucket: the floor of evicted sessions, a spare word, then fingerprints and floors of the slots.
+/// Number of words in a bucket: the floor of evicted sessions, an unused word, the fingerprints of the slots
+/// and the floors of the slots.
 pub(crate) const BUCKET_WORDS: usize = 16;
 /// Index of the word with the floor of evicted sessions.
 const EVICTED_FLOOR: usize = 0;
@@ -19,52 +20,55 @@
 const FINGERPRINTS: usize = 2;
 /// Index of the first slot's floor.
 const FLOORS: usize = FINGERPRINTS + SLOTS;
-/// Bytes of a bucket.
+/// Size of a bucket, in bytes.
 pub const BUCKET_BYTES: usize = BUCKET_WORDS * 4;
 
-/// Nanoseconds of a tick: floors are stored in milliseconds.
+/// Nanoseconds per tick: floors are stored in milliseconds.
 const TICK_NANOS: u64 = 1_000_000;
-/// The tick of the table's creation. Floors from up to 12 days before it are distinguished.
+/// The tick of the table's creation. Floors up to 12 days older have ticks of their own; all older floors get
+/// the first tick.
 const INITIAL_TICK: u32 = 1 << 30;
-/// From this tick on, the epoch moves and all stored ticks sink by [`INITIAL_TICK`].
+/// A floor at or above this tick moves the epoch forward, and all stored ticks are reduced by
+/// [`INITIAL_TICK`].
 const REBASE_TICK: u32 = 3 << 30;
 
 /// The words of a bucket. A slot whose floor is zero is free.
 ///
-/// They are plain integers so that a new table is zeroed memory, which the operating system provides as it is
-/// written to.
+/// The words are plain integers, so that a new table is zeroed memory. The operating system allocates its
+/// pages only when they are first written.
 pub(crate) type Bucket = [u32; BUCKET_WORDS];
 
-/// Floors by group and session.
+/// A table of floors by group and session.
 #[derive(Clone)]
 pub struct FloorTable {
-    /// A power of two of them.
+    /// The number of buckets is a power of two.
     buckets: Vec<Bucket>,
-    /// Seed of the hash, so that no client can choose who shares its bucket.
+    /// Seed of the hash, which prevents clients from choosing sessions that share a bucket.
     seed: u64,
     /// The time of tick zero.
     epoch: Time,
-    /// Evictions that raised a bucket's common floor, since they were last taken.
+    /// Number of evictions that raised a bucket's shared floor, since the last
+    /// [`FloorTable::take_evictions`].
     evictions: u64,
 }
 
-/// What the table knows of a session.
+/// The floors that the table holds for a session.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FloorEntry {
-    /// The session's own floor, if it has a slot.
+    /// The floor of the session's slot, if it has one.
     pub exact: Option<Time>,
-    /// The floor of all sessions evicted from its bucket.
+    /// The shared floor of all sessions evicted from the session's bucket.
     pub evicted: Time,
 }
 
-/// Where a session is stored.
+/// The place of a session in the table.
 #[derive(Clone, Copy)]
 struct Location {
     bucket: usize,
     fingerprint: u32,
 }
 
-/// A bucket of a snapshot.
+/// A bucket and its index, as a snapshot holds them.
 #[derive(Clone, Copy)]
 pub(crate) struct NumberedBucket {
     pub index: u32,
@@ -72,17 +76,17 @@
 }
 
 impl FloorTable {
-    /// An empty table of at most `bytes`, and of one bucket at least.
+    /// Creates an empty table of at most `bytes` of memory, but of at least one bucket.
     pub fn new(now: Time, bytes: usize, seed: u64) -> FloorTable {
         let max_buckets = (bytes / BUCKET_BYTES).max(1);
-        // The largest power of two within the bound.
+        // The largest power of two that is not above the maximum.
         let buckets = 1usize << (usize::BITS - 1 - max_buckets.leading_zeros());
         let now_in_ticks = Time(now.0 / TICK_NANOS * TICK_NANOS);
         let epoch = now_in_ticks.minus(Time(u64::from(INITIAL_TICK) * TICK_NANOS));
         FloorTable { buckets: vec![[0; BUCKET_WORDS]; buckets], seed, epoch, evictions: 0 }
     }
 
-    /// The bucket and the fingerprint of a session.
+    /// Returns the bucket and the fingerprint of a session.
     fn locate(&self, group: GroupId, session: SessionKey) -> Location {
         // The finalizer of splitmix64: every bit of the key affects every bit of the hash.
         let mut hash = session.0 ^ self.seed ^ u64::from(group.0).wrapping_mul(0x9e37_79b9_7f4a_7c15);
@@ -92,13 +96,13 @@
         Location { bucket: hash as usize & (self.buckets.len() - 1), fingerprint: (hash >> 32) as u32 }
     }
 
-    /// The tick of a floor, rounded up. Floors before the epoch get the first tick.
+    /// Converts a floor to a tick, rounded up. Floors before the epoch get the first tick.
     fn tick(&self, floor: Time) -> u32 {
         let ticks = floor.since(self.epoch).0.div_ceil(TICK_NANOS);
         u32::try_from(ticks).unwrap_or(u32::MAX).max(1)
     }
 
-    /// The floor of a stored tick; zero if nothing is stored.
+    /// Converts a stored tick to a floor. Tick zero, an empty word, is no floor.
     fn time(&self, tick: u32) -> Time {
         match tick {
             0 => Time(0),
@@ -106,7 +110,7 @@
         }
     }
 
-    /// What is known of a session.
+    /// Returns the floors of a session.
     pub fn get(&self, group: GroupId, session: SessionKey) -> FloorEntry {
         let location = self.locate(group, session);
         let bucket = &self.buckets[location.bucket];
@@ -117,7 +121,8 @@
         }
     }
 
-    /// Raises a session's floor; it never sinks. Zero is no floor.
+    /// Raises the floor of a session. A value below the current floor has no effect, and neither has zero,
+    /// which stands for no floor.
     pub fn raise(&mut self, group: GroupId, session: SessionKey, floor: Time) {
         if floor == Time(0) {
             return;
@@ -134,7 +139,8 @@
         }
     }
 
-    /// Moves the epoch forward. What would sink below the first tick is raised to it: no floor sinks.
+    /// Moves the epoch forward. Ticks that would fall below the first tick are set to it, so no floor is
+    /// lowered.
     fn rebase(&mut self) {
         let rebased = |tick: u32| if tick > 0 { tick.saturating_sub(INITIAL_TICK).max(1) } else { 0 };
         self.epoch = self.epoch.plus(Time(u64::from(INITIAL_TICK) * TICK_NANOS));
@@ -146,38 +152,39 @@
         }
     }
 
-    /// The most memory that the table can take, in bytes.
+    /// Returns the memory of the table, in bytes.
     pub fn bytes(&self) -> usize {
         self.buckets.len() * BUCKET_BYTES
     }
 
-    /// Evictions that raised a bucket's common floor, since this was last called.
+    /// Returns the number of evictions that raised a bucket's shared floor since the last call.
     pub fn take_evictions(&mut self) -> u64 {
         std::mem::take(&mut self.evictions)
     }
 
-    /// The seed of the hash.
+    /// Returns the seed of the hash.
     pub(crate) fn seed(&self) -> u64 {
         self.seed
     }
 
-    /// The time of tick zero.
+    /// Returns the time of tick zero.
     pub(crate) fn epoch(&self) -> Time {
         self.epoch
     }
 
-    /// How many buckets there are.
+    /// Returns the number of buckets.
     pub(crate) fn bucket_count(&self) -> usize {
         self.buckets.len()
     }
 
-    /// The buckets with anything in them, in order.
+    /// Returns the buckets that are not all zeros, in the order of their indexes.
     pub(crate) fn used_buckets(&self) -> impl Iterator<Item = NumberedBucket> + '_ {
         let used = self.buckets.iter().enumerate().filter(|(_, bucket)| bucket.iter().any(|word| *word > 0));
         used.map(|(index, words)| NumberedBucket { index: index as u32, words: *words })
     }
 
-    /// A table from the parts that a snapshot holds; none if the buckets don't fit its size.
+    /// Creates a table from the fields of a snapshot. Returns `None` if the bucket count is not a power of
+    /// two or the index of a bucket is out of range.
     pub(crate) fn from_buckets(
         bucket_count: usize,
         seed: u64,
@@ -195,17 +202,17 @@
     }
 }
 
-/// The slot of a session in its bucket, if it has one.
+/// Finds the slot of a session in its bucket.
 fn find_slot(bucket: &Bucket, fingerprint: u32) -> Option<usize> {
     (0..SLOTS).find(|slot| bucket[FINGERPRINTS + slot] == fingerprint && bucket[FLOORS + slot] > 0)
 }
 
-/// Stores a session that has no slot; the lowest floor of the bucket, which may be the new one, is evicted.
-/// Returns whether that raised the floor of evicted sessions.
+/// Stores a session that has no slot. The lowest floor of the bucket, which may be the new one, is evicted.
+/// Returns whether the eviction raised the shared floor of evicted sessions.
 fn insert(bucket: &mut Bucket, fingerprint: u32, tick: u32) -> bool {
     let lowest = (0..SLOTS).min_by_key(|slot| bucket[FLOORS + slot]).unwrap_or(0);
     let evicted = bucket[FLOORS + lowest].min(tick);
-    // A floor at or below that of evicted sessions says nothing more: its slot is as good as free.
+    // A floor at or below the shared floor adds nothing to it, so its slot is as good as free.
     let raised = evicted > bucket[EVICTED_FLOOR];
     bucket[EVICTED_FLOOR] = bucket[EVICTED_FLOOR].max(evicted);
     if tick > evicted {
--- a/crates/session/src/group_floors.rs
+++ b/crates/session/src/group_floors.rs
@@ -1,16 +1,18 @@
-//! The floors of one session, by group, for a bounded number of groups.
+//! The floors of one session by group, in bounded memory.
 
 use basalthill_policy::api::{GroupId, Time};
 
-/// Groups with a floor of their own in one session; further groups have one floor in common.
+/// Maximum number of groups with a floor of their own in one session. All other groups share one floor.
 pub const MAX_GROUPS: usize = 8;
 
-/// The positions that a session's reads must see, by group. The lowest floors beyond [`MAX_GROUPS`] are
-/// merged into one floor for all groups that have none of their own; it is never lower than what was merged.
+/// The read floors of one session, by group. When there are more than [`MAX_GROUPS`], the lowest ones are
+/// merged into one floor that is shared by all groups without a floor of their own. The shared floor is never
+/// lower than any floor that was merged into it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GroupFloors {
     /// Sorted by group; each floor is above `other_groups`.
     by_group: Vec<GroupFloor>,
+    /// The shared floor of all groups that are not in `by_group`.
     other_groups: Time,
 }
 
@@ -19,18 +21,18 @@
 pub struct GroupFloor {
     /// The group.
     pub group: GroupId,
-    /// The position that reads in it must see.
+    /// The log position that a member must have applied to serve a read in this group.
     pub floor: Time,
 }
 
 impl GroupFloors {
-    /// The floor in a group; zero if there is none.
+    /// Returns the floor in a group; zero if there is none.
     pub fn get(&self, group: GroupId) -> Time {
         let entry = self.by_group.iter().find(|entry| entry.group == group);
         entry.map_or(self.other_groups, |entry| entry.floor)
     }
 
-    /// Raises the floor in a group; it never sinks.
+    /// Raises the floor in a group. A value below the current floor has no effect.
     pub fn raise(&mut self, group: GroupId, floor: Time) {
         if floor > self.other_groups {
             self.raise_entry(group, floor);
@@ -41,7 +43,7 @@
         }
     }
 
-    /// Raises the entry of one group, or adds it.
+    /// Raises the entry of a group, or adds an entry.
     fn raise_entry(&mut self, group: GroupId, floor: Time) {
         match self.by_group.binary_search_by_key(&group, |entry| entry.group) {
             Ok(index) => {
@@ -52,32 +54,34 @@
         }
     }
 
-    /// Raises the floor of all groups. Entries that are no longer above it are removed.
+    /// Raises the shared floor, and with it the floor of every group that is below it. Entries that are no
+    /// longer above the shared floor are removed.
     pub fn raise_other_groups(&mut self, floor: Time) {
         self.other_groups = self.other_groups.max(floor);
         let other_groups = self.other_groups;
         self.by_group.retain(|entry| entry.floor > other_groups);
     }
 
-    /// Raises each floor to that of `other` where that is higher.
+    /// Raises each floor to the floor of the same group in `other`, if that is higher.
     pub fn merge(&mut self, other: &GroupFloors) {
-        // Groups without an entry in `other` are under its common floor.
+        // The floor in `other` of a group without an entry there is the shared floor of `other`.
         for entry in &mut self.by_group {
             entry.floor = entry.floor.max(other.other_groups);
         }
-        // Groups with an entry in `other` only must not sink below the common floor here.
+        // `raise` ignores entries of `other` that are not above the shared floor here: they would lower the
+        // floors of their groups.
         for entry in &other.by_group {
             self.raise(entry.group, entry.floor);
         }
         self.raise_other_groups(other.other_groups);
     }
 
-    /// The groups with a floor of their own, sorted by group.
+    /// Returns the groups with a floor of their own, sorted by group.
     pub fn by_group(&self) -> &[GroupFloor] {
         &self.by_group
     }
 
-    /// The floor of all other groups.
+    /// Returns the shared floor of all other groups.
     pub fn other_groups(&self) -> Time {
         self.other_groups
     }
--- a/crates/session/src/lib.rs
+++ b/crates/session/src/lib.rs
@@ -1,17 +1,17 @@
-//! Read-your-writes guarantees for client sessions: what a router knows of a session, turned into the *floor*
-//! of each of its reads. A floor is the position that the read's answer must have seen at least; it goes to
-//! the decisions with the request. The crate has no clock and does no I/O: times are arguments, floors and
+//! Read-your-writes guarantees for client sessions. The crate computes the *floor* of each session read: the
+//! log position that a member must have applied to serve the read. The router passes the floor to the
+//! decision module with the request. The crate has no clock and does no I/O: times are arguments, floors and
 //! tokens are results.
 //!
-//! Positions are commit times: Unix times in nanoseconds, as database hosts report them. So a moment is a
-//! position too: everything that committed before it has a lower position, up to the skew between clocks.
-//! `docs/design/sessions.md` argues why each floor is sound.
+//! Log positions are commit times: Unix times in nanoseconds, as database hosts report them. A point in time
+//! is therefore also a position: everything that committed before it has a lower position, up to the clock
+//! skew. `docs/design/sessions.md` explains why each floor is sound.
 //!
-//! - [`Sessions`] is the state of one router.
-//! - [`GroupFloors`] are the floors of one session, by group.
-//! - [`token`] encodes them, signed, for clients to carry between routers.
-//! - [`FloorTable`] remembers them in bounded memory.
-//! - [`snapshot`] saves that table over a restart.
+//! - [`Sessions`] is the session state of one router.
+//! - [`GroupFloors`] holds the floors of one session, by group.
+//! - [`token`] encodes and signs them, so that clients can carry them between routers.
+//! - [`FloorTable`] stores floors by group and session in bounded memory.
+//! - [`snapshot`] saves that table across a restart.
 
 mod config;
 mod counts;
--- a/crates/session/src/request.rs
+++ b/crates/session/src/request.rs
@@ -1,32 +1,33 @@
-//! One request of a session, from its arrival to its end.
+//! The session state of a single request, from its arrival to its completion.
 
 use crate::group_floors::GroupFloors;
 use crate::token::SessionIdentity;
 use basalthill_policy::api::{GroupId, SessionKey, Time};
 
-/// What a request says about its session.
+/// The session parameters of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct SessionRequest<'a> {
     /// The session.
     pub identity: SessionIdentity<'a>,
-    /// The group that the request goes to.
+    /// The group that the request is routed to.
     pub group: GroupId,
-    /// The position that the client itself says the read must see.
+    /// The position that the client names as the floor of the read, in the `after` parameter.
     pub after: Option<Time>,
-    /// The tokens sent with the request; the floors of all of them apply.
+    /// The tokens sent with the request. The floors of all valid ones apply.
     pub tokens: &'a [&'a [u8]],
     /// When the request's connection was accepted.
     pub accepted_at: Time,
 }
 
-/// The position that a session read must see.
+/// The floor of a session read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReadFloor {
-    /// The position that its answer must have seen; zero if any will do.
+    /// The log position that a member must have applied to serve the read; zero if the read has no floor.
     pub position: Time,
-    /// How far the floor may be ahead of a replica's position for the read to wait for that replica.
+    /// Maximum distance of a replica's expected position behind the floor at which the read waits for that
+    /// replica.
     pub lead: Time,
-    /// Whether the floor is sent to the host, because it differs from what the client's statement says.
+    /// Whether the floor is sent to the host, because it may differ from the floor in the client's statement.
     pub send_to_hosts: bool,
 }
 
@@ -35,12 +36,13 @@
 pub struct TrackedRequest {
     /// The session.
     pub key: SessionKey,
-    /// What the session's reads must see, by the tokens sent with the request and by its answer.
+    /// The session's floors according to the tokens sent with the request, the default floor and the
+    /// response.
     pub floors: GroupFloors,
     /// Whether the request is a write.
     pub is_write: bool,
-    /// Whether it counts as an unsettled write until it ends.
+    /// Whether the request counts as an unsettled write until it completes.
     pub(crate) counted_unsettled: bool,
-    /// Whether an attempt may have executed although none was answered.
+    /// Whether an attempt may have executed although no host responded.
     pub outcome_unknown: bool,
 }
--- a/crates/session/src/sessions.rs
+++ b/crates/session/src/sessions.rs
@@ -1,4 +1,5 @@
-//! The session floors of one router: what its clients' sessions have written, and what their reads must see.
+//! The session state of one router: the floors of its clients' sessions, from the writes it has served and
+//! the tokens it has received.
 
 use crate::config::{DefaultFloor, PlatformFloors, SessionConfig, TokenDelivery};
 use crate::counts::SessionCounts;
@@ -9,8 +10,8 @@
 use basalthill_policy::api::{GroupId, SessionKey, Time};
 use std::collections::BTreeMap;
 
-/// The most that a host's clock is believed to be ahead of this router's: a faulty host must not raise floors
-/// without bound.
+/// Upper bound of the observed lead of a host's clock over this router's, so that a faulty host cannot raise
+/// floors without limit.
 const MAX_CLOCK_LEAD: Time = Time::ms(1000);
 
 /// The session state of one router.
@@ -18,25 +19,26 @@
     platform: PlatformFloors,
     config: Option<SessionConfig>,
     table: FloorTable,
-    /// The floor of everything that was written before the table began.
+    /// The floor that covers all writes from before the table's creation.
     initial_floor: Time,
-    /// Writes that have not ended, by group and session; no more than there are open requests.
+    /// Number of writes that have not completed, by group and session. It has at most as many entries as
+    /// there are open requests.
     unsettled: BTreeMap<(GroupId, SessionKey), u32>,
-    /// The most that a host's clock was seen ahead of this router's, up to [`MAX_CLOCK_LEAD`].
+    /// The largest observed lead of a host's clock over this router's, at most [`MAX_CLOCK_LEAD`].
     clock_lead: Time,
     counts: SessionCounts,
 }
 
-/// What the tokens of a request amount to.
+/// The result of verifying the tokens of a request.
 struct TokenFloors {
-    /// The floors of the valid tokens; none if no token is valid.
+    /// The merged floors of the valid tokens; `None` if no token is valid.
     floors: Option<GroupFloors>,
     /// Whether a token was rejected.
     any_rejected: bool,
 }
 
 impl Sessions {
-    /// The state of a router that has just started; its table takes at most `bytes`.
+    /// Creates the state of a router that has just started. Its floor table takes at most `bytes` of memory.
     pub fn new(
         now: Time,
         platform: PlatformFloors,
@@ -55,8 +57,8 @@
         }
     }
 
-    /// Applies reloaded settings. The table stays, unless there was no configuration before: writes were not
-    /// remembered then, so it begins as at a start.
+    /// Applies reloaded settings. The table is kept, unless there was no [`SessionConfig`] before: the table
+    /// did not cover all writes then, so it is created anew as at a start of the router.
     pub fn reconfigure(&mut self, now: Time, config: Option<SessionConfig>, bytes: usize, seed: u64) {
         if self.config.is_none() && config.is_some() {
             self.table = FloorTable::new(now, bytes, seed);
@@ -66,26 +68,26 @@
         self.clock_lead = Time(0);
     }
 
-    /// Whether the router makes floors itself and sends them to hosts.
+    /// Whether this router computes floors itself, by a [`SessionConfig`], and sends them to hosts.
     pub fn manages_floors(&self) -> bool {
         self.config.is_some()
     }
 
-    /// What was counted since this was last called.
+    /// Returns the counters and resets them.
     pub fn take_counts(&mut self) -> SessionCounts {
         self.counts.evicted += self.table.take_evictions();
         std::mem::take(&mut self.counts)
     }
 
-    /// Begins to track a request that has just arrived. A write counts as unsettled from here to
-    /// [`Sessions::end_request`].
+    /// Begins to track a request that has just arrived. A write counts as unsettled until
+    /// [`Sessions::end_request`] is called for it.
     pub fn begin_request(&mut self, now: Time, request: &SessionRequest, is_write: bool) -> TrackedRequest {
         let key = request.identity.key;
         let tokens = self.check_tokens(now, request);
         let mut floors = tokens.floors.clone().unwrap_or_default();
         if let Some(config) = &self.config {
             if tokens.any_rejected {
-                // Whatever the rejected token covered has committed before now.
+                // The content of a rejected token is unknown, but the writes it covers committed before now.
                 floors.raise_other_groups(self.latest_commit(config, now));
             } else if tokens.floors.is_none() && (is_write || request.after.is_none()) {
                 floors.raise_other_groups(self.default_floor(config, now, request.accepted_at));
@@ -101,7 +103,7 @@
         TrackedRequest { key, floors, is_write, counted_unsettled, outcome_unknown: false }
     }
 
-    /// The floor of a session read that has just arrived.
+    /// Returns the floor of a session read that has just arrived.
     pub fn read_floor(&mut self, now: Time, request: &SessionRequest, tracked: &TrackedRequest) -> ReadFloor {
         let after = request.after.unwrap_or_default();
         let as_by_platform = |position| ReadFloor { position, lead: Time(0), send_to_hosts: false };
@@ -117,7 +119,8 @@
         if config.default_floor == DefaultFloor::Platform && request.tokens.is_empty() {
             return as_by_platform(after.min(now));
         }
-        // A read that names what it must see does not need the floor of sessions evicted from its bucket.
+        // A read with an `after` position or a token does not need the floor of the sessions evicted from its
+        // bucket.
         let remembered = self.table.get(request.group, tracked.key);
         let names_floor = request.after.is_some() || !request.tokens.is_empty();
         let evicted = if names_floor { None } else { Some(remembered.evicted) };
@@ -126,14 +129,14 @@
         if self.unsettled.contains_key(&(request.group, tracked.key)) {
             position = Time(u64::MAX);
         }
-        // No read needs to see more than what committed before it arrived.
+        // A read needs to see only what committed before it arrived.
         let limit = self.latest_commit(config, now);
         self.counts.clipped += u64::from(position > limit);
         ReadFloor { position: position.min(limit), lead: config.lead, send_to_hosts: position > Time(0) }
     }
 
-    /// A token that covers a write that is about to be sent, whatever becomes of it or of this router. The
-    /// host answers until `deadline`.
+    /// Issues a token that covers a write about to be sent, whatever its outcome and even if this router
+    /// exits first. The host responds by `deadline`, if at all.
     pub fn early_token(
         &mut self,
         now: Time,
@@ -148,8 +151,9 @@
         self.issue_token(now, session, &floors, TokenDelivery::WritesOnly)
     }
 
-    /// Records that a request was served, at a position if the host reported one. Returns the token that goes
-    /// with the answer. A write's position is its commit; a write without one has committed before now.
+    /// Records that a request was served, with the position that the host reported, if any. Returns the token
+    /// to send with the reply. The position of a write is that of its commit; a write without a reported
+    /// position committed before `now`.
     pub fn request_served(
         &mut self,
         now: Time,
@@ -170,8 +174,8 @@
         self.issue_token(now, session, &tracked.floors, TokenDelivery::WritesOnly)
     }
 
-    /// Records that a write got no answer from a host although it may have executed, or may do so yet.
-    /// Returns the token that goes with the failure.
+    /// Records that a write got no response from a host, so that it may have executed or may still execute.
+    /// Returns the token to send with the error.
     pub fn write_outcome_unknown(
         &mut self,
         now: Time,
@@ -184,7 +188,8 @@
         self.issue_token(now, session, &tracked.floors, TokenDelivery::WritesOnly)
     }
 
-    /// Ends a request of which no attempt is in flight any more.
+    /// Stops tracking a request that has no attempt in flight any more. If the outcome of a write is unknown,
+    /// the session's floor is raised to the highest position at which it can still commit.
     pub fn end_request(&mut self, now: Time, group: GroupId, tracked: &TrackedRequest) {
         if !tracked.counted_unsettled {
             return;
@@ -202,9 +207,10 @@
         }
     }
 
-    /// Takes note of a position that a host reported in its answer to a query sent at `sent_at`. One that is
-    /// ahead of this clock by more than the skew shows that the clocks are further apart than configured:
-    /// floors by this clock are raised from then on, by the most that the host's clock can have been ahead.
+    /// Checks the position that a host reported in its response to a query sent at `sent_at`. A position
+    /// ahead of this router's clock by more than the configured skew shows that the clocks are further apart
+    /// than configured. From then on, floors that are computed from this router's clock are raised by the
+    /// largest lead that the host's clock can have had.
     pub fn observe_position(&mut self, now: Time, sent_at: Time, position: Time) {
         let Some(config) = &self.config else { return };
         if position.since(now) > config.skew {
@@ -213,17 +219,18 @@
         }
     }
 
-    /// Groups and sessions with a write that has not ended.
+    /// Number of pairs of a group and a session with a write that has not completed.
     pub fn unsettled_writes(&self) -> usize {
         self.unsettled.len()
     }
 
-    /// The most memory that the table can take, in bytes.
+    /// Memory limit of the table, in bytes.
     pub fn table_bytes(&self) -> usize {
         self.table.bytes()
     }
 
-    /// Verifies the tokens of a request and counts those that are rejected.
+    /// Verifies the tokens of a request, merges the floors of the valid ones and counts the rejected ones.
+    /// Without keys, tokens are ignored.
     fn check_tokens(&mut self, now: Time, request: &SessionRequest) -> TokenFloors {
         let mut checked = TokenFloors { floors: None, any_rejected: false };
         let Some(config) = &self.config else { return checked };
@@ -241,7 +248,7 @@
         checked
     }
 
-    /// Counts a session read by what gave it its floor.
+    /// Counts a session read by the source of its floor.
     fn count_read(&mut self, request: &SessionRequest, tokens: &TokenFloors, floor: Time) {
         let counter = if tokens.floors.is_some() && !tokens.any_rejected {
             &mut self.counts.by_token
@@ -255,23 +262,26 @@
         *counter += 1;
     }
 
-    /// The skew between clocks, as configured or as seen, whichever is more.
+    /// Returns the larger of the configured clock skew and the observed lead of the hosts' clocks.
     fn skew(&self, config: &SessionConfig) -> Time {
         config.skew.max(self.clock_lead)
     }
 
-    /// No commit before `now` has a later position.
+    /// Returns the highest position that a commit before `now` can have.
     fn latest_commit(&self, config: &SessionConfig, now: Time) -> Time {
         now.plus(self.skew(config))
     }
 
-    /// The position that a write of unknown outcome can have at most, if it ended at `ended_at`.
+    /// Returns the highest position at which a write of unknown outcome can commit, given that the router
+    /// stopped waiting for its response at `ended_at`.
     fn settled_at(&self, config: &SessionConfig, ended_at: Time) -> Time {
         ended_at.plus(config.settle_time).plus(self.skew(config))
     }
 
-    /// The floor of a session whose request names none. A write of it whose outcome nobody knows may commit
-    /// up to the settle time after the moment that the floor stands for; no read needs more than its arrival.
+    /// Returns the floor of a session whose request names none. The session may have a write of unknown
+    /// outcome, which can commit up to the settle time after the point in time that the floor is derived
+    /// from, so the settle time is added. The sum is limited to `now`, because a read needs to see only what
+    /// committed before it arrived.
     fn default_floor(&self, config: &SessionConfig, now: Time, accepted_at: Time) -> Time {
         let since = match config.default_floor {
             DefaultFloor::Platform | DefaultFloor::RememberedOnly => return Time(0),
@@ -283,7 +293,7 @@
         since.plus(config.settle_time).min(now).plus(self.skew(config))
     }
 
-    /// A token with these floors, if tokens are delivered with this kind of answer.
+    /// Issues a token with these floors, if tokens are configured for this kind of reply.
     fn issue_token(
         &mut self,
         now: Time,
@@ -297,23 +307,25 @@
         Some(text)
     }
 
-    /// The table, for a snapshot.
+    /// Returns the table, for a snapshot.
     pub(crate) fn table(&self) -> &FloorTable {
         &self.table
     }
 
-    /// The floor of everything that was written before the table began, for a snapshot.
+    /// Returns the floor that covers all writes from before the table's creation, for a snapshot.
     pub(crate) fn initial_floor(&self) -> Time {
         self.initial_floor
     }
 
-    /// Replaces the table by that of an earlier process, and with it the floor of what was written before.
+    /// Replaces the table, and the floor of all writes from before its creation, by those of an earlier
+    /// process.
     pub(crate) fn restore(&mut self, table: FloorTable, initial_floor: Time) {
         self.table = table;
         self.initial_floor = initial_floor;
     }
 
-    /// Records that the process ends: the outcome of each unsettled write is unknown.
+    /// Raises the floors of the sessions with unsettled writes as the process exits: the outcome of these
+    /// writes is unknown.
     pub(crate) fn settle_all(&mut self, now: Time) {
         let Some(config) = &self.config else { return };
         let settled_at = self.settled_at(config, now);
@@ -323,7 +335,7 @@
     }
 }
 
-/// Counts a rejected token by its error.
+/// Increments the counter of the error that a token was rejected with.
 fn count_rejected(counts: &mut SessionCounts, error: TokenError) {
     let counter = match error {
         TokenError::Malformed => &mut counts.malformed,
--- a/crates/session/src/snapshot.rs
+++ b/crates/session/src/snapshot.rs
@@ -1,8 +1,9 @@
-//! Snapshots: the floor table, saved over a restart.
+//! Snapshots of the floor table, which preserve session floors across a restart.
 //!
-//! A graceful shutdown writes one with everything that the router knows. After any other end of the process
-//! there is none, and the start is the floor of all sessions. So a snapshot is valid once: whoever reads it
-//! removes it before the first request.
+//! A graceful shutdown writes a snapshot with the floors of all sessions. After any other exit of the process
+//! there is no snapshot, and the time of the next start is the floor of all sessions. A snapshot must
+//! therefore be used only once: the process that reads it has to remove it before it handles its first
+//! request.
 //!
 //! Format 1, all numbers big-endian:
 //!
@@ -12,14 +13,14 @@
 //! | format | 2 |
 //! | length of the router's name | 2 |
 //! | the router's name | as given |
-//! | when it was written, Unix time in nanoseconds | 8 |
-//! | the floor of everything written before the table began, likewise | 8 |
-//! | seed of the table | 8 |
-//! | epoch of the table | 8 |
-//! | count of the table's buckets | 4 |
-//! | count of the buckets that follow | 4 |
-//! | each bucket: its index and its 16 words | 4 + 64 |
-//! | SHA-256 of everything before it | 32 |
+//! | time of writing, Unix time in nanoseconds | 8 |
+//! | floor that covers all writes from before the table's creation, Unix time in nanoseconds | 8 |
+//! | seed of the table's hash | 8 |
+//! | epoch of the table, Unix time in nanoseconds | 8 |
+//! | number of buckets of the table | 4 |
+//! | number of buckets that follow | 4 |
+//! | for each bucket: its index and its 16 words | 4 + 64 |
+//! | SHA-256 of all preceding bytes | 32 |
 
 use crate::floor_table::{FloorTable, NumberedBucket, BUCKET_BYTES, BUCKET_WORDS};
 use crate::sessions::Sessions;
@@ -28,35 +29,37 @@
 
 /// The first bytes of every snapshot.
 const MAGIC: &[u8; 8] = b"bhsessn\n";
-/// The format that is written, and the only one that is read.
+/// The format version that is written, and the only one that can be read.
 const FORMAT: u16 = 1;
-/// Bytes of the checksum.
+/// Length of the checksum, in bytes.
 const CHECKSUM_LEN: usize = 32;
 
-/// Why a snapshot is not restored.
+/// The reason why a snapshot cannot be restored.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
-    /// The bytes are not a snapshot of sessions.
-    #[error("is no snapshot of sessions")]
+    /// The bytes do not begin with the magic number.
+    #[error("not a snapshot of sessions")]
     NotASnapshot,
-    /// Its format is unknown.
-    #[error("is of format {0}, and only {FORMAT} is known")]
+    /// The format of the snapshot is not supported.
+    #[error("snapshot format {0} is not supported, only format {FORMAT}")]
     UnknownFormat(u16),
-    /// It is incomplete, or its checksum does not match.
-    #[error("is incomplete or corrupt: its checksum does not match")]
+    /// The snapshot is incomplete, or its checksum does not match.
+    #[error("snapshot is incomplete or corrupt: its checksum does not match")]
     Corrupt,
-    /// Another router wrote it.
-    #[error("is router {0:?}'s")]
+    /// The snapshot was written by another router, whose name this is.
+    #[error("snapshot was written by router {0:?}")]
     OtherRouter(String),
-    /// It was written longer ago than allowed, or later than now; with its age.
-    #[error("is {:.0} s old", .0.secs())]
+    /// The snapshot is older than allowed, or its time of writing is in the future; with its age, which is
+    /// zero in the latter case.
+    #[error("snapshot is {:.0} s old", .0.secs())]
     Expired(Time),
-    /// Its table takes more memory than this router's may; with the bytes it takes.
-    #[error("needs {0} bytes of memory")]
+    /// The table of the snapshot needs more memory than this router's table may take; with the memory it
+    /// needs, in bytes.
+    #[error("snapshot needs {0} bytes of memory")]
     TooLarge(usize),
 }
 
-/// The fields before the buckets.
+/// The fields between the format and the buckets.
 struct Header {
     router: String,
     written_at: Time,
@@ -67,8 +70,8 @@
     used_buckets: u32,
 }
 
-/// Encodes what the router knows of its sessions, as the process ends. The outcome of writes that have not
-/// ended counts as unknown: they may commit after it.
+/// Encodes the floors of all sessions when the process exits. The outcome of writes that have not completed
+/// counts as unknown, because they may commit after the exit.
 pub fn write(sessions: &mut Sessions, now: Time, router: &str) -> Vec<u8> {
     sessions.settle_all(now);
     let table = sessions.table();
@@ -89,7 +92,7 @@
     out
 }
 
-/// Appends the count of the used buckets, and each of them.
+/// Appends the number of used buckets, and each of them.
 fn put_buckets(out: &mut Vec<u8>, table: &FloorTable) {
     let count_at = out.len();
     out.extend([0; 4]);
@@ -104,12 +107,12 @@
     out[count_at..count_at + 4].copy_from_slice(&count.to_be_bytes());
 }
 
-/// Replaces what the router knows of its sessions by a snapshot.
+/// Replaces the floors of a router's sessions by those of a snapshot.
 ///
 /// # Errors
 ///
-/// The snapshot must be complete, of this router, written at most `max_age` ago, and no larger than the
-/// router's table may be. If it is not, `sessions` stays as it is.
+/// Returns an error if the snapshot is incomplete or corrupt, was written by another router or more than
+/// `max_age` ago, or is larger than this router's table may be. `sessions` is not changed then.
 pub fn restore(
     sessions: &mut Sessions,
     now: Time,
@@ -137,7 +140,7 @@
     Ok(())
 }
 
-/// Checks the magic number, the format and the checksum. Returns a reader of what follows the format.
+/// Checks the magic number, the format and the checksum. Returns a reader positioned after the format.
 fn verified_reader(bytes: &[u8]) -> Result<Reader<'_>, SnapshotError> {
     let content = bytes.strip_prefix(MAGIC).ok_or(SnapshotError::NotASnapshot)?;
     let mut reader = Reader { unread: content };
@@ -154,7 +157,7 @@
     Ok(reader)
 }
 
-/// Reads fields from the front of a snapshot; none where it ends too early.
+/// Reads the fields of a snapshot in order. Its methods return `None` if the snapshot is too short.
 struct Reader<'a> {
     unread: &'a [u8],
 }
--- a/crates/session/src/token.rs
+++ b/crates/session/src/token.rs
@@ -1,20 +1,20 @@
-//! Session tokens: a session's floors, signed, for its client to carry.
+//! Session tokens: the signed floors of a session, which its client receives and sends back.
 //!
-//! Format 1, as bytes before base64url without padding:
+//! A token is the following bytes (format 1), encoded as base64url without padding:
 //!
 //! | field | bytes | content |
 //! | --- | --- | --- |
 //! | version | 1 | 1 |
-//! | key id | 1 | the key that signed |
-//! | session tag | 4 | the low half of the session's number, big-endian |
-//! | issued | 6 | Unix time in milliseconds, big-endian |
-//! | groups | 1 | how many; the high bit is set if a floor of all other groups follows |
-//! | other groups | 0 to 10 | that floor |
-//! | each group | 2 to 15 | its number and its floor |
-//! | signature | 16 | of HMAC-SHA-256 over everything before it and the session's name |
+//! | key id | 1 | the number of the signing key |
+//! | session tag | 4 | the low 32 bits of the session's key, big-endian |
+//! | issued | 6 | time of issue, Unix time in milliseconds, big-endian |
+//! | groups | 1 | number of groups; the high bit is set if a floor of all other groups follows |
+//! | other groups | 0 to 10 | the floor of all other groups |
+//! | each group | 2 to 15 | the group's number and floor |
+//! | signature | 16 | the first bytes of the HMAC-SHA-256 of all preceding bytes and the session's name |
 //!
-//! Group numbers are varints. Floors are zigzag varints: milliseconds after `issued`, rounded up. The content
-//! is no secret.
+//! Group numbers are varints. Floors are zigzag varints: milliseconds after `issued`, rounded up. Tokens are
+//! signed but not encrypted: their content is not secret.
 
 use crate::group_floors::{GroupFloors, MAX_GROUPS};
 use basalthill_policy::api::{GroupId, SessionKey, Time};
@@ -23,61 +23,61 @@
 
 pub use crate::key::{Key, KeyId, KeyRing, MIN_SECRET_LEN};
 
-/// The version byte of the format.
+/// The format version, the first byte of a token.
 const VERSION: u8 = 1;
-/// Bytes before the first floor.
+/// Length of the fields before the first floor, in bytes.
 const HEADER_LEN: usize = 13;
-/// Bytes of the signature.
+/// Length of the signature, in bytes.
 const SIGNATURE_LEN: usize = 16;
-/// The most bytes of a group's number and its floor: varints of 32 and of 64 bits.
+/// Maximum length of a group's number and floor, in bytes: a varint of 32 bits and one of 64 bits.
 const MAX_GROUP_LEN: usize = 5 + 10;
-/// The most characters of a token: [`MAX_GROUPS`] groups and the floor of the others.
+/// Maximum length of an encoded token, in characters, with [`MAX_GROUPS`] groups and the floor of all others.
 pub const MAX_TOKEN_LEN: usize = (HEADER_LEN + (MAX_GROUPS + 1) * MAX_GROUP_LEN + SIGNATURE_LEN) * 4 / 3 + 4;
-/// The bit of the group count that says that a floor of all other groups follows.
+/// The bit of the group count that is set if a floor of all other groups follows.
 const HAS_OTHER_GROUPS: u8 = 0x80;
-/// Nanoseconds of a millisecond, the unit of stored times.
+/// Nanoseconds per millisecond, the unit of encoded times.
 const NANOS_PER_MS: u64 = 1_000_000;
 
-/// A session, as its tokens identify it.
+/// The identity of a session, to which its tokens are bound.
 #[derive(Clone, Copy, Debug)]
 pub struct SessionIdentity<'a> {
-    /// The session's name, as the client writes it.
+    /// The session's name, as the client sends it.
     pub name: &'a [u8],
-    /// The session's number.
+    /// The session's key.
     pub key: SessionKey,
 }
 
 impl SessionIdentity<'_> {
-    /// The part of the session's number that tokens carry.
+    /// Returns the part of the session's key that tokens carry.
     fn tag(&self) -> [u8; 4] {
         (self.key.0 as u32).to_be_bytes()
     }
 }
 
-/// Why a token is rejected.
+/// The reason why a token is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TokenError {
-    /// It cannot be decoded, or its version is unknown.
+    /// The token cannot be decoded, or its version is unknown.
     #[error("the token cannot be decoded")]
     Malformed,
-    /// Its key is not in force.
+    /// The key that signed the token is not in force.
     #[error("the token's key is unknown")]
     UnknownKey,
-    /// Its signature does not match its content and its session's name.
+    /// The signature does not match the token's content and the session's name.
     #[error("the token's signature does not match")]
     Forged,
-    /// It was issued to another session.
+    /// The token was issued to another session.
     #[error("the token belongs to another session")]
     OtherSession,
-    /// It was issued longer ago than [`KeyRing::max_age`].
+    /// The token was issued longer ago than [`KeyRing::max_age`].
     #[error("the token has expired")]
     Expired,
-    /// It was issued later than the skew between clocks allows.
+    /// The token was issued later than now by more than the clock skew.
     #[error("the token was issued in the future")]
     IssuedInFuture,
 }
 
-/// Encodes a session's floors and signs them. The fields are as in the module's table.
+/// Encodes and signs the floors of a session, in the format that the module's documentation describes.
 pub fn issue(keys: &KeyRing, now: Time, session: SessionIdentity, floors: &GroupFloors) -> String {
     let issued_ms = now.0 / NANOS_PER_MS;
     let mut out = Vec::with_capacity(64);
@@ -90,13 +90,13 @@
     URL_SAFE_NO_PAD.encode(out)
 }
 
-/// Decodes a token that came with a request of a session, and verifies it. `skew` is how far the clocks of
-/// routers may be apart.
+/// Decodes and verifies a token that was sent with a request of a session. `skew` is the maximum difference
+/// between the clocks of the routers.
 ///
 /// # Errors
 ///
-/// See [`TokenError`]; a token that is wrong in several ways gets the first error in the order of the checks
-/// here.
+/// Returns a [`TokenError`] if the token is not valid. For a token with several faults, it is that of the
+/// first check that fails, in the order of the checks in this function.
 pub fn verify(
     keys: &KeyRing,
     now: Time,
@@ -130,7 +130,7 @@
     read_floors(body, issued_ms).ok_or(TokenError::Malformed)
 }
 
-/// Appends the count of groups, the floor of the others, and each group with its floor.
+/// Appends the number of groups, the floor of all other groups, and each group with its floor.
 fn put_floors(out: &mut Vec<u8>, floors: &GroupFloors, issued_ms: u64) {
     let has_other_groups = floors.other_groups() > Time(0);
     let count = floors.by_group().len() as u8;
@@ -144,7 +144,8 @@
     }
 }
 
-/// The floors of a body whose signature is valid; none if they end too early or too late.
+/// Decodes the floors of a body whose signature is valid. Returns `None` if the body is too short or too long
+/// for them.
 fn read_floors(body: &[u8], issued_ms: u64) -> Option<GroupFloors> {
     let count = body[HEADER_LEN - 1];
     let mut unread = &body[HEADER_LEN..];
@@ -160,14 +161,14 @@
     unread.is_empty().then_some(floors)
 }
 
-/// Appends a floor, rounded up to milliseconds.
+/// Appends a floor, rounded up to a millisecond.
 fn put_floor(out: &mut Vec<u8>, floor: Time, issued_ms: u64) {
     let offset = floor.0.div_ceil(NANOS_PER_MS) as i64 - issued_ms as i64;
     let zigzag = (offset << 1) ^ (offset >> 63);
     put_varint(out, zigzag as u64);
 }
 
-/// Removes a floor from the front of `bytes`.
+/// Reads a floor from the front of `bytes`, and removes it from there.
 fn read_floor(bytes: &mut &[u8], issued_ms: u64) -> Option<Time> {
     let zigzag = read_varint(bytes)?;
     let offset = (zigzag >> 1) as i64 ^ -((zigzag & 1) as i64);
@@ -176,7 +177,8 @@
     Some(Time(floor_ms.saturating_mul(NANOS_PER_MS)))
 }
 
-/// Appends a number, seven bits a byte, the lowest first; the high bit of a byte says that another follows.
+/// Appends a number as a varint: seven bits per byte, the lowest bits first. The high bit of a byte is set if
+/// another byte follows.
 fn put_varint(out: &mut Vec<u8>, mut number: u64) {
     while number >= 0x80 {
         out.push(number as u8 | 0x80);
@@ -185,7 +187,7 @@
     out.push(number as u8);
 }
 
-/// Removes a number from the front of `bytes`.
+/// Reads a varint from the front of `bytes`, and removes it from there.
 fn read_varint(bytes: &mut &[u8]) -> Option<u64> {
     let mut number = 0u64;
     for shift in (0..64).step_by(7) {
