--- a/crates/extproc/src/coordinator.rs
+++ b/crates/extproc/src/coordinator.rs
@@ -1,7 +1,7 @@
-//! Calls of other proxies, from the request to the final reply. The decisions are made elsewhere: the
-//! coordinator produces events for them, and their actions are applied to it.
+//! Calls of external proxies, from the call to the final reply. The decision module chooses the members: the
+//! coordinator produces events for it, and its actions are applied to the coordinator.
 
-use crate::lease_table::{EndedLease, Lease, LeaseId, LeaseOutcome, LeaseTable, StrayReports, StreamId};
+use crate::lease_table::{EndedLease, IgnoredReports, Lease, LeaseId, LeaseOutcome, LeaseTable, StreamId};
 use crate::messages::{DecisionRequest, LeaseUsage, Output, ProxyLimits, ProxyReply, RejectReason};
 use crate::write_id::WriteId;
 use crate::write_registry::{Verdict, WriteRegistry};
@@ -11,21 +11,22 @@
 };
 use std::collections::BTreeMap;
 
-/// Set in the numbers of proxies' requests, so that one decision module serves clients and proxies.
+/// The bit that is set in the ids of proxies' requests. It tells them apart from clients' requests, so that
+/// one decision module can serve both.
 const PROXY_REQUEST_BIT: u64 = 1 << 63;
-/// The stream of leases that were granted to nobody.
+/// The stream of a lease whose attempt was not assigned to any stream.
 const NO_STREAM: StreamId = StreamId(0);
 
-/// A request of one or more proxies.
+/// A request, for which one or more streams have called.
 #[derive(Debug)]
 struct Call {
     /// The streams that wait for a member, in order of arrival.
     waiting: Vec<StreamId>,
-    /// The stream that has a member.
+    /// The stream that has been assigned a member, with its lease.
     leased: Option<LeasedStream>,
-    /// The id of a non-idempotent write.
+    /// The id of the write, if the request is a non-idempotent write.
     write: Option<WriteId>,
-    /// Attempts so far.
+    /// Number of attempts so far.
     attempts: u16,
     deadline: Time,
 }
@@ -37,42 +38,42 @@
     lease: LeaseId,
 }
 
-/// The decisions' choice of a member for a request.
+/// A member that the decision module has chosen for a request.
 #[derive(Clone, Copy, Debug)]
 struct Assignment {
     request: RequestId,
     member: MemberId,
-    /// How long the attempt may take, if less than the request's deadline.
+    /// Timeout of the attempt, if it ends before the request's deadline.
     timeout: Option<Time>,
-    /// When sends to the member must have begun, if it drains.
+    /// The time by which a send to the member must have begun, if the member is draining.
     send_until: Option<Time>,
 }
 
-/// How a call for a decision is admitted.
+/// The way in which a call for a decision is admitted.
 enum Admission {
-    /// As a request of its own; with its id, if it is a non-idempotent write.
+    /// The call opens a request; with the id of the write, if it is a non-idempotent write.
     New(Option<WriteId>),
-    /// With the open request for the same write.
+    /// The call joins the open request for the same write.
     Joins(RequestId),
 }
 
-/// The calls of proxies at one router.
+/// The state of one router's calls from external proxies.
 #[derive(Debug)]
 pub struct LeaseCoordinator {
     limits: ProxyLimits,
-    /// The effect of each class of requests.
+    /// The effect of each request class, indexed by class id.
     effects: Vec<Effect>,
     writes: WriteRegistry,
     leases: LeaseTable,
     calls: BTreeMap<RequestId, Call>,
     by_stream: BTreeMap<StreamId, RequestId>,
     by_write: BTreeMap<WriteId, RequestId>,
-    /// The number of the request opened last.
+    /// The number of the most recently opened request.
     last_request: u64,
 }
 
 impl LeaseCoordinator {
-    /// The coordinator of a router that has just started.
+    /// Creates the coordinator of a router that has just started.
     pub fn new(now: Time, settings: &Settings, limits: ProxyLimits) -> LeaseCoordinator {
         LeaseCoordinator {
             limits,
@@ -86,12 +87,12 @@
         }
     }
 
-    /// Whether a request is one of a proxy.
+    /// Returns whether a request is that of a proxy, not that of a client.
     pub fn owns(id: RequestId) -> bool {
         id.0 & PROXY_REQUEST_BIT != 0
     }
 
-    /// Handles a proxy's call for a decision, on a stream of its own.
+    /// Handles a proxy's call for a decision. A stream can have one open call at a time.
     pub fn request(&mut self, now: Time, stream: StreamId, request: DecisionRequest, out: &mut Vec<Output>) {
         match self.admit(now, stream, &request) {
             Ok(Admission::New(write)) => self.open_call(stream, &request, write, out),
@@ -100,14 +101,14 @@
         }
     }
 
-    /// Applies an action of the decisions to a proxy's request. Sends to the member must have begun before
-    /// `send_until`, if it drains.
+    /// Applies an action of the decision module to a proxy's request. `send_until` is the time before which a
+    /// send to the action's member must have begun, if that member is draining.
     pub fn apply(&mut self, now: Time, action: &Action, send_until: Option<Time>, out: &mut Vec<Output>) {
         match *action {
             Action::Send(request, member, timeout) => {
                 self.assign(now, Assignment { request, member, timeout, send_until }, out);
             }
-            // The decisions reject only where nothing has executed.
+            // The decision module rejects a request only if no attempt of it has executed.
             Action::Reject(id, retry_after) => {
                 self.finish(id, true, ProxyReply::Rejected { retry_after }, out);
             }
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Handles a proxy's report of the outcome of a lease.
+    /// Handles a proxy's report of the outcome of its attempt under a lease.
     pub fn report_outcome(
         &mut self,
         now: Time,
@@ -135,8 +136,8 @@
         self.attempt_ended(now, ended, is_served, out);
     }
 
-    /// Handles the end of a stream. The request that it has a lease for may have been sent; a call that it
-    /// waits with is given up.
+    /// Handles the closing of a stream. If the stream has a lease, the request may have been sent. If it
+    /// waits for a member, it stops waiting, and a request that no stream waits for any more is abandoned.
     pub fn stream_closed(&mut self, now: Time, stream: StreamId, out: &mut Vec<Output>) {
         let Some(id) = self.by_stream.remove(&stream) else { return };
         let ended = self.leases.close_stream(stream);
@@ -147,14 +148,14 @@
             self.remove_call(id, false);
             self.attempt_ended(now, ended, true, out);
         } else if nobody_waits {
-            // No lease is in use, and all earlier attempts are proved not to have executed: the decisions
-            // would have failed the request otherwise.
+            // No lease is in use, and all earlier attempts are proved not to have executed: otherwise the
+            // decision module would have failed the request.
             self.remove_call(id, true);
             out.push(Output::Event(Event::ClientGone(id)));
         }
     }
 
-    /// Ends leases that have expired, and forgets writes whose ids are too old.
+    /// Ends the leases that have expired, and removes writes whose ids are too old to be accepted.
     pub fn tick(&mut self, now: Time, out: &mut Vec<Output>) {
         self.writes.expire(now);
         for ended in self.leases.expire(now) {
@@ -162,12 +163,12 @@
         }
     }
 
-    /// When [`LeaseCoordinator::tick`] is due next.
+    /// Returns the time at which [`LeaseCoordinator::tick`] is due next: the next expiry of a lease.
     pub fn next_due(&self) -> Option<Time> {
         self.leases.next_expiry()
     }
 
-    /// How much is in use at present.
+    /// Returns the numbers of open calls, leases and registered writes.
     pub fn usage(&self) -> LeaseUsage {
         LeaseUsage {
             open_calls: self.calls.len().max(self.by_stream.len()).max(self.by_write.len()),
@@ -176,12 +177,13 @@
         }
     }
 
-    /// Reports of outcomes that were ignored, since this was last called.
-    pub fn take_stray_reports(&mut self) -> StrayReports {
-        self.leases.take_stray_reports()
+    /// Returns the counts of ignored outcome reports since the last call.
+    pub fn take_ignored_reports(&mut self) -> IgnoredReports {
+        self.leases.take_ignored_reports()
     }
 
-    /// Decides whether a call goes to the decisions; else with the reply that it gets at once.
+    /// Decides whether a call is handed to the decision module. If not, the error is the reply to send at
+    /// once.
     fn admit(
         &mut self,
         now: Time,
@@ -199,7 +201,7 @@
         if self.by_stream.len() >= self.limits.max_open_calls {
             return Err(ProxyReply::Rejected { retry_after: None });
         }
-        // Repeating any other request does no harm, or is prevented by its idempotency key.
+        // Executing any other request twice is harmless, or is prevented by its idempotency key.
         if effect != Effect::NonIdempotent {
             return Ok(Admission::New(None));
         }
@@ -216,7 +218,7 @@
         }
     }
 
-    /// Opens a request and hands it to the decisions.
+    /// Opens a request and hands it to the decision module.
     fn open_call(
         &mut self,
         stream: StreamId,
@@ -245,7 +247,7 @@
         })));
     }
 
-    /// Lets a stream wait for the member of a request that is open already.
+    /// Adds a stream to those that wait for the member of an open request.
     fn join_call(&mut self, stream: StreamId, id: RequestId) {
         if let Some(call) = self.calls.get_mut(&id) {
             call.waiting.push(stream);
@@ -253,7 +255,8 @@
         }
     }
 
-    /// Grants a lease to the first stream that waits for a request's member.
+    /// Grants a lease to the first stream that waits for the request's member. The other waiting streams get
+    /// [`ProxyReply::AlreadyDecided`].
     fn assign(&mut self, now: Time, assignment: Assignment, out: &mut Vec<Output>) {
         let Assignment { request, member, timeout, send_until } = assignment;
         let send_by = now.plus(self.limits.send_within).min(send_until.unwrap_or(Time(u64::MAX)));
@@ -278,8 +281,8 @@
         }
     }
 
-    /// Reports to the decisions that an attempt was not sent, because no stream waits for it or it is too
-    /// late.
+    /// Reports to the decision module that an attempt was not sent, because no stream waits for a member, or
+    /// because the request's deadline or the assignment's `send_until` has passed.
     fn decline(&mut self, now: Time, assignment: Assignment, out: &mut Vec<Output>) {
         let Assignment { request, member, .. } = assignment;
         let attempt = match self.calls.get_mut(&request) {
@@ -301,7 +304,7 @@
         self.attempt_ended(now, EndedLease::unanswered(lease, Status::NotSent), is_last, out);
     }
 
-    /// Cancels an attempt of a request. It may execute all the same.
+    /// Cancels an attempt of a request. The attempt may execute nevertheless.
     fn cancel(&mut self, now: Time, id: RequestId, attempt: Attempt, out: &mut Vec<Output>) {
         let leased = self.calls.get(&id).and_then(|call| call.leased);
         let ended = leased.and_then(|leased| self.leases.cancel(leased.lease));
@@ -310,8 +313,8 @@
         }
     }
 
-    /// Reports the outcome of an attempt to the decisions. Its stream waits for the next member, unless that
-    /// was the request's last attempt.
+    /// Reports the outcome of an attempt to the decision module. If the request is still open, the attempt's
+    /// stream waits for the next member.
     fn attempt_ended(&mut self, now: Time, ended: EndedLease, is_last: bool, out: &mut Vec<Output>) {
         let lease = ended.lease;
         if let Some(call) = self.calls.get_mut(&lease.request) {
@@ -331,17 +334,17 @@
         })));
     }
 
-    /// Sends the final reply to each stream of a request.
+    /// Removes a request and sends the final reply to each of its streams.
     fn finish(&mut self, id: RequestId, not_executed: bool, reply: ProxyReply, out: &mut Vec<Output>) {
         let Some(call) = self.calls.get(&id) else { return };
         let leased = call.leased.map(|leased| leased.stream);
         let streams: Vec<StreamId> = call.waiting.iter().copied().chain(leased).collect();
-        // While a lease is in use the write may execute, whatever the reply.
+        // While a lease is in use, the write may execute whatever the reply is.
         self.remove_call(id, not_executed && leased.is_none());
         out.extend(streams.into_iter().map(|stream| Output::Reply(stream, reply)));
     }
 
-    /// Removes a request. A write is proved not to have executed, or may have.
+    /// Removes a request. `not_executed` says whether a write is proved not to have executed.
     fn remove_call(&mut self, id: RequestId, not_executed: bool) {
         let Some(call) = self.calls.remove(&id) else { return };
         let leased = call.leased.map(|leased| leased.stream);
--- a/crates/extproc/src/lease_table.rs
+++ b/crates/extproc/src/lease_table.rs
@@ -1,13 +1,14 @@
-//! The leases in use by other proxies: each ends exactly once, and each way to end is one [`Status`].
+//! The leases in use by external proxies. Each lease ends exactly once, and each way in which it can end
+//! corresponds to one [`Status`] of its attempt.
 
 use basalthill_policy::api::{Attempt, MemberId, ReplicationState, RequestId, Status, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A lease's number, which is never used again.
+/// The number of a lease. Numbers are not reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseId(pub u64);
 
-/// A stream of a proxy, which has one call at a time.
+/// A stream of a proxy, with at most one open call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StreamId(pub u64);
 
@@ -16,20 +17,21 @@
 pub enum LeaseOutcome {
     /// The member has served the request.
     Served,
-    /// The member rejected it unexecuted: it is no primary, or too far behind.
+    /// The member rejected the request without executing it, because it is not a primary or its lag is too
+    /// large.
     Misdirected,
-    /// The member rejected it unread, for lack of capacity.
+    /// The member rejected the request without reading it, for lack of capacity.
     Rejected,
-    /// The member answered with any other error.
+    /// The member responded with any other error.
     Error,
-    /// No connection was established, or it broke before the last byte was written.
+    /// The connection was not established, or it broke before the last byte of the request was written.
     ConnectFailed,
-    /// The proxy has not sent it, and will not.
+    /// The proxy has not sent the request, and will not send it.
     NotSent,
 }
 
 impl LeaseOutcome {
-    /// The status of the attempt, for the decisions.
+    /// Returns the status of the attempt, for the decision module.
     pub fn status(self) -> Status {
         match self {
             LeaseOutcome::Served => Status::Ok,
@@ -42,63 +44,63 @@
     }
 }
 
-/// One attempt of a request, assigned to a stream.
+/// An attempt of a request that is assigned to a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
-    /// The stream that it was granted to.
+    /// The stream that the lease was granted to.
     pub stream: StreamId,
-    /// The request.
+    /// The request of the attempt.
     pub request: RequestId,
-    /// The attempt of the request.
+    /// The number of the attempt.
     pub attempt: Attempt,
-    /// The member.
+    /// The member that the attempt is sent to.
     pub member: MemberId,
-    /// When it was granted.
+    /// The time at which the lease was granted.
     pub granted_at: Time,
-    /// When it times out.
+    /// The time at which the lease expires and its attempt times out.
     pub expires_at: Time,
 }
 
-/// How a lease has ended.
+/// A lease that has ended, and how.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndedLease {
     /// The lease.
     pub lease: Lease,
-    /// The status of its attempt.
+    /// The status of the attempt.
     pub status: Status,
-    /// What the member's answer says of its replication.
+    /// The member's replication state, as reported in its response.
     pub replication: ReplicationState,
 }
 
 impl EndedLease {
-    /// A lease that ended without an answer of its member.
+    /// Creates an ended lease without a response from its member.
     pub fn unanswered(lease: Lease, status: Status) -> EndedLease {
         EndedLease { lease, status, replication: ReplicationState::default() }
     }
 }
 
-/// Reports of outcomes that were ignored, since they were last taken.
+/// Counts of ignored outcome reports, since they were last taken.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct StrayReports {
-    /// Reports under leases that had ended, or never existed.
+pub struct IgnoredReports {
+    /// Number of reports under leases that had ended or never existed.
     pub unknown_lease: u64,
-    /// Reports under leases of another stream.
+    /// Number of reports under leases of another stream.
     pub other_stream: u64,
 }
 
-/// The leases that have not ended.
+/// The table of the leases that have not ended.
 #[derive(Clone, Debug, Default)]
 pub struct LeaseTable {
     leases: BTreeMap<LeaseId, Lease>,
     by_expiry: BTreeSet<(Time, LeaseId)>,
     by_stream: BTreeSet<(StreamId, LeaseId)>,
-    /// The number granted last.
+    /// The number of the most recently granted lease.
     last_id: u64,
-    stray_reports: StrayReports,
+    ignored_reports: IgnoredReports,
 }
 
 impl LeaseTable {
-    /// Grants a lease.
+    /// Grants a lease and returns its id.
     pub fn grant(&mut self, lease: Lease) -> LeaseId {
         self.last_id += 1;
         let id = LeaseId(self.last_id);
@@ -108,8 +110,8 @@
         id
     }
 
-    /// Ends the lease whose outcome a proxy reports on a stream. None if the lease is not the stream's, has
-    /// ended, or has expired: such reports change nothing.
+    /// Ends the lease whose outcome a proxy reports on a stream. Returns `None` if the lease belongs to
+    /// another stream, has ended or has expired. Such reports have no effect on leases.
     pub fn report(
         &mut self,
         now: Time,
@@ -119,28 +121,28 @@
         replication: ReplicationState,
     ) -> Option<EndedLease> {
         let Some(lease) = self.leases.get(&id) else {
-            self.stray_reports.unknown_lease += 1;
+            self.ignored_reports.unknown_lease += 1;
             return None;
         };
-        // It times out, even if that is yet to be noticed.
+        // The lease has expired, and the next call of `expire` ends it as timed out.
         if lease.expires_at <= now {
             return None;
         }
         if lease.stream != stream {
-            self.stray_reports.other_stream += 1;
+            self.ignored_reports.other_stream += 1;
             return None;
         }
         let lease = self.remove(id)?;
         Some(EndedLease { lease, status: outcome.status(), replication })
     }
 
-    /// Ends a lease that the decisions cancel. Its attempt may execute all the same.
+    /// Ends a lease whose attempt the decision module has cancelled. The attempt may execute nevertheless.
     pub fn cancel(&mut self, id: LeaseId) -> Option<EndedLease> {
         let lease = self.remove(id)?;
         Some(EndedLease::unanswered(lease, Status::Cancelled))
     }
 
-    /// Ends the leases of a closed stream. Their requests may have been sent.
+    /// Ends the leases of a closed stream. Their requests may have been sent to the members.
     pub fn close_stream(&mut self, stream: StreamId) -> Vec<EndedLease> {
         let of_stream = (stream, LeaseId(0))..=(stream, LeaseId(u64::MAX));
         let ids: Vec<LeaseId> = self.by_stream.range(of_stream).map(|(_, id)| *id).collect();
@@ -148,7 +150,7 @@
         leases.map(|lease| EndedLease::unanswered(lease, Status::Reset)).collect()
     }
 
-    /// Ends the leases that have expired, in the order of their expiry.
+    /// Ends the leases that have expired, and returns them in the order of their expiry.
     pub fn expire(&mut self, now: Time) -> Vec<EndedLease> {
         let mut expired = Vec::new();
         while let Some(&(expires_at, id)) = self.by_expiry.first() {
@@ -161,24 +163,24 @@
         expired
     }
 
-    /// When the next lease expires.
+    /// Returns the time at which the next lease expires.
     pub fn next_expiry(&self) -> Option<Time> {
         self.by_expiry.first().map(|(expires_at, _)| *expires_at)
     }
 
-    /// How many leases have not ended.
+    /// Returns the number of leases that have not ended.
     pub fn len(&self) -> usize {
         self.leases.len()
     }
 
-    /// Whether all leases have ended.
+    /// Returns whether all leases have ended.
     pub fn is_empty(&self) -> bool {
         self.leases.is_empty()
     }
 
-    /// Reports that were ignored, since this was last called.
-    pub fn take_stray_reports(&mut self) -> StrayReports {
-        std::mem::take(&mut self.stray_reports)
+    /// Returns the counts of ignored reports since the last call.
+    pub fn take_ignored_reports(&mut self) -> IgnoredReports {
+        std::mem::take(&mut self.ignored_reports)
     }
 
     fn remove(&mut self, id: LeaseId) -> Option<Lease> {
--- a/crates/extproc/src/lib.rs
+++ b/crates/extproc/src/lib.rs
@@ -1,13 +1,14 @@
-//! Decisions for other proxies, as leases: a proxy requests a decision, gets a member and a lease, sends the
-//! request itself and reports the outcome. The crate has no clock and does no I/O: times are arguments,
-//! replies and events are results.
+//! Routing decisions for external proxies, handed out as leases. A proxy requests a decision and receives a
+//! member and a lease. It sends the request to the member itself, and reports the outcome under the lease.
+//! The crate has no clock and does no I/O: times are arguments, replies and events are results.
 //!
-//! - [`LeaseCoordinator`] is the state of one router, from a proxy's call to its final reply.
-//! - [`WriteRegistry`] knows which non-idempotent writes have had their decision, in bounded memory.
-//! - [`LeaseTable`] has the leases in use, and knows what each way of ending one proves.
-//! - [`InstanceOwners`] says which of several instances decides a write.
+//! - [`LeaseCoordinator`] is the state of one router's calls, from a proxy's call to its final reply.
+//! - [`WriteRegistry`] records which non-idempotent writes have been assigned to a member, in bounded memory.
+//! - [`LeaseTable`] holds the leases in use, and derives the status of an attempt from how its lease ended.
+//! - [`InstanceOwners`] determines which of several instances decides a write.
 //!
-//! `docs/design/extproc.md` argues why. Nothing listens on sockets for such proxies yet.
+//! `docs/design/extproc.md` explains the design. No transport exists yet: nothing listens on sockets for such
+//! proxies.
 
 mod coordinator;
 mod instance_owners;
@@ -18,7 +19,7 @@
 
 pub use coordinator::LeaseCoordinator;
 pub use instance_owners::{InstanceList, InstanceOwners};
-pub use lease_table::{EndedLease, Lease, LeaseId, LeaseOutcome, LeaseTable, StrayReports, StreamId};
+pub use lease_table::{EndedLease, IgnoredReports, Lease, LeaseId, LeaseOutcome, LeaseTable, StreamId};
 pub use messages::{DecisionRequest, LeaseUsage, Output, ProxyLimits, ProxyReply, RejectReason};
 pub use write_id::WriteId;
 pub use write_registry::{UnusableId, Verdict, WriteRegistry};
--- a/crates/extproc/src/messages.rs
+++ b/crates/extproc/src/messages.rs
@@ -1,102 +1,104 @@
-//! What goes in and out of the coordinator: calls of proxies, replies to them, events for the decisions.
+//! The inputs and outputs of the coordinator: calls of proxies, replies to them and events for the decision
+//! module.
 
 use crate::lease_table::{LeaseId, StreamId};
 use crate::write_id::WriteId;
 use crate::write_registry::UnusableId;
 use basalthill_policy::api::{ClassId, Event, GroupId, MemberId, TenantId, Time};
 
-/// The bounds of a coordinator.
+/// The limits of a coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProxyLimits {
-    /// Calls that may be open at a time.
+    /// Maximum number of open calls.
     pub max_open_calls: usize,
-    /// Ids of writes that are registered at a time.
+    /// Maximum number of registered write ids.
     pub max_remembered_writes: usize,
-    /// How long an id of a write is accepted after its creation.
+    /// Time after the creation of a write id during which the id is accepted.
     pub id_window: Time,
-    /// How far the clocks of those who create ids may be apart from this one.
+    /// Maximum difference between this router's clock and the clocks of the creators of write ids.
     pub skew: Time,
-    /// A proxy begins to send within this time after the reply, or not at all.
+    /// Time after the reply within which a proxy must begin to send; it must not send later.
     pub send_within: Time,
 }
 
-/// How much a coordinator has in use at present.
+/// The current resource usage of a coordinator.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LeaseUsage {
-    /// Calls that are open.
+    /// Number of open calls.
     pub open_calls: usize,
-    /// Leases that have not ended.
+    /// Number of leases in use.
     pub leases: usize,
-    /// Ids of writes that are registered.
+    /// Number of registered write ids.
     pub remembered_writes: usize,
 }
 
 /// A proxy's call for a decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DecisionRequest {
-    /// The id of its request, if it has one of version 7.
+    /// The id of the proxy's request, if it has one that is a UUID of version 7.
     pub id: Option<WriteId>,
-    /// The class of requests.
+    /// The class of the request.
     pub class: ClassId,
-    /// The tenant.
+    /// The tenant of the request.
     pub tenant: TenantId,
-    /// The group.
+    /// The group that the request is routed to.
     pub group: GroupId,
-    /// How long the proxy's client waits.
+    /// The time until which the proxy's client waits for the reply.
     pub deadline: Time,
-    /// The position that a session read must see.
+    /// The read floor: the log position that a member must have applied to serve a session read.
     pub floor: Time,
-    /// How far the floor may be ahead of a replica's position for the read to wait for that replica.
+    /// Maximum distance of a replica's expected position behind the floor at which the read waits for that
+    /// replica.
     pub lead: Time,
-    /// Whether the proxy's client says that it is a retry.
+    /// Whether the proxy's client has marked the request as a retry.
     pub client_retry: bool,
 }
 
 /// A reply to a proxy on one of its streams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProxyReply {
-    /// The proxy sends the request to this member, and reports the outcome under this lease.
+    /// The proxy is to send the request to a member, and to report the outcome under a lease.
     Member {
         /// The lease that the outcome is reported under.
         lease: LeaseId,
-        /// Where the request is sent.
+        /// The member to send the request to.
         member: MemberId,
-        /// The proxy begins to send before this, or not at all.
+        /// The time before which the proxy must begin to send; it must not send later.
         send_by: Time,
     },
-    /// The request is rejected, and nothing has executed.
+    /// The request is rejected, and no attempt of it has executed.
     Rejected {
-        /// When to retry, if that is known.
+        /// The time to wait before a retry, if it is known.
         retry_after: Option<Time>,
     },
-    /// The request has failed, and may have executed.
+    /// The request has failed, and an attempt of it may have executed.
     Failed,
-    /// Another call got the decision for this write, which may execute or has executed.
+    /// Another call has been assigned a member for this write, which may execute or has executed.
     AlreadyDecided,
     /// The call is invalid.
     Invalid(RejectReason),
 }
 
-/// Why a call is invalid.
+/// The reason why a call is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// There is no such class.
+    /// The settings contain no class with this id.
     UnknownClass,
-    /// A non-idempotent write needs an id of version 7.
+    /// The call is for a non-idempotent write and has no id, which must be a UUID of version 7.
     MissingId,
-    /// Its stream has an open call already.
+    /// The stream already has an open call.
     StreamBusy,
-    /// Its deadline has passed.
+    /// The deadline of the call has passed.
     DeadlinePassed,
-    /// Nothing is known of a write with this id.
+    /// The registry cannot tell whether the write with this id has been decided.
     UnusableId(UnusableId),
 }
 
-/// A result of the coordinator.
+/// An output of the coordinator.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Send this to the proxy on a stream.
+    /// A reply to send to the proxy on a stream.
     Reply(StreamId, ProxyReply),
-    /// Hand this to the decisions.
+    /// An event for the decision module.
     Event(Event),
 }
--- a/crates/extproc/src/write_registry.rs
+++ b/crates/extproc/src/write_registry.rs
@@ -1,76 +1,80 @@
-//! Which non-idempotent writes have had their one decision.
+//! Registry of non-idempotent writes, which ensures that at most one member may execute each write.
 //!
-//! An entry stays for a window that begins at its id's own time, and none is removed early: what is not here
-//! was never decided by this process, or its id is too old to be accepted.
+//! An entry is kept for a window that begins at the creation time of its id, and is never removed earlier. A
+//! write without an entry was therefore never decided by this process, or its id is too old to be accepted.
 
 use crate::write_id::WriteId;
 use basalthill_policy::api::Time;
 use std::collections::BTreeMap;
 
-/// Slots of the expiry wheel in one window: entries stay up to a 64th of the window longer than needed.
+/// Number of slots of the expiry wheel per window. Entries are kept up to 1/64 of the window longer than
+/// needed.
 const SLOTS_PER_WINDOW: u64 = 64;
 
 /// The state of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WriteState {
-    /// A call for it is open, and no member has been assigned.
+    /// A call for the write is open, and no member has been assigned.
     Pending,
-    /// A member has been assigned, which may execute it.
+    /// A member has been assigned, and may execute the write.
     Assigned,
-    /// Every member that was assigned is proved not to have executed it.
+    /// All members that were assigned are proved not to have executed the write.
     NotExecuted,
-    /// It has executed, or nobody knows.
+    /// The write has executed, or its outcome is unknown.
     PossiblyExecuted,
 }
 
-/// The answer to a call for a write.
+/// The result of a call for a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is the first call for the write, which goes to the decisions.
+    /// This is the first call for the write, which is handed to the decision module.
     New,
-    /// Another call for the write waits for a member; one of them gets it.
+    /// Another call for the write waits for a member. One of the waiting calls gets it.
     Pending,
-    /// Everything decided for the write is proved not to have executed: it goes to the decisions as a retry.
+    /// All earlier attempts of the write are proved not to have executed: the write is handed to the decision
+    /// module as a retry.
     Retry,
-    /// The write was decided, and may execute or has executed. No further call gets a member for it.
+    /// A member was assigned to the write, which may execute or has executed. No further call gets a member
+    /// for it.
     Decided,
-    /// The write cannot be decided by its id.
+    /// The id of the write is not accepted.
     Unusable(UnusableId),
     /// The registry is full.
     Full {
-        /// After this time there is a free entry.
+        /// Time until an entry becomes free.
         retry_after: Time,
     },
 }
 
-/// Why nothing is known of a write by its id.
+/// The reason why the registry cannot tell whether the write of an id has been decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnusableId {
-    /// The id is older than the registry reaches back.
+    /// The id is older than the window in which ids are accepted.
     TooOld,
-    /// The id is older than this process, which does not know what was decided before.
+    /// The id was created before this process started, so that an earlier process may have decided the write.
     BeforeStart,
-    /// The id was created later than the skew between clocks allows.
+    /// The id was created later than now by more than the clock skew.
     InFuture,
 }
 
-/// The writes that have had their decision, and those that wait for it.
+/// The writes that have been decided and those that wait for a decision, by id.
 #[derive(Clone, Debug)]
 pub struct WriteRegistry {
     started_at: Time,
-    /// How long an id is accepted after its creation.
+    /// Time after the creation of an id during which the id is accepted.
     window: Time,
-    /// How far the clocks of those who create ids may be apart from this one.
+    /// Maximum difference between this router's clock and the clocks of the creators of ids.
     skew: Time,
     max_entries: usize,
     states: BTreeMap<WriteId, WriteState>,
-    /// Ids by the slot of their creation, oldest first: an entry is removed with its slot, and never moves.
+    /// The ids by the slot of their creation time, oldest first. An entry never changes its slot, and is
+    /// removed together with the slot.
     wheel: BTreeMap<u64, Vec<WriteId>>,
 }
 
 impl WriteRegistry {
-    /// The registry of a process that has just started, for at most `max_entries` ids at a time. An id is
-    /// accepted for `window` from its creation on.
+    /// Creates the registry of a process that has just started, for at most `max_entries` ids at a time. An
+    /// id is accepted for `window` after its creation.
     pub fn new(started_at: Time, window: Time, skew: Time, max_entries: usize) -> WriteRegistry {
         let window = Time(window.0.max(SLOTS_PER_WINDOW));
         WriteRegistry {
@@ -83,9 +87,9 @@
         }
     }
 
-    /// Removes entries whose ids are too old to be accepted.
+    /// Removes the entries whose ids are too old to be accepted.
     pub fn expire(&mut self, now: Time) {
-        // The last id of a slot must be out of its window, by any clock.
+        // A slot is removed only when even its newest id is out of its window, by any clock within the skew.
         let oldest_slot = self.slot(now.minus(self.window).minus(self.skew).minus(self.skew));
         while let Some(first) = self.wheel.first_entry().filter(|entry| *entry.key() < oldest_slot) {
             for id in first.remove() {
@@ -94,8 +98,9 @@
         }
     }
 
-    /// Judges a call for a write. After [`Verdict::New`] and [`Verdict::Retry`] the write is pending, until
-    /// [`WriteRegistry::assigned`], [`WriteRegistry::not_executed`] or [`WriteRegistry::possibly_executed`].
+    /// Decides on a call for a write. After [`Verdict::New`] and [`Verdict::Retry`] the write is pending
+    /// until [`WriteRegistry::assigned`], [`WriteRegistry::not_executed`] or
+    /// [`WriteRegistry::possibly_executed`] is called for it.
     pub fn admit(&mut self, now: Time, id: WriteId) -> Verdict {
         self.expire(now);
         if let Some(state) = self.states.get_mut(&id) {
@@ -119,32 +124,33 @@
         Verdict::New
     }
 
-    /// A member has been assigned to a write.
+    /// Records that a member has been assigned to a write.
     pub fn assigned(&mut self, id: WriteId) {
         self.set(id, WriteState::Assigned);
     }
 
-    /// A write has ended, and is proved not to have executed: no member was assigned, or none executed it.
+    /// Records that a write has completed and is proved not to have executed, because no member was assigned
+    /// or no assigned member executed it.
     pub fn not_executed(&mut self, id: WriteId) {
         self.set(id, WriteState::NotExecuted);
     }
 
-    /// A write has ended, and has executed or may do so.
+    /// Records that a write has completed, and has executed or may still execute.
     pub fn possibly_executed(&mut self, id: WriteId) {
         self.set(id, WriteState::PossiblyExecuted);
     }
 
-    /// How many writes are registered.
+    /// Returns the number of registered writes.
     pub fn len(&self) -> usize {
         self.states.len()
     }
 
-    /// Whether no write is registered.
+    /// Returns whether no write is registered.
     pub fn is_empty(&self) -> bool {
         self.states.is_empty()
     }
 
-    /// Why an id that is not registered is not accepted, if it is not.
+    /// Returns the reason why an unregistered id is not accepted, or `None` if it is accepted.
     fn unusable(&self, now: Time, id: WriteId) -> Option<UnusableId> {
         let created_at = id.created_at();
         if created_at > now.plus(self.skew) {
@@ -153,26 +159,27 @@
         if now.since(created_at) > self.window.plus(self.skew) {
             return Some(UnusableId::TooOld);
         }
-        // What an earlier process decided was created before this one started, by any clock.
+        // An id that an earlier process decided was created, by any clock, at most the skew after this
+        // process started.
         if created_at <= self.started_at.plus(self.skew) {
             return Some(UnusableId::BeforeStart);
         }
         None
     }
 
-    /// When the oldest slot is removed.
+    /// Returns the time at which the oldest slot is removed.
     fn first_expiry(&self) -> Time {
         let next_slot = self.wheel.first_key_value().map_or(0, |(slot, _)| slot + 1);
         let slot_end = Time(next_slot.saturating_mul(self.slot_span().0));
         slot_end.plus(self.window).plus(self.skew).plus(self.skew).plus(self.slot_span())
     }
 
-    /// The slot of a time.
+    /// Returns the slot of a time.
     fn slot(&self, at: Time) -> u64 {
         at.0 / self.slot_span().0
     }
 
-    /// The time that a slot covers.
+    /// Returns the span of time that a slot covers.
     fn slot_span(&self) -> Time {
         Time(self.window.0 / SLOTS_PER_WINDOW)
     }
--- a/crates/extproc/tests/coordinator.rs
+++ b/crates/extproc/tests/coordinator.rs
@@ -221,7 +221,7 @@
     router.request(4, WRITE, Some(write), 900);
     assert_eq!(router.last_reply(4), Some(ProxyReply::AlreadyDecided));
     assert_eq!(router.coordinator.usage(), usage(0, 0, 1));
-    assert_eq!(router.coordinator.take_stray_reports().unknown_lease, 1);
+    assert_eq!(router.coordinator.take_ignored_reports().unknown_lease, 1);
 }
 
 #[test]
--- a/crates/extproc/tests/lease_table.rs
+++ b/crates/extproc/tests/lease_table.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use basalthill_extproc::{EndedLease, Lease, LeaseId, LeaseOutcome, LeaseTable, StrayReports, StreamId};
+use basalthill_extproc::{EndedLease, IgnoredReports, Lease, LeaseId, LeaseOutcome, LeaseTable, StreamId};
 use basalthill_policy::api::{Attempt, MemberId, ReplicationState, RequestId, Status, Time};
 use common::{Numbers, START};
 use std::collections::{BTreeMap, BTreeSet};
@@ -49,7 +49,7 @@
     let id = leases.grant(lease(1, START, 500));
     assert_eq!(report(&mut leases, START, 2, id, LeaseOutcome::NotSent), None, "another stream's");
     assert_eq!(report(&mut leases, START, 1, LeaseId(999), LeaseOutcome::Served), None);
-    assert_eq!(leases.take_stray_reports(), StrayReports { unknown_lease: 7, other_stream: 1 });
+    assert_eq!(leases.take_ignored_reports(), IgnoredReports { unknown_lease: 7, other_stream: 1 });
     // Reported at the very moment of its expiry: it has timed out, and a late report proves nothing.
     let expires_at = START.plus(Time::ms(500));
     assert_eq!(report(&mut leases, expires_at, 1, id, LeaseOutcome::NotSent), None);
