--- a/crates/extproc/tests/coordinator.rs
+++ b/crates/extproc/tests/coordinator.rs
@@ -1,5 +1,6 @@
-//! The coordinator with the decision module behind it, before proxies that do whatever they like: they call
-//! twice, on several streams, close them, report late or under others' leases, and return after a restart.
+//! Tests of the coordinator together with the decision module. The proxies of the tests misbehave: they call
+//! for the same write twice or on several streams, close streams, report outcomes late or under leases of
+//! other streams, and call again after a restart of the router.
 
 mod common;
 
@@ -9,7 +10,7 @@
 };
 use basalthill_policy::api::*;
 use basalthill_policy::Policy;
-use common::{write_id, Numbers, START};
+use common::{write_id, RandomNumbers, START};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 const WRITE: ClassId = ClassId(0);
@@ -65,13 +66,13 @@
     reply: ProxyReply,
 }
 
-/// A router with its decision module and its coordinator.
+/// A router: its decision module and its coordinator.
 struct TestRouter {
     policy: Policy,
     coordinator: LeaseCoordinator,
     now: Time,
     timers: BTreeSet<(Time, u64)>,
-    /// All replies, in order.
+    /// All replies, in the order in which they were sent.
     replies: Vec<SentReply>,
     seed: u64,
 }
@@ -102,14 +103,14 @@
         router
     }
 
-    /// A router that started long ago.
+    /// Returns a router that started 1000 ms ago, so that ids created now are newer than its start.
     fn running() -> TestRouter {
         let mut router = TestRouter::new(START, 7);
-        router.pass(1000);
+        router.advance(1000);
         router
     }
 
-    /// Carries outputs to the decisions and their actions back, until nothing is left.
+    /// Passes events to the decision module and its actions to the coordinator until no output is left.
     fn handle(&mut self, outputs: Vec<Output>) {
         let mut queue = VecDeque::from(outputs);
         while let Some(output) = queue.pop_front() {
@@ -167,8 +168,8 @@
         self.handle(out);
     }
 
-    /// Lets time pass, and fires what becomes due.
-    fn pass(&mut self, ms: u64) {
+    /// Advances the time, and fires the timers and lease expiries that become due.
+    fn advance(&mut self, ms: u64) {
         let until = self.now.plus(Time::ms(ms));
         loop {
             let timer = self.timers.first().map(|(due, _)| *due);
@@ -186,12 +187,12 @@
         self.now = until;
     }
 
-    /// The last reply on a stream.
+    /// Returns the last reply on a stream.
     fn last_reply(&self, stream: u64) -> Option<ProxyReply> {
         self.replies.iter().rev().find(|sent| sent.stream == stream).map(|sent| sent.reply)
     }
 
-    /// The lease that a stream got last.
+    /// Returns the lease in the last reply on a stream.
     fn lease(&self, stream: u64) -> LeaseId {
         match self.last_reply(stream) {
             Some(ProxyReply::Member { lease, .. }) => lease,
@@ -213,7 +214,8 @@
     assert!(matches!(router.last_reply(1), Some(ProxyReply::Member { member: PRIMARY, .. })));
     router.request(2, WRITE, Some(write), 900);
     assert_eq!(router.last_reply(2), Some(ProxyReply::AlreadyDecided));
-    // Served: later calls get no member, and a second report of the first proxy changes nothing.
+    // After the write is served, later calls get no member, and a second report under the same lease has no
+    // effect.
     router.report(1, lease, LeaseOutcome::Served);
     router.request(3, WRITE, Some(write), 900);
     assert_eq!(router.last_reply(3), Some(ProxyReply::AlreadyDecided));
@@ -225,19 +227,20 @@
 }
 
 #[test]
-fn the_first_of_two_waiting_streams_gets_the_member_and_the_other_is_notified() {
+fn the_first_of_two_waiting_streams_gets_the_member_and_the_other_already_decided() {
     let mut router = TestRouter::running();
-    // Another write's stream is closed: the decisions queue writes until they have found a primary again.
+    // The stream of another write is closed: the decision module queues writes until it has found a primary
+    // again.
     router.request(1, WRITE, Some(write_id(router.now, 1)), 900);
     router.close(1);
     let write = write_id(router.now, 2);
     router.request(2, WRITE, Some(write), 1400);
     router.request(3, WRITE, Some(write), 1400);
     assert_eq!((router.last_reply(2), router.last_reply(3)), (None, None), "queued");
-    router.pass(300);
+    router.advance(300);
     router.lease(2);
     assert_eq!(router.last_reply(3), Some(ProxyReply::AlreadyDecided));
-    // Closing the stream that has its final reply leaves the other's lease as it is.
+    // Closing the stream that has got its final reply does not affect the lease of the other stream.
     router.close(3);
     assert_eq!(router.coordinator.usage().leases, 1);
 }
@@ -248,21 +251,21 @@
     let write = write_id(router.now, 1);
     router.request(1, WRITE, Some(write), 900);
     router.report(1, router.lease(1), LeaseOutcome::ConnectFailed);
-    router.pass(300);
+    router.advance(300);
     let second = router.lease(1);
     let members = router.replies.iter().filter(|sent| matches!(sent.reply, ProxyReply::Member { .. }));
-    assert_eq!(members.count(), 2, "a retry");
+    assert_eq!(members.count(), 2, "the write is retried once");
     router.request(2, WRITE, Some(write), 900);
     assert_eq!(router.last_reply(2), Some(ProxyReply::AlreadyDecided), "while the retry is in flight");
     router.report(1, second, LeaseOutcome::NotSent);
     router.close(1);
     router.request(3, WRITE, Some(write), 900);
-    router.pass(300);
+    router.advance(300);
     router.lease(3);
 }
 
 #[test]
-fn a_stream_closed_with_a_lease_leaves_its_write_uncertain_and_one_without_does_not() {
+fn a_write_whose_stream_closed_or_whose_lease_expired_is_not_assigned_again() {
     let mut router = TestRouter::running();
     let write = write_id(router.now, 1);
     router.request(1, WRITE, Some(write), 900);
@@ -271,24 +274,25 @@
     assert_eq!(
         router.last_reply(2),
         Some(ProxyReply::AlreadyDecided),
-        "it may have been sent, or may be yet"
+        "the write may have been sent, or may still be sent"
     );
-    // A lease expires, reported or not. Another router: the first one's decisions suspect their primary.
+    // A lease expires, and the outcome is reported too late. This needs a new router, because the decision
+    // module of the first one now suspects its primary.
     router = TestRouter::running();
     let write = write_id(router.now, 2);
     router.request(3, WRITE, Some(write), 500);
     let lease = router.lease(3);
-    router.pass(600);
-    assert_eq!(router.last_reply(3), Some(ProxyReply::Failed), "it may execute");
+    router.advance(600);
+    assert_eq!(router.last_reply(3), Some(ProxyReply::Failed), "the write may execute");
     router.report(3, lease, LeaseOutcome::NotSent);
     router.request(4, WRITE, Some(write), 900);
     assert_eq!(router.last_reply(4), Some(ProxyReply::AlreadyDecided), "a late report proves nothing");
-    router.pass(2000);
+    router.advance(2000);
     assert_eq!(router.coordinator.usage().open_calls, 0);
 }
 
 #[test]
-fn undecidable_calls_are_rejected_at_once_with_the_reason() {
+fn invalid_calls_are_rejected_at_once_with_the_reason_and_open_calls_are_bounded() {
     let mut router = TestRouter::running();
     let now = router.now;
     let id_at = |created_at| Some(write_id(created_at, 1));
@@ -309,8 +313,8 @@
     router.lease(50);
     router.request(50, READ, None, 900);
     let busy = ProxyReply::Invalid(RejectReason::StreamBusy);
-    assert_eq!(router.last_reply(50), Some(busy), "one call a stream");
-    // Open calls are bounded, and end with their deadlines.
+    assert_eq!(router.last_reply(50), Some(busy), "a stream has one open call");
+    // The number of open calls is limited, and calls are completed by their deadlines.
     for stream in 100..200 {
         router.request(stream, READ, None, 900);
     }
@@ -318,33 +322,33 @@
     let rejected = (100..200).filter(|stream| router.last_reply(*stream) == rejection).count();
     let in_use = router.coordinator.usage();
     assert!(rejected >= 40 && in_use.open_calls <= LIMITS.max_open_calls, "{rejected}, {in_use:?}");
-    router.pass(3000);
+    router.advance(3000);
     assert_eq!(router.coordinator.usage(), usage(0, 0, 0));
 }
 
-/// Proxies that do whatever they like, and what is true of each of their writes.
-struct UnrulyProxies {
-    random: Numbers,
+/// Proxies that make random calls and reports, and how often each of their writes may have executed.
+struct RandomProxies {
+    random: RandomNumbers,
     router: TestRouter,
-    /// Of each write, across restarts: how many members were assigned that may have executed it.
+    /// For each write, across restarts: the number of assigned members that may have executed it.
     possible_executions: BTreeMap<WriteId, i32>,
     writes: Vec<WriteId>,
-    /// What each stream called for; none is a read.
+    /// The write that each stream called for, or `None` for a read.
     calls: BTreeMap<u64, Option<WriteId>>,
     /// The streams that have a lease.
     leases: BTreeMap<u64, LeaseId>,
     last_stream: u64,
-    /// Replies that have been looked at.
+    /// Number of replies that have been checked.
     replies_seen: usize,
     members_assigned: u32,
     retries: i32,
     restarts: u32,
 }
 
-impl UnrulyProxies {
-    fn new() -> UnrulyProxies {
-        UnrulyProxies {
-            random: Numbers::with_seed(18),
+impl RandomProxies {
+    fn new() -> RandomProxies {
+        RandomProxies {
+            random: RandomNumbers::with_seed(18),
             router: TestRouter::running(),
             possible_executions: BTreeMap::new(),
             writes: Vec::new(),
@@ -366,7 +370,7 @@
             16 if self.random.below(60) == 0 => self.restart(),
             _ => {
                 let ms = self.random.below(40);
-                self.router.pass(ms);
+                self.router.advance(ms);
             }
         }
         self.check_replies(step);
@@ -375,7 +379,7 @@
         assert!(in_use.remembered_writes <= LIMITS.max_remembered_writes);
     }
 
-    /// A read, a new write or one of the last thirty writes, on a new stream.
+    /// Calls for a read, a new write or one of the last thirty writes, on a new stream.
     fn call(&mut self, step: u64) {
         self.last_stream += 1;
         let is_write = self.random.below(3) > 0;
@@ -396,7 +400,8 @@
         self.router.request(self.last_stream, if is_write { WRITE } else { READ }, write, timeout_ms);
     }
 
-    /// Any outcome of any lease, now and then on another stream than the lease's.
+    /// Reports a random outcome under a random lease, in one of eight cases on another stream than the
+    /// lease's.
     fn report(&mut self) {
         let nth = self.random.below(self.leases.len() as u64) as usize;
         let (stream, lease) = self.leases.iter().nth(nth).map(|(stream, lease)| (*stream, *lease)).unwrap();
@@ -412,7 +417,8 @@
         let outcome = outcomes[self.random.below(7) as usize];
         let reported_on = if self.random.below(8) == 0 { stream + 1 } else { stream };
         if reported_on == stream {
-            // The lease has not ended, so the report counts; a proof rules the execution out.
+            // The lease has not ended, so the report is accepted. If it proves that the write has not
+            // executed, the execution is not possible any more.
             if let Some(write) = self.calls[&stream].filter(|_| outcome.status().proves_not_executed()) {
                 *self.possible_executions.entry(write).or_default() -= 1;
             }
@@ -446,7 +452,7 @@
             self.members_assigned += 1;
             if let Some(write) = self.calls[&stream] {
                 let executions = self.possible_executions.entry(write).or_default();
-                assert_eq!(*executions, 0, "step {step}: {write:?} is assigned again while it may execute");
+                assert_eq!(*executions, 0, "step {step}: {write:?} was assigned again while it may execute");
                 self.retries += i32::from(self.writes.last() != Some(&write));
                 *executions += 1;
             }
@@ -457,15 +463,15 @@
 }
 
 #[test]
-fn no_write_is_decided_twice_whatever_proxies_do_and_across_restarts() {
-    let mut proxies = UnrulyProxies::new();
+fn no_write_is_assigned_again_while_it_may_execute_under_random_calls_and_restarts() {
+    let mut proxies = RandomProxies::new();
     for step in 0..50_000 {
         proxies.step(step);
     }
-    let UnrulyProxies { members_assigned, retries, restarts, .. } = proxies;
-    println!("{members_assigned} members, {retries} of them for earlier writes, {restarts} restarts");
+    let RandomProxies { members_assigned, retries, restarts, .. } = proxies;
+    println!("{members_assigned} members assigned, {retries} of them to earlier writes; {restarts} restarts");
     assert!(members_assigned > 5000 && retries > 100 && restarts > 5);
-    proxies.router.pass(3000);
+    proxies.router.advance(3000);
     let in_use = proxies.router.coordinator.usage();
     assert_eq!((in_use.open_calls, in_use.leases), (0, 0));
 }
--- a/crates/extproc/tests/instance_owners.rs
+++ b/crates/extproc/tests/instance_owners.rs
@@ -1,4 +1,4 @@
-//! Which instance decides a write, as lists of instances change.
+//! Owners of writes when the list of instances changes.
 
 mod common;
 
@@ -24,10 +24,14 @@
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
     let mut moved = 0;
     for n in 0..4000 {
-        assert_eq!(before.owner(id(4999, n)), after.owner(id(4999, n)), "created before the change");
+        assert_eq!(
+            before.owner(id(4999, n)),
+            after.owner(id(4999, n)),
+            "the id was created before the change"
+        );
         let old = before.owner(id(5000, n)).unwrap();
         let new = after.owner(id(5000, n)).unwrap();
-        assert!(old == new || new == "d", "only to the instance that was added");
+        assert!(old == new || new == "d", "an id may only move to the added instance");
         moved += u32::from(old != new);
         *counts.entry(new.to_string()).or_default() += 1;
     }
@@ -35,5 +39,5 @@
     assert_eq!(moved, counts["d"]);
     assert_eq!(InstanceOwners::default().owner(id(1, 1)), None);
     let owners = InstanceOwners::new(vec![list(1000, &["a"])]);
-    assert_eq!(owners.owner(id(999, 1)), None, "before any list");
+    assert_eq!(owners.owner(id(999, 1)), None, "the id was created before the first list became valid");
 }
--- a/crates/extproc/tests/lease_table.rs
+++ b/crates/extproc/tests/lease_table.rs
@@ -1,10 +1,10 @@
-//! How leases end.
+//! The ways in which leases end, and the status of each.
 
 mod common;
 
 use basalthill_extproc::{EndedLease, IgnoredReports, Lease, LeaseId, LeaseOutcome, LeaseTable, StreamId};
 use basalthill_policy::api::{Attempt, MemberId, ReplicationState, RequestId, Status, Time};
-use common::{Numbers, START};
+use common::{RandomNumbers, START};
 use std::collections::{BTreeMap, BTreeSet};
 
 fn lease(stream: u64, granted_at: Time, ms: u64) -> Lease {
@@ -18,7 +18,7 @@
     }
 }
 
-/// A report on a stream, without anything of the member's replication.
+/// Reports an outcome on a stream, without a replication state of the member.
 fn report(
     leases: &mut LeaseTable,
     now: Time,
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn each_way_to_end_a_lease_has_one_status_and_proves_what_the_design_note_states() {
+fn each_lease_end_yields_the_documented_status_and_proof_of_non_execution() {
     let outcomes = [
         (LeaseOutcome::Served, Status::Ok, false),
         (LeaseOutcome::Misdirected, Status::Misdirected, true),
@@ -44,13 +44,17 @@
         let id = leases.grant(lease(1, START, 500));
         let ended = report(&mut leases, START, 1, id, outcome).unwrap();
         assert_eq!((ended.status, ended.status.proves_not_executed()), (status, not_executed), "{outcome:?}");
-        assert_eq!(report(&mut leases, START, 1, id, outcome), None, "once");
+        assert_eq!(report(&mut leases, START, 1, id, outcome), None, "a lease ends only once");
     }
     let id = leases.grant(lease(1, START, 500));
-    assert_eq!(report(&mut leases, START, 2, id, LeaseOutcome::NotSent), None, "another stream's");
+    assert_eq!(
+        report(&mut leases, START, 2, id, LeaseOutcome::NotSent),
+        None,
+        "the lease belongs to another stream"
+    );
     assert_eq!(report(&mut leases, START, 1, LeaseId(999), LeaseOutcome::Served), None);
     assert_eq!(leases.take_ignored_reports(), IgnoredReports { unknown_lease: 7, other_stream: 1 });
-    // Reported at the very moment of its expiry: it has timed out, and a late report proves nothing.
+    // A report at the time of expiry is too late: the lease has timed out, and the report proves nothing.
     let expires_at = START.plus(Time::ms(500));
     assert_eq!(report(&mut leases, expires_at, 1, id, LeaseOutcome::NotSent), None);
     let expired = leases.expire(expires_at);
@@ -65,7 +69,7 @@
 
 #[test]
 fn each_lease_ends_once_and_none_outlives_its_expiry() {
-    let mut random = Numbers::with_seed(5);
+    let mut random = RandomNumbers::with_seed(5);
     let mut leases = LeaseTable::default();
     let mut now = START;
     let mut granted: BTreeMap<LeaseId, Lease> = BTreeMap::new();
@@ -89,9 +93,9 @@
             _ => leases.expire(now),
         };
         for end in just_ended {
-            assert!(ended.insert(end.lease.request), "ended twice: {end:?}");
-            let may_be_late = end.status == Status::Timeout || end.status == Status::Reset;
-            assert!(may_be_late || now < end.lease.expires_at);
+            assert!(ended.insert(end.lease.request), "the lease ended twice: {end:?}");
+            let may_end_at_expiry = end.status == Status::Timeout || end.status == Status::Reset;
+            assert!(may_end_at_expiry || now < end.lease.expires_at);
         }
         assert_eq!(leases.len() + ended.len(), granted.len());
     }
--- a/crates/extproc/tests/write_id.rs
+++ b/crates/extproc/tests/write_id.rs
@@ -1,4 +1,4 @@
-//! The text form of ids.
+//! Parsing of the text form of write ids.
 
 use basalthill_extproc::WriteId;
 use basalthill_policy::api::Time;
@@ -19,6 +19,14 @@
         other[n] = if text[n] == b'-' { b'0' } else { b'-' };
         assert_eq!(WriteId::parse(&other), None, "byte {n}");
     }
-    assert_eq!(WriteId::parse(b"019438fa-2a7b-4cde-8f01-23456789abcd"), None, "version 4 has no time");
-    assert_eq!(WriteId::parse(b"019438fa-2a7b-7cde-cf01-23456789abcd"), None, "another variant");
+    assert_eq!(
+        WriteId::parse(b"019438fa-2a7b-4cde-8f01-23456789abcd"),
+        None,
+        "UUIDs of version 4 have no timestamp"
+    );
+    assert_eq!(
+        WriteId::parse(b"019438fa-2a7b-7cde-cf01-23456789abcd"),
+        None,
+        "a variant other than that of RFC 9562"
+    );
 }
--- a/crates/extproc/tests/write_registry.rs
+++ b/crates/extproc/tests/write_registry.rs
@@ -1,4 +1,5 @@
-//! The registry of decided writes, against a model that knows everything across restarts of the process.
+//! Tests of the registry of writes, one of them against a model that records the actual state of each write
+//! across restarts of the process.
 
 mod common;
 
@@ -11,7 +12,7 @@
 
 const WINDOW: Time = Time::ms(10_000);
 const SKEW: Time = Time::ms(50);
-/// Entries of the registry that is played against the model.
+/// Maximum number of entries of the registry that is checked against the model.
 const MODEL_ENTRIES: usize = 6;
 
 fn at(ms: u64) -> Time {
@@ -27,9 +28,13 @@
     let mut registry = registry(100);
     let write = write_id(at(1000), 1);
     assert_eq!(registry.admit(at(1010), write), Verdict::New);
-    assert_eq!(registry.admit(at(1011), write), Verdict::Pending, "two proxies at once");
+    assert_eq!(
+        registry.admit(at(1011), write),
+        Verdict::Pending,
+        "a second call while the first waits for a member"
+    );
     registry.assigned(write);
-    assert_eq!(registry.admit(at(1020), write), Verdict::Decided, "before the reply is sent, and after");
+    assert_eq!(registry.admit(at(1020), write), Verdict::Decided, "a call after a member was assigned");
     registry.not_executed(write);
     assert_eq!(registry.admit(at(1030), write), Verdict::Retry);
     assert_eq!(registry.admit(at(1031), write), Verdict::Pending);
@@ -51,7 +56,11 @@
     let mut registry = registry(100);
     let before_start = Verdict::Unusable(UnusableId::BeforeStart);
     assert_eq!(registry.admit(at(10), write_id(at(0), 1)), before_start);
-    assert_eq!(registry.admit(at(10), write_id(at(50), 2)), before_start, "within the skew of the clocks");
+    assert_eq!(
+        registry.admit(at(10), write_id(at(50), 2)),
+        before_start,
+        "the id is newer than the start by no more than the skew"
+    );
     assert_eq!(registry.admit(at(10), write_id(at(60), 3)), Verdict::New);
     let in_future = Verdict::Unusable(UnusableId::InFuture);
     assert_eq!(registry.admit(at(100), write_id(at(151), 4)), in_future);
@@ -74,29 +83,34 @@
     };
     assert!(writes.iter().all(|write| registry.admit(at(2000), *write) == Verdict::Decided));
     let then = at(2000).plus(retry_after);
-    assert_eq!(registry.admit(then, write_id(then, 100)), Verdict::New, "an entry is free by then");
+    assert_eq!(
+        registry.admit(then, write_id(then, 100)),
+        Verdict::New,
+        "an entry is free after the given time"
+    );
     assert!(retry_after < WINDOW.plus(Time::ms(500)), "{retry_after:?}");
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Time passes, in milliseconds.
-    Pass(u16),
-    /// A call for a write, by its number. A new one was created so many milliseconds ago, or ahead.
+    /// Advances the time, in milliseconds.
+    AdvanceTime(u16),
+    /// Calls for a write, by its number. The id of a new write was created `age_ms` ago, or is in the future
+    /// if that is negative.
     Request { write: u8, age_ms: i16 },
-    /// A member is assigned.
+    /// Assigns a member to a write.
     Assign(u8),
-    /// The decisions reject it.
+    /// Rejects a write that waits for a member.
     Reject(u8),
-    /// The assigned attempt ends.
+    /// Ends the assigned attempt of a write.
     End { write: u8, not_executed: bool },
-    /// The process restarts.
+    /// Restarts the process.
     Restart,
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
-        3 => (0..3000u16).prop_map(Step::Pass),
+        3 => (0..3000u16).prop_map(Step::AdvanceTime),
         8 => (0..12u8, -60..400i16).prop_map(|(write, age_ms)| Step::Request { write, age_ms }),
         3 => (0..12u8).prop_map(Step::Assign),
         1 => (0..12u8).prop_map(Step::Reject),
@@ -106,26 +120,26 @@
     prop::collection::vec(step, 1..120)
 }
 
-/// What is true of a write, whoever knows it.
+/// The actual state of a write, which the registry may not know.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Truth {
-    /// It waits for a member, in the process of this number.
+enum ActualState {
+    /// The write waits for a member, in the process with this number.
     Pending(u32),
-    /// A member is assigned and the attempt has not ended, in the process of this number.
+    /// A member is assigned and the attempt has not ended, in the process with this number.
     Assigned(u32),
-    /// It may have executed.
+    /// The write may have executed.
     PossiblyExecuted,
-    /// It was never assigned, or is proved not to have executed.
+    /// No member was ever assigned to the write, or it is proved not to have executed.
     NotExecuted,
 }
 
-/// The registry, and what is true of each write that was ever requested.
+/// The registry, and the actual state of each write that was ever requested.
 struct Model {
     now: Time,
-    /// The number of the process: restarts so far.
+    /// The number of the process, which is the number of restarts so far.
     process: u32,
     registry: WriteRegistry,
-    writes: BTreeMap<u8, (WriteId, Truth)>,
+    writes: BTreeMap<u8, (WriteId, ActualState)>,
 }
 
 impl Model {
@@ -137,27 +151,34 @@
     fn step(&mut self, step: Step) -> Result<(), TestCaseError> {
         self.now = self.now.plus(Time::ms(1));
         match step {
-            Step::Pass(ms) => self.now = self.now.plus(Time::ms(u64::from(ms))),
+            Step::AdvanceTime(ms) => self.now = self.now.plus(Time::ms(u64::from(ms))),
             Step::Request { write, age_ms } => self.request(write, age_ms)?,
             Step::Assign(write) => {
-                if let Some(id) =
-                    self.replace(write, Truth::Pending(self.process), Truth::Assigned(self.process))
-                {
+                if let Some(id) = self.replace(
+                    write,
+                    ActualState::Pending(self.process),
+                    ActualState::Assigned(self.process),
+                ) {
                     self.registry.assigned(id);
                 }
             }
             Step::Reject(write) => {
-                if let Some(id) = self.replace(write, Truth::Pending(self.process), Truth::NotExecuted) {
+                if let Some(id) =
+                    self.replace(write, ActualState::Pending(self.process), ActualState::NotExecuted)
+                {
                     self.registry.not_executed(id);
                 }
             }
             Step::End { write, not_executed: true } => {
-                if let Some(id) = self.replace(write, Truth::Assigned(self.process), Truth::NotExecuted) {
+                if let Some(id) =
+                    self.replace(write, ActualState::Assigned(self.process), ActualState::NotExecuted)
+                {
                     self.registry.not_executed(id);
                 }
             }
             Step::End { write, not_executed: false } => {
-                if let Some(id) = self.replace(write, Truth::Assigned(self.process), Truth::PossiblyExecuted)
+                if let Some(id) =
+                    self.replace(write, ActualState::Assigned(self.process), ActualState::PossiblyExecuted)
                 {
                     self.registry.possibly_executed(id);
                 }
@@ -169,36 +190,38 @@
 
     fn request(&mut self, write: u8, age_ms: i16) -> Result<(), TestCaseError> {
         let created_at = Time((self.now.0 as i64 - i64::from(age_ms) * 1_000_000) as u64);
-        let new = (write_id(created_at, u64::from(write)), Truth::NotExecuted);
-        let (id, truth) = self.writes.entry(write).or_insert(new);
+        let new = (write_id(created_at, u64::from(write)), ActualState::NotExecuted);
+        let (id, actual) = self.writes.entry(write).or_insert(new);
         let verdict = self.registry.admit(self.now, *id);
         match verdict {
             Verdict::New | Verdict::Retry => {
-                prop_assert_eq!(*truth, Truth::NotExecuted, "{:?} of {}", verdict, write);
-                *truth = Truth::Pending(self.process);
+                prop_assert_eq!(*actual, ActualState::NotExecuted, "{:?} of {}", verdict, write);
+                *actual = ActualState::Pending(self.process);
             }
-            Verdict::Pending => prop_assert_eq!(*truth, Truth::Pending(self.process)),
+            Verdict::Pending => prop_assert_eq!(*actual, ActualState::Pending(self.process)),
             _ => {}
         }
         prop_assert!(self.registry.len() <= MODEL_ENTRIES);
         Ok(())
     }
 
-    /// Changes the truth of a write from one to another; its id, if it was the first.
-    fn replace(&mut self, write: u8, from: Truth, to: Truth) -> Option<WriteId> {
-        let (id, truth) = self.writes.get_mut(&write).filter(|(_, truth)| *truth == from)?;
-        *truth = to;
+    /// Changes the actual state of a write from `from` to `to`. Returns the write's id, or `None` if its
+    /// state was not `from`.
+    fn replace(&mut self, write: u8, from: ActualState, to: ActualState) -> Option<WriteId> {
+        let (id, actual) = self.writes.get_mut(&write).filter(|(_, actual)| *actual == from)?;
+        *actual = to;
         Some(*id)
     }
 
     fn restart(&mut self) {
         self.process += 1;
         self.registry = WriteRegistry::new(self.now, WINDOW, SKEW, MODEL_ENTRIES);
-        // What waited for a member in the last process never got one; what was assigned may execute.
-        for (_, truth) in self.writes.values_mut() {
-            *truth = match *truth {
-                Truth::Assigned(_) => Truth::PossiblyExecuted,
-                Truth::Pending(_) => Truth::NotExecuted,
+        // A write that waited for a member in the last process never got one. A write with an assigned member
+        // may execute.
+        for (_, actual) in self.writes.values_mut() {
+            *actual = match *actual {
+                ActualState::Assigned(_) => ActualState::PossiblyExecuted,
+                ActualState::Pending(_) => ActualState::NotExecuted,
                 other => other,
             };
         }
@@ -206,19 +229,20 @@
 }
 
 #[test]
-fn no_process_decides_a_write_that_an_earlier_one_may_have_executed() {
+fn no_process_decides_a_write_that_an_earlier_process_may_have_executed() {
     let config = Config { cases: 1000, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[18; 32]));
     let decisions = std::cell::Cell::new(0u32);
-    let played = runner.run(&steps(), |steps| {
+    let result = runner.run(&steps(), |steps| {
         let mut model = Model::new();
         for step in steps {
             model.step(step)?;
         }
-        let decided = model.writes.values().filter(|(_, truth)| *truth != Truth::NotExecuted).count() as u32;
+        let decided =
+            model.writes.values().filter(|(_, actual)| *actual != ActualState::NotExecuted).count() as u32;
         decisions.set(decisions.get() + decided);
         Ok(())
     });
-    assert_eq!(played.map_err(|error| error.to_string()), Ok(()));
+    assert_eq!(result.map_err(|error| error.to_string()), Ok(()));
     assert!(decisions.get() > 500, "{}", decisions.get());
 }
--- a/crates/session/tests/common/mod.rs
+++ b/crates/session/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Set-up for the tests of this crate.
-#![allow(dead_code)] // each test binary uses a part of it
+//! Shared set-up of the tests of this crate.
+#![allow(dead_code)] // each test binary uses only a part of this module
 
 use basalthill_policy::api::{GroupId, SessionKey, Time};
 use basalthill_session::token::SessionIdentity;
@@ -7,22 +7,22 @@
     DefaultFloor, PlatformFloors, SessionConfig, SessionRequest, Sessions, TokenDelivery,
 };
 
-/// When routers start (Unix time).
+/// The time at which routers start (Unix time).
 pub const START: Time = Time::ms(1_767_225_600_000);
-/// The group of all requests.
+/// The group of the requests, in tests with a single group.
 pub const GROUP: GroupId = GroupId(1);
 pub const DAY: Time = Time::ms(86_400_000);
-/// The skew of [`config`].
+/// The clock skew in [`config`].
 pub const SKEW: Time = Time::ms(5);
-/// Bytes of the routers' tables: 64 buckets of seven sessions.
+/// Size of the routers' floor tables, in bytes: 64 buckets of seven sessions.
 pub const TABLE_BYTES: usize = 1 << 12;
 
-/// A time after [`START`].
+/// Returns the time `ms` milliseconds after [`START`].
 pub fn at(ms: u64) -> Time {
     START.plus(Time::ms(ms))
 }
 
-/// A configuration without tokens, whose writes of unknown outcome settle at once.
+/// Returns a configuration without tokens and with a settle time of zero.
 pub fn config(default_floor: DefaultFloor) -> SessionConfig {
     SessionConfig {
         default_floor,
@@ -35,18 +35,18 @@
     }
 }
 
-/// A router that starts now.
+/// Returns the sessions of a router that starts at `now`.
 pub fn router(now: Time, config: SessionConfig) -> Sessions {
     Sessions::new(now, PlatformFloors::FromRequest, Some(config), TABLE_BYTES, 5)
 }
 
-/// A request of a session that names no floor.
+/// Returns a request of a session that has neither a token nor an `after` position.
 pub fn request(group: GroupId, session: u64, accepted_at: Time) -> SessionRequest<'static> {
     let identity = SessionIdentity { name: b"", key: SessionKey(session) };
     SessionRequest { identity, group, after: None, tokens: &[], accepted_at }
 }
 
-/// A write that arrives, commits and is answered at one time.
+/// Handles a write that arrives, commits and is served at the time `commit`.
 pub fn settled_write(sessions: &mut Sessions, group: GroupId, session: u64, commit: Time) {
     let request = request(group, session, commit);
     let mut tracked = sessions.begin_request(commit, &request, true);
@@ -54,7 +54,7 @@
     sessions.end_request(commit, group, &tracked);
 }
 
-/// The floor of a session's read on a new connection.
+/// Returns the floor of a session's read on a new connection.
 pub fn read_floor(sessions: &mut Sessions, now: Time, group: GroupId, session: u64) -> Time {
     let request = request(group, session, now);
     let tracked = sessions.begin_request(now, &request, false);
--- a/crates/session/tests/floor_table.rs
+++ b/crates/session/tests/floor_table.rs
@@ -1,4 +1,4 @@
-//! The table of session floors, alone.
+//! Tests of the table of session floors.
 
 mod common;
 
@@ -11,7 +11,7 @@
 
 #[test]
 fn eviction_raises_floors_and_never_lowers_one() {
-    // Ten times more sessions than there are slots.
+    // 1100 sessions in three groups, for 112 slots.
     let mut table = FloorTable::new(START, 16 * BUCKET_BYTES, 3);
     let mut written = BTreeMap::new();
     let mut evictions = 0;
@@ -20,7 +20,8 @@
         let random = numbers.next_u64();
         let group = GroupId((random % 3) as u32);
         let session = SessionKey(random % 1100);
-        // Mostly later and later, and some as old as any.
+        // Most commits are later than all earlier ones. Every eleventh is at a random time in the first
+        // second.
         let commit = START.plus(Time::ms(if n % 11 == 0 { random % 1000 } else { n }));
         table.raise(group, session, commit);
         let last = written.entry((group, session)).or_insert(commit);
@@ -33,14 +34,14 @@
             }
         }
     }
-    assert!(evictions > 1000, "the table did overflow: {evictions}");
+    assert!(evictions > 1000, "only {evictions} evictions raised a shared floor");
     assert_eq!(table.bytes(), 16 * BUCKET_BYTES);
-    // The newest have slots of their own, and what is evicted is older than all that have.
+    // The newest session has a slot of its own, and the shared floor of evicted sessions is older.
     let newest = written.values().max().unwrap();
     let ((group, session), _) = written.iter().find(|(_, commit)| *commit == newest).unwrap();
     let entry = table.get(*group, *session);
     assert_eq!(entry.exact, Some(*newest));
-    assert!(entry.evicted < newest.minus(Time::ms(50)), "the oldest are evicted");
+    assert!(entry.evicted < newest.minus(Time::ms(50)), "the lowest floors are evicted first");
 }
 
 #[test]
@@ -50,7 +51,7 @@
     table.raise(GROUP, SessionKey(1), START.minus(DAY));
     table.raise(GROUP, SessionKey(2), month_before);
     let old = table.get(GROUP, SessionKey(2)).exact.unwrap();
-    assert!(old >= month_before, "older than the table can tell apart: raised");
+    assert!(old >= month_before, "a floor older than 12 days is raised to the first tick");
     assert!(old < table.get(GROUP, SessionKey(1)).exact.unwrap());
     for day in 1..120u64 {
         let now = START.plus(Time(DAY.0 * day));
--- a/crates/session/tests/model.rs
+++ b/crates/session/tests/model.rs
@@ -1,5 +1,6 @@
-//! Floors against a model: the commits of one primary, and sessions that write and read through routers that
-//! are killed and restarted, over connections of each kind. What a read must see is known to the model alone.
+//! Checks the floors of reads against a model. Sessions write and read through several routers that are
+//! killed and restarted. The model records the commits of all writes, also of those whose outcome the routers
+//! do not know, so it can tell which position each read must see at least.
 
 use basalthill_policy::api::{GroupId, SessionKey, Time};
 use basalthill_session::token::{Key, KeyId, KeyRing, SessionIdentity};
@@ -14,43 +15,44 @@
 const SETTLE_TIME: Time = Time::ms(2000);
 const ROUTERS: usize = 3;
 const SESSIONS: usize = 4;
-/// Bytes of a table that evicts nothing here, and of one that evicts nearly everything.
+/// Sizes of floor tables, in bytes: one that evicts nothing in these tests, and one that evicts nearly all
+/// sessions.
 const TABLE_SIZES: [usize; 2] = [1 << 14, 0];
 
-/// How sessions connect.
+/// The way in which sessions connect to routers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Connecting {
-    /// One connection at a time, closed before the next.
+enum ConnectionPattern {
+    /// A session has one connection at a time, and closes it before it opens the next.
     OneAtATime,
-    /// One connection to each router, left open and used by all sessions.
+    /// All sessions share one connection to each router, which stays open.
     Pooled,
-    /// The same, and the client sends its tokens back.
+    /// Like `Pooled`, and the client sends the latest token of the session with each request.
     PooledWithTokens,
-    /// Always to the same router, over any connection.
+    /// A session always connects to the same router, with a new connection for each request.
     OneRouter,
 }
 
-/// How a write ends.
+/// The outcome of a write.
 #[derive(Clone, Copy, Debug)]
-enum WriteEnd {
-    Answered,
-    /// The router survives; it does not know the outcome.
-    AnswerLost,
+enum WriteOutcome {
+    Served,
+    /// The host's response is lost: the router keeps running and does not know the outcome.
+    ResponseLost,
     RouterKilled,
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Time passes, in milliseconds.
-    Pass(u16),
-    /// A session goes to another router.
+    /// Advances the time, in milliseconds.
+    AdvanceTime(u16),
+    /// A session connects to another router.
     Move { session: u8, router: u8 },
-    /// A session writes in a group. A write that is not answered commits so many milliseconds after it was
-    /// sent, or never.
-    Write { session: u8, group: u8, end: WriteEnd, commit_ms: Option<u16> },
+    /// A session writes in a group. A write that is not served commits `commit_ms` after it was sent, or
+    /// never if that is `None`.
+    Write { session: u8, group: u8, outcome: WriteOutcome, commit_ms: Option<u16> },
     /// A session reads in a group.
     Read { session: u8, group: u8 },
-    /// A router is killed and starts again.
+    /// A router is killed and restarted.
     Kill(u8),
 }
 
@@ -58,17 +60,21 @@
     let session = 0..SESSIONS as u8;
     let router = 0..ROUTERS as u8;
     let group = 0..12u8;
-    let end = (0..8u8).prop_map(|n| match n {
-        0 | 1 => WriteEnd::AnswerLost,
-        2 => WriteEnd::RouterKilled,
-        _ => WriteEnd::Answered,
+    let outcome = (0..8u8).prop_map(|n| match n {
+        0 | 1 => WriteOutcome::ResponseLost,
+        2 => WriteOutcome::RouterKilled,
+        _ => WriteOutcome::Served,
     });
     let commit_ms = prop::option::weighted(0.8, 0..(SETTLE_TIME.0 / 1_000_000) as u16);
-    let write = (session.clone(), group.clone(), end, commit_ms);
-    let write =
-        write.prop_map(|(session, group, end, commit_ms)| Step::Write { session, group, end, commit_ms });
+    let write = (session.clone(), group.clone(), outcome, commit_ms);
+    let write = write.prop_map(|(session, group, outcome, commit_ms)| Step::Write {
+        session,
+        group,
+        outcome,
+        commit_ms,
+    });
     let step = prop_oneof![
-        3 => (0..1500u16).prop_map(Step::Pass),
+        3 => (0..1500u16).prop_map(Step::AdvanceTime),
         2 => (session.clone(), router.clone()).prop_map(|(session, router)| Step::Move { session, router }),
         3 => write,
         4 => (session, group).prop_map(|(session, group)| Step::Read { session, group }),
@@ -77,7 +83,7 @@
     prop::collection::vec(step, 1..80)
 }
 
-/// Where a session is connected, and since when.
+/// The connection of a session to a router.
 #[derive(Clone, Copy)]
 struct Connection {
     router: usize,
@@ -85,24 +91,24 @@
 }
 
 struct Model {
-    connecting: Connecting,
+    pattern: ConnectionPattern,
     now: Time,
     config: SessionConfig,
     routers: Vec<Sessions>,
     started_at: Vec<Time>,
     connections: Vec<Connection>,
     tokens: Vec<Option<String>>,
-    /// The commits of each session's writes in each group, some of them yet to come.
+    /// The commit times of each session's writes in each group. Some are in the future.
     commits: BTreeMap<(usize, u32), Vec<Time>>,
     table_bytes: usize,
 }
 
 impl Model {
-    fn new(connecting: Connecting, config: SessionConfig, table_bytes: usize) -> Model {
+    fn new(pattern: ConnectionPattern, config: SessionConfig, table_bytes: usize) -> Model {
         let now = Time::ms(1_767_225_600_000);
         let router = |_| start_router(now, &config, table_bytes);
         Model {
-            connecting,
+            pattern,
             now,
             routers: (0..ROUTERS).map(router).collect(),
             started_at: vec![now; ROUTERS],
@@ -114,19 +120,19 @@
         }
     }
 
-    /// The connection that a session's next request arrives on.
+    /// Returns the connection on which the session's next request arrives.
     fn connection(&self, session: usize) -> Connection {
         let connection = self.connections[session];
-        match self.connecting {
-            Connecting::OneAtATime => connection,
-            Connecting::OneRouter => Connection { router: session % ROUTERS, accepted_at: self.now },
-            Connecting::Pooled | Connecting::PooledWithTokens => {
+        match self.pattern {
+            ConnectionPattern::OneAtATime => connection,
+            ConnectionPattern::OneRouter => Connection { router: session % ROUTERS, accepted_at: self.now },
+            ConnectionPattern::Pooled | ConnectionPattern::PooledWithTokens => {
                 Connection { accepted_at: self.started_at[connection.router], ..connection }
             }
         }
     }
 
-    /// Passes a request of a session to its router.
+    /// Calls `handle` with a request of a session and the router that the session is connected to.
     fn with_router<R>(
         &mut self,
         session: usize,
@@ -136,7 +142,7 @@
         let Connection { router, accepted_at } = self.connection(session);
         let name = [session as u8];
         let identity = SessionIdentity { name: &name, key: SessionKey(session as u64 * 77 + 1) };
-        let sends_tokens = self.connecting == Connecting::PooledWithTokens;
+        let sends_tokens = self.pattern == ConnectionPattern::PooledWithTokens;
         let token = self.tokens[session].clone().filter(|_| sends_tokens);
         let tokens: Vec<&[u8]> = token.iter().map(|token| token.as_bytes()).collect();
         let group = GroupId(group);
@@ -146,15 +152,15 @@
 
     fn step(&mut self, step: Step) -> Result<(), TestCaseError> {
         match step {
-            Step::Pass(ms) => self.now = self.now.plus(Time::ms(u64::from(ms))),
+            Step::AdvanceTime(ms) => self.now = self.now.plus(Time::ms(u64::from(ms))),
             Step::Move { session, router } => {
                 self.now = self.now.plus(Time::ms(1));
                 let connection = Connection { router: usize::from(router), accepted_at: self.now };
                 self.connections[usize::from(session)] = connection;
             }
             Step::Kill(router) => self.kill(usize::from(router)),
-            Step::Write { session, group, end, commit_ms } => {
-                self.write(usize::from(session), u32::from(group), end, commit_ms);
+            Step::Write { session, group, outcome, commit_ms } => {
+                self.write(usize::from(session), u32::from(group), outcome, commit_ms);
             }
             Step::Read { session, group } => self.read(usize::from(session), u32::from(group))?,
         }
@@ -170,25 +176,25 @@
         }
     }
 
-    /// The position of a commit so many milliseconds from now. The host's clock is ahead of the routers' by
-    /// the skew.
+    /// Returns the position of a commit `ms` milliseconds from now. The host's clock is ahead of the routers'
+    /// clocks by the skew.
     fn commit_position(&self, ms: u16) -> Time {
         self.now.plus(Time::ms(u64::from(ms))).plus(SKEW)
     }
 
-    fn write(&mut self, session: usize, group: u32, end: WriteEnd, commit_ms: Option<u16>) {
+    fn write(&mut self, session: usize, group: u32, outcome: WriteOutcome, commit_ms: Option<u16>) {
         let mut tracked =
             self.with_router(session, group, |router, now, request| router.begin_request(now, request, true));
         let early = self.with_router(session, group, |router, now, request| {
             router.early_token(now, request.identity, request.group, &tracked, now)
         });
         self.receive_token(session, early);
-        match end {
-            WriteEnd::Answered => {
+        match outcome {
+            WriteOutcome::Served => {
                 let commit = self.commit_position(0);
-                self.answer(session, group, tracked, commit);
+                self.serve_write(session, group, tracked, commit);
             }
-            WriteEnd::AnswerLost => {
+            WriteOutcome::ResponseLost => {
                 let token = self.with_router(session, group, |router, now, request| {
                     router.write_outcome_unknown(now, request.identity, request.group, &mut tracked)
                 });
@@ -199,18 +205,18 @@
                 self.receive_token(session, token);
                 self.add_commit(session, group, commit_ms);
             }
-            WriteEnd::RouterKilled => {
+            WriteOutcome::RouterKilled => {
                 self.add_commit(session, group, commit_ms);
                 let router = self.connection(session).router;
                 self.kill(router);
-                // The session goes on elsewhere, or at the same router once it is back.
+                // The session continues at the next router, unless its pattern has it return to the same one.
                 let next = (router + 1) % ROUTERS;
                 self.connections[session] = Connection { router: next, accepted_at: self.now };
             }
         }
     }
 
-    fn answer(&mut self, session: usize, group: u32, mut tracked: TrackedRequest, commit: Time) {
+    fn serve_write(&mut self, session: usize, group: u32, mut tracked: TrackedRequest, commit: Time) {
         let token = self.with_router(session, group, |router, now, request| {
             let token =
                 router.request_served(now, request.identity, request.group, &mut tracked, Some(commit));
@@ -227,8 +233,8 @@
             router.read_floor(now, request, &tracked).position
         });
         let latest = self.now.plus(SKEW);
-        prop_assert!(floor <= latest, "a floor past the read's arrival: {floor:?}");
-        // Everything that has committed by now, by the host's clock.
+        prop_assert!(floor <= latest, "the floor is later than the read's arrival: {floor:?}");
+        // The commits up to now, by the host's clock.
         let commits = self.commits.get(&(session, group)).into_iter().flatten();
         let last = commits.filter(|commit| **commit <= latest).max().copied().unwrap_or_default();
         prop_assert!(floor >= last, "session {session}, group {group}: floor {floor:?}, wrote {last:?}");
@@ -264,58 +270,67 @@
     }
 }
 
-/// Plays sequences of steps, the same in each run; the first fault if there is one.
-fn play(connecting: Connecting, config: SessionConfig, table_bytes: usize) -> Result<(), String> {
+/// Runs sequences of steps against the model, the same ones in each test run. Returns the first failure, if
+/// any.
+fn run_model(pattern: ConnectionPattern, config: SessionConfig, table_bytes: usize) -> Result<(), String> {
     let test_config = Config { cases: 400, failure_persistence: None, ..Config::default() };
     let mut runner =
         TestRunner::new_with_rng(test_config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]));
-    let played = runner.run(&steps(), |steps| {
-        let mut model = Model::new(connecting, config.clone(), table_bytes);
+    let result = runner.run(&steps(), |steps| {
+        let mut model = Model::new(pattern, config.clone(), table_bytes);
         steps.into_iter().try_for_each(|step| model.step(step))
     });
-    played.map_err(|error| error.to_string())
+    result.map_err(|error| error.to_string())
 }
 
 #[test]
-fn each_way_of_connecting_has_a_default_floor_that_is_sound() {
+fn each_connection_pattern_has_a_sound_default_floor() {
     let sound = [
-        (Connecting::OneAtATime, DefaultFloor::ConnectionAccept),
-        (Connecting::OneAtATime, DefaultFloor::ReadArrival),
-        (Connecting::Pooled, DefaultFloor::ReadArrival),
-        (Connecting::PooledWithTokens, DefaultFloor::RememberedOnly),
-        (Connecting::OneRouter, DefaultFloor::RouterStart),
+        (ConnectionPattern::OneAtATime, DefaultFloor::ConnectionAccept),
+        (ConnectionPattern::OneAtATime, DefaultFloor::ReadArrival),
+        (ConnectionPattern::Pooled, DefaultFloor::ReadArrival),
+        (ConnectionPattern::PooledWithTokens, DefaultFloor::RememberedOnly),
+        (ConnectionPattern::OneRouter, DefaultFloor::RouterStart),
     ];
     for table_bytes in TABLE_SIZES {
-        for (connecting, floor) in sound {
-            assert_eq!(play(connecting, config(floor), table_bytes), Ok(()), "{connecting:?}, {floor:?}");
+        for (pattern, floor) in sound {
+            assert_eq!(run_model(pattern, config(floor), table_bytes), Ok(()), "{pattern:?}, {floor:?}");
         }
     }
 }
 
 #[test]
-fn the_model_finds_what_each_default_floor_does_not_cover() {
+fn the_model_detects_default_floors_that_are_unsound() {
     let unsound = [
-        ("no floor", Connecting::OneAtATime, config(DefaultFloor::RememberedOnly)),
-        ("accept for pooled connections", Connecting::Pooled, config(DefaultFloor::ConnectionAccept)),
-        ("one router's memory for all", Connecting::OneAtATime, config(DefaultFloor::RouterStart)),
+        ("no default floor", ConnectionPattern::OneAtATime, config(DefaultFloor::RememberedOnly)),
+        (
+            "the accept time of pooled connections",
+            ConnectionPattern::Pooled,
+            config(DefaultFloor::ConnectionAccept),
+        ),
+        (
+            "the remembered floors of one router, for sessions that use several",
+            ConnectionPattern::OneAtATime,
+            config(DefaultFloor::RouterStart),
+        ),
         (
             "clocks further apart than configured",
-            Connecting::OneAtATime,
+            ConnectionPattern::OneAtATime,
             SessionConfig { skew: Time::ms(4), ..config(DefaultFloor::ConnectionAccept) },
         ),
         (
-            "writes that take longer to settle",
-            Connecting::OneAtATime,
+            "writes that settle later than configured",
+            ConnectionPattern::OneAtATime,
             SessionConfig { settle_time: Time(0), ..config(DefaultFloor::ConnectionAccept) },
         ),
         (
-            "a router that is killed with a write in flight, no early token",
-            Connecting::PooledWithTokens,
+            "a router killed with a write in flight, without early tokens",
+            ConnectionPattern::PooledWithTokens,
             SessionConfig { early_tokens: false, ..config(DefaultFloor::RememberedOnly) },
         ),
     ];
-    for (what, connecting, config) in unsound {
-        let played = play(connecting, config, TABLE_SIZES[0]);
-        assert!(played.is_err(), "{what}");
+    for (what, pattern, config) in unsound {
+        let result = run_model(pattern, config, TABLE_SIZES[0]);
+        assert!(result.is_err(), "{what}");
     }
 }
--- a/crates/session/tests/snapshot.rs
+++ b/crates/session/tests/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots over a restart.
+//! Snapshots written at a shutdown and restored after the restart.
 
 mod common;
 
@@ -8,10 +8,11 @@
 use common::{at, config, read_floor, request, router, settled_write, DAY, GROUP, SKEW, START, TABLE_BYTES};
 
 const ROUTER: &str = "n1";
-/// When the restarted router starts.
+/// The time at which the router is restarted.
 const RESTARTED: Time = START.plus(Time::ms(12_000));
 
-/// A snapshot of a router that has answered a write of session 1 and one of session 2, written at 10 s.
+/// Returns a snapshot that a router wrote 10 s after its start. It had served a write of session 1 and one of
+/// session 2.
 fn snapshot() -> Vec<u8> {
     let mut sessions = router(START, config(DefaultFloor::RouterStart));
     settled_write(&mut sessions, GROUP, 1, at(5000));
@@ -19,7 +20,7 @@
     write(&mut sessions, at(10_000), ROUTER)
 }
 
-/// How a router starts from a snapshot, and the floors of its sessions 2 and 3 then.
+/// The result of a restart with a snapshot, and the floors of sessions 2 and 3 after it.
 #[derive(Debug, PartialEq)]
 struct Restart {
     result: Result<(), SnapshotError>,
@@ -37,8 +38,9 @@
     }
 }
 
-/// A restart without the snapshot, which costs freshness only: the start is the floor.
-fn fails_with(error: SnapshotError) -> Restart {
+/// Returns the restart that is expected when the snapshot is rejected: the floor of all sessions is the start
+/// of the router, so the floors are higher than needed but none is too low.
+fn rejected_with(error: SnapshotError) -> Restart {
     let start = RESTARTED.plus(SKEW);
     Restart { result: Err(error), floor_of_2: start, floor_of_3: start }
 }
@@ -48,14 +50,14 @@
     let bytes = snapshot();
     let as_before = Restart { result: Ok(()), floor_of_2: at(9000), floor_of_3: START.plus(SKEW) };
     assert_eq!(restart(&bytes, ROUTER, 60_000), as_before);
-    assert_eq!(restart(&bytes, "n2", 60_000), fails_with(SnapshotError::OtherRouter(ROUTER.into())));
-    assert_eq!(restart(&bytes, ROUTER, 1_000), fails_with(SnapshotError::Expired(Time::ms(2000))));
+    assert_eq!(restart(&bytes, "n2", 60_000), rejected_with(SnapshotError::OtherRouter(ROUTER.into())));
+    assert_eq!(restart(&bytes, ROUTER, 1_000), rejected_with(SnapshotError::Expired(Time::ms(2000))));
     let mut newer = bytes.clone();
     newer[9] = 2;
-    assert_eq!(restart(&newer, ROUTER, 60_000), fails_with(SnapshotError::UnknownFormat(2)));
+    assert_eq!(restart(&newer, ROUTER, 60_000), rejected_with(SnapshotError::UnknownFormat(2)));
     for len in 0..bytes.len() {
         let error = if len < 8 { SnapshotError::NotASnapshot } else { SnapshotError::Corrupt };
-        assert_eq!(restart(&bytes[..len], ROUTER, 60_000), fails_with(error), "cut at {len}");
+        assert_eq!(restart(&bytes[..len], ROUTER, 60_000), rejected_with(error), "cut at {len}");
     }
     for i in 10..bytes.len() {
         let mut flipped = bytes.clone();
@@ -70,14 +72,26 @@
 }
 
 #[test]
-fn the_outcome_of_a_write_in_flight_at_the_shutdown_is_unknown_after_it() {
+fn a_write_in_flight_at_the_shutdown_has_an_unknown_outcome_after_the_restart() {
     let config = SessionConfig { settle_time: Time::ms(2000), ..config(DefaultFloor::RouterStart) };
     let mut before = router(START, config.clone());
     before.begin_request(at(9_900), &request(GROUP, 1, at(0)), true);
     let bytes = write(&mut before, at(10_000), ROUTER);
     let mut after = Sessions::new(at(10_500), PlatformFloors::FromRequest, Some(config), TABLE_BYTES, 77);
     assert_eq!(restore(&mut after, at(10_500), ROUTER, DAY, &bytes), Ok(()));
-    assert_eq!(read_floor(&mut after, at(11_000), GROUP, 1), at(11_005), "it may have committed by now");
-    assert_eq!(read_floor(&mut after, at(20_000), GROUP, 1), at(12_005), "it has committed, or never will");
-    assert_eq!(read_floor(&mut after, at(20_000), GROUP, 2), at(2_005), "others' floor is the start's");
+    assert_eq!(
+        read_floor(&mut after, at(11_000), GROUP, 1),
+        at(11_005),
+        "the write may have committed by now"
+    );
+    assert_eq!(
+        read_floor(&mut after, at(20_000), GROUP, 1),
+        at(12_005),
+        "the write has committed, or will never commit"
+    );
+    assert_eq!(
+        read_floor(&mut after, at(20_000), GROUP, 2),
+        at(2_005),
+        "the floor of other sessions is that of the first start"
+    );
 }
--- a/crates/session/tests/snapshot_fixture.rs
+++ b/crates/session/tests/snapshot_fixture.rs
@@ -1,10 +1,10 @@
-//! A snapshot that an earlier release wrote can be restored, and the same sessions are still written as the
+//! A snapshot that an earlier release wrote can be restored, and the same sessions are still encoded to the
 //! same bytes.
 //!
-//! `fixtures/snapshot-0ea1ef4.bin` was written by the code of commit 0ea1ef4: a temporary test called
-//! `filled`, passed the result to `snapshot::write` with the time `STOPPED` and the name `ROUTER`, and stored
-//! the bytes. The file is never generated again: a change of the format needs a format number and a fixture
-//! of its own.
+//! `fixtures/snapshot-0ea1ef4.bin` was written by the code of commit 0ea1ef4: a temporary test passed the
+//! result of `sessions_at_shutdown` to `snapshot::write`, with the time `STOPPED_AT` and the name `ROUTER`,
+//! and stored the bytes. The file must never be generated again: a change of the format needs a new format
+//! number and a new fixture.
 
 mod common;
 
@@ -17,21 +17,22 @@
 const ROUTER: &str = "router-7";
 const SKEW: Time = Time::ms(5);
 const SETTLE_TIME: Time = Time::ms(2000);
-/// The process whose sessions the snapshot holds started then (Unix time).
-const STARTED: Time = Time::ms(1_767_225_600_000);
-/// It stopped then, and wrote the snapshot.
-const STOPPED: Time = Time::ms(1_767_225_900_000);
-/// Seed of the table of the process that wrote the snapshot.
+/// The time at which the process that wrote the snapshot started (Unix time).
+const STARTED_AT: Time = Time::ms(1_767_225_600_000);
+/// The time at which that process was shut down and wrote the snapshot.
+const STOPPED_AT: Time = Time::ms(1_767_225_900_000);
+/// The seed of that process's floor table.
 const SEED: u64 = 5;
 const GROUPS: [GroupId; 3] = [GroupId(1), GroupId(7), GroupId(4_000_000_000)];
-/// Sessions with one settled write in each group.
-const SETTLED: u64 = 40;
-/// Sessions whose writes are all older than those of the settled ones: more than the table has slots for.
-const EVICTED: std::ops::Range<u64> = 1000..1600;
-/// A session with a write that ended without a known outcome, in the first group.
-const UNCERTAIN: u64 = 500;
-/// Sessions with a write in flight at the stop, in the last group.
-const IN_FLIGHT: [u64; 3] = [601, 602, 603];
+/// Number of sessions with one settled write in each group. Their keys count from zero.
+const SETTLED_SESSIONS: u64 = 40;
+/// Keys of sessions with writes older than those of the settled sessions. There are more of them than slots
+/// in the table, so that some are evicted.
+const EVICTED_SESSIONS: std::ops::Range<u64> = 1000..1600;
+/// Key of a session with a write of unknown outcome, in the first group.
+const UNKNOWN_OUTCOME_SESSION: u64 = 500;
+/// Keys of sessions with a write in flight at the shutdown, in the last group.
+const IN_FLIGHT_SESSIONS: [u64; 3] = [601, 602, 603];
 
 fn config() -> SessionConfig {
     SessionConfig {
@@ -49,48 +50,49 @@
     Sessions::new(now, PlatformFloors::FromRequest, Some(config()), TABLE_BYTES, seed)
 }
 
-/// The commit of a settled session's write; a part of a millisecond is rounded up when it is stored.
-fn committed(group: usize, session: u64) -> Time {
+/// Returns the commit time of a settled session's write. It has a fraction of a millisecond, which is rounded
+/// up when the floor is stored.
+fn settled_commit(group: usize, session: u64) -> Time {
     let ms = 200_000 + session * 100 + group as u64 * 7;
-    STARTED.plus(Time::ms(ms)).plus(Time(1 + session % 2 * 999_999))
+    STARTED_AT.plus(Time::ms(ms)).plus(Time(1 + session % 2 * 999_999))
 }
 
-/// The commit of an evicted session's write: between 10 s and 16 s after the start.
-fn committed_early(session: u64) -> Time {
-    STARTED.plus(Time::ms(10_000 + (session - EVICTED.start) * 10))
+/// Returns the commit time of an evicted session's write, between 10 s and 16 s after the start.
+fn evicted_commit(session: u64) -> Time {
+    STARTED_AT.plus(Time::ms(10_000 + (session - EVICTED_SESSIONS.start) * 10))
 }
 
-/// The sessions of the process that wrote the snapshot, as they were when it stopped.
-fn filled() -> Sessions {
-    let mut sessions = router(STARTED, SEED);
-    for session in EVICTED {
-        settled_write(&mut sessions, GROUPS[1], session, committed_early(session));
+/// Returns the sessions of the process that wrote the snapshot, as they were at its shutdown.
+fn sessions_at_shutdown() -> Sessions {
+    let mut sessions = router(STARTED_AT, SEED);
+    for session in EVICTED_SESSIONS {
+        settled_write(&mut sessions, GROUPS[1], session, evicted_commit(session));
     }
-    for session in 0..SETTLED {
+    for session in 0..SETTLED_SESSIONS {
         for (n, group) in GROUPS.into_iter().enumerate() {
-            settled_write(&mut sessions, group, session, committed(n, session));
+            settled_write(&mut sessions, group, session, settled_commit(n, session));
         }
     }
-    let uncertain_at = STARTED.plus(Time::ms(250_000));
-    let uncertain = request(GROUPS[0], UNCERTAIN, STARTED);
-    let mut tracked = sessions.begin_request(uncertain_at, &uncertain, true);
+    let unknown_write_at = STARTED_AT.plus(Time::ms(250_000));
+    let unknown_write = request(GROUPS[0], UNKNOWN_OUTCOME_SESSION, STARTED_AT);
+    let mut tracked = sessions.begin_request(unknown_write_at, &unknown_write, true);
     tracked.outcome_unknown = true;
-    sessions.end_request(uncertain_at, uncertain.group, &tracked);
-    for session in IN_FLIGHT {
-        let arrived_at = STARTED.plus(Time::ms(299_900));
-        sessions.begin_request(arrived_at, &request(GROUPS[2], session, STARTED), true);
+    sessions.end_request(unknown_write_at, unknown_write.group, &tracked);
+    for session in IN_FLIGHT_SESSIONS {
+        let arrived_at = STARTED_AT.plus(Time::ms(299_900));
+        sessions.begin_request(arrived_at, &request(GROUPS[2], session, STARTED_AT), true);
     }
     sessions
 }
 
-/// The floor of a session's read at a router that was restored from the file, ten seconds after the stop.
+/// Returns the floor of a session's read 10 s after the shutdown, at a router restored from the fixture.
 fn restored_floor(sessions: &mut Sessions, group: GroupId, session: u64) -> Time {
-    read_floor(sessions, STOPPED.plus(Time::ms(10_000)), group, session)
+    read_floor(sessions, STOPPED_AT.plus(Time::ms(10_000)), group, session)
 }
 
-fn restored() -> Sessions {
-    let now = STOPPED.plus(Time::ms(3000));
-    // A start with another seed: the table's comes with the snapshot.
+fn restored_sessions() -> Sessions {
+    let now = STOPPED_AT.plus(Time::ms(3000));
+    // The restarted router has another seed. The snapshot contains the seed of its table.
     let mut sessions = router(now, SEED + 72);
     assert_eq!(restore(&mut sessions, now, ROUTER, Time::ms(60_000), FIXTURE), Ok(()));
     sessions
@@ -101,40 +103,41 @@
 }
 
 #[test]
-fn the_floor_of_each_session_of_an_earlier_releases_snapshot_is_restored() {
-    let mut sessions = restored();
-    for session in 0..SETTLED {
+fn a_snapshot_of_an_earlier_release_restores_the_floor_of_each_session() {
+    let mut sessions = restored_sessions();
+    for session in 0..SETTLED_SESSIONS {
         for (n, group) in GROUPS.into_iter().enumerate() {
             let floor = restored_floor(&mut sessions, group, session);
-            assert_eq!(floor, rounded_up_to_ms(committed(n, session)), "session {session}, {group:?}");
+            assert_eq!(floor, rounded_up_to_ms(settled_commit(n, session)), "session {session}, {group:?}");
         }
     }
-    let settled = |ended_ms| STARTED.plus(Time::ms(ended_ms)).plus(SETTLE_TIME).plus(SKEW);
-    assert_eq!(restored_floor(&mut sessions, GROUPS[0], UNCERTAIN), settled(250_000));
-    for session in IN_FLIGHT {
+    let settled = |ended_ms| STARTED_AT.plus(Time::ms(ended_ms)).plus(SETTLE_TIME).plus(SKEW);
+    assert_eq!(restored_floor(&mut sessions, GROUPS[0], UNKNOWN_OUTCOME_SESSION), settled(250_000));
+    for session in IN_FLIGHT_SESSIONS {
         assert_eq!(restored_floor(&mut sessions, GROUPS[2], session), settled(300_000), "session {session}");
     }
-    // Never seen by the earlier process: its start is the floor, or what was evicted from the same bucket.
-    let newest_evicted = committed_early(EVICTED.end - 1);
+    // The floor of a session that the earlier process never saw is the start of that process, or the shared
+    // floor of the sessions evicted from the same bucket.
+    let newest_evicted = evicted_commit(EVICTED_SESSIONS.end - 1);
     let unknown = restored_floor(&mut sessions, GROUPS[0], 99_999);
     assert!(unknown >= settled(0) && unknown <= newest_evicted, "{unknown:?}");
 }
 
 #[test]
-fn evicted_sessions_of_an_earlier_releases_snapshot_get_no_lower_floor_than_their_writes() {
-    let mut sessions = restored();
-    let newest_evicted = committed_early(EVICTED.end - 1);
+fn a_snapshot_of_an_earlier_release_restores_no_evicted_session_below_its_write() {
+    let mut sessions = restored_sessions();
+    let newest_evicted = evicted_commit(EVICTED_SESSIONS.end - 1);
     let mut raised = 0;
-    for session in EVICTED {
+    for session in EVICTED_SESSIONS {
         let floor = restored_floor(&mut sessions, GROUPS[1], session);
-        assert!(floor >= committed_early(session), "session {session}: {floor:?}");
+        assert!(floor >= evicted_commit(session), "session {session}: {floor:?}");
         assert!(floor <= newest_evicted, "session {session}: {floor:?}");
-        raised += u32::from(floor > committed_early(session));
+        raised += u32::from(floor > evicted_commit(session));
     }
-    assert!(raised > 100, "the table did overflow: {raised} floors were raised");
+    assert!(raised > 100, "only {raised} floors of evicted sessions were raised");
 }
 
 #[test]
-fn the_same_sessions_are_written_as_the_same_bytes_as_by_an_earlier_release() {
-    assert_eq!(write(&mut filled(), STOPPED, ROUTER), FIXTURE);
+fn the_same_sessions_are_encoded_to_the_same_bytes_as_by_an_earlier_release() {
+    assert_eq!(write(&mut sessions_at_shutdown(), STOPPED_AT, ROUTER), FIXTURE);
 }
