--- a/crates/extproc/src/coordinator.rs
+++ b/crates/extproc/src/coordinator.rs
@@ -143,11 +143,11 @@
         let ended = self.leases.close_stream(stream);
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.waiting.retain(|waiting| *waiting != stream);
-        let nobody_waits = call.waiting.is_empty();
+        let no_stream_waits = call.waiting.is_empty();
         if let Some(ended) = ended.into_iter().next() {
             self.remove_call(id, false);
             self.attempt_ended(now, ended, true, out);
-        } else if nobody_waits {
+        } else if no_stream_waits {
             // No lease is in use, and all earlier attempts are proved not to have executed: otherwise the
             // decision module would have failed the request.
             self.remove_call(id, true);
--- a/crates/session/src/counts.rs
+++ b/crates/session/src/counts.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-/// The counters since they were last taken and reset.
+/// Counts of events since the counters were last taken.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SessionCounts {
     /// Session reads that sent at least one token, all of them valid.
--- a/crates/session/src/lib.rs
+++ b/crates/session/src/lib.rs
@@ -9,7 +9,7 @@
 //!
 //! - [`Sessions`] is the session state of one router.
 //! - [`GroupFloors`] holds the floors of one session, by group.
-//! - [`token`] encodes and signs them, so that clients can carry them between routers.
+//! - [`token`] encodes and signs these floors, so that clients can carry them between routers.
 //! - [`FloorTable`] stores floors by group and session in bounded memory.
 //! - [`snapshot`] saves that table across a restart.
 
--- a/crates/session/src/request.rs
+++ b/crates/session/src/request.rs
@@ -7,7 +7,7 @@
 /// The session parameters of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct SessionRequest<'a> {
-    /// The session.
+    /// The identity of the session.
     pub identity: SessionIdentity<'a>,
     /// The group that the request is routed to.
     pub group: GroupId,
@@ -15,7 +15,7 @@
     pub after: Option<Time>,
     /// The tokens sent with the request. The floors of all valid ones apply.
     pub tokens: &'a [&'a [u8]],
-    /// When the request's connection was accepted.
+    /// The time at which the request's connection was accepted.
     pub accepted_at: Time,
 }
 
@@ -34,7 +34,7 @@
 /// The session state of one request while it is open.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TrackedRequest {
-    /// The session.
+    /// The key of the session.
     pub key: SessionKey,
     /// The session's floors according to the tokens sent with the request, the default floor and the
     /// response.
--- a/crates/session/src/sessions.rs
+++ b/crates/session/src/sessions.rs
@@ -68,7 +68,7 @@
         self.clock_lead = Time(0);
     }
 
-    /// Whether this router computes floors itself, by a [`SessionConfig`], and sends them to hosts.
+    /// Returns whether this router computes floors itself, by a [`SessionConfig`], and sends them to hosts.
     pub fn manages_floors(&self) -> bool {
         self.config.is_some()
     }
@@ -119,8 +119,8 @@
         if config.default_floor == DefaultFloor::Platform && request.tokens.is_empty() {
             return as_by_platform(after.min(now));
         }
-        // A read with an `after` position or a token does not need the floor of the sessions evicted from its
-        // bucket.
+        // A read with an `after` position or a token names its own floor, and does not need the shared floor
+        // of the sessions evicted from its bucket.
         let remembered = self.table.get(request.group, tracked.key);
         let names_floor = request.after.is_some() || !request.tokens.is_empty();
         let evicted = if names_floor { None } else { Some(remembered.evicted) };
@@ -219,12 +219,12 @@
         }
     }
 
-    /// Number of pairs of a group and a session with a write that has not completed.
+    /// Returns the number of pairs of a group and a session with a write that has not completed.
     pub fn unsettled_writes(&self) -> usize {
         self.unsettled.len()
     }
 
-    /// Memory limit of the table, in bytes.
+    /// Returns the memory of the table, in bytes.
     pub fn table_bytes(&self) -> usize {
         self.table.bytes()
     }
