--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a configuration.
+//! Errors of reading and checking a configuration.
 
 use basalthill_session::token::MIN_SECRET_LEN;
 use serde::de::DeserializeOwned;
@@ -6,227 +6,230 @@
 use std::io;
 use std::path::Path;
 
-/// A configuration that can't be used. Printed, it is one line that names the key.
+/// Why a configuration can't be used. Its `Display` form is one line that names the file or the key.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// A file could not be read at all.
+    /// A file can't be opened or read.
     #[error("{path}: {source}")]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Why not.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// What a key holds is unsound.
+    /// A key is missing, unknown or has an invalid value.
     #[error("{key}: {problem}")]
     Invalid {
-        /// The key's path, like `settings.familyInfo.consistency[2]`; with file, line and column where they
-        /// are known.
+        /// The path of the key, like `settings.familyInfo.consistency[2]`, after the file, line and column
+        /// where these are known.
         key: String,
-        /// What is wrong with it.
+        /// The problem with the key.
         problem: Problem,
     },
 }
 
-/// What is wrong with a key, and with what value.
+/// A problem with a key, with the value that was found and what is allowed.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Problem {
-    /// The text is not JSON or KDL, by the parser's message.
+    /// The text is not valid JSON or KDL; the message is the parser's.
     #[error("{0}")]
     Syntax(String),
-    /// A JSON value of another type than its key has, by the deserializer's message.
+    /// A JSON value does not have the type of its key; the message is the deserializer's.
     #[error("{0}")]
     Mistyped(String),
-    /// A value of another type than its key has.
+    /// A value does not have the type of its key.
     #[error("must be {expected}")]
     WrongType {
-        /// The type it has to have.
+        /// The type of the key.
         expected: &'static str,
     },
-    /// No configuration file is named.
+    /// Neither `--config` nor `BALANCER_CONFIG` names a configuration file.
     #[error("is not set, and no --config is given")]
     NoConfigFile,
-    /// Neither the file nor the environment has it.
+    /// A required key is neither in the file nor set by its environment variable.
     #[error("is missing, and {variable} is not set")]
     NotSet {
-        /// The variable that could have it.
+        /// The environment variable that can set the key.
         variable: &'static str,
     },
-    /// It has to be there.
+    /// A required key is missing.
     #[error("is missing")]
     Missing,
-    /// No such key.
-    #[error("is unknown")]
+    /// A key that the format does not have.
+    #[error("unknown key")]
     UnknownKey,
-    /// A word that is none of those for this key.
-    #[error("{value:?} is unknown")]
-    UnknownWord {
-        /// The word.
-        value: String,
-    },
-    /// A word that is none of those for this key.
-    #[error("{value:?} is none of {expected}")]
+    /// A string is not one of the values that the key allows.
+    #[error("unknown value {value:?}, expected one of {expected}")]
     NotOneOf {
-        /// The word.
+        /// The string.
         value: String,
-        /// The words for this key.
+        /// The allowed values, separated by commas.
         expected: String,
     },
-    /// Given twice.
-    #[error("is given twice")]
+    /// A key or section that may occur once occurs a second time.
+    #[error("is given more than once")]
     Duplicate,
-    /// A name given twice.
-    #[error("{name:?} is given twice")]
+    /// Two entries of a list have the same name.
+    #[error("name {name:?} is given more than once")]
     DuplicateName {
         /// The name.
         name: String,
     },
-    /// A key number given twice.
-    #[error("number {number} is given twice")]
+    /// Two keys for signatures have the same number.
+    #[error("key number {number} is given more than once")]
     DuplicateKeyNumber {
         /// The number.
         number: u64,
     },
-    /// Another number of arguments.
-    #[error("takes {expected} values, not {found}")]
+    /// A KDL node has too few or too many arguments.
+    #[error("takes {expected} argument(s), found {found}")]
     ArgumentCount {
-        /// How many it takes.
+        /// The number of arguments that the node takes.
         expected: usize,
-        /// How many there are.
+        /// The number of arguments in the file.
         found: usize,
     },
-    /// An array of another length than that of the classes.
-    #[error("has {found} entries, but profiles has {expected}")]
+    /// An array with one entry for each class has another length than `profiles`, the list of classes.
+    #[error("has {found} entries, expected {expected}: one for each entry of profiles")]
     EntryCount {
-        /// How many classes there are.
+        /// The number of classes.
         expected: usize,
-        /// How many entries there are.
+        /// The number of entries.
         found: usize,
     },
-    /// An array without an entry.
+    /// An array that needs at least one entry has none.
     #[error("must not be empty")]
     Empty,
-    /// No integer in the range.
-    #[error("must be a whole number from {min} to {max}, not {value}")]
+    /// A value is not an integer, or is out of range.
+    #[error("must be an integer from {min} to {max}, found {value}")]
     NotAnInteger {
         /// The value as written.
         value: String,
-        /// Least value.
+        /// The smallest allowed value.
         min: i128,
-        /// Greatest value.
+        /// The largest allowed value.
         max: i128,
     },
-    /// No number in the range.
-    #[error("must be a number from {min} to {max}, not {value}")]
+    /// A value is not a number, or is out of range.
+    #[error("must be a number from {min} to {max}, found {value}")]
     NotANumber {
         /// The value as written.
         value: String,
-        /// Least value.
+        /// The smallest allowed value.
         min: f64,
-        /// Greatest value.
+        /// The largest allowed value.
         max: f64,
     },
-    /// Too small a number.
-    #[error("must be {min} at least, not {value}")]
+    /// A number is below its minimum.
+    #[error("must be at least {min}, found {value}")]
     TooSmall {
-        /// The value.
+        /// The number.
         value: usize,
-        /// Least value.
+        /// The smallest allowed value.
         min: usize,
     },
-    /// Zero or below.
-    #[error("must be above 0, not {value}")]
+    /// A number is zero or negative.
+    #[error("must be greater than 0, found {value}")]
     NotPositive {
-        /// The value.
+        /// The number.
         value: f64,
     },
-    /// No fraction.
-    #[error("must lie from 0 to 1, not at {value}")]
+    /// A fraction is not between 0 and 1.
+    #[error("must be from 0 to 1, found {value}")]
     NotAFraction {
-        /// The value.
+        /// The number.
         value: f64,
     },
-    /// No address.
-    #[error("{value:?} is not an address with a port")]
+    /// A string is not a socket address.
+    #[error("invalid address {value:?}, expected IP:PORT")]
     NotAnAddress {
-        /// The value.
+        /// The string.
         value: String,
     },
-    /// No hexadecimal number of 64 bits.
-    #[error("{value:?} is not a hexadecimal number of 64 bits")]
+    /// A string is not a hexadecimal integer, or the integer does not fit into 64 bits.
+    #[error("invalid value {value:?}, expected a hexadecimal integer of at most 64 bits")]
     NotHexadecimal {
-        /// The value.
+        /// The string.
         value: String,
     },
-    /// A key's secret that is too short, or no hexadecimal text. It is not printed.
-    #[error("the secret must be {MIN_SECRET_LEN} bytes or more, in hexadecimal")]
+    /// The secret of a key is too short or not hexadecimal. The message does not contain the secret.
+    #[error("the secret must be at least {MIN_SECRET_LEN} bytes in hexadecimal digits")]
     UnusableSecret,
-    /// More than one signing key.
-    #[error("only one key signs")]
+    /// More than one key is marked as the signing key.
+    #[error("only one key may have signs=#true, found a second")]
     SeveralSigningKeys,
-    /// No signing key.
-    #[error("no key signs")]
+    /// No key is marked as the signing key.
+    #[error("one key must have signs=#true, found none")]
     NoSigningKey,
-    /// Two routers' names have the same short form.
-    #[error("two names are the same in short; change one")]
-    NameCollision,
-    /// The router itself is not in its fleet.
-    #[error("{name:?}, this one, is not on the list")]
+    /// The names of two routers hash to the same id.
+    #[error("the names {first:?} and {second:?} hash to the same router id; rename one of the routers")]
+    NameCollision {
+        /// The name that comes first in the file.
+        first: String,
+        /// The other name.
+        second: String,
+    },
+    /// The fleet's list of routers does not contain the router itself.
+    #[error("the list has no router {name:?}, the name of this router")]
     RouterNotInFleet {
-        /// The router.
+        /// The name of the router.
         name: String,
     },
-    /// A limit on a tenant or class that the deployment does not have.
-    #[error("{name:?} is none of the deployment's")]
+    /// A limit names a tenant or class that the deployment does not have.
+    #[error("{name:?} is not in the settings of the deployment")]
     NotInDeployment {
-        /// The tenant or class.
+        /// The name of the tenant or class.
         name: String,
     },
-    /// A limit that names no subject or several.
-    #[error("takes one of tenant, class, group, each-member, budget")]
+    /// A limit has no property that selects what it counts, or several.
+    #[error("takes exactly one of tenant, class, group, each-member, budget")]
     NotOneSubject,
-    /// A flag that has no other value than `#true`.
-    #[error("is #true or not there")]
+    /// A flag that may only be `#true` is `#false`.
+    #[error("must be #true or left out, found #false")]
     OnlyTrue,
-    /// A limit without a bound, or with two.
-    #[error("takes per-s, with burst or not, or at-once")]
+    /// A limit has neither a rate nor a concurrency bound, or has both, or a burst without a rate.
+    #[error("takes either per-s, optionally with burst, or at-once")]
     NotOneBound,
-    /// A limit on members by rate, or on something else by attempts in flight.
-    #[error("each-member and at-once go together")]
+    /// A limit on members has a rate, or a limit on another subject has a concurrency bound.
+    #[error("each-member and at-once can only be used together")]
     BoundDoesNotFitSubject,
-    /// A second limit on a subject that can have one only.
-    #[error("what it counts has a limit already")]
+    /// A second limit counts the members or the same budget; each of these may have one limit only.
+    #[error("another limit has the same each-member or budget; only one is allowed")]
     SubjectHasLimit,
-    /// Too small a burst to give each router a quota.
-    #[error("must be {routers} at least: each router's part holds one request")]
+    /// A burst is smaller than the number of routers. Each router gets an equal part of the burst, which has
+    /// to allow at least one request.
+    #[error("must be at least {routers}, one request for each router, found {value}")]
     BurstBelowRouters {
-        /// How many routers the fleet has.
+        /// The number of routers in the fleet.
         routers: f64,
+        /// The burst.
+        value: f64,
     },
 }
 
 impl ConfigError {
-    /// A problem with a key.
+    /// Creates the error for a problem with a key.
     pub(crate) fn invalid(key: impl Into<String>, problem: Problem) -> ConfigError {
         ConfigError::Invalid { key: key.into(), problem }
     }
 
-    /// A file that could not be read.
+    /// Creates the error for a file that can't be opened or read.
     pub(crate) fn unreadable(path: &Path, source: io::Error) -> ConfigError {
         ConfigError::Unreadable { path: path.display().to_string(), source }
     }
 
-    /// Neither an argument nor `BALANCER_CONFIG` names a configuration file.
+    /// Creates the error for a missing path: neither `--config` nor `BALANCER_CONFIG` names a configuration
+    /// file.
     pub fn no_config_file() -> ConfigError {
         ConfigError::invalid("BALANCER_CONFIG", Problem::NoConfigFile)
     }
 
-    /// Whether a file could not be read at all, as while it is being replaced.
+    /// Whether a file can't be opened or read, which may happen while it is being replaced.
     pub fn is_unreadable(&self) -> bool {
         matches!(self, ConfigError::Unreadable { .. })
     }
 
-    /// The key that is unsound; for a file that could not be read, its path.
+    /// The key with the problem, or the path of a file that can't be read.
     pub fn key(&self) -> &str {
         match self {
             ConfigError::Unreadable { path, .. } => path,
@@ -234,7 +237,7 @@
         }
     }
 
-    /// The same with another key, made of the one that it has.
+    /// Replaces the key by what `change` makes of it.
     pub(crate) fn map_key(self, change: impl FnOnce(String) -> String) -> ConfigError {
         match self {
             ConfigError::Invalid { key, problem } => ConfigError::Invalid { key: change(key), problem },
@@ -242,13 +245,13 @@
         }
     }
 
-    /// The same for a key inside `parent`.
+    /// Prefixes the key with the path of the object that contains it.
     pub(crate) fn under(self, parent: &str) -> ConfigError {
         self.map_key(|key| if key.is_empty() { parent.into() } else { format!("{parent}.{key}") })
     }
 }
 
-/// Reads a JSON value into a type; an error names the path of the key.
+/// Deserializes a JSON value. The key of an error is the path of the value that does not fit its type.
 pub(crate) fn from_json<T: DeserializeOwned>(value: Value) -> Result<T, ConfigError> {
     serde_path_to_error::deserialize(value).map_err(|error| {
         let path = error.path().to_string();
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,9 @@
-//! The one place where configuration is read, checked and given defaults.
+//! Reads and checks all configuration, and fills in the defaults.
 //!
-//! - [`settings`]: the settings of a deployment, for the router and the simulator's adapter alike (JSON);
-//! - [`router`]: the configuration of one router, with its limits and timeouts (JSON and variables);
-//! - [`local_settings`]: the features beyond the platform's settings (KDL).
+//! - [`settings`]: the settings of a deployment, used by the router and by the simulator's adapter (JSON);
+//! - [`router`]: the configuration of one router, with its resource limits and timeouts (JSON and environment
+//!   variables);
+//! - [`local_settings`]: the features that the platform's settings do not cover (KDL).
 
 mod error;
 pub mod local_settings;
--- a/crates/config/src/local_settings/fleet.rs
+++ b/crates/config/src/local_settings/fleet.rs
@@ -1,40 +1,42 @@
-//! The section `fleet`: the routers that talk to each other, and the limits over all of them.
+//! The section `fleet`: the routers that gossip with each other, and the limits that apply to all of them
+//! together.
 
 use super::kdl_reader::KdlReader;
 use super::keys;
 use crate::{ConfigError, Problem};
-use basalthill_fleet::{Bounds, Budget, Limit, Peer, Roster, Subject};
+use basalthill_fleet::{Bounds, Budget, Limit, Peer, Roster, RosterError, Subject};
 use basalthill_policy::api::Time;
 use basalthill_session::token::KeyRing;
 use kdl::KdlNode;
 use std::net::SocketAddr;
 
-/// The routers that talk to each other, and what they limit together.
+/// The routers of the fleet, and the limits that they share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetSettings {
-    /// Where this router listens for the others, if not at the address of its name.
+    /// The UDP address on which this router listens for its peers; without one, the address that the roster
+    /// has for its name.
     pub listen: Option<SocketAddr>,
     /// The keys that datagrams are signed with.
     pub keys: KeyRing,
-    /// Largest error of any clock's rate, as a fraction.
+    /// The largest error of any clock's rate, as a fraction.
     pub drift: f64,
-    /// The routers, this one among them.
+    /// All routers of the fleet, including this one.
     pub roster: Roster,
-    /// The limits over all of them.
+    /// The limits on all routers together, sorted by name.
     pub limits: Vec<Limit>,
 }
 
-/// Default of `drift-percent`.
+/// The default of `drift-percent`.
 const DEFAULT_DRIFT_PERCENT: f64 = 1.0;
-/// Default of a limit's `alone-percent`.
+/// The default of `alone-percent` of a limit.
 const DEFAULT_ALONE_PERCENT: f64 = 10.0;
-/// A fleet's datagrams do not expire by their age.
+/// The maximum age in the fleet's key ring. It applies to session tokens only; datagrams do not expire by age.
 const NO_MAX_AGE: Time = Time(0);
-/// The key of errors in a limit.
+/// The key that errors in a limit name.
 const LIMIT: &str = "fleet.limit";
-/// Properties of a limit that say what it counts; it has one of them.
+/// The properties that select what a limit counts. Each limit has exactly one of them.
 const SUBJECTS: [&str; 5] = ["tenant", "class", "group", "each-member", "budget"];
-/// The other properties of a limit.
+/// The properties that say how much a limit allows.
 const BOUNDS: [&str; 4] = ["per-s", "burst", "at-once", "alone-percent"];
 
 /// Reads the section.
@@ -53,10 +55,10 @@
             }
             "drift-percent" => {
                 reader.check_entries(child, &key, 1, &[])?;
-                let given = reader.number(child, &key, 0, 0.01..=10.0)?;
-                drift_percent = given.unwrap_or(DEFAULT_DRIFT_PERCENT);
+                let percent = reader.number(child, &key, 0, 0.01..=10.0)?;
+                drift_percent = percent.unwrap_or(DEFAULT_DRIFT_PERCENT);
             }
-            // Read below, all together.
+            // All keys are read together below.
             "key" => {}
             "router" => peers.push(read_peer(reader, child, &key, &peers)?),
             "limit" => limits.push(LimitNode { node: child, limit: read_limit(reader, child)? }),
@@ -87,34 +89,36 @@
 
 fn read_roster(reader: &KdlReader, node: &KdlNode, peers: Vec<Peer>) -> Result<Roster, ConfigError> {
     let key = "fleet.router";
-    let roster = Roster::new(peers).map_err(|_| reader.node_error(node, key, Problem::NameCollision))?;
+    let roster = Roster::new(peers).map_err(|RosterError::DuplicateId { first, second }| {
+        reader.node_error(node, key, Problem::NameCollision { first, second })
+    })?;
     match roster.is_empty() {
         true => Err(reader.node_error(node, key, Problem::Missing)),
         false => Ok(roster),
     }
 }
 
-/// A limit and where it stands.
+/// A limit and its node, whose position errors name.
 struct LimitNode<'n> {
     node: &'n KdlNode,
     limit: Limit,
 }
 
-/// The limits, once each is checked against the fleet and the others. Their order has no meaning: they come
-/// sorted by name.
+/// Checks each limit against the number of routers and against the other limits, and sorts them by name:
+/// their order in the file has no meaning.
 fn check_limits(
     reader: &KdlReader,
-    given: Vec<LimitNode>,
+    limit_nodes: Vec<LimitNode>,
     router_count: f64,
 ) -> Result<Vec<Limit>, ConfigError> {
     let mut limits = Vec::<Limit>::new();
-    for LimitNode { node, mut limit } in given {
+    for LimitNode { node, mut limit } in limit_nodes {
         if let Bounds::Rate { per_s, burst } = &mut limit.bounds {
             if *burst == NO_BURST {
                 *burst = per_s.max(router_count);
             }
             if *burst < router_count {
-                let problem = Problem::BurstBelowRouters { routers: router_count };
+                let problem = Problem::BurstBelowRouters { routers: router_count, value: *burst };
                 return Err(reader.node_error(node, "fleet.limit.burst", problem));
             }
         }
@@ -131,8 +135,9 @@
     Ok(limits)
 }
 
-/// Whether both limits can't stand side by side. Several on one tenant, class or group can: a request has to
-/// pass all that count it.
+/// Whether the limits exclude each other. Only one limit may count each member's attempts, and only one may
+/// count a given budget. Several may count the same tenant, class or group: a request has to pass all of
+/// them.
 fn excludes(one: &Limit, other: &Limit) -> bool {
     match one.subject {
         Subject::EachMember | Subject::Budget(_) => one.subject == other.subject,
@@ -140,7 +145,7 @@
     }
 }
 
-/// Stands for a burst that is not given, until the number of routers is known.
+/// Placeholder for a burst that the file does not give, until the number of routers is known.
 const NO_BURST: f64 = 0.0;
 
 fn read_limit(reader: &KdlReader, node: &KdlNode) -> Result<Limit, ConfigError> {
@@ -166,8 +171,8 @@
 }
 
 fn read_subject(reader: &KdlReader, node: &KdlNode) -> Result<Subject, ConfigError> {
-    let given: Vec<&str> = SUBJECTS.into_iter().filter(|name| node.entry(*name).is_some()).collect();
-    let [property] = given[..] else {
+    let found: Vec<&str> = SUBJECTS.into_iter().filter(|name| node.entry(*name).is_some()).collect();
+    let [property] = found[..] else {
         return Err(reader.node_error(node, LIMIT, Problem::NotOneSubject));
     };
     let key = format!("{LIMIT}.{property}");
--- a/crates/config/src/local_settings/kdl_reader.rs
+++ b/crates/config/src/local_settings/kdl_reader.rs
@@ -1,4 +1,5 @@
-//! Typed access to KDL nodes; an error names line, column and key.
+//! Typed access to the arguments and properties of KDL nodes. Each error names the line, the column and the
+//! key.
 
 use crate::{ConfigError, Problem};
 use basalthill_policy::api::Time;
@@ -6,26 +7,26 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-/// Longest time that can be given for what a read waits for or a write needs, in milliseconds.
+/// The largest value of a setting in milliseconds.
 const MAX_MS: i128 = 60_000;
 
-/// The nodes of a file, with the text that they come from.
+/// Reads the nodes of a file. It has the text of the file to turn the offset of a node into line and column.
 pub(super) struct KdlReader<'a> {
     text: &'a str,
 }
 
-/// Parses a file's text.
+/// Parses the text of a file.
 pub(super) fn parse(text: &str) -> Result<KdlDocument, ConfigError> {
     KdlDocument::parse_v2(text).map_err(|error| {
         let first = error.diagnostics.first();
         let offset = first.map_or(0, |diagnostic| diagnostic.span.offset());
         let message = first.and_then(|diagnostic| diagnostic.message.clone().or(diagnostic.label.clone()));
-        let problem = Problem::Syntax(message.unwrap_or_else(|| "is not KDL".into()));
+        let problem = Problem::Syntax(message.unwrap_or_else(|| "invalid KDL".into()));
         error_at(text, offset, "(file)", problem)
     })
 }
 
-/// An error at a byte of the text; its key is `LINE:COLUMN: KEY`.
+/// Creates an error at a byte offset of the text; its key has the form `LINE:COLUMN: KEY`.
 fn error_at(text: &str, offset: usize, key: &str, problem: Problem) -> ConfigError {
     let before = &text.as_bytes()[..offset.min(text.len())];
     let line = before.iter().filter(|b| **b == b'\n').count() + 1;
@@ -34,26 +35,26 @@
 }
 
 impl<'a> KdlReader<'a> {
-    /// A reader for the nodes of this text.
+    /// Creates a reader for the nodes of this text.
     pub(super) fn new(text: &'a str) -> KdlReader<'a> {
         KdlReader { text }
     }
 
-    /// An error at a node.
+    /// Creates an error at a node.
     pub(super) fn node_error(&self, node: &KdlNode, key: &str, problem: Problem) -> ConfigError {
         error_at(self.text, node.span().offset(), key, problem)
     }
 
-    /// An error at an argument or a property.
+    /// Creates an error at an argument or a property.
     fn entry_error(&self, entry: &KdlEntry, key: &str, problem: Problem) -> ConfigError {
-        // A span may begin with the blanks before its entry.
+        // The span of an entry may include the whitespace before it.
         let start = entry.span().offset();
         let span = self.text.get(start..start + entry.span().len()).unwrap_or_default();
-        let blanks = span.len() - span.trim_start().len();
-        error_at(self.text, start + blanks, key, problem)
+        let whitespace = span.len() - span.trim_start().len();
+        error_at(self.text, start + whitespace, key, problem)
     }
 
-    /// Rejects a node with another number of arguments, or with properties of other names.
+    /// Rejects a node that has another number of arguments, or a property that is not listed.
     pub(super) fn check_entries(
         &self,
         node: &KdlNode,
@@ -78,7 +79,7 @@
         Err(self.node_error(node, key, problem))
     }
 
-    /// A text that has to be there.
+    /// Reads a required string.
     pub(super) fn text<'n>(
         &self,
         node: &'n KdlNode,
@@ -88,11 +89,11 @@
         let Some(entry) = node.entry(entry) else {
             return Err(self.node_error(node, key, Problem::Missing));
         };
-        let problem = Problem::WrongType { expected: "text" };
+        let problem = Problem::WrongType { expected: "a string" };
         entry.value().as_string().ok_or_else(|| self.entry_error(entry, key, problem))
     }
 
-    /// A text that has to be there and to be one of these words: what the word stands for.
+    /// Reads a required string that must be one of the choices, and returns the value of that choice.
     pub(super) fn one_of<T: Copy>(
         &self,
         node: &KdlNode,
@@ -109,7 +110,7 @@
         Err(self.node_error(node, key, problem))
     }
 
-    /// A flag, which is off if it is not there.
+    /// Reads an optional boolean, which is false if it is missing.
     pub(super) fn flag(
         &self,
         node: &KdlNode,
@@ -121,7 +122,7 @@
         entry.value().as_bool().ok_or_else(|| self.entry_error(entry, key, problem))
     }
 
-    /// An integer.
+    /// Reads an optional integer within a range.
     pub(super) fn integer(
         &self,
         node: &KdlNode,
@@ -140,7 +141,7 @@
         }
     }
 
-    /// A number, integer or float.
+    /// Reads an optional number within a range; it may be written as an integer or as a float.
     pub(super) fn number(
         &self,
         node: &KdlNode,
@@ -162,13 +163,13 @@
         Err(self.entry_error(entry, key, problem))
     }
 
-    /// The time in milliseconds that is a node's only argument.
+    /// Reads the time in milliseconds that is the only argument of a node.
     pub(super) fn milliseconds(&self, node: &KdlNode, key: &str) -> Result<Time, ConfigError> {
         self.check_entries(node, key, 1, &[])?;
         Ok(Time::ms(self.integer(node, key, 0, 0..=MAX_MS)?.unwrap_or_default()))
     }
 
-    /// An address with a port.
+    /// Reads a required IP address with a port.
     pub(super) fn address(
         &self,
         node: &KdlNode,
--- a/crates/config/src/local_settings/keys.rs
+++ b/crates/config/src/local_settings/keys.rs
@@ -1,4 +1,4 @@
-//! The shared keys of session tokens and of the fleet's datagrams.
+//! The secret keys that sign session tokens and the datagrams of the fleet; all routers share them.
 
 use super::kdl_reader::KdlReader;
 use crate::{ConfigError, Problem};
@@ -6,7 +6,7 @@
 use basalthill_session::token::{Key, KeyId, KeyRing};
 use kdl::KdlNode;
 
-/// The `key` nodes among a node's children: one signs, all verify.
+/// Reads the `key` nodes among a node's children. One of the keys signs; all of them verify.
 pub(super) fn read(
     reader: &KdlReader,
     node: &KdlNode,
@@ -34,7 +34,7 @@
     }
 }
 
-/// A key, and its number as written.
+/// Reads a key and its number.
 fn read_key(reader: &KdlReader, node: &KdlNode, path: &str) -> Result<(u64, Key), ConfigError> {
     reader.check_entries(node, path, 2, &["signs"])?;
     let number = reader.integer(node, path, 0, 0..=255)?.unwrap_or_default();
@@ -44,13 +44,13 @@
     Ok((number, key))
 }
 
-/// The bytes of a text of two hexadecimal digits each.
+/// Decodes bytes of two hexadecimal digits each; returns `None` if the text has anything else.
 fn decode_hex(text: &str) -> Option<Vec<u8>> {
     text.as_bytes().chunks(2).map(decode_hex_pair).collect()
 }
 
 fn decode_hex_pair(pair: &[u8]) -> Option<u8> {
-    // `from_str_radix` takes a sign.
+    // `from_str_radix` accepts a leading plus sign.
     let digits = std::str::from_utf8(pair).ok().filter(|text| text.len() == 2 && !text.starts_with('+'))?;
     u8::from_str_radix(digits, 16).ok()
 }
--- a/crates/config/src/local_settings/mod.rs
+++ b/crates/config/src/local_settings/mod.rs
@@ -1,5 +1,5 @@
-//! The local settings: a KDL file named by `--settings` or `BASALTHILL_SETTINGS`. Without it none of the
-//! features that it can switch on is on. `deploy/basalthill.kdl` shows every key with its default.
+//! The local settings: a KDL file whose path is given by `--settings` or `BASALTHILL_SETTINGS`. Without the
+//! file, all features that it configures are off. `deploy/basalthill.kdl` shows every key with its default.
 
 mod fleet;
 mod kdl_reader;
@@ -14,25 +14,25 @@
 use kdl_reader::KdlReader;
 use std::path::Path;
 
-/// The content of the file; the defaults without one.
+/// The content of the file. The default is what applies without a file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LocalSettings {
-    /// How sessions are kept consistent.
+    /// The settings of session consistency; `None` if only the platform's rules apply.
     pub sessions: Option<SessionSettings>,
-    /// A client whose connection the router closes between two requests gets a notice before: what it has
-    /// sent since then was not read.
+    /// Whether a client gets an error 57P01 before the router closes its connection between two requests. The
+    /// error says that the router has not read what the client has sent since its last reply.
     pub close_notice: bool,
-    /// The routers that talk to each other, and what they limit together.
+    /// The fleet of routers and its limits; `None` if this router has no peers.
     pub fleet: Option<FleetSettings>,
 }
 
-/// Reads the file at `path`. An error's key is `PATH:LINE:COLUMN: KEY`.
+/// Reads the file at `path`. The key of an error has the form `PATH:LINE:COLUMN: KEY`.
 pub fn load(path: &Path) -> Result<LocalSettings, ConfigError> {
     let text = std::fs::read_to_string(path).map_err(|error| ConfigError::unreadable(path, error))?;
     parse(&text).map_err(|error| error.map_key(|key| format!("{}:{key}", path.display())))
 }
 
-/// Reads the file's text. An error's key is `LINE:COLUMN: KEY`.
+/// Reads the text of the file. The key of an error has the form `LINE:COLUMN: KEY`.
 pub fn parse(text: &str) -> Result<LocalSettings, ConfigError> {
     let document = kdl_reader::parse(text)?;
     let reader = KdlReader::new(text);
@@ -41,11 +41,11 @@
         match node.name().value() {
             "clients" => settings.close_notice = read_clients(&reader, node)?,
             "fleet" => {
-                check_first(&reader, node, settings.fleet.is_some())?;
+                check_not_repeated(&reader, node, settings.fleet.is_some())?;
                 settings.fleet = Some(fleet::read(&reader, node)?);
             }
             "sessions" => {
-                check_first(&reader, node, settings.sessions.is_some())?;
+                check_not_repeated(&reader, node, settings.sessions.is_some())?;
                 settings.sessions = Some(sessions::read(&reader, node)?);
             }
             other => return Err(reader.node_error(node, other, Problem::UnknownKey)),
@@ -54,14 +54,15 @@
     Ok(settings)
 }
 
-fn check_first(reader: &KdlReader, node: &KdlNode, seen_before: bool) -> Result<(), ConfigError> {
+/// Rejects a second section of the same name.
+fn check_not_repeated(reader: &KdlReader, node: &KdlNode, seen_before: bool) -> Result<(), ConfigError> {
     match seen_before {
         true => Err(reader.node_error(node, node.name().value(), Problem::Duplicate)),
         false => Ok(()),
     }
 }
 
-/// The section `clients`: whether a close notice is sent.
+/// Reads the section `clients` and returns whether close notices are sent.
 fn read_clients(reader: &KdlReader, node: &KdlNode) -> Result<bool, ConfigError> {
     reader.check_entries(node, "clients", 0, &[])?;
     let mut close_notice = false;
--- a/crates/config/src/local_settings/sessions.rs
+++ b/crates/config/src/local_settings/sessions.rs
@@ -1,4 +1,4 @@
-//! The section `sessions`: how a session's reads see its writes.
+//! The section `sessions`: how the router makes a session's reads see its writes.
 
 use super::kdl_reader::KdlReader;
 use super::keys;
@@ -8,35 +8,35 @@
 use kdl::KdlNode;
 use std::path::PathBuf;
 
-/// How sessions are kept consistent.
+/// The settings of session consistency.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SessionSettings {
-    /// What the floors follow.
+    /// How read floors are determined.
     pub config: SessionConfig,
-    /// Where the session-floor table is stored over a graceful stop.
+    /// The file that keeps the session-floor table from a graceful stop to the next start, if there is one.
     pub snapshot: Option<Snapshot>,
 }
 
-/// A place on a disk that outlives the process.
+/// The snapshot of the session-floor table, on a disk that outlives the process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Snapshot {
-    /// The file.
+    /// The path of the file.
     pub path: PathBuf,
-    /// An older one is rejected.
+    /// At the start, a snapshot older than this is rejected.
     pub max_age: Time,
 }
 
-/// Default of `skew-ms`.
+/// The default of `skew-ms`.
 const DEFAULT_SKEW: Time = Time::ms(5);
-/// Default of `settle-ms`.
+/// The default of `settle-ms`.
 const DEFAULT_SETTLE_TIME: Time = Time::ms(3000);
-/// Default of `lead-ms`.
+/// The default of `lead-ms`.
 const DEFAULT_LEAD: Time = Time::ms(50);
-/// Default of a token's `max-age-s`: a day.
+/// The default of `max-age-s` of tokens: one day.
 const DEFAULT_TOKEN_AGE_S: u64 = 24 * 3600;
-/// Default of a snapshot's `max-age-s`.
+/// The default of `max-age-s` of the snapshot.
 const DEFAULT_SNAPSHOT_AGE_S: u64 = 300;
-/// Greatest `max-age-s`: a year.
+/// The largest `max-age-s`: 366 days.
 const MAX_AGE_S: i128 = 366 * 24 * 3600;
 
 /// Reads the section.
--- a/crates/config/src/router/mod.rs
+++ b/crates/config/src/router/mod.rs
@@ -1,7 +1,7 @@
-//! The configuration of one router: its file (`BALANCER_CONFIG`) and its environment variables.
+//! The configuration of one router: a JSON file (`--config` or `BALANCER_CONFIG`) and environment variables.
 //!
-//! At the start a variable wins over the file's key. On a reload the file's `discovery` wins: the variable
-//! can't have changed since.
+//! At startup, an environment variable overrides the key in the file. On a reload, `discovery` is taken from
+//! the file if the file has it, because the environment of a running process does not change.
 
 mod resource_limits;
 mod timeouts;
@@ -19,43 +19,44 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The key of errors that concern a file and no key inside it.
+/// The key of errors that concern the file as a whole.
 const FILE_KEY: &str = "(file)";
 
-/// A router's configuration, checked.
+/// The configuration of a router after all checks.
 #[derive(Debug)]
 pub struct RouterConfig {
-    /// Its name, the same after a restart.
+    /// The name of the router; it stays the same when the router restarts.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which the router accepts clients.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// The address of service discovery.
     pub discovery: SocketAddr,
-    /// Seed of the random numbers; new with each start.
+    /// The seed of the router's random numbers, different at each start.
     pub seed: u64,
-    /// Limits of the machine.
+    /// The resources that the router may use.
     pub limits: Limits,
-    /// The endpoint list as this router last had it, in discovery's form; `null` if there is none.
+    /// The last endpoint list that this router received, in the JSON format of service discovery; `null`
+    /// if there is none.
     pub known_endpoints: Value,
-    /// The deployment.
+    /// The settings of the deployment.
     pub deployment: Deployment,
-    /// The local settings; the defaults without their file.
+    /// The local settings; the defaults if there is no file of local settings.
     pub local_settings: LocalSettings,
-    /// Keys of the file whose values a variable overrides.
+    /// The keys of the file whose values an environment variable overrides with another value.
     pub overridden_keys: Vec<String>,
 }
 
-/// When the file is read.
+/// When the configuration is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadPhase {
-    /// As the router starts.
+    /// While the router starts.
     Startup,
-    /// While it runs.
+    /// While the router runs.
     Reload,
 }
 
 impl RouterConfig {
-    /// Keys in which a reloaded configuration differs from this one, but which a running router can't change.
+    /// Returns the keys whose values differ in a reloaded configuration and take effect only after a restart.
     pub fn needs_restart(&self, reloaded: &RouterConfig) -> Vec<&'static str> {
         let differs = [
             ("name", self.name != reloaded.name),
@@ -67,7 +68,7 @@
     }
 }
 
-/// The file as its JSON has it.
+/// The JSON file. `known` is the last endpoint list, `settings` the settings of the deployment.
 #[derive(Deserialize)]
 struct RouterJson {
     #[serde(default)]
@@ -98,11 +99,11 @@
     }
 }
 
-/// Reads the file at `path`, the local settings if there is a file of them, and the variables that `variable`
-/// looks up.
+/// Reads the configuration file at `path`, the file of local settings if its path is given, and the
+/// environment variables, whose values `variable` returns.
 pub fn load(
     path: &Path,
-    settings: Option<&Path>,
+    local_settings_path: Option<&Path>,
     variable: impl Fn(&str) -> Option<String>,
     phase: LoadPhase,
 ) -> Result<RouterConfig, ConfigError> {
@@ -110,14 +111,15 @@
     let in_file = |path: &Path, key: String| format!("{}: {key}", path.display());
     let mut config =
         parse(&text, variable, phase).map_err(|error| error.map_key(|key| in_file(path, key)))?;
-    if let Some(settings) = settings {
-        config.local_settings = local_settings::load(settings)?;
-        check_fleet_names(&config).map_err(|error| error.map_key(|key| in_file(settings, key)))?;
+    if let Some(path) = local_settings_path {
+        config.local_settings = local_settings::load(path)?;
+        check_fleet_names(&config).map_err(|error| error.map_key(|key| in_file(path, key)))?;
     }
     Ok(config)
 }
 
-/// Reads the file's text and the variables that `variable` looks up.
+/// Reads the text of a configuration file and the environment variables, whose values `variable` returns. The
+/// local settings are the defaults.
 pub fn parse(
     text: &[u8],
     variable: impl Fn(&str) -> Option<String>,
@@ -148,7 +150,7 @@
     })
 }
 
-/// The file and the environment, which may both have a key.
+/// Chooses between the file and the environment, which may both give a value for a key.
 struct Sources<V> {
     variable: V,
     phase: LoadPhase,
@@ -156,7 +158,7 @@
 }
 
 impl<V: Fn(&str) -> Option<String>> Sources<V> {
-    /// The value that counts for a key.
+    /// Returns the value in effect for a key, and records the key if the environment overrides the file.
     fn pick(
         &mut self,
         key: &str,
@@ -208,7 +210,7 @@
     Ok(deployment)
 }
 
-/// Rejects numbers that no deployment can have.
+/// Rejects numbers that are not valid in any deployment.
 fn check_ranges(deployment: &Deployment) -> Result<(), ConfigError> {
     let settings = &deployment.settings;
     positive("quantum", settings.tick.secs())?;
@@ -233,7 +235,8 @@
     }
 }
 
-/// Rejects a fleet without this router, and limits on names that the deployment does not have.
+/// Rejects a fleet that does not list this router, and limits on tenants or classes that the deployment does
+/// not have.
 fn check_fleet_names(config: &RouterConfig) -> Result<(), ConfigError> {
     let Some(fleet) = &config.local_settings.fleet else { return Ok(()) };
     if fleet.roster.get(NodeId::of(&config.name)).is_none() {
--- a/crates/config/src/router/resource_limits.rs
+++ b/crates/config/src/router/resource_limits.rs
@@ -1,51 +1,54 @@
-//! The limits of the machine, and what follows from them.
+//! The resources that a router may use, and the budgets that follow from them.
 
 use super::MAX_STATEMENT_LEN;
 
-/// Descriptors kept back for standard streams, the reactor, signals, the listener and discovery.
+/// The number of file descriptors reserved for standard streams, the reactor, signals, the listener and
+/// service discovery.
 pub const RESERVED_SOCKETS: usize = 24;
 
-/// Of the memory, the session-floor table may take this part.
+/// The session-floor table may use the memory divided by this.
 const SESSION_TABLE_DIVISOR: usize = 16;
 
-/// Of the memory, large statements may take this part.
+/// Large statements may use the memory divided by this.
 const LARGE_STATEMENTS_DIVISOR: usize = 4;
 
-/// Limits of the machine, and the budgets that follow from them.
+/// The resources that a router may use, and the budgets that follow from them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// File descriptors that the program may use.
+    /// The number of file descriptors that the process may use.
     pub sockets: usize,
-    /// Memory in MiB.
+    /// The memory that the process may use, in MiB.
     pub memory_mb: u64,
 }
 
 impl Limits {
-    /// How many descriptors connections to members and clients may use together.
+    /// Returns the number of descriptors that connections to hosts and clients may use together.
     pub fn descriptors(&self) -> usize {
         self.sockets.saturating_sub(RESERVED_SOCKETS)
     }
 
-    /// How many of them clients may use at most: with the other half, connections to members never lack one,
-    /// however many clients connect.
+    /// Returns the number of descriptors that connections to clients may use. The other half remains for
+    /// connections to hosts, however many clients connect.
     pub fn client_descriptors(&self) -> usize {
         self.descriptors() / 2
     }
 
-    /// With more clients than this, a new one takes the place of the client that has been quiet for longest.
-    /// Clients together use a third of all descriptors; many send one request and leave their connection open
-    /// for good, and those with a request would find no capacity.
+    /// Returns the number of clients at which each new client causes the eviction of the client that has been
+    /// idle for longest. Client programs have a third of the descriptors for all their connections. Many send
+    /// one request and then leave their connection open; these idle connections would use up that third, and
+    /// clients with a request could not connect.
     pub fn client_eviction_threshold(&self) -> usize {
         self.sockets / 4
     }
 
-    /// Most memory, in bytes, that the session-floor table may come to take.
+    /// Returns the maximum size of the session-floor table, in bytes.
     pub fn session_table_bytes(&self) -> usize {
         self.memory_bytes() / SESSION_TABLE_DIVISOR
     }
 
-    /// How many statements past [`LARGE_STATEMENT_LEN`](super::LARGE_STATEMENT_LEN) may be received at a
-    /// time. One may stand in memory twice while it is taken over.
+    /// Returns how many statements longer than [`LARGE_STATEMENT_LEN`](super::LARGE_STATEMENT_LEN) may be
+    /// received concurrently. A statement of the maximum length may be in memory twice while it is copied
+    /// from the input buffer.
     pub fn max_large_statements(&self) -> usize {
         (self.memory_bytes() / LARGE_STATEMENTS_DIVISOR / (2 * MAX_STATEMENT_LEN)).max(1)
     }
--- a/crates/config/src/router/timeouts.rs
+++ b/crates/config/src/router/timeouts.rs
@@ -1,61 +1,66 @@
-//! Times, sizes and counts that are the same at each router.
+//! Timeouts, sizes and counts that are constant: no setting changes them.
 
 use crate::settings::Deployment;
 use basalthill_policy::api::Time;
 
-/// Longest statement in bytes: a value of 64 KiB in hexadecimal digits, and the rest of its text.
+/// The maximum length of a statement in bytes: a value of 64 KiB in hexadecimal digits (128 KiB), and the
+/// rest of the statement.
 pub const MAX_STATEMENT_LEN: usize = 160 * 1024;
 
-/// A client may have sent this much, in bytes, before it needs a permit for a large statement.
+/// The length in bytes up to which a statement is received without one of the permits for large statements.
 pub const LARGE_STATEMENT_LEN: usize = 16 * 1024;
 
-/// So many reads of one connection are executed side by side, where a client pipelines commands.
+/// The maximum number of reads of one connection that are executed concurrently when a client pipelines
+/// commands.
 pub const MAX_CONCURRENT_READS: usize = 4;
 
-/// The fraction of the settings' idle time after which the router closes an idle connection itself, so that
-/// no request meets the member's closing.
+/// The router closes a host connection that has been idle for this fraction of the idle timeout in the
+/// settings. The host closes it at the idle timeout, and no request must be sent while it does.
 pub const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
 
-/// A member that has begun an answer writes the rest of it without pausing for this long, or it never will.
+/// The longest pause within a response. A host that has sent part of a response and then nothing for this
+/// long is not expected to send the rest.
 pub const RESPONSE_STALL_TIMEOUT: Time = Time::ms(100);
 
-/// After an answer, a connection to a member is not used again for this long: what the member sends right
-/// behind an answer shows itself by then, and is never taken for the next one.
+/// The time for which a host connection is not reused after a response. Data that the host sends directly
+/// after the response has arrived by then, so it is not taken for the response to the next query.
 pub const HOST_REUSE_DELAY: Time = Time::ms(2);
 
-/// Where descriptors are short, a client with no open request may be evicted after this time: one that has
-/// just connected, or has just had its answer, may be about to send a request.
+/// The time for which a client without an open request must have been idle before it may be evicted to free a
+/// descriptor. A client that has just connected or received a reply may be about to send a request.
 pub const CLIENT_EVICTION_IDLE: Time = Time::ms(20);
 
-/// A client has this long from connecting to its first request, and for each message from its first byte to
-/// its last.
+/// The time that a client has to send its first request after it has connected, and to send each message from
+/// its first byte to its last.
 pub const CLIENT_MESSAGE_TIMEOUT: Time = Time::ms(2000);
 
-/// A router may be suspended for this long between reading its clock and writing. A drain's grace has to
-/// cover that: the router's own grace is shorter by as much.
+/// The longest time for which a router may be suspended between reading its clock and writing to a host. The
+/// grace period of a draining host has to include that time, so the router's own grace period is shorter by
+/// it.
 pub const MAX_SCHEDULING_DELAY: Time = Time::ms(150);
 
-/// A client takes an answer within this time, or its connection is closed.
+/// The time within which a client must accept a reply; after it, the router closes the connection.
 pub const CLIENT_WRITE_TIMEOUT: Time = Time::ms(5000);
 
-/// So many unsupported commands in a row end a client's connection.
+/// The number of consecutive unsupported commands after which a client's connection is closed.
 pub const MAX_CLIENT_FAULTS: u32 = 16;
 
-/// A router that has no endpoint list counts as ready after this time all the same.
+/// The time after its start at which a router counts as ready even if it has received no endpoint list.
 pub const READY_TIMEOUT: Time = Time::ms(5000);
 
-/// After the signal to stop, requests are accepted as usual for this long: the front goes on sending
-/// meanwhile.
+/// The time for which requests are accepted as usual after the signal to stop: the load balancer in front of
+/// the router still sends requests to it.
 pub const STOP_GRACE: Time = Time::ms(500);
 
-/// Deadlines count as no longer than this at a shutdown.
+/// The longest client timeout that a shutdown waits for.
 const MAX_SHUTDOWN_DEADLINE: Time = Time::ms(3000);
 
-/// The shutdown goes on for so long after the longest deadline.
+/// The time that the shutdown continues after the longest client timeout.
 const SHUTDOWN_MARGIN: Time = Time::ms(500);
 
-/// What is unanswered this long after the signal to stop is failed; the program then ends. The platform kills
-/// it after the longest deadline (three seconds at most) and 0.7 s.
+/// Returns the time after the signal to stop at which the remaining requests are failed and the process
+/// exits. The platform kills the process 0.7 s after the longest client timeout, which it counts as 3 s at
+/// most.
 pub fn shutdown_timeout(deployment: &Deployment) -> Time {
     let classes = deployment.settings.classes.iter();
     let longest = classes.map(|class| class.client_timeout).max().unwrap_or_default();
--- a/crates/config/src/settings/json.rs
+++ b/crates/config/src/settings/json.rs
@@ -1,18 +1,18 @@
-//! The settings as their JSON has them. The keys are the platform's; times are in nanoseconds.
+//! The JSON form of the settings. The platform defines the keys; all times are in nanoseconds.
 
 use serde::Deserialize;
 
-/// Default of `overShareWorth`: a request beyond its tenant's quota weighs as much as any.
+/// The default of `overShareWorth`: a request beyond its tenant's quota has the same weight as one within it.
 fn default_over_quota_weight() -> f64 {
     1.0
 }
 
-/// Default of `bounds.connIdle`: 15 s.
+/// The default of `bounds.connIdle`: 15 s.
 fn default_idle_timeout_ns() -> u64 {
     15_000_000_000
 }
 
-/// Default of `bounds.connectTimeout`: 250 ms.
+/// The default of `bounds.connectTimeout`: 250 ms.
 fn default_connect_timeout_ns() -> u64 {
     250_000_000
 }
@@ -75,12 +75,12 @@
     pub quota_per_s: f64,
 }
 
-/// How members replicate, and what reads may see.
+/// How members replicate, and which consistency each class of requests needs.
 #[derive(Deserialize)]
 pub(super) struct ReplicationJson {
-    /// For each class, by its place.
+    /// The consistency of each class, in the order of `profiles`.
     pub consistency: Vec<String>,
-    /// For each class of bounded staleness, by its place.
+    /// The maximum lag for each class, in the order of `profiles`; only classes of bounded staleness use it.
     #[serde(rename = "lagAllowed", default)]
     pub max_lag_ns: Vec<u64>,
     #[serde(rename = "patience", default)]
@@ -132,7 +132,7 @@
     pub soft_removal: bool,
 }
 
-/// What members report on themselves.
+/// The load reports of members: their columns, and which responses carry them.
 #[derive(Deserialize)]
 pub(super) struct ReportingJson {
     #[serde(default)]
--- a/crates/config/src/settings/mod.rs
+++ b/crates/config/src/settings/mod.rs
@@ -1,4 +1,5 @@
-//! The settings of a deployment: one JSON object, in the simulator's frames and in the router's file alike.
+//! The settings of a deployment: a JSON object that is part of the router's configuration file and of the
+//! simulator's frames.
 
 mod json;
 
@@ -9,55 +10,57 @@
 use json::{ClassJson, ReplicationJson, SettingsJson};
 use serde_json::Value;
 
-/// The column of a load report that holds the member's position.
+/// The column of a load report with the member's log position.
 const POSITION_COLUMN: &str = "x0";
-/// The column of a load report that holds the member's role.
+/// The column of a load report with the member's role.
 const ROLE_COLUMN: &str = "x1";
 
-/// Where members report their load and state.
+/// Which responses of members carry load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReportSource {
-    /// In answers and in answers to probes.
+    /// Responses to requests and to health checks.
     InResponses,
-    /// In answers to probes alone.
+    /// Responses to health checks only.
     InProbes,
-    /// Not at all.
+    /// No responses: members do not report.
     None,
 }
 
-/// A deployment: the settings of the routing policy, and those that only the modules around it need.
+/// The settings of a deployment: those of the routing policy, and those that only other modules need.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Deployment {
     /// The settings of the routing policy.
     pub settings: Settings,
-    /// How session floors are known.
+    /// Where session floors come from by the platform's rules.
     pub platform_floors: PlatformFloors,
-    /// The origin of positions in the simulator's frames. On sockets they are Unix times.
+    /// The time from which log positions count in the simulator's frames. On sockets, positions are Unix
+    /// times.
     pub position_epoch: Time,
-    /// Names of a load report's values.
+    /// The columns of a load report.
     pub report_columns: Vec<String>,
-    /// Where members report.
+    /// Which responses carry load reports.
     pub load_reports: LoadReportSource,
-    /// Names of the classes, in the order of their ids.
+    /// The names of the classes, in the order of their ids.
     pub classes: Vec<String>,
-    /// Names of the tenants, in the order of their ids.
+    /// The names of the tenants, in the order of their ids.
     pub tenants: Vec<String>,
-    /// Names of the zones, in the order of their ids.
+    /// The names of the zones, in the order of their ids.
     pub zones: Vec<String>,
-    /// A connection idle for this long is closed by its member.
+    /// The time after which a host closes an idle connection.
     pub idle_timeout: Time,
-    /// A connection that is not up within this has failed.
+    /// The time within which a connection to a host must be established; after it, the attempt to connect
+    /// fails.
     pub connect_timeout: Time,
 }
 
-/// Reads the settings from their text.
+/// Reads the settings from JSON text.
 pub fn read(text: &[u8]) -> Result<Deployment, ConfigError> {
     let value = serde_json::from_slice(text)
         .map_err(|error| ConfigError::invalid("settings", Problem::Syntax(error.to_string())))?;
     from_value(value)
 }
 
-/// Reads the settings from a JSON value. An error's key begins with `settings`.
+/// Reads the settings from a JSON value. The key of an error begins with `settings`.
 pub fn from_value(value: Value) -> Result<Deployment, ConfigError> {
     if !value.is_object() {
         return Err(ConfigError::invalid("settings", Problem::WrongType { expected: "an object" }));
@@ -167,7 +170,10 @@
         "causal" => Ok(Consistency::Session),
         "strong" => Ok(Consistency::Strong),
         "mutate" => Ok(Consistency::Write),
-        other => Err(unknown(format!("familyInfo.consistency[{index}]"), other)),
+        other => {
+            let expected = "eventual, lag_bound, causal, strong, mutate";
+            Err(not_one_of(format!("familyInfo.consistency[{index}]"), other, expected))
+        }
     }
 }
 
@@ -205,7 +211,7 @@
         "none" => Ok(WhenBehind::ServeStale),
         "bounce" => Ok(WhenBehind::Reject),
         "await" => Ok(WhenBehind::Wait(Time(replication.wait_limit_ns))),
-        other => Err(unknown("familyInfo.whenBehind", other)),
+        other => Err(not_one_of("familyInfo.whenBehind", other, "none, bounce, await")),
     }
 }
 
@@ -214,14 +220,21 @@
     one_of("familyInfo.tokenMode", word, &choices)
 }
 
-/// What a word stands for among these choices.
+/// Returns the value that a string stands for among these choices.
 fn one_of<T: Copy>(key: impl Into<String>, word: &str, choices: &[(&str, T)]) -> Result<T, ConfigError> {
     match choices.iter().find(|(choice, _)| *choice == word) {
         Some((_, value)) => Ok(*value),
-        None => Err(unknown(key, word)),
+        None => {
+            // The empty string stands for a key that is left out.
+            let words = choices.iter().map(|(choice, _)| *choice).filter(|choice| !choice.is_empty());
+            let words: Vec<&str> = words.collect();
+            Err(not_one_of(key, word, &words.join(", ")))
+        }
     }
 }
 
-fn unknown(key: impl Into<String>, word: &str) -> ConfigError {
-    ConfigError::invalid(key, Problem::UnknownWord { value: word.to_string() })
+/// Creates the error for a string that is not one of the allowed values.
+fn not_one_of(key: impl Into<String>, word: &str, expected: &str) -> ConfigError {
+    let problem = Problem::NotOneOf { value: word.to_string(), expected: expected.to_string() };
+    ConfigError::invalid(key, problem)
 }
--- a/crates/config/tests/router.rs
+++ b/crates/config/tests/router.rs
@@ -1,4 +1,4 @@
-//! A router's configuration: defaults, variables, reloads, and how errors name their key.
+//! The configuration of a router: defaults, environment variables, reloads, and the keys that errors name.
 
 use basalthill_config::router::{parse, shutdown_timeout, LoadPhase, RouterConfig};
 use basalthill_config::settings::LoadReportSource;
@@ -6,7 +6,7 @@
 use basalthill_policy::api::{Consistency, Effect, Time};
 use serde_json::{json, Value};
 
-fn sound_file() -> Value {
+fn valid_file() -> Value {
     json!({
         "name": "n1", "listen": "127.0.0.1:5432", "discovery": "127.0.0.1:8500", "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 100, "sockets": 512}, "later": [1],
@@ -16,7 +16,8 @@
             "newKey": {},
             "profiles": [
                 {"name": "w", "aim": 400, "deadline": 9000000000u64, "effect": "at_most_once", "credit": 4.0},
-                {"name": "r", "aim": 400, "deadline": 1000, "effect": "idempotent", "credit": 1.0}],
+                {"name": "r", "aim": 400, "deadline": 1000, "effect": "idempotent", "keyScope": "all",
+                    "credit": 1.0}],
             "parties": [{"name": "acme", "quotaPerS": 10.0}],
             "familyInfo": {"consistency": ["mutate", "lag_bound"], "lagAllowed": [0, 3000], "positions": true,
                 "roleListed": "trailing", "tokenMode": "brought", "whenBehind": "await",
@@ -36,64 +37,73 @@
 }
 
 #[test]
-fn unknown_keys_are_ignored_and_missing_ones_have_defaults() {
-    let c = load(&sound_file()).unwrap();
-    assert_eq!((c.name.as_str(), c.listen.port(), c.seed), ("n1", 5432, 0x8c1f_30d2_7a5b_e964));
-    assert_eq!((c.limits.sockets, c.limits.memory_mb), (512, 100));
-    assert_eq!((c.deployment.idle_timeout, c.deployment.connect_timeout), (Time::ms(15_000), Time::ms(250)));
+fn unknown_keys_are_ignored_and_missing_keys_have_defaults() {
+    let config = load(&valid_file()).unwrap();
     assert_eq!(
-        (c.deployment.load_reports, c.deployment.classes.as_slice()),
+        (config.name.as_str(), config.listen.port(), config.seed),
+        ("n1", 5432, 0x8c1f_30d2_7a5b_e964)
+    );
+    assert_eq!((config.limits.sockets, config.limits.memory_mb), (512, 100));
+    assert_eq!(
+        (config.deployment.idle_timeout, config.deployment.connect_timeout),
+        (Time::ms(15_000), Time::ms(250))
+    );
+    assert_eq!(
+        (config.deployment.load_reports, config.deployment.classes.as_slice()),
         (LoadReportSource::InResponses, &["w".to_string(), "r".into()][..])
     );
-    let classes = &c.deployment.settings.classes;
+    let classes = &config.deployment.settings.classes;
     assert_eq!(
         (classes[0].effect, classes[1].consistency),
         (Effect::NonIdempotent, Consistency::BoundedStaleness(Time(3000)))
     );
     assert_eq!(
-        shutdown_timeout(&c.deployment),
+        shutdown_timeout(&config.deployment),
         Time::ms(3500),
-        "deadlines past three seconds count as three"
+        "a client timeout above 3 s counts as 3 s"
     );
-    let mut bare = sound_file();
+    let mut file = valid_file();
     for key in ["limits", "known", "seed"] {
-        bare.as_object_mut().unwrap().remove(key);
+        file.as_object_mut().unwrap().remove(key);
     }
-    let c = load(&bare).unwrap();
-    assert_eq!((c.limits.sockets, c.known_endpoints.is_null(), c.seed), (1024, true, 0));
+    let config = load(&file).unwrap();
+    assert_eq!((config.limits.sockets, config.known_endpoints.is_null(), config.seed), (1024, true, 0));
 }
 
 #[test]
-fn a_variable_overrides_the_file() {
-    let text = sound_file().to_string();
+fn environment_variable_overrides_the_file() {
+    let text = valid_file().to_string();
     let variables = |name: &str| match name {
         "BALANCER_LISTEN" => Some("127.0.0.2:6432".to_string()),
         "BALANCER_NAME" => Some("n1".to_string()),
         _ => None,
     };
-    let c = parse(text.as_bytes(), variables, LoadPhase::Startup).unwrap();
+    let config = parse(text.as_bytes(), variables, LoadPhase::Startup).unwrap();
     assert_eq!(
-        (c.listen.to_string().as_str(), c.overridden_keys),
+        (config.listen.to_string().as_str(), config.overridden_keys),
         ("127.0.0.2:6432", vec!["listen".to_string()])
     );
 }
 
 #[test]
-fn on_reload_the_files_discovery_wins_over_the_variable() {
+fn on_reload_discovery_in_the_file_overrides_the_environment_variable() {
     let variables = |name: &str| (name == "BALANCER_DISCOVERY").then(|| "127.0.0.9:1".to_string());
-    let read = |file: &Value, reading| parse(file.to_string().as_bytes(), variables, reading).unwrap();
-    assert_eq!(read(&sound_file(), LoadPhase::Startup).discovery.to_string(), "127.0.0.9:1");
-    let again = read(&sound_file(), LoadPhase::Reload);
-    assert_eq!((again.discovery.to_string().as_str(), again.overridden_keys), ("127.0.0.1:8500", vec![]));
-    let mut without = sound_file();
-    without.as_object_mut().unwrap().remove("discovery");
-    assert_eq!(read(&without, LoadPhase::Reload).discovery.to_string(), "127.0.0.9:1");
+    let read = |file: &Value, phase| parse(file.to_string().as_bytes(), variables, phase).unwrap();
+    assert_eq!(read(&valid_file(), LoadPhase::Startup).discovery.to_string(), "127.0.0.9:1");
+    let reloaded = read(&valid_file(), LoadPhase::Reload);
+    assert_eq!(
+        (reloaded.discovery.to_string().as_str(), reloaded.overridden_keys),
+        ("127.0.0.1:8500", vec![])
+    );
+    let mut file = valid_file();
+    file.as_object_mut().unwrap().remove("discovery");
+    assert_eq!(read(&file, LoadPhase::Reload).discovery.to_string(), "127.0.0.9:1");
 }
 
 #[test]
-fn keys_that_need_a_restart_are_named() {
-    let started = load(&sound_file()).unwrap();
-    let mut file = sound_file();
+fn changed_keys_that_need_a_restart_are_listed() {
+    let started = load(&valid_file()).unwrap();
+    let mut file = valid_file();
     (file["seed"], file["discovery"]) = (json!("1"), json!("127.0.0.1:1"));
     file["known"]["version"] = json!(2);
     assert!(started.needs_restart(&load(&file).unwrap()).is_empty());
@@ -103,7 +113,7 @@
 }
 
 #[test]
-fn each_error_names_its_key() {
+fn each_error_has_the_path_of_its_key() {
     let cases = [
         ("/listen", json!("nowhere"), "listen"),
         ("/discovery", json!(7), "discovery"),
@@ -132,10 +142,10 @@
         ("/settings/rules/fallMultiple", json!(0.0), "settings.rules.fallMultiple"),
     ];
     for (pointer, value, key) in cases {
-        let mut file = sound_file();
+        let mut file = valid_file();
         *file.pointer_mut(pointer).unwrap() = value.clone();
         assert_eq!(
-            load(&file).map_err(|e| e.key().to_string()).err().as_deref(),
+            load(&file).map_err(|error| error.key().to_string()).err().as_deref(),
             Some(key),
             "{pointer} = {value}"
         );
@@ -144,7 +154,7 @@
         let error = parse(text, |_| None, LoadPhase::Startup).unwrap_err();
         assert_eq!(error.key(), "(file)");
     }
-    let mut file = sound_file();
+    let mut file = valid_file();
     file["settings"]["bounds"].as_object_mut().unwrap().remove("probes");
     let error = load(&file).err().unwrap();
     assert_eq!(error.key(), "settings.bounds");
@@ -155,9 +165,9 @@
 }
 
 #[test]
-fn the_drain_grace_is_shortened_by_the_scheduling_delay() {
+fn drain_grace_is_shortened_by_the_scheduling_delay() {
     let grace = |ms: u64| {
-        let mut file = sound_file();
+        let mut file = valid_file();
         file["settings"]["rules"]["drainGrace"] = (ms * 1_000_000).into();
         parse(file.to_string().as_bytes(), |_| None, LoadPhase::Startup)
             .unwrap()
@@ -167,21 +177,45 @@
     };
     assert_eq!(grace(1000), Time::ms(850));
     assert_eq!(grace(250), Time::ms(100));
-    assert_eq!(grace(100), Time(0), "nothing is left: no request is sent from the notice on");
+    assert_eq!(
+        grace(100),
+        Time(0),
+        "a grace period below the scheduling delay leaves none: no request is sent after the notification"
+    );
 }
 
 #[test]
-fn an_error_is_one_line_with_key_and_value() {
+fn error_is_one_line_with_key_value_and_what_is_allowed() {
     let cases = [
-        ("/listen", json!("nowhere"), "listen: \"nowhere\" is not an address with a port"),
+        ("/listen", json!("nowhere"), "listen: invalid address \"nowhere\", expected IP:PORT"),
         ("/name", Value::Null, "name: is missing, and BALANCER_NAME is not set"),
-        ("/limits/sockets", json!(10), "limits.sockets: must be 48 at least, not 10"),
+        ("/limits/sockets", json!(10), "limits.sockets: must be at least 48, found 10"),
         ("/known", json!([]), "known: must be an object"),
-        ("/settings/rules/coldFrom", json!(2.5), "settings.rules.coldFrom: must lie from 0 to 1, not at 2.5"),
-        ("/settings/reporting/via", json!("odd"), "settings.reporting.via: \"odd\" is unknown"),
+        ("/settings/rules/coldFrom", json!(2.5), "settings.rules.coldFrom: must be from 0 to 1, found 2.5"),
+        (
+            "/settings/reporting/via",
+            json!("odd"),
+            "settings.reporting.via: unknown value \"odd\", expected one of answers, probe, none",
+        ),
+        (
+            "/settings/profiles/1/keyScope",
+            json!("odd"),
+            "settings.profiles[1].keyScope: unknown value \"odd\", expected one of all, zone, cell",
+        ),
+        (
+            "/settings/familyInfo/whenBehind",
+            json!("odd"),
+            "settings.familyInfo.whenBehind: unknown value \"odd\", expected one of none, bounce, await",
+        ),
+        (
+            "/settings/familyInfo/consistency/1",
+            json!("odd"),
+            "settings.familyInfo.consistency[1]: unknown value \"odd\", \
+             expected one of eventual, lag_bound, causal, strong, mutate",
+        ),
     ];
     for (pointer, value, line) in cases {
-        let mut file = sound_file();
+        let mut file = valid_file();
         *file.pointer_mut(pointer).unwrap() = value;
         assert_eq!(load(&file).unwrap_err().to_string(), line);
     }
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -227,7 +227,10 @@
     let output = command.env("BALANCER_DISCOVERY", "127.0.0.1:1").output().expect("an answer");
     let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(output.status.code(), Some(2), "{stderr}");
-    assert!(stderr.contains("fleet.router: \"n9\", this one, is not on the list"), "{stderr}");
+    assert!(
+        stderr.contains("fleet.router: the list has no router \"n9\", the name of this router"),
+        "{stderr}"
+    );
 }
 
 /// When statements arrived whose id had arrived before.
