--- a/crates/config/src/local_settings/fleet.rs
+++ b/crates/config/src/local_settings/fleet.rs
@@ -30,7 +30,8 @@
 const DEFAULT_DRIFT_PERCENT: f64 = 1.0;
 /// The default of `alone-percent` of a limit.
 const DEFAULT_ALONE_PERCENT: f64 = 10.0;
-/// The maximum age in the fleet's key ring. It applies to session tokens only; datagrams do not expire by age.
+/// The maximum age in the fleet's key ring. It applies to session tokens only; datagrams do not expire by
+/// age.
 const NO_MAX_AGE: Time = Time(0);
 /// The key that errors in a limit name.
 const LIMIT: &str = "fleet.limit";
--- a/crates/sim/src/adapter.rs
+++ b/crates/sim/src/adapter.rs
@@ -1,4 +1,5 @@
-//! The loop over frames. Each router instance is kept apart from the others.
+//! The loop that answers frames. One process has several router instances, which share no state except the
+//! numbered endpoint lists.
 
 use crate::router::Router;
 use crate::wire::{encode_reply, Decoder, FrameError, Incoming, InstanceAction, InstanceEvent};
@@ -6,31 +7,33 @@
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 
-/// Why the adapter ends before its input does. Printed, it is one line that names the frame.
+/// Why the adapter stops before the end of its input. The `Display` form is one line; it names the frame if
+/// the frame is at fault.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
-    /// A frame can't be read.
+    /// A frame can't be read or decoded.
     #[error("frame {number}: {source}")]
     Frame {
-        /// The frame, counted from 0.
+        /// The index of the frame, from 0.
         number: u64,
-        /// What is wrong with it.
+        /// The problem with the frame.
         source: FrameError,
     },
-    /// An event for an instance that was never started.
-    #[error("frame {frame}: router {instance} was never started")]
+    /// An event is for an instance that has not been started, or that has been stopped.
+    #[error("frame {frame}: router instance {instance} is not running")]
     UnknownInstance {
-        /// The frame, counted from 0.
+        /// The index of the frame, from 0.
         frame: u64,
-        /// The instance.
+        /// The number of the instance.
         instance: u32,
     },
-    /// The reply can't be written.
-    #[error(transparent)]
+    /// A reply can't be written.
+    #[error("failed to write a reply: {0}")]
     Write(io::Error),
 }
 
-/// Answers each frame of the input with one reply, until the input ends between two frames.
+/// Answers each frame of the input with one reply, until the input ends. The end of the input is an error if
+/// it is inside a frame.
 pub fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), AdapterError> {
     let mut adapter = Adapter::default();
     for number in 0u64.. {
@@ -45,7 +48,7 @@
     Ok(())
 }
 
-/// The router instances and what their frames refer to.
+/// The router instances, and the decoder with the state that frames refer to.
 #[derive(Default)]
 struct Adapter {
     decoder: Decoder,
@@ -53,8 +56,8 @@
 }
 
 impl Adapter {
-    /// Handles a frame's events, and returns the actions in order. The error is an instance that was never
-    /// started.
+    /// Handles the events of a frame and returns the actions in order. The error is the number of an instance
+    /// that is not running.
     fn handle_events(&mut self, now: Time, events: Vec<InstanceEvent>) -> Result<Vec<InstanceAction>, u32> {
         let mut actions = Vec::new();
         let mut output = Vec::new();
@@ -65,7 +68,8 @@
                 }
                 Incoming::Stop => {
                     self.routers.remove(&instance);
-                    // A killed instance does nothing more, not even what it did earlier in this frame.
+                    // The actions of a killed instance have no effect, including those from earlier in this
+                    // frame.
                     actions.retain(|action: &InstanceAction| action.instance != instance);
                 }
                 Incoming::Request { request, session, token_age } => {
@@ -83,18 +87,18 @@
     }
 }
 
-/// Bytes of a frame's length field, which counts itself.
+/// The size of a frame's length field in bytes. The length includes the field itself.
 const LENGTH_FIELD_LEN: usize = 4;
 
-/// The next frame; none at the end of the input.
+/// Reads the next frame; returns `None` at the end of the input.
 fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>, FrameError> {
     let mut length_field = [0; LENGTH_FIELD_LEN];
-    let mut have = 0;
-    while have < LENGTH_FIELD_LEN {
-        match input.read(&mut length_field[have..])? {
-            0 if have == 0 => return Ok(None),
+    let mut filled = 0;
+    while filled < LENGTH_FIELD_LEN {
+        match input.read(&mut length_field[filled..])? {
+            0 if filled == 0 => return Ok(None),
             0 => return Err(FrameError::TruncatedLength),
-            len => have += len,
+            len => filled += len,
         }
     }
     let len = Decoder::frame_len(length_field)?;
--- a/crates/sim/src/main.rs
+++ b/crates/sim/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `basalthill-sim`: the adapter on standard input and output.
+//! The program `basalthill-sim`: runs the adapter on standard input and standard output.
 
 use basalthill_sim::adapter;
 use std::io;
--- a/crates/sim/src/router.rs
+++ b/crates/sim/src/router.rs
@@ -1,4 +1,4 @@
-//! One router instance: its routing policy and its sessions.
+//! A router instance: its routing policy and its session floors.
 
 use basalthill_config::settings::Deployment;
 use basalthill_policy::api::*;
@@ -7,41 +7,43 @@
 use basalthill_session::{PlatformFloors, SessionRequest, Sessions, TrackedRequest};
 use std::collections::BTreeMap;
 
-/// Most memory, in bytes, that a router's session-floor table may come to take.
+/// The maximum size of the session-floor table of a router instance, in bytes.
 const MAX_SESSION_TABLE_BYTES: usize = 1 << 20;
 
-/// One router instance.
+/// A router instance.
 pub(crate) struct Router {
     policy: Policy,
     sessions: Sessions,
     deployment: Deployment,
-    /// Writes of sessions that are in flight, where the router remembers them.
+    /// The writes of sessions that are in flight. Empty unless the platform lets the router remember writes.
     writes: BTreeMap<RequestId, SessionWrite>,
 }
 
-/// A session's write that is in flight.
+/// A write of a session that is in flight.
 struct SessionWrite {
     group: GroupId,
     tracked: TrackedRequest,
 }
 
-/// The identity of the session with this key; the simulator's sessions have no names.
+/// Returns the identity of a session. The sessions of the simulator have a key but no name.
 fn identity(key: SessionKey) -> SessionIdentity<'static> {
     SessionIdentity { name: &[], key }
 }
 
 impl Router {
-    /// A router that starts now.
+    /// Creates a router instance that starts at `now`.
     pub(crate) fn new(now: Time, seed: u64, deployment: Deployment) -> Router {
         let policy = Policy::new(deployment.settings.clone(), seed);
-        // Without a session configuration the platform's floors hold; without memory the table is never used.
-        let remembers = deployment.platform_floors == PlatformFloors::Remembered;
-        let table_bytes = if remembers { MAX_SESSION_TABLE_BYTES } else { 0 };
+        // Without a session configuration, the platform's rules for floors apply. The table is needed only if
+        // the router remembers writes.
+        let remembers_writes = deployment.platform_floors == PlatformFloors::Remembered;
+        let table_bytes = if remembers_writes { MAX_SESSION_TABLE_BYTES } else { 0 };
         let sessions = Sessions::new(now, deployment.platform_floors, None, table_bytes, seed);
         Router { policy, sessions, deployment, writes: BTreeMap::new() }
     }
 
-    /// Handles a request. `token_age` tells how long ago its session last wrote, if the request says so.
+    /// Handles a request. `token_age` is the time since the last write of its session, if the request gives
+    /// it.
     pub(crate) fn handle_request(
         &mut self,
         now: Time,
@@ -56,8 +58,9 @@
         self.handle(now, Event::Request(request), out);
     }
 
-    /// The floor that its session gives a request; none for a class that the deployment does not have. A
-    /// write is tracked where the router remembers sessions.
+    /// Returns the floor of a request according to its session, or `None` if the deployment does not have the
+    /// class of the request. If the router remembers writes and the request is a write, the request is
+    /// tracked.
     fn session_floor(
         &mut self,
         now: Time,
@@ -87,26 +90,26 @@
         }
     }
 
-    /// Handles an event: its actions are appended to `out`.
+    /// Handles an event and appends the resulting actions to `out`.
     pub(crate) fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         match &event {
-            Event::Outcome(outcome) => self.note_outcome(now, outcome),
+            Event::Outcome(outcome) => self.record_outcome(now, outcome),
             Event::ClientGone(id) => {
                 self.writes.remove(id);
             }
             _ => {}
         }
-        let handled_before = out.len();
+        let previous_len = out.len();
         self.policy.handle(now, event, out);
-        for action in &out[handled_before..] {
+        for action in &out[previous_len..] {
             if let Action::Reject(id, _) | Action::Fail(id) = action {
                 self.writes.remove(id);
             }
         }
     }
 
-    /// Raises the session's floor by a write that was executed.
-    fn note_outcome(&mut self, now: Time, outcome: &Outcome) {
+    /// Raises the floor of a write's session to the position of the write if it was executed.
+    fn record_outcome(&mut self, now: Time, outcome: &Outcome) {
         let position = outcome.replication.position;
         if outcome.status == Status::Ok && position.is_some() {
             if let Some(SessionWrite { group, tracked }) = self.writes.get_mut(&outcome.request) {
--- a/crates/sim/src/wire/cursor.rs
+++ b/crates/sim/src/wire/cursor.rs
@@ -1,4 +1,4 @@
-//! Reads the fields of a record in order.
+//! Reads the big-endian fields of a record in order.
 
 use super::RecordError;
 
@@ -9,7 +9,7 @@
 }
 
 impl<'a> Cursor<'a> {
-    /// A cursor at the beginning.
+    /// Creates a cursor at the first byte of a record.
     pub(super) fn new(bytes: &'a [u8]) -> Cursor<'a> {
         Cursor { bytes, position: 0 }
     }
@@ -37,12 +37,12 @@
         Ok(u64::from_be_bytes(self.take()?))
     }
 
-    /// A number that the wire has in single precision.
+    /// Reads a single-precision number.
     pub(super) fn f32(&mut self) -> Result<f64, RecordError> {
         Ok(f64::from(f32::from_be_bytes(self.take()?)))
     }
 
-    /// A `u32` that counts or measures something in memory.
+    /// Reads a `u32` that is a size, a count or an offset.
     pub(super) fn size(&mut self) -> Result<usize, RecordError> {
         Ok(self.u32()? as usize)
     }
--- a/crates/sim/src/wire/decoder.rs
+++ b/crates/sim/src/wire/decoder.rs
@@ -1,4 +1,4 @@
-//! Decodes frames of events.
+//! Decoder of frames of events.
 
 use super::cursor::Cursor;
 use super::{
@@ -8,7 +8,7 @@
 use basalthill_policy::api::*;
 use std::collections::BTreeMap;
 
-/// Codes of the records.
+/// The codes of records: the first byte of each.
 mod code {
     pub const START: u8 = 1;
     pub const ENDPOINTS: u8 = 2;
@@ -20,37 +20,37 @@
     pub const PROBE_FINISHED: u8 = 8;
     pub const MESSAGE: u8 = 9;
     pub const STOP: u8 = 10;
-    /// Not an event: an endpoint list, to which events refer by its number.
+    /// An endpoint list. It is no event: later events refer to it by its number.
     pub const LIST: u8 = 11;
 }
 
-/// The bit of a request's marks that stands for a client's retry.
-const RETRY_MARK: u8 = 2;
-/// Most values of a load report that a record has.
+/// The bit in the flags of a request that marks a retry by the client.
+const CLIENT_RETRY_FLAG: u8 = 2;
+/// The maximum number of values of a load report in a record.
 const MAX_REPORT_VALUES: usize = 4;
-/// The column of a load report with the position, in seconds since the origin.
+/// The column of a load report with the log position, in seconds since the position epoch of the deployment.
 const POSITION_COLUMN: &str = "x0";
-/// The column of a load report with the role: 1 for the primary.
+/// The column of a load report with the role: 1 for the primary, 0 for a replica.
 const ROLE_COLUMN: &str = "x1";
 
-/// Decodes frames. It keeps the numbered endpoint lists, which all instances use, and what each
-/// instance's load reports mean.
+/// Decodes frames. It stores the endpoint lists by number, which all instances share, and the format of the
+/// load reports of each instance.
 #[derive(Default)]
 pub struct Decoder {
     lists: BTreeMap<u8, Vec<Endpoint>>,
     report_formats: BTreeMap<u32, ReportFormat>,
 }
 
-/// What an instance's load reports mean.
+/// The format of the load reports of an instance.
 struct ReportFormat {
-    /// The origin of positions.
+    /// The time from which log positions count.
     position_epoch: Time,
-    /// The names of the values.
+    /// The columns: the names of the values.
     columns: Vec<String>,
 }
 
 impl Decoder {
-    /// The size of a frame in bytes, from its first four.
+    /// Returns the length of a frame in bytes, which its first four bytes give.
     pub fn frame_len(length_field: [u8; 4]) -> Result<usize, FrameError> {
         let len = u32::from_be_bytes(length_field) as usize;
         match len < FRAME_HEADER_LEN {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The clock and the events of a frame.
+    /// Decodes the clock and the events of a frame.
     pub fn decode(&mut self, frame: &[u8]) -> Result<Frame, FrameError> {
         let header = Header::decode(frame).map_err(|_| FrameError::TruncatedHeader)?;
         let count = header.record_count;
@@ -77,12 +77,12 @@
         Ok(Frame { now: header.now, events })
     }
 
-    /// The event of a record; none if it is an endpoint list.
+    /// Decodes the event of a record; returns `None` if the record is an endpoint list, which is stored.
     fn decode_record(&mut self, record: &[u8], tail: &[u8]) -> Result<Option<InstanceEvent>, RecordError> {
         let mut cursor = Cursor::new(record);
         let code = cursor.u8()?;
         if code == code::LIST {
-            self.take_list(&mut cursor, tail)?;
+            self.store_list(&mut cursor, tail)?;
             return Ok(None);
         }
         let instance = cursor.u32()?;
@@ -126,7 +126,7 @@
         }
     }
 
-    fn take_list(&mut self, cursor: &mut Cursor, tail: &[u8]) -> Result<(), RecordError> {
+    fn store_list(&mut self, cursor: &mut Cursor, tail: &[u8]) -> Result<(), RecordError> {
         let number = cursor.u8()?;
         let start = cursor.size()?;
         let count = cursor.size()?;
@@ -178,7 +178,7 @@
         let status = decode_status(cursor.u16()?)?;
         let elapsed = Time(cursor.u64()?);
         let request_completed = cursor.u8()? != 0;
-        let replication = self.decode_note(instance, cursor.u32()?);
+        let replication = self.decode_replication(instance, cursor.u32()?);
         let report = self.decode_report(instance, cursor)?;
         Ok(Event::Outcome(Outcome {
             request,
@@ -192,13 +192,14 @@
         }))
     }
 
-    /// The note of an answer: the role in its last two bits, above them the position in milliseconds.
-    fn decode_note(&self, instance: u32, note: u32) -> ReplicationState {
+    /// Decodes the replication state of a response: the role in the two lowest bits, and above them the log
+    /// position in milliseconds since the position epoch.
+    fn decode_replication(&self, instance: u32, bits: u32) -> ReplicationState {
         let format = self.report_formats.get(&instance);
         let position_epoch = format.map_or(Time(0), |format| format.position_epoch);
-        let position_ms = u64::from(note / 4);
-        let position = (note >= 4).then(|| position_epoch.plus(Time::ms(position_ms)));
-        let role = match note % 4 {
+        let position_ms = u64::from(bits / 4);
+        let position = (bits >= 4).then(|| position_epoch.plus(Time::ms(position_ms)));
+        let role = match bits % 4 {
             1 => Some(Role::Primary),
             2 => Some(Role::Replica),
             _ => None,
@@ -252,9 +253,9 @@
     let _effort = cursor.u64()?;
     let group = GroupId(cursor.f32()? as u32);
     let token_age_ms = cursor.f32()?;
-    let client_retry = cursor.u8()? & RETRY_MARK != 0;
+    let client_retry = cursor.u8()? & CLIENT_RETRY_FLAG != 0;
     let request = Request { id, class, tenant, deadline, group, floor: Time(0), lead: Time(0), client_retry };
-    // Zero stands for none in both.
+    // Zero stands for no session, and for no token age.
     let session = (session_key != 0).then_some(SessionKey(session_key));
     let token_age = (token_age_ms > 0.0).then_some(Time((token_age_ms * 1e6) as u64));
     Ok(Incoming::Request { request, session, token_age })
@@ -276,7 +277,8 @@
     let weight = cursor.f32()?;
     let started_ns = cursor.u64()?;
     let started = (started_ns != 0).then_some(Time(started_ns));
-    // The simulator's list counts as notified when it arrives.
+    // The router counts as notified of a change when the simulator's list arrives. A time in the future
+    // stands for the arrival.
     let notified_at = Time(u64::MAX);
     Ok(Endpoint { member, zone, group, state, weight, primary, started, notified_at })
 }
@@ -296,7 +298,7 @@
     }
 }
 
-/// The bytes of the tail that a record's next two fields refer to.
+/// Returns the bytes of the tail to which the next two fields of a record refer: an offset and a length.
 fn tail_range<'t>(tail: &'t [u8], cursor: &mut Cursor) -> Result<&'t [u8], RecordError> {
     let start = cursor.size()?;
     let len = cursor.size()?;
--- a/crates/sim/src/wire/error.rs
+++ b/crates/sim/src/wire/error.rs
@@ -1,91 +1,91 @@
-//! What is wrong with a frame.
+//! Errors of reading and decoding frames.
 
 use super::FRAME_HEADER_LEN;
 use basalthill_config::ConfigError;
 use std::io;
 
-/// Why a frame can't be read.
+/// Why a frame can't be read or decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
     /// The input can't be read.
     #[error(transparent)]
     Read(#[from] io::Error),
-    /// The input ends inside a frame's length.
-    #[error("input ends inside a frame's length")]
+    /// The input ends inside the length field of a frame.
+    #[error("input ends inside the length field of a frame")]
     TruncatedLength,
     /// The input ends inside a frame.
-    #[error("input ends {missing} bytes short of a frame of {len}")]
+    #[error("input ends inside a frame: {missing} of its {len} bytes are missing")]
     Truncated {
-        /// Bytes that are missing.
+        /// The number of bytes that are missing.
         missing: usize,
-        /// Length of the frame.
+        /// The length of the frame in bytes, according to its header.
         len: usize,
     },
     /// A frame ends inside its header.
-    #[error("a frame ends inside its header")]
+    #[error("frame ends inside its header of {FRAME_HEADER_LEN} bytes")]
     TruncatedHeader,
-    /// A frame's length does not cover its header.
-    #[error("frame length {0} is below its header's {FRAME_HEADER_LEN}")]
+    /// The length of a frame is less than the length of a header.
+    #[error("frame length {0} is less than the {FRAME_HEADER_LEN} bytes of a header")]
     LengthBelowHeader(usize),
-    /// The count of records is out of range.
-    #[error("record count overflows")]
+    /// The number of records is so large that their total length overflows.
+    #[error("record count is too large: the length of the records overflows")]
     RecordCountOverflow,
-    /// The records do not fit into the frame.
+    /// The records do not fit into the frame, or the frame has another length than its header says.
     #[error("frame of {frame_len} bytes can't hold {count} records")]
     RecordsExceedFrame {
-        /// Bytes of the frame.
+        /// The length of the frame in bytes.
         frame_len: usize,
-        /// How many records it is said to have.
+        /// The number of records according to the header.
         count: usize,
     },
-    /// A record can't be read.
+    /// A record can't be decoded.
     #[error("record {index}: {source}")]
     Record {
-        /// The record, counted from 0.
+        /// The index of the record, from 0.
         index: usize,
-        /// What is wrong with it.
+        /// The problem with the record.
         source: RecordError,
     },
 }
 
-/// Why a record can't be read.
+/// Why a record can't be decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
-    /// It is shorter than its fields.
-    #[error("a record ends early")]
+    /// The record ends before its last field.
+    #[error("record ends before its last field")]
     EndsEarly,
-    /// It refers to bytes beyond the tail.
-    #[error("{len} bytes at {start} run past the tail")]
+    /// The record refers to bytes beyond the end of the tail.
+    #[error("range of {len} bytes at offset {start} extends past the tail")]
     RangePastTail {
-        /// Where they begin.
+        /// The offset of the bytes in the tail.
         start: usize,
-        /// How many there are.
+        /// The number of bytes.
         len: usize,
     },
-    /// It refers to an endpoint list beyond the tail.
-    #[error("list of {count} entries at {start} runs past the tail")]
+    /// The record refers to an endpoint list that extends beyond the end of the tail.
+    #[error("endpoint list of {count} entries at offset {start} extends past the tail")]
     ListPastTail {
-        /// Where it begins.
+        /// The offset of the list in the tail.
         start: usize,
-        /// How many entries it has.
+        /// The number of entries.
         count: usize,
     },
-    /// An event's code is none.
-    #[error("event code {0} is unknown")]
+    /// The code of an event is unknown.
+    #[error("unknown event code {0}")]
     UnknownEvent(u8),
-    /// An endpoint list's form is none.
-    #[error("list form {0} is unknown")]
+    /// The kind of an endpoint list is unknown.
+    #[error("unknown kind of endpoint list {0}")]
     UnknownListForm(u8),
-    /// An endpoint list was never sent.
-    #[error("list {0} was never sent")]
+    /// An event refers to an endpoint list that has not been received.
+    #[error("endpoint list {0} has not been received")]
     UnknownList(u8),
-    /// A member's state is none.
-    #[error("member condition {0} is unknown")]
+    /// The state of a member is unknown.
+    #[error("unknown member state {0}")]
     UnknownMemberState(u8),
-    /// An attempt's status is none.
-    #[error("disposition {0} is unknown")]
+    /// The status of an attempt is unknown.
+    #[error("unknown status {0}")]
     UnknownStatus(u16),
-    /// The settings of an instance that starts are unsound.
+    /// The settings of an instance that starts are invalid.
     #[error(transparent)]
     Settings(#[from] ConfigError),
 }
--- a/crates/sim/src/wire/mod.rs
+++ b/crates/sim/src/wire/mod.rs
@@ -1,6 +1,7 @@
-//! Encoding and decoding of the simulator's frames. No decision lives here.
+//! Encoding and decoding of the simulator's frames. This module makes no routing decisions.
 //!
-//! A frame is a header, records of one length, and a tail that records refer to. All numbers are big-endian.
+//! A frame consists of a header, records of equal length, and a tail of bytes to which records refer by
+//! offset. All numbers are big-endian.
 
 mod cursor;
 mod decoder;
@@ -14,30 +15,30 @@
 use basalthill_config::settings::Deployment;
 use basalthill_policy::api::{Action, Event, Request, SessionKey, Time};
 
-/// Bytes of a frame's header: its length, the clock, the count of records.
+/// The size of a frame's header in bytes: the length of the frame, the clock, the number of records.
 pub(crate) const FRAME_HEADER_LEN: usize = 16;
-/// Bytes of an event's record.
+/// The size of the record of an event in bytes.
 const EVENT_LEN: usize = 56;
-/// Bytes of an endpoint list's row, in the tail.
+/// The size of a row of an endpoint list in bytes. Rows are in the tail.
 const LIST_ROW_LEN: usize = 26;
-/// Bytes of a reply's header: the count of actions, its length.
+/// The size of a reply's header in bytes: the number of actions, the length of the reply.
 const REPLY_HEADER_LEN: usize = 8;
-/// Bytes of an action's record.
+/// The size of the record of an action in bytes.
 const ACTION_LEN: usize = 32;
 
 /// A frame of events.
 #[derive(Debug)]
 pub struct Frame {
-    /// The clock.
+    /// The time of the simulator's clock at which the events occur.
     pub now: Time,
-    /// The events in order.
+    /// The events, in order.
     pub events: Vec<InstanceEvent>,
 }
 
 /// An event for one router instance.
 #[derive(Debug)]
 pub struct InstanceEvent {
-    /// The instance.
+    /// The number of the instance.
     pub instance: u32,
     /// The event.
     pub event: Incoming,
@@ -46,33 +47,33 @@
 /// An action of one router instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InstanceAction {
-    /// The instance.
+    /// The number of the instance.
     pub instance: u32,
     /// The action.
     pub action: Action,
 }
 
-/// An event as the wire has it.
+/// An event as decoded from a frame.
 #[derive(Debug)]
 pub enum Incoming {
     /// The instance starts.
     Start {
-        /// Seed of its random numbers.
+        /// The seed of its random numbers.
         seed: u64,
-        /// Its deployment.
+        /// The settings of its deployment.
         deployment: Box<Deployment>,
     },
     /// The instance was killed.
     Stop,
-    /// A request. Its floor is not known yet.
+    /// A request. Its floor is not set yet; it depends on the session.
     Request {
         /// The request.
         request: Request,
-        /// Its session.
+        /// The session of the request, if it has one.
         session: Option<SessionKey>,
-        /// How long ago the session last wrote, if the request says so.
+        /// The time since the last write of the session, if the request gives it.
         token_age: Option<Time>,
     },
-    /// Any other event of the policy.
+    /// Any other event, for the routing policy.
     Event(Event),
 }
--- a/crates/sim/src/wire/reply.rs
+++ b/crates/sim/src/wire/reply.rs
@@ -1,9 +1,9 @@
-//! Encodes the actions of a frame's events.
+//! Encodes the actions that result from the events of a frame.
 
 use super::{InstanceAction, ACTION_LEN, REPLY_HEADER_LEN};
 use basalthill_policy::api::{Action, Time};
 
-/// The reply with these actions: a header, a record for each, and a tail with the log's texts.
+/// Encodes a reply: a header, one record for each action, and a tail with the texts of log actions.
 pub fn encode_reply(actions: &[InstanceAction]) -> Vec<u8> {
     let mut reply = Vec::with_capacity(REPLY_HEADER_LEN + actions.len() * ACTION_LEN);
     let mut tail: Vec<u8> = Vec::new();
@@ -28,7 +28,7 @@
     };
     match &action.action {
         Action::Send(id, member, timeout) => {
-            // Zero stands for none.
+            // Zero stands for no timeout.
             let timeout = timeout.map_or(0, |timeout| timeout.0.max(1));
             put(1, &[&id.0.to_be_bytes(), &member.0.to_be_bytes(), &timeout.to_be_bytes()]);
         }
--- a/crates/sim/tests/golden.rs
+++ b/crates/sim/tests/golden.rs
@@ -1,21 +1,22 @@
-//! Frames as the protocol's documentation prints them, and the errors of malformed input.
+//! Frames as printed in the documentation of the simulator's protocol, and the errors of malformed input.
 
 use basalthill_policy::api::*;
 use basalthill_sim::wire::{encode_reply, Decoder, Incoming, InstanceAction, InstanceEvent};
 use std::io::Write;
 use std::process::{Command, Stdio};
 
+/// Decodes hexadecimal digits; other characters are ignored.
 fn bytes(hex: &str) -> Vec<u8> {
     let digits: Vec<u8> = hex.bytes().filter(u8::is_ascii_hexdigit).collect();
-    let pair = |p: &[u8]| u8::from_str_radix(std::str::from_utf8(p).unwrap_or("0"), 16).unwrap_or(0);
-    digits.chunks(2).map(pair).collect()
+    let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).unwrap_or("0"), 16).unwrap_or(0);
+    digits.chunks(2).map(byte).collect()
 }
 
-/// A frame of records (each filled out to 56 bytes) and a tail.
+/// Encodes a frame of records, each padded to 56 bytes, and a tail.
 fn frame(now: u64, records: &[&str], tail: &[u8]) -> Vec<u8> {
     let mut body = Vec::new();
-    for r in records {
-        let mut record = bytes(r);
+    for digits in records {
+        let mut record = bytes(digits);
         record.resize(56, 0);
         body.extend(record);
     }
@@ -41,21 +42,21 @@
    "warmWithin": 15000000000},
  "reporting": {"columns": ["x0", "x1"], "via": "probe"}, "prices": {"crossZone": 0.1, "waste": 0.2}}"#;
 
-/// The reply with these actions.
+/// Encodes the reply with these actions.
 fn reply(actions: &[(u32, Action)]) -> Vec<u8> {
     let action =
         |(instance, action): &(u32, Action)| InstanceAction { instance: *instance, action: action.clone() };
     encode_reply(&actions.iter().map(action).collect::<Vec<_>>())
 }
 
-/// A frame in which instance 3 starts with these settings.
-fn start_frame(text: &str) -> Vec<u8> {
-    let record = format!("01 00000003 0000000000000007 00000000 {:08x}", text.len());
-    frame(1, &[&record], text.as_bytes())
+/// Encodes a frame in which instance 3 starts with these settings.
+fn start_frame(settings: &str) -> Vec<u8> {
+    let record = format!("01 00000003 0000000000000007 00000000 {:08x}", settings.len());
+    frame(1, &[&record], settings.as_bytes())
 }
 
 #[test]
-fn an_empty_frame_gets_an_empty_reply() {
+fn empty_frame_gets_an_empty_reply() {
     let frame = Decoder::default().decode(&bytes("00000010 00000001f568bf90 00000000")).unwrap();
     assert_eq!(frame.now, Time(0x1_f568_bf90));
     assert!(frame.events.is_empty());
@@ -63,7 +64,7 @@
 }
 
 #[test]
-fn events_are_decoded_with_their_instance() {
+fn events_are_decoded_with_the_number_of_their_instance() {
     let records = [
         "03 00000003 000317885d3a91c4 0000 0000 91f03b7c55d20a64 0000000203b6db90 0000000000b71b00 41300000
          43ce4000 01",
@@ -73,20 +74,21 @@
     let frame = frame(0x1_f568_bf90, &records, &[]);
     assert_eq!(frame.len(), 0xb8);
     let events = Decoder::default().decode(&frame).unwrap().events;
-    let [request, timer, client_gone] = &events[..] else { panic!("{events:?}") };
-    let InstanceEvent { instance: 3, event: Incoming::Request { request: r, session, token_age } } = request
+    let [request_event, timer, client_gone] = &events[..] else { panic!("{events:?}") };
+    let InstanceEvent { instance: 3, event: Incoming::Request { request, session, token_age } } =
+        request_event
     else {
-        panic!("{request:?}");
+        panic!("{request_event:?}");
     };
     assert!(matches!(timer, InstanceEvent { instance: 3, event: Incoming::Event(Event::Timer(0x4d)) }));
-    assert_eq!(r.id, RequestId(0x0003_1788_5d3a_91c4));
-    assert_eq!((r.class, r.tenant, r.group), (ClassId(0), TenantId(0), GroupId(11)));
+    assert_eq!(request.id, RequestId(0x0003_1788_5d3a_91c4));
+    assert_eq!((request.class, request.tenant, request.group), (ClassId(0), TenantId(0), GroupId(11)));
     assert_eq!(*session, Some(SessionKey(0x91f0_3b7c_55d2_0a64)));
-    assert_eq!(r.deadline, Time(0x2_03b6_db90));
+    assert_eq!(request.deadline, Time(0x2_03b6_db90));
     assert_eq!(*token_age, Some(Time(412_500_000)));
-    let gone = RequestId(0x0003_6c8c_0e6f_2b19);
+    let abandoned = RequestId(0x0003_6c8c_0e6f_2b19);
     assert!(matches!(client_gone,
-        InstanceEvent { instance: 5, event: Incoming::Event(Event::ClientGone(id)) } if *id == gone));
+        InstanceEvent { instance: 5, event: Incoming::Event(Event::ClientGone(id)) } if *id == abandoned));
 }
 
 #[test]
@@ -96,16 +98,16 @@
         (3, Action::Timer(Time(0x1dcd_6500), 0x4d)),
         (5, Action::Log("two servers known".into())),
     ];
-    let want = "00000003 00000079
+    let expected = "00000003 00000079
         01 00000003 000317885d3a91c4 03124a07 0000000004c4b400 00000000000000
         05 00000003 000000001dcd6500 000000000000004d 0000000000000000000000
         09 00000005 00000000 00000011 00000000000000000000000000000000000000
         74776f2073657276657273206b6e6f776e";
-    assert_eq!(reply(&actions), bytes(want));
+    assert_eq!(reply(&actions), bytes(expected));
 }
 
 #[test]
-fn each_action_has_its_code() {
+fn each_action_is_encoded_with_its_code() {
     let id = RequestId(9);
     let actions = [
         (1, Action::Reject(id, Some(Time(7)))),
@@ -117,14 +119,14 @@
         (1, Action::PollEndpoints),
     ];
     let out = reply(&actions);
-    let codes: Vec<u8> = out[8..].chunks(32).map(|r| r[0]).collect();
+    let codes: Vec<u8> = out[8..].chunks(32).map(|record| record[0]).collect();
     assert_eq!(codes, [2, 3, 4, 6, 7, 11, 12]);
     assert_eq!(out[136..145], bytes("07 00000001 00000005")[..]);
     assert_eq!(out[8..40], bytes("02 00000001 0000000000000009 0000000000000007 0000000000000000000000")[..]);
 }
 
 #[test]
-fn an_endpoint_list_is_referred_to_by_its_number() {
+fn event_refers_to_an_endpoint_list_by_its_number() {
     let rows = bytes(
         "3f800000 03124a07 0000 00 000b 01 3f800000 0000000000000000
          00000000 2c9011f2 0000 00 000b 02 3fc00000 000000016b969d00",
@@ -146,7 +148,7 @@
 }
 
 #[test]
-fn notes_and_reports_are_read_by_the_instances_settings() {
+fn replication_state_and_load_reports_are_decoded_by_the_settings_of_the_instance() {
     let mut decoder = Decoder::default();
     let events = decoder.decode(&start_frame(SETTINGS)).unwrap().events;
     let [InstanceEvent { instance: 3, event: Incoming::Start { seed: 7, deployment } }] = &events[..] else {
@@ -158,38 +160,38 @@
     );
     assert_eq!(deployment.settings.when_behind, WhenBehind::Reject);
     assert!(deployment.settings.probe_positions && deployment.settings.probe_roles);
-    let outcome = "05 00000003 0000000000000009 0001 00000004 0064 00000000011a49a0 01 0000638e
+    let record = "05 00000003 0000000000000009 0001 00000004 0064 00000000011a49a0 01 0000638e
          02 40c6872b 3f800000 00000000 00000000";
-    let events = decoder.decode(&frame(5, &[outcome], &[])).unwrap().events;
-    let [InstanceEvent { instance: 3, event: Incoming::Event(Event::Outcome(o)) }] = &events[..] else {
+    let events = decoder.decode(&frame(5, &[record], &[])).unwrap().events;
+    let [InstanceEvent { instance: 3, event: Incoming::Event(Event::Outcome(outcome)) }] = &events[..] else {
         panic!("{events:?}")
     };
-    assert_eq!((o.status, o.request_completed, o.attempt), (Status::Ok, true, Attempt(1)));
+    assert_eq!((outcome.status, outcome.request_completed, outcome.attempt), (Status::Ok, true, Attempt(1)));
     let position = Time(1_000_000_000).plus(Time::ms(0x638e / 4));
-    assert_eq!(o.replication, ReplicationState { position: Some(position), role: Some(Role::Replica) });
-    assert_eq!(o.report.role, Some(Role::Primary));
-    assert!(o.report.position.is_some_and(|p| p > Time(7_000_000_000) && p < Time(7_300_000_000)));
+    assert_eq!(outcome.replication, ReplicationState { position: Some(position), role: Some(Role::Replica) });
+    assert_eq!(outcome.report.role, Some(Role::Primary));
+    assert!(outcome.report.position.is_some_and(|at| at > Time(7_000_000_000) && at < Time(7_300_000_000)));
 }
 
 #[test]
 fn each_malformed_frame_has_its_error() {
     let mut decoder = Decoder::default();
     let mut error = |frame: &[u8]| decoder.decode(frame).unwrap_err().to_string();
-    let long = bytes("00000010 0000000000000000 00000001");
-    assert!(error(&long).contains("can't hold 1 records"));
-    let unknown = frame(1, &["63 00000001"], &[]);
-    assert_eq!(error(&unknown), "record 0: event code 99 is unknown");
-    let list = frame(1, &["02 00000003 01 00000001 05"], &[]);
-    assert_eq!(error(&list), "record 0: list 5 was never sent");
-    let rows = frame(1, &["0b 00 00000000 00000002"], &[0; 30]);
-    assert!(error(&rows).contains("past the tail"));
+    let too_many_records = bytes("00000010 0000000000000000 00000001");
+    assert!(error(&too_many_records).contains("can't hold 1 records"));
+    let unknown_code = frame(1, &["63 00000001"], &[]);
+    assert_eq!(error(&unknown_code), "record 0: unknown event code 99");
+    let unknown_list = frame(1, &["02 00000003 01 00000001 05"], &[]);
+    assert_eq!(error(&unknown_list), "record 0: endpoint list 5 has not been received");
+    let truncated_list = frame(1, &["0b 00 00000000 00000002"], &[0; 30]);
+    assert!(error(&truncated_list).contains("extends past the tail"));
     assert!(error(&start_frame("{")).contains("settings: "));
-    assert!(error(&start_frame(&SETTINGS.replace("mutate", "odd"))).contains("\"odd\" is unknown"));
+    assert!(error(&start_frame(&SETTINGS.replace("mutate", "odd"))).contains("unknown value \"odd\""));
     assert!(Decoder::frame_len([0, 0, 0, 3]).is_err());
 }
 
-/// Runs the adapter on some input: its output, its standard error and whether it ended well.
-fn adapter(input: &[u8]) -> (Vec<u8>, String, bool) {
+/// Runs the adapter on some input. Returns its standard output, its standard error and whether it succeeded.
+fn run_adapter(input: &[u8]) -> (Vec<u8>, String, bool) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_basalthill-sim"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -202,23 +204,23 @@
 }
 
 #[test]
-fn each_frame_gets_a_reply_and_the_adapter_ends_with_its_input() {
+fn each_frame_gets_a_reply_and_the_adapter_exits_at_the_end_of_its_input() {
     let mut input = start_frame(SETTINGS);
     input.extend(frame(2, &[], &[]));
-    let (out, err, ok) = adapter(&input);
+    let (out, err, ok) = run_adapter(&input);
     assert!(ok && err.is_empty());
     assert_eq!(out, [reply(&[]), reply(&[])].concat());
 }
 
 #[test]
-fn malformed_input_gets_one_line_and_no_reply() {
+fn malformed_input_gets_one_line_of_error_and_no_reply() {
     for input in [
         start_frame("not json"),
         bytes("00000020 00000000"),
         bytes("0000"),
         frame(1, &["07 00000003 0000000000000001"], &[]),
     ] {
-        let (out, err, ok) = adapter(&input);
+        let (out, err, ok) = run_adapter(&input);
         assert!(!ok && out.is_empty());
         assert_eq!(err.lines().count(), 1, "{err}");
         assert!(err.starts_with("basalthill-sim: ") && !err.contains("panicked"), "{err}");
@@ -226,7 +228,7 @@
 }
 
 #[test]
-fn a_killed_instance_may_restart_in_the_same_frame() {
+fn killed_instance_may_restart_in_the_same_frame() {
     let start = format!("01 00000003 0000000000000008 00000000 {:08x}", SETTINGS.len());
     let request =
         "03 00000003 0000000000000009 0000 0000 0000000000000001 00000000ffffffff 0000000000000000 00000000
@@ -237,10 +239,14 @@
         &[request, "0a 00000003", &start, "06 00000003 0000000000000009"],
         SETTINGS.as_bytes(),
     ));
-    let (out, err, ok) = adapter(&input);
+    let (out, err, ok) = run_adapter(&input);
     assert!(ok, "{err}");
-    let first = reply(&[]);
-    assert!(out.starts_with(&first));
-    let codes: Vec<u8> = out[first.len() + 8..].chunks(32).map(|r| r[0]).collect();
-    assert_eq!(codes, [5], "what the killed one had done is dropped; the new one asks for its first timer");
+    let start_reply = reply(&[]);
+    assert!(out.starts_with(&start_reply));
+    let codes: Vec<u8> = out[start_reply.len() + 8..].chunks(32).map(|record| record[0]).collect();
+    assert_eq!(
+        codes,
+        [5],
+        "the actions of the killed instance are dropped; the new instance requests its first timer"
+    );
 }
