--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -196,8 +196,8 @@
     /// A second limit counts the members or the same budget; each of these may have one limit only.
     #[error("another limit has the same each-member or budget; only one is allowed")]
     SubjectHasLimit,
-    /// A burst is smaller than the number of routers. Each router gets an equal part of the burst, which has
-    /// to allow at least one request.
+    /// A burst is smaller than the number of routers. Each router gets a part of the burst, which has to
+    /// allow at least one request.
     #[error("must be at least {routers}, one request for each router, found {value}")]
     BurstBelowRouters {
         /// The number of routers in the fleet.
--- a/crates/config/src/router/timeouts.rs
+++ b/crates/config/src/router/timeouts.rs
@@ -23,7 +23,7 @@
 pub const RESPONSE_STALL_TIMEOUT: Time = Time::ms(100);
 
 /// The time for which a host connection is not reused after a response. Data that the host sends directly
-/// after the response has arrived by then, so it is not taken for the response to the next query.
+/// after the response arrives within this time, so it is not taken for the response to the next query.
 pub const HOST_REUSE_DELAY: Time = Time::ms(2);
 
 /// The time for which a client without an open request must have been idle before it may be evicted to free a
--- a/crates/config/tests/local_settings.rs
+++ b/crates/config/tests/local_settings.rs
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn limits_are_sorted_by_name() {
+fn order_of_limits_in_the_file_has_no_effect() {
     let limits = |lines: [&str; 2]| {
         let router = "router \"a\" \"127.0.0.1:1\"";
         parse(&format!("fleet {{\n{KEY}\n{router}\n{}\n{}\n}}", lines[0], lines[1])).unwrap().fleet.unwrap()
