--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -1,5 +1,5 @@
-//! A discovery agent: the endpoint list over HTTP/1.1 (RFC 9112), and a watch that streams changes as chunks,
-//! one JSON object a line.
+//! A discovery agent that serves the endpoint list over HTTP/1.1 (RFC 9112): to a poll as a single JSON
+//! object, and to a watch as a chunked stream of JSON objects, one per line.
 
 use crate::Watched;
 use std::collections::VecDeque;
@@ -8,55 +8,56 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The head of a successful response, up to the field that says how long its body is.
+/// The head of a successful response, up to the header field that specifies the length of the body.
 const OK_HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n";
-/// The response for want of capacity.
+/// The response of [`ResponseMode::Unavailable`].
 const UNAVAILABLE: &str = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
-/// The field and the end of a head whose body comes in chunks.
+/// The header field for a chunked body, and the end of the head.
 const CHUNKED: &str = "Transfer-Encoding: chunked\r\n\r\n";
-/// What tells a watch from a poll in a request line.
+/// The query parameter that a request line has for a watch but not for a poll.
 const WATCH_PARAMETER: &str = "watch=1";
-/// Between two bytes of [`ResponseMode::EndlessLine`].
+/// The time between two bytes of [`ResponseMode::EndlessLine`].
 const DRIP_INTERVAL: Duration = Duration::from_millis(50);
-/// Between two events of a watch, so that each of them is a segment of its own.
+/// The time between two events of a watch, so that each of them is sent as a TCP segment of its own.
 const EVENT_INTERVAL: Duration = Duration::from_millis(1);
 
-/// How a request is answered, if not as usual.
+/// A response to a request other than the usual one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseMode {
-    /// Its connection is closed at once.
+    /// No response; the connection is closed at once.
     Close,
-    /// It is never answered.
+    /// No response; the connection stays open until the router closes it.
     NoResponse,
-    /// It is rejected with status 503.
+    /// Status 503 without a body.
     Unavailable,
-    /// Its response ends with the head, and the connection stays open.
+    /// The head without a body; the connection stays open until the router closes it.
     HeadOnly,
-    /// The response is the list on one line; then half a line follows byte by byte and never ends.
+    /// The list on one line, then the start of a second line that goes on byte by byte without end.
     EndlessLine,
-    /// The list is indented, over many lines.
+    /// The list as indented JSON, over many lines.
     Indented,
 }
 
-/// What discovery publishes and which requests it has received.
+/// What discovery publishes, the requests that it has received, and how it responds to the next ones.
 #[derive(Debug, Default)]
 pub struct DiscoveryState {
-    /// Lines published so far, the complete list first.
+    /// Lines that a watch sends: the complete list, then all lines published since.
     lines: Vec<String>,
     /// Request lines received, in order.
     pub requests: Vec<String>,
-    /// While this is set, requests get no answer at all, and never will.
+    /// While this is set, requests get no response. When it is cleared, or after [`crate::TIMEOUT`], the
+    /// connections of these requests are closed.
     pub withhold_responses: bool,
-    /// How the next requests are answered, in order; those after them as usual.
+    /// Modes of the responses to the next requests, in order; later requests get the usual response.
     pub next_responses: VecDeque<ResponseMode>,
-    /// Watches begun so far.
+    /// Number of watches opened so far.
     watches: usize,
-    /// Watches up to this number are ended.
-    ended_watches: usize,
+    /// Watches up to this number are to be closed.
+    closed_watches: usize,
 }
 
 impl DiscoveryState {
-    /// Records a request, and decides how it is answered.
+    /// Records a request and returns how to respond to it.
     fn receive(&mut self, request_line: String) -> Request {
         let is_watch = request_line.contains(WATCH_PARAMETER);
         self.requests.push(request_line);
@@ -71,10 +72,10 @@
     }
 }
 
-/// A request and how it is answered.
+/// A request and how to respond to it.
 struct Request {
     is_watch: bool,
-    /// Watches begun so far; its own number if it is a watch.
+    /// Number of watches opened so far. If the request is a watch, this is its own number.
     watch_number: usize,
     /// The complete list.
     list: String,
@@ -82,22 +83,23 @@
     mode: Option<ResponseMode>,
 }
 
-/// A discovery agent on loopback. It runs until the process ends.
+/// A discovery agent on loopback. It runs until the process exits.
 #[derive(Clone)]
 pub struct Discovery {
-    /// Where it listens.
+    /// The address that it listens on.
     pub addr: SocketAddr,
     /// What it publishes and has received.
     pub state: Arc<Watched<DiscoveryState>>,
 }
 
 impl Discovery {
-    /// Starts on a port of its own with a complete list, a JSON object on one line.
+    /// Starts discovery on a port of its own. `list` is the complete endpoint list, a JSON object on one
+    /// line.
     pub fn start(list: String) -> io::Result<Discovery> {
         Discovery::start_at((Ipv4Addr::LOCALHOST, 0).into(), list)
     }
 
-    /// Starts at a given address.
+    /// Starts discovery at a given address.
     pub fn start_at(addr: SocketAddr, list: String) -> io::Result<Discovery> {
         let listener = TcpListener::bind(addr)?;
         let state = DiscoveryState { lines: vec![list], ..DiscoveryState::default() };
@@ -106,28 +108,28 @@
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let state = Arc::clone(&state);
-                // The other side may close or reset its connection at any time.
+                // An error is expected here: the router may close or reset its connection at any time.
                 std::thread::spawn(move || drop(respond(stream, &state)));
             }
         });
         Ok(discovery)
     }
 
-    /// Publishes a line to all watches: a change as a JSON object on one line, or any other text.
+    /// Sends a line to all watches: a change of the list as a JSON object, or any other text.
     pub fn publish(&self, line: String) {
         self.state.change(|s| s.lines.push(line));
     }
 
-    /// Ends the open watches; the next ones begin with the complete list given.
+    /// Closes all open watches. Later watches start with `list`, a complete endpoint list.
     pub fn restart_watches(&self, list: String) {
         self.state.change(|s| {
             s.lines = vec![list];
-            s.ended_watches = s.watches;
+            s.closed_watches = s.watches;
         });
     }
 }
 
-/// Reads a request and answers it.
+/// Reads a request and responds to it.
 fn respond(mut stream: TcpStream, state: &Watched<DiscoveryState>) -> io::Result<()> {
     let mut lines = BufReader::new(stream.try_clone()?).lines();
     let request_line = lines.next().unwrap_or_else(|| Ok(String::new()))?;
@@ -145,7 +147,7 @@
     }
 }
 
-/// Answers a request in an unusual way.
+/// Sends the response of a mode.
 fn respond_in_mode(mut stream: TcpStream, mode: ResponseMode, list: &str) -> io::Result<()> {
     match mode {
         ResponseMode::Close => Ok(()),
@@ -170,32 +172,32 @@
     }
 }
 
-/// What a watch does next.
+/// The next step of a watch.
 enum WatchStep {
-    /// It sends a line.
+    /// Send a line.
     Send(String),
-    /// It ends.
-    End,
+    /// Close the connection.
+    Close,
 }
 
-/// Streams the complete list and all lines after it until the watch is ended. An empty line goes out where
-/// nothing is published for [`crate::TIMEOUT`].
+/// Sends the complete list and all lines published after it, until the watch is closed. Sends an empty line
+/// whenever nothing has been published for [`crate::TIMEOUT`].
 fn stream_events(
     mut stream: TcpStream,
     state: &Watched<DiscoveryState>,
     watch_number: usize,
 ) -> io::Result<()> {
     write!(stream, "{OK_HEAD}{CHUNKED}")?;
-    let mut next = 0;
+    let mut next_line = 0;
     loop {
-        let step = state.wait(|s| match s.ended_watches >= watch_number {
-            true => Some(WatchStep::End),
-            false => s.lines.get(next).cloned().map(WatchStep::Send),
+        let step = state.wait(|s| match s.closed_watches >= watch_number {
+            true => Some(WatchStep::Close),
+            false => s.lines.get(next_line).cloned().map(WatchStep::Send),
         });
         match step {
-            Some(WatchStep::End) => return Ok(()),
+            Some(WatchStep::Close) => return Ok(()),
             Some(WatchStep::Send(line)) => {
-                next += 1;
+                next_line += 1;
                 write!(stream, "{:x}\r\n{line}\n\r\n", line.len() + 1)?;
             }
             None => write!(stream, "1\r\n\n\r\n")?,
@@ -205,19 +207,19 @@
     }
 }
 
-/// Keeps a connection open until the other side closes it.
+/// Keeps a connection open until the router closes it or sends more data.
 fn wait_until_closed(mut stream: TcpStream) -> io::Result<()> {
     stream.read(&mut [0]).map(drop)
 }
 
-/// A member as discovery lists it.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Endpoint {
-    /// Its name.
+    /// Name of the endpoint.
     pub id: String,
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: SocketAddr,
-    /// Its group; `cell` on the wire.
+    /// Its group; `cell` in JSON.
     pub group: u32,
     /// `active`, `leaving` or `left`.
     pub state: &'static str,
@@ -226,7 +228,7 @@
 }
 
 impl Endpoint {
-    /// A member with these properties.
+    /// Creates an entry.
     pub fn new(
         id: impl Into<String>,
         addr: SocketAddr,
@@ -238,14 +240,15 @@
     }
 }
 
-/// An endpoint list in discovery's JSON, on one line: a complete one, or the members that have changed.
-pub fn endpoint_list(version: u64, full: bool, members: &[Endpoint]) -> String {
-    let entry = |member: &Endpoint| {
-        let Endpoint { id, addr, group, state, rank } = member;
+/// Returns an endpoint list as JSON on one line. If `full`, it is the complete list; otherwise it has only
+/// the entries that have changed.
+pub fn endpoint_list(version: u64, full: bool, endpoints: &[Endpoint]) -> String {
+    let entry = |endpoint: &Endpoint| {
+        let Endpoint { id, addr, group, state, rank } = endpoint;
         let name = format!(r#""id":"{id}","addr":"{addr}","zone":"a","kind":"m","cell":{group}"#);
         let state = format!(r#""state":"{state}","weight":1.0,"started_ms":0,"rank":"{rank}""#);
         format!("{{{name},{state}}}")
     };
-    let members: Vec<String> = members.iter().map(entry).collect();
-    format!(r#"{{"version":{version},"full":{full},"servers":[{}]}}"#, members.join(","))
+    let entries: Vec<String> = endpoints.iter().map(entry).collect();
+    format!(r#"{{"version":{version},"full":{full},"servers":[{}]}}"#, entries.join(","))
 }
--- a/crates/standin/src/group.rs
+++ b/crates/standin/src/group.rs
@@ -1,5 +1,5 @@
-//! A replicated group of hosts: a primary, replicas that follow it with a lag, and an oracle that knows what
-//! each read should have seen.
+//! A replicated group of hosts: a primary, replicas that apply its log with a lag, and an oracle that returns
+//! the oldest commit that a read may be served from.
 
 mod member;
 
@@ -12,45 +12,45 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// What discovery and hosts call a primary.
+/// The rank of a primary, as discovery and hosts report it.
 pub(crate) const PRIMARY_RANK: &str = "source";
-/// What discovery and hosts call a replica.
+/// The rank of a replica, as discovery and hosts report it.
 pub(crate) const REPLICA_RANK: &str = "copy";
 
-/// What a replica does with a read whose floor it has not applied yet.
+/// How a replica responds to a read when it has not applied the log up to the floor of the read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StaleRead {
-    /// It answers from what it has applied.
+    /// Serves it from what it has applied.
     Serve,
-    /// It rejects it at once.
+    /// Rejects it at once.
     Reject,
-    /// It waits this long for its log, then rejects it.
+    /// Waits up to this long until the floor is applied, then rejects it.
     Wait(Duration),
 }
 
-/// How a group behaves; may be changed while it runs.
+/// Behavior of a group. It can be changed while the group runs, with [`Group::reconfigure`].
 #[derive(Clone, Debug)]
 pub struct GroupBehavior {
-    /// How long a replica takes to apply what was written, in milliseconds; at least 1.
+    /// Time from a commit at the primary until a replica applies it, in milliseconds; at least 1.
     pub lag_ms: u64,
-    /// How far the members' clock is ahead of this machine's, in milliseconds.
+    /// How far the clock of the members is ahead of the clock of this machine, in milliseconds.
     pub clock_ahead_ms: i64,
-    /// What a replica does with a read that it is too far behind for.
+    /// How a replica responds to a read whose floor it has not applied.
     pub stale_reads: StaleRead,
-    /// How long a write takes before it commits, and from there to its answer.
+    /// Time from the receipt of a write to its commit, and from its commit to its response.
     pub write_delays: [Duration; 2],
-    /// How long a read takes.
+    /// Time that a read takes.
     pub read_delay: Duration,
-    /// The longest Retry-After that routers give, in milliseconds.
+    /// The longest Retry-After that routers are configured to send, in milliseconds.
     pub retry_after_ms: u64,
-    /// The latency objective that routers are configured with, in milliseconds: where it is short, a slow
-    /// machine makes members look overloaded.
+    /// The latency objective that routers are configured with, in milliseconds. If it is short, members on a
+    /// slow machine appear overloaded to the routers.
     pub latency_objective_ms: u64,
-    /// How many statements each member works on at a time; 0 for any number. What finds no capacity within
-    /// half a second is rejected.
+    /// How many statements each member executes concurrently; 0 for no limit. A statement that has waited for
+    /// 500 ms is rejected.
     pub max_concurrent: usize,
-    /// Whether values are answered as `VALUE@SERIAL@source` (or `copy`), so that they can be compared with
-    /// the oracle.
+    /// Whether values are returned as `VALUE@SERIAL@RANK`, with the serial number of the commit and the rank
+    /// of the member (`source` or `copy`), to compare them with the oracle.
     pub annotated: bool,
 }
 
@@ -73,29 +73,29 @@
 /// A committed write.
 #[derive(Clone, Debug)]
 struct Commit {
-    /// Its place among all commits of the group, from 1.
+    /// Its number among all commits of the group, counted from 1.
     serial: u64,
-    /// Its position in the log: milliseconds of Unix time by the members' clock.
+    /// Its position in the log, in milliseconds of Unix time by the clock of the members.
     position: u64,
     /// When it was committed.
     committed_at: Instant,
     value: String,
-    /// Whether the write was answered.
-    answered: bool,
+    /// Whether the primary has responded to the write, or is about to.
+    acknowledged: bool,
 }
 
-/// What the members of a group have in common.
+/// State that all members of a group share.
 #[derive(Debug)]
 struct GroupState {
     behavior: GroupBehavior,
-    /// The primary's number among the members.
+    /// Index of the primary among the members.
     primary: usize,
-    /// Commits by key, in order.
+    /// Commits by key, each list in order.
     log: BTreeMap<String, Vec<Commit>>,
     last_position: u64,
     last_serial: u64,
-    /// Statements that each member works on.
-    busy: Vec<usize>,
+    /// Number of statements that each member executes, where [`GroupBehavior::max_concurrent`] limits them.
+    executing: Vec<usize>,
 }
 
 impl GroupState {
@@ -106,16 +106,16 @@
             log: BTreeMap::new(),
             last_position: 0,
             last_serial: 0,
-            busy: vec![0; members],
+            executing: vec![0; members],
         }
     }
 
-    /// The members' clock, in milliseconds of Unix time.
+    /// Returns the time by the clock of the members, in milliseconds of Unix time.
     fn clock_ms(&self) -> u64 {
         unix_ms().saturating_add_signed(self.behavior.clock_ahead_ms)
     }
 
-    /// The position up to which a member has applied the log.
+    /// Returns the position up to which a member has applied the log.
     fn applied_position(&self, member: usize) -> u64 {
         match member == self.primary {
             true => self.clock_ms(),
@@ -131,23 +131,23 @@
         }
     }
 
-    /// The commits under a key, in order.
+    /// Returns the commits of a key, in order.
     fn commits(&self, key: &str) -> &[Commit] {
         self.log.get(key).map_or(&[], Vec::as_slice)
     }
 }
 
-/// A group on ports of its own on loopback. It runs until the process ends.
+/// A replicated group whose members listen on loopback ports of their own. It runs until the process exits.
 #[derive(Clone)]
 pub struct Group {
-    /// The members' hosts.
+    /// The hosts of the members.
     pub hosts: Vec<Host>,
     number: u32,
     state: Arc<Watched<GroupState>>,
 }
 
 impl Group {
-    /// Starts a group of so many members, the first of them its primary.
+    /// Starts a group with a number of members. The first member is the primary.
     pub fn start(number: u32, members: usize, behavior: GroupBehavior) -> io::Result<Group> {
         let state = Arc::new(Watched::new(GroupState::new(members, behavior)));
         let start_host = |index| {
@@ -158,21 +158,21 @@
         Ok(Group { hosts, number, state })
     }
 
-    /// Changes how it behaves.
+    /// Changes the behavior of the running group.
     pub fn reconfigure(&self, f: impl FnOnce(&mut GroupBehavior)) {
         self.state.change(|s| f(&mut s.behavior));
     }
 
-    /// Makes another member the primary. It has all writes that were answered; what the old primary had
-    /// committed and not answered yet is lost.
+    /// Makes another member the primary. It has all acknowledged writes; writes that the old primary had
+    /// committed but not acknowledged are lost.
     pub fn fail_over(&self, to: usize) {
         self.state.change(|s| {
             s.primary = to;
-            s.log.values_mut().for_each(|commits| commits.retain(|c| c.answered));
+            s.log.values_mut().for_each(|commits| commits.retain(|c| c.acknowledged));
         });
     }
 
-    /// The members as discovery lists them.
+    /// Returns the members as entries of the endpoint list.
     pub fn members(&self) -> Vec<Endpoint> {
         let state = self.state.lock();
         let endpoint = |(index, host): (usize, &Host)| {
@@ -182,21 +182,21 @@
         self.hosts.iter().enumerate().map(endpoint).collect()
     }
 
-    /// All values committed under a key, in order.
+    /// Returns all values committed for a key, in order.
     pub fn committed_values(&self, key: &str) -> Vec<String> {
         self.state.lock().commits(key).iter().map(|c| c.value.clone()).collect()
     }
 
-    /// Waits until something has been committed under a key. `None` after [`crate::TIMEOUT`].
+    /// Waits until a write of a key has been committed. Returns `None` after [`crate::TIMEOUT`].
     pub fn wait_for_commit(&self, key: &str) -> Option<()> {
         self.state.wait(|s| s.log.contains_key(key).then_some(()))
     }
 
-    /// The oracle: the serial number of the last commit under a key before a moment, 0 if there was none. A
-    /// read sent at that moment must see that commit or a later one.
-    pub fn newest_serial_before(&self, key: &str, moment: Instant) -> u64 {
+    /// The oracle: returns the serial number of the last commit of a key before `instant`, or 0 if there was
+    /// none. A read of the key that was sent at `instant` must return that commit or a later one.
+    pub fn newest_serial_before(&self, key: &str, instant: Instant) -> u64 {
         let state = self.state.lock();
-        let newest = state.commits(key).iter().rev().find(|c| c.committed_at < moment);
+        let newest = state.commits(key).iter().rev().find(|c| c.committed_at < instant);
         newest.map_or(0, |c| c.serial)
     }
 }
--- a/crates/standin/src/host.rs
+++ b/crates/standin/src/host.rs
@@ -1,5 +1,5 @@
 //! A database host that speaks version 3 of the PostgreSQL frontend/backend protocol: startup without
-//! authentication, then simple queries, each answered by a function of the test.
+//! authentication, then simple queries. A function given by the test chooses the response to each query.
 
 use crate::pg_message::{
     body_len, message, AUTHENTICATION, BACKEND_KEY_DATA, COMMAND_COMPLETE, DATA_ROW, ERROR_RESPONSE,
@@ -13,76 +13,77 @@
 
 /// The longest startup message that PostgreSQL accepts, in bytes (`MAX_STARTUP_PACKET_LENGTH`).
 const MAX_STARTUP_LEN: usize = 10_000;
-/// RowDescription of a single column named `v`: no table, type `bytea` (17) of variable length, no type
-/// modifier, in binary format.
-const COLUMN: &[u8] = b"\0\x01v\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01";
+/// Body of a RowDescription of a single column named `v`: no table, type `bytea` (17) of variable length, no
+/// type modifier, in binary format.
+const ROW_DESCRIPTION_BODY: &[u8] = b"\0\x01v\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01";
 
-/// What a host does with a statement.
+/// The response of a host to a statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Response {
-    /// Serves it: one row of one binary value.
+    /// One row of one binary value.
     Row(Vec<u8>),
-    /// Serves it, then closes the connection.
+    /// As [`Self::Row`]; the host then closes the connection.
     RowThenClose(Vec<u8>),
-    /// Answers with an error of this SQLSTATE and keeps the connection.
+    /// An error with this SQLSTATE. The connection stays open.
     Error(&'static str),
-    /// Answers with an error of this SQLSTATE and closes the connection without ReadyForQuery.
+    /// An error with this SQLSTATE. The host then closes the connection without sending ReadyForQuery.
     Fatal(&'static str),
-    /// Never answers, and keeps the connection.
+    /// Nothing. The host keeps the connection open until the router closes it or sends more data.
     NoResponse,
-    /// Closes the connection without an answer.
+    /// Nothing. The host closes the connection at once.
     Close,
-    /// Sends these bytes as they are.
+    /// These bytes, sent unchanged.
     Raw(Vec<u8>),
-    /// Answers with a row once [`Host::release`] is called.
+    /// As [`Self::Row`], sent once [`Host::release`] has been called, or after [`crate::TIMEOUT`].
     RowOnRelease(Vec<u8>),
 }
 
-/// What a host reports of itself with each answer, as names and values of ParameterStatus messages.
+/// Names and values of the ParameterStatus messages in a response, with which a host reports its state.
 pub type ParameterStatuses = Vec<(&'static str, String)>;
 
 /// A statement that a host has received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedStatement {
-    /// The number of the connection that it arrived on; the first one is 1.
+    /// The number of the connection that it was received on, counted from 1.
     pub connection: usize,
     /// Its text.
     pub text: String,
-    /// When its last byte had arrived.
+    /// When its last byte had been received.
     pub received_at: Instant,
 }
 
-/// What a host has seen so far, and how it treats new connections.
+/// What a host has received so far, and settings that tests change while it runs.
 #[derive(Debug, Default)]
 pub struct HostRecord {
-    /// Statements in the order in which their last bytes arrived.
+    /// Statements, in the order in which their last bytes were received.
     pub statements: Vec<ReceivedStatement>,
-    /// When connections were accepted.
+    /// When each connection was accepted.
     pub accepted_at: Vec<Instant>,
-    /// Connections accepted so far.
+    /// Number of connections accepted so far.
     pub accepted: usize,
-    /// Connections that are open.
+    /// Number of open connections.
     pub open: usize,
-    /// While this is set, startup messages on accepted connections get no answer.
+    /// While this is set, the host does not respond to startup messages, for up to [`crate::TIMEOUT`] each.
     pub withhold_startup_response: bool,
-    /// Whether [`Response::RowOnRelease`] may be answered.
+    /// Whether rows of [`Response::RowOnRelease`] may be sent.
     released: bool,
 }
 
-/// Decides what a host does with a statement.
+/// Returns the response to a statement.
 type Responder = dyn Fn(&str) -> (Response, ParameterStatuses) + Send + Sync;
 
-/// A database host on a port of its own on loopback. It runs until the process ends.
+/// A database host on a loopback port of its own. It runs until the process exits.
 #[derive(Clone)]
 pub struct Host {
-    /// Where it listens.
+    /// The address that it listens on.
     pub addr: SocketAddr,
-    /// What it has seen.
+    /// What it has received.
     pub record: Arc<Watched<HostRecord>>,
 }
 
 impl Host {
-    /// Starts a host that does with each statement what `respond` returns. Each connection has a thread.
+    /// Starts a host that responds to each statement with what `respond` returns. Each connection is served
+    /// by a thread of its own.
     pub fn start(
         respond: impl Fn(&str) -> (Response, ParameterStatuses) + Send + Sync + 'static,
     ) -> io::Result<Host> {
@@ -101,25 +102,25 @@
         Ok(host)
     }
 
-    /// Lets all [`Response::RowOnRelease`] be answered, from now on.
+    /// Allows the rows of [`Response::RowOnRelease`] to be sent, those of later statements too.
     pub fn release(&self) {
-        self.record.change(|s| s.released = true);
+        self.record.change(|record| record.released = true);
     }
 
-    /// Waits for a statement that contains `part`, also one that arrived earlier. `None` after
-    /// [`crate::TIMEOUT`].
+    /// Returns the first statement that contains `part`, waiting for it if it has not been received yet.
+    /// Returns `None` after [`crate::TIMEOUT`].
     pub fn wait_for_statement(&self, part: &str) -> Option<ReceivedStatement> {
-        self.record.wait(|seen| seen.statements.iter().find(|s| s.text.contains(part)).cloned())
+        self.record.wait(|record| record.statements.iter().find(|s| s.text.contains(part)).cloned())
     }
 
-    /// How many statements so far contain `part`.
+    /// Returns the number of statements received so far that contain `part`.
     pub fn statement_count(&self, part: &str) -> usize {
         self.record.lock().statements.iter().filter(|s| s.text.contains(part)).count()
     }
 }
 
 impl HostRecord {
-    /// Counts a connection that was accepted, and returns its number.
+    /// Counts an accepted connection and returns its number.
     fn count_accepted(&mut self) -> usize {
         self.accepted += 1;
         self.open += 1;
@@ -128,16 +129,16 @@
     }
 }
 
-/// RowDescription, DataRow and CommandComplete of one row with one binary value.
+/// Returns the RowDescription, DataRow and CommandComplete messages of one row with one binary value.
 pub fn row(value: &[u8]) -> Vec<u8> {
     let mut data = vec![0, 1];
     data.extend((value.len() as u32).to_be_bytes());
     data.extend(value);
     let complete = message(COMMAND_COMPLETE, b"SELECT 1\0");
-    [message(ROW_DESCRIPTION, COLUMN), message(DATA_ROW, &data), complete].concat()
+    [message(ROW_DESCRIPTION, ROW_DESCRIPTION_BODY), message(DATA_ROW, &data), complete].concat()
 }
 
-fn error(sqlstate: &str) -> Vec<u8> {
+fn error_response(sqlstate: &str) -> Vec<u8> {
     message(ERROR_RESPONSE, format!("SERROR\0C{sqlstate}\0Mnot done\0\0").as_bytes())
 }
 
@@ -157,7 +158,7 @@
     respond: Arc<Responder>,
 }
 
-/// Whether a connection goes on after a statement.
+/// What happens to a connection after the response to a statement.
 #[derive(PartialEq, Eq)]
 enum Next {
     Continue,
@@ -165,28 +166,28 @@
 }
 
 impl Connection {
-    /// Serves the connection until either side closes it.
+    /// Serves the connection until the host or the router closes it.
     fn run(mut self) {
-        // The other side may close or reset it at any time.
+        // An error is expected here: the router may close or reset the connection at any time.
         let _ = self.serve();
         let _ = self.stream.shutdown(Shutdown::Both);
-        self.record.change(|s| s.open -= 1);
+        self.record.change(|record| record.open -= 1);
     }
 
     fn serve(&mut self) -> io::Result<()> {
         self.stream.set_nodelay(true)?;
         self.read_startup()?;
-        self.record.wait(|s| (!s.withhold_startup_response).then_some(()));
-        let welcome = [
+        self.record.wait(|record| (!record.withhold_startup_response).then_some(()));
+        let startup_response = [
             message(AUTHENTICATION, &[0; 4]),
             parameter_status("server_version", "15.0"),
             message(BACKEND_KEY_DATA, &[0; 8]),
             ready_for_query(),
         ];
-        self.stream.write_all(&welcome.concat())?;
+        self.stream.write_all(&startup_response.concat())?;
         while let Some(text) = self.read_query()? {
-            let (reply, statuses) = (self.respond)(&text);
-            if self.send(reply, &statuses)? == Next::Close {
+            let (response, statuses) = (self.respond)(&text);
+            if self.send(response, &statuses)? == Next::Close {
                 break;
             }
         }
@@ -201,7 +202,7 @@
         self.stream.read_exact(&mut startup)
     }
 
-    /// Reads a query and records it. `None` for any other message.
+    /// Reads a message; if it is a query, records its text and returns it, otherwise returns `None`.
     fn read_query(&mut self) -> io::Result<Option<String>> {
         let mut head = [0; HEAD_LEN];
         self.stream.read_exact(&mut head)?;
@@ -211,8 +212,8 @@
             return Ok(None);
         }
         let text = String::from_utf8_lossy(body.strip_suffix(&[0]).unwrap_or(&body)).into_owned();
-        self.record.change(|s| {
-            s.statements.push(ReceivedStatement {
+        self.record.change(|record| {
+            record.statements.push(ReceivedStatement {
                 connection: self.number,
                 text: text.clone(),
                 received_at: Instant::now(),
@@ -221,33 +222,33 @@
         Ok(Some(text))
     }
 
-    fn send(&mut self, reply: Response, statuses: &ParameterStatuses) -> io::Result<Next> {
+    fn send(&mut self, response: Response, statuses: &ParameterStatuses) -> io::Result<Next> {
         let statuses: Vec<u8> =
             statuses.iter().flat_map(|(name, value)| parameter_status(name, value)).collect();
-        let answer = match reply {
+        let bytes = match response {
             Response::Row(value) => [row(&value), statuses, ready_for_query()].concat(),
             Response::RowThenClose(value) => {
                 self.stream.write_all(&[row(&value), statuses, ready_for_query()].concat())?;
                 return Ok(Next::Close);
             }
-            Response::Error(sqlstate) => [error(sqlstate), statuses, ready_for_query()].concat(),
+            Response::Error(sqlstate) => [error_response(sqlstate), statuses, ready_for_query()].concat(),
             Response::Fatal(sqlstate) => {
-                self.stream.write_all(&error(sqlstate))?;
+                self.stream.write_all(&error_response(sqlstate))?;
                 return Ok(Next::Close);
             }
             Response::NoResponse => {
-                // Until the other side gives up.
+                // Returns once the router has closed the connection or sent another byte.
                 let _ = self.stream.read(&mut [0]);
                 return Ok(Next::Close);
             }
             Response::Close => return Ok(Next::Close),
             Response::Raw(bytes) => bytes,
             Response::RowOnRelease(value) => {
-                self.record.wait(|s| s.released.then_some(()));
+                self.record.wait(|record| record.released.then_some(()));
                 [row(&value), statuses, ready_for_query()].concat()
             }
         };
-        self.stream.write_all(&answer)?;
+        self.stream.write_all(&bytes)?;
         Ok(Next::Continue)
     }
 }
