--- a/crates/standin/src/connect_recorder.rs
+++ b/crates/standin/src/connect_recorder.rs
@@ -1,39 +1,40 @@
-//! Records the moment of each connect that the client library counts in its metrics.
+//! Records the time of each connect that the client library counts in its metrics.
 //!
-//! The recorder of metrics is one for each process, and so is this record: tests that use it need a process
-//! of their own.
+//! Both the metrics recorder and the recorded connects are global to the process, so a test that uses them
+//! needs a process of its own.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-/// The library's counter of connects.
+/// The counter of connects of the client library.
 const CONNECTS_METRIC: &str = "basalthill_client_connects_total";
 
-/// Connects since [`start`], in order.
+/// Times of the connects since [`start`], in order.
 static CONNECTS: Mutex<Vec<Instant>> = Mutex::new(Vec::new());
 
 fn connects() -> MutexGuard<'static, Vec<Instant>> {
     CONNECTS.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Begins to record, from nothing. It has no effect where another recorder of metrics is installed.
+/// Installs the recorder and clears the recorded connects. If the process already has another metrics
+/// recorder, no connects are recorded.
 pub fn start() {
-    // It fails where the recorder of an earlier start is still installed, which is the same.
+    // This fails if an earlier call has installed the recorder, which then stays in use.
     let _ = metrics::set_global_recorder(ConnectRecorder);
     connects().clear();
 }
 
-/// Takes the connects since [`start`] out of the record.
+/// Returns the times of all recorded connects, and clears them.
 pub fn take() -> Vec<Instant> {
     std::mem::take(&mut connects())
 }
 
-/// The connects since a moment. They stay in the record.
+/// Returns the times of the recorded connects at or after `from`, without clearing any.
 pub fn since(from: Instant) -> Vec<Instant> {
     connects().iter().copied().filter(|at| *at >= from).collect()
 }
 
-/// A recorder of metrics that drops all but the connects.
+/// A metrics recorder that ignores all metrics other than the counter of connects.
 struct ConnectRecorder;
 
 /// The counter of connects.
--- a/crates/standin/src/deployment.rs
+++ b/crates/standin/src/deployment.rs
@@ -1,4 +1,4 @@
-//! A deployment on loopback: a replicated group of three members, discovery that lists it, and router
+//! A deployment on loopback: a replicated group of three members, discovery that lists them, and router
 //! processes.
 
 use crate::discovery::{endpoint_list, Discovery};
@@ -8,34 +8,34 @@
 use crate::{StandinError, SETTINGS};
 use std::path::{Path, PathBuf};
 
-/// The group's number, as statements name it (`cluster=2`).
+/// Number of the group, as given in statements (`cluster=2`).
 const GROUP: u32 = 2;
-/// Members of the group, the first of them its primary.
+/// Number of members of the group. The first one is the primary.
 const MEMBERS: usize = 3;
-/// Limits that no test or experiment reaches.
+/// Limits of the run configuration, which no test or experiment reaches.
 const LIMITS: &str = r#"{"sockets":16384,"memory_mb":192}"#;
 
-/// A group of three members, discovery, and routers.
+/// A replicated group, discovery and router processes.
 pub struct Deployment {
     /// The group.
     pub group: Group,
-    /// Discovery, which lists it.
+    /// Discovery, which lists the members of the group.
     pub discovery: Discovery,
     /// The routers.
     pub routers: Vec<RouterProcess>,
-    /// The file of the routers' own settings (KDL), if they were given any.
+    /// File with the local settings (KDL) of the routers, if they were given any.
     pub settings: Option<PathBuf>,
 }
 
 impl Deployment {
-    /// Starts so many routers of a program, with their own settings (KDL) if there are any. Files are written
-    /// to `folder`.
+    /// Starts a deployment with a number of router processes that run `program`, with `local_settings` (KDL)
+    /// if given. Files are written to `folder`.
     pub fn start(
         program: &Path,
         folder: &Path,
         routers: usize,
         behavior: GroupBehavior,
-        own_settings: Option<&str>,
+        local_settings: Option<&str>,
     ) -> Result<Deployment, StandinError> {
         let settings = platform_settings(routers, &behavior);
         let group = Group::start(GROUP, MEMBERS, behavior)?;
@@ -45,7 +45,7 @@
         let options = RouterOptions {
             program: program.into(),
             config: write_unique_file(folder, "router.json", &config)?,
-            settings: own_settings.map(|text| write_unique_file(folder, "own.kdl", text)).transpose()?,
+            settings: local_settings.map(|text| write_unique_file(folder, "local.kdl", text)).transpose()?,
             discovery: discovery.addr,
         };
         let start_router = |n| RouterProcess::start(&format!("n{n}"), options.clone());
@@ -53,15 +53,15 @@
         Ok(Deployment { group, discovery, routers, settings: options.settings })
     }
 
-    /// Has discovery publish the members and their ranks as they are now.
+    /// Publishes the members with their current ranks through discovery, as version `version` of the list.
     pub fn publish_members(&self, version: u64) {
         self.discovery.publish(endpoint_list(version, true, &self.group.members()));
     }
 
-    /// Runs a load while so many routers are killed and restarted, one after another, at equal parts of the
-    /// load. The group's lag takes each of `lags_ms` for an equal part of it.
+    /// Runs a load during which routers are killed and restarted `kills` times in turn, at equal intervals of
+    /// the load. The lag of the group takes each value of `lags_ms`, in order, for an equal part of the load.
     ///
-    /// Panics if a router does not start again.
+    /// Panics if a router does not restart.
     pub fn run_load(&mut self, load: &SessionLoad, kills: usize, lags_ms: &[u64]) -> SessionLoadReport {
         let addrs: Vec<_> = self.routers.iter().map(|r| r.addr).collect();
         let group = self.group.clone();
@@ -69,9 +69,9 @@
         let mut killed = 0;
         run_load(&self.group, &addrs, load, |fraction_done| {
             if killed < kills && fraction_done > killed as f64 / kills as f64 {
-                let victim = killed % routers.len();
+                let router = killed % routers.len();
                 killed += 1;
-                routers[victim].kill_and_restart().expect("a router that starts again");
+                routers[router].kill_and_restart().expect("a killed router restarts");
             }
             let part = (fraction_done * lags_ms.len() as f64) as usize;
             if let Some(lag_ms) = lags_ms.get(part) {
@@ -81,7 +81,7 @@
     }
 }
 
-/// The deployment's settings (JSON) for so many routers and a group that behaves like this.
+/// Returns the site settings (JSON) for a number of routers and a group with this behavior.
 fn platform_settings(routers: usize, behavior: &GroupBehavior) -> String {
     let when_behind = match behavior.stale_reads {
         StaleRead::Serve => "none",
--- a/crates/standin/src/error.rs
+++ b/crates/standin/src/error.rs
@@ -1,37 +1,37 @@
-//! What can go wrong when stand-ins and router processes are started and controlled.
+//! Errors of starting and controlling stand-ins and router processes.
 
 use std::io;
 
-/// A failure of a stand-in or of a router process that it controls.
+/// An error of a stand-in, or of a router process that it controls.
 #[derive(Debug, thiserror::Error)]
 pub enum StandinError {
-    /// A socket, file or process call failed.
+    /// A system call on a socket, file or process failed.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// A router process did not log the address that it listens on within [`crate::TIMEOUT`].
-    #[error("router {name} does not listen")]
+    #[error("router {name} did not log the address that it listens on within {:?}", crate::TIMEOUT)]
     NotListening {
-        /// The router's name.
+        /// Name of the router.
         name: String,
     },
     /// A router process did not log the address of its fleet socket within [`crate::TIMEOUT`].
-    #[error("router {index} has no socket for its fleet")]
+    #[error("router {index} did not log the address of its fleet socket within {:?}", crate::TIMEOUT)]
     NoFleetSocket {
-        /// The router's index in its harness.
+        /// Index of the router in its harness.
         index: usize,
     },
-    /// `kill` could not deliver a signal.
-    #[error("signal {signal} did not reach process {pid}")]
+    /// `kill` could not send a signal.
+    #[error("can't send signal {signal} to process {pid}")]
     SignalNotDelivered {
-        /// The signal's name without `SIG`.
+        /// Name of the signal, without `SIG`.
         signal: String,
-        /// The process's id.
+        /// Id of the process.
         pid: u32,
     },
-    /// `basalthill fleet` ended with a failure.
+    /// `basalthill fleet` exited with a failure.
     #[error("`basalthill fleet` failed: {stderr}")]
     StatusCommandFailed {
-        /// What it wrote to standard error.
+        /// Output of the command to standard error.
         stderr: String,
     },
 }
--- a/crates/standin/src/harness.rs
+++ b/crates/standin/src/harness.rs
@@ -1,5 +1,5 @@
-//! A fleet of router processes: hosts that count what reaches them, and a lossy network between the routers.
-//! What the routers do is checked against the hosts' own records.
+//! A fleet of router processes with hosts that count the statements they receive, and a lossy network between
+//! the routers. Tests check how many requests the routers admit against the records of the hosts.
 
 pub use crate::paced_clients::{ClientTotals, PacedClients};
 
@@ -19,75 +19,76 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The key that the routers of all harnesses sign with: 16 bytes in hexadecimal digits.
+/// The key with which all routers sign their datagrams: 16 bytes in hexadecimal digits.
 const KEY: &str = "51e0a8c97b3d2f6604de8f13c5a97b20";
-/// The group that all hosts belong to, as statements name it (`cluster=2`).
+/// Number of the group that all hosts belong to, as given in statements (`cluster=2`).
 const GROUP: u32 = 2;
-/// Limits that no test or experiment reaches.
+/// Limits of the run configuration, which no test or experiment reaches.
 const LIMITS: &str = r#"{"sockets":4096,"memory_mb":192}"#;
-/// What comes before the address of a router's fleet socket in its log.
+/// Text before the address of a router's fleet socket in the line that it logs when it opens the socket.
 const FLEET_LISTENING_MARKER: &str = "names, listens on ";
-/// With [`HostBehavior::FailSome`], one in so many statements fails.
+/// With [`HostBehavior::FailSome`], one in this many requests fails.
 const FAIL_EVERY: usize = 3;
 
-/// What to start.
+/// Configuration of a fleet and its hosts.
 #[derive(Clone, Debug)]
 pub struct HarnessConfig {
-    /// How many routers.
+    /// Number of routers.
     pub routers: usize,
-    /// How many hosts, all of one group.
+    /// Number of hosts, all of one group.
     pub hosts: usize,
-    /// How long a host works on a statement.
+    /// Time that a host takes to execute a statement of a client.
     pub service_time: Duration,
-    /// What hosts do with statements.
+    /// Responses of the hosts.
     pub host_behavior: HostBehavior,
-    /// Nodes of KDL inside `fleet`, besides names and keys; without any the routers have no fleet.
+    /// KDL nodes inside `fleet`, in addition to the routers and keys. If `None`, the routers have no fleet.
     pub limits: Option<String>,
-    /// Each router knows of itself alone.
+    /// Whether the list of routers in each router's settings has only the router itself.
     pub isolated: bool,
-    /// Routers reach each other without the proxy.
+    /// Whether the routers send datagrams to each other directly instead of through the proxy.
     pub direct: bool,
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
-/// What hosts do with statements.
+/// Responses of hosts to statements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum HostBehavior {
-    /// They serve them.
+    /// Serves all statements.
     #[default]
     Serve,
-    /// One in three fails.
+    /// One request in three fails with an error; other statements are served.
     FailSome,
-    /// They close the connection after each, and routers may not send health checks.
+    /// Serves each statement and then closes the connection. The routers are configured to send no probes.
     ServeThenClose,
 }
 
-/// A host that counts the statements it works on.
+/// A host that counts the statements that it executes concurrently.
 #[derive(Clone)]
 pub struct CountingHost {
     /// The host.
     pub host: Host,
-    /// The most statements that it worked on at a time.
+    /// The largest number of requests that it has executed concurrently.
     pub max_concurrent: Arc<AtomicUsize>,
 }
 
-/// Router processes of a fleet, their hosts, discovery and network.
+/// Router processes of a fleet, with their hosts, discovery and network.
 pub struct FleetHarness {
     /// The hosts.
     pub hosts: Vec<CountingHost>,
     /// The routers.
     pub routers: Vec<RouterProcess>,
-    /// The network between them, unless they reach each other without it.
+    /// The proxy between the routers, unless [`HarnessConfig::direct`] is set.
     pub proxy: Option<UdpProxy>,
-    /// The file of each router's own settings (KDL), for `basalthill fleet` as well.
+    /// File with the local settings (KDL) of each router, which [`Self::status`] uses too; `None` without a
+    /// fleet.
     pub settings: Vec<Option<PathBuf>>,
     config: PathBuf,
     discovery: Discovery,
 }
 
 impl FleetHarness {
-    /// Starts everything; files are written to `folder`.
+    /// Starts the hosts, discovery, the proxy and routers that run `program`. Files are written to `folder`.
     pub fn start(
         program: &Path,
         folder: &Path,
@@ -104,7 +105,7 @@
             routers: Vec::new(),
             proxy: (!config.direct).then(|| UdpProxy::start(config.routers, config.seed)).transpose()?,
             settings: Vec::new(),
-            config: write_unique_file(folder, "rig.json", &text)?,
+            config: write_unique_file(folder, "harness.json", &text)?,
             discovery,
         };
         let direct_addrs = free_addrs(if config.direct { config.routers } else { 0 })?;
@@ -114,7 +115,7 @@
                 None => direct_addrs.clone(),
             };
             let own = config.limits.as_ref().map(|limits| fleet_settings(config, n, &peers, limits));
-            let own = own.map(|text| write_unique_file(folder, "rig.kdl", &text)).transpose()?;
+            let own = own.map(|text| write_unique_file(folder, "harness.kdl", &text)).transpose()?;
             harness.start_router(program, n, own)?;
         }
         Ok(harness)
@@ -138,14 +139,15 @@
         Ok(())
     }
 
-    /// Has the proxy forward to where a router that has just started listens for the others.
+    /// Sets the address to which the proxy forwards datagrams for a router, after the router has started.
     fn update_proxy_target(&mut self, n: usize) {
         let Some(proxy) = self.proxy.as_ref().filter(|_| self.settings[n].is_some()) else { return };
         let addr = self.fleet_addr(n);
         proxy.links().targets[n] = addr;
     }
 
-    /// Where a router listens for the others, by its log. `None` after [`crate::TIMEOUT`].
+    /// Returns the address of a router's fleet socket, waiting until the router has logged it. Returns `None`
+    /// after [`crate::TIMEOUT`].
     pub fn fleet_addr(&self, n: usize) -> Option<SocketAddr> {
         let restarts = self.routers[n].restarts();
         self.routers[n].log.wait(|lines| {
@@ -154,26 +156,26 @@
         })
     }
 
-    /// The configuration file (JSON) that all routers have.
+    /// Returns the path of the configuration file (JSON) of all routers.
     pub fn config(&self) -> &Path {
         &self.config
     }
 
-    /// Cuts all links between groups of routers, and repairs all others.
+    /// Cuts all links between the groups of routers in both directions, and repairs all other links.
     pub fn partition(&mut self, groups: &[Vec<usize>]) {
         if let Some(proxy) = &self.proxy {
             proxy.partition(groups);
         }
     }
 
-    /// Repairs all links that are cut.
+    /// Repairs all cut links.
     pub fn heal(&mut self) {
         if let Some(proxy) = &self.proxy {
             proxy.heal();
         }
     }
 
-    /// Has all links lose so many datagrams in a thousand, and delay the others by so many microseconds.
+    /// Sets the loss rate and the range of delays of all links.
     pub fn set_link_quality(&mut self, loss_per_mille: u64, delay_us: Range<u64>) {
         if let Some(proxy) = &self.proxy {
             let mut links = proxy.links();
@@ -182,12 +184,12 @@
         }
     }
 
-    /// Kills a router with SIGKILL.
+    /// Kills a router with SIGKILL and waits until it has exited.
     pub fn kill(&mut self, n: usize) -> io::Result<()> {
         self.routers[n].kill()
     }
 
-    /// Starts a router again under its name and address after it has ended.
+    /// Restarts a router with its name and address after it has exited.
     pub fn restart(&mut self, n: usize) -> Result<(), StandinError> {
         self.routers[n].restart()?;
         self.update_proxy_target(n);
@@ -199,19 +201,19 @@
         self.routers[n].signal(if paused { "STOP" } else { "CONT" })
     }
 
-    /// When statements that contain `part` arrived at hosts, in order.
+    /// Returns the times at which hosts received statements that contain `part`, in order.
     pub fn arrivals(&self, part: &str) -> Vec<Instant> {
         let mut arrivals = Vec::new();
         for counting_host in &self.hosts {
-            let seen = counting_host.host.record.lock();
-            let statements = seen.statements.iter().filter(|s| s.text.contains(part));
+            let record = counting_host.host.record.lock();
+            let statements = record.statements.iter().filter(|s| s.text.contains(part));
             arrivals.extend(statements.map(|s| s.received_at));
         }
         arrivals.sort_unstable();
         arrivals
     }
 
-    /// What a router reports of its fleet, by the program's own command.
+    /// Returns the status of the fleet that a router reports to the command `basalthill fleet`.
     pub fn status(&self, program: &Path, n: usize) -> Result<String, StandinError> {
         let settings = self.settings[n].clone().unwrap_or_default();
         let addr = self.fleet_addr(n).ok_or(StandinError::NoFleetSocket { index: n })?;
@@ -231,31 +233,31 @@
         let service_time = config.service_time;
         let behavior = config.host_behavior;
         let max_concurrent = Arc::new(AtomicUsize::new(0));
-        let max = Arc::clone(&max_concurrent);
+        let max_seen = Arc::clone(&max_concurrent);
         let concurrent = AtomicUsize::new(0);
         let received = AtomicUsize::new(0);
         let host = Host::start(move |text| {
-            // Statements of clients have a comment; health checks have none.
+            // Statements of clients have a comment, and health checks don't.
             let is_request = text.contains("/*");
             if is_request {
                 let now = concurrent.fetch_add(1, Ordering::SeqCst) + 1;
-                max.fetch_max(now, Ordering::SeqCst);
+                max_seen.fetch_max(now, Ordering::SeqCst);
                 std::thread::sleep(service_time);
                 concurrent.fetch_sub(1, Ordering::SeqCst);
             }
             let fails = || is_request && received.fetch_add(1, Ordering::Relaxed) % FAIL_EVERY == 0;
-            let reply = match behavior {
+            let response = match behavior {
                 HostBehavior::FailSome if fails() => Response::Error("XX000"),
                 HostBehavior::Serve | HostBehavior::FailSome => Response::Row(b"v".to_vec()),
                 HostBehavior::ServeThenClose => Response::RowThenClose(b"v".to_vec()),
             };
-            (reply, vec![("as_of", unix_ms().to_string()), ("rank", REPLICA_RANK.to_string())])
+            (response, vec![("as_of", unix_ms().to_string()), ("rank", REPLICA_RANK.to_string())])
         })?;
         Ok(CountingHost { host, max_concurrent })
     }
 }
 
-/// The hosts as discovery lists them, the first one as the primary.
+/// Returns the endpoint list with all hosts, the first one as the primary.
 fn known_list(hosts: &[CountingHost]) -> String {
     let endpoint = |(n, host): (usize, &CountingHost)| {
         let rank = if n == 0 { PRIMARY_RANK } else { REPLICA_RANK };
@@ -265,8 +267,8 @@
     endpoint_list(1, true, &members)
 }
 
-/// The deployment's settings (JSON). The longest deadlines are cut to 1.5 s, so that limits are free again
-/// soon after a router has died.
+/// Returns the site settings (JSON). The longest deadlines are shortened to 1.5 s, so that the units of a
+/// limit that a killed router held are free again soon after.
 fn platform_settings(config: &HarnessConfig) -> String {
     let probes = config.host_behavior != HostBehavior::ServeThenClose;
     SETTINGS
@@ -276,23 +278,24 @@
         .replace("\"deadline\": 3000000000", "\"deadline\": 1500000000")
 }
 
-/// The `fleet` node (KDL) of a router's own settings. It reaches the others at the addresses `peers`.
+/// Returns the `fleet` node (KDL) of the local settings of router `n`. `peers` are the addresses at which it
+/// reaches the routers.
 fn fleet_settings(config: &HarnessConfig, n: usize, peers: &[SocketAddr], limits: &str) -> String {
     let listen = if config.direct { peers[n].to_string() } else { "127.0.0.1:0".into() };
-    let known = (0..config.routers).filter(|m| *m == n || !config.isolated);
-    let peers: String = known.map(|m| format!("router \"n{m}\" \"{}\"\n", peers[m])).collect();
+    let listed = (0..config.routers).filter(|m| *m == n || !config.isolated);
+    let peers: String = listed.map(|m| format!("router \"n{m}\" \"{}\"\n", peers[m])).collect();
     format!("fleet {{\nlisten \"{listen}\"\nkey 1 \"{KEY}\" signs=#true\n{peers}{limits}\n}}\n")
 }
 
-/// Addresses on loopback whose UDP ports were free a moment ago.
+/// Returns loopback addresses with UDP ports that were free when this function checked them.
 fn free_addrs(count: usize) -> io::Result<Vec<SocketAddr>> {
     let sockets = (0..count).map(|_| UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)));
     let sockets = sockets.collect::<io::Result<Vec<_>>>()?;
     sockets.iter().map(UdpSocket::local_addr).collect()
 }
 
-/// By how many requests arrivals exceed a rate with a burst, at worst over all windows of time; below zero if
-/// they never do.
+/// Returns by how many requests `arrivals` exceed a rate with a burst, in the worst of all time windows. The
+/// result is negative if they never exceed it.
 pub fn rate_excess(arrivals: &[Instant], per_s: f64, burst: f64) -> f64 {
     let Some(first) = arrivals.first() else { return -burst };
     let times = arrivals.iter().map(|at| Time((*at - *first).as_nanos() as u64));
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,14 +1,17 @@
-//! Stand-ins for what a router meets outside: database hosts, discovery, clients and other routers. They are
-//! written from the published protocols alone, without any code of the router; tests, the toy deployment
-//! and the lab use them.
+//! Stand-ins for the processes that a router communicates with: database hosts, discovery, clients and other
+//! routers. They are written from the published protocols, without any code of the router. Tests, the toy
+//! deployment and the lab use them.
 //!
-//! - [`host`], [`group`]: a database host, and a replicated group of them with an oracle
-//! - [`discovery`]: the endpoint list over HTTP
+//! - [`host`], [`group`]: a database host, and a replicated group of hosts with an oracle
+//! - [`discovery`]: a discovery agent that serves the endpoint list over HTTP
 //! - [`client`]: a client of version 3 of the PostgreSQL protocol
-//! - [`connect_recorder`]: when the client library connects
-//! - [`router_process`], [`deployment`], [`session_load`]: router processes before a group, under sessions
-//! - [`harness`], [`paced_clients`], [`udp_proxy`]: a fleet of router processes on a network that fails
-//! - [`simulated_fleet`]: a fleet of cores in simulated time
+//! - [`connect_recorder`]: records when the client library connects
+//! - [`router_process`], [`deployment`], [`session_load`]: router processes with a group, and a load of
+//!   sessions
+//! - [`harness`], [`paced_clients`], [`udp_proxy`]: a fleet of router processes, and a lossy network between
+//!   them
+//! - [`link_faults`]: loss, duplication, delay and partitions, for [`udp_proxy`] and [`simulated_fleet`]
+//! - [`simulated_fleet`]: a fleet in simulated time, without processes and sockets
 pub mod client;
 pub mod connect_recorder;
 pub mod deployment;
@@ -27,13 +30,14 @@
 mod watched;
 
 pub use error::StandinError;
-/// The seeded generator that all stand-ins draw from, for loads and faults of one's own.
+/// The seeded random number generator that the stand-ins use.
 pub use fastrand::Rng;
 pub use watched::Watched;
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// The settings (JSON) of a deployment with a bounded, a session, a fresh, an eventual and a write class.
+/// Settings (JSON) of a deployment with five classes: `view` reads with bounded lag, `own` with causal and
+/// `status` with strong consistency, `report` with eventual consistency; `write` writes.
 pub const SETTINGS: &str = r#"{"balancers": 2, "me": 1, "zone": 0, "zones": ["a"], "quantum": 5000000,
  "discovery": "automatic", "weights": "rough", "overShareWorth": 0.2,
  "profiles": [
@@ -53,10 +57,11 @@
    "warmWithin": 15000000000},
  "reporting": {"columns": ["x0", "x1"], "via": "answers"}, "prices": {"waste": 0.03}}"#;
 
-/// How long a stand-in waits for something that should happen at once, before it takes it for a failure.
+/// How long stand-ins and tests wait for an event that is expected without delay, before they report a
+/// failure.
 pub const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The time now, in milliseconds of Unix time.
+/// Returns the current time in milliseconds of Unix time.
 pub fn unix_ms() -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     now.unwrap_or_default().as_millis() as u64
--- a/crates/standin/src/link_faults.rs
+++ b/crates/standin/src/link_faults.rs
@@ -1,29 +1,29 @@
-//! What goes wrong on the links between routers: loss, duplicates, delay and partitions.
+//! Faults of the links between routers: loss, duplication, delay and partitions.
 
 use std::collections::BTreeSet;
 use std::ops::Range;
 use std::time::Duration;
 
-/// The faults of all links between a number of routers.
+/// Faults of the links between routers. All links have the same rates and delays.
 #[derive(Clone, Debug)]
 pub struct LinkFaults {
-    /// Datagrams lost, in a thousand.
+    /// Lost datagrams per thousand.
     pub loss_per_mille: u64,
-    /// Datagrams that arrive twice, in a thousand.
+    /// Datagrams delivered twice, per thousand.
     pub duplicates_per_mille: u64,
-    /// How long a datagram is on its way, in microseconds; always the shortest time if the range is empty.
+    /// Delay of a datagram in microseconds, uniformly distributed; if the range is empty, always its start.
     pub delay_us: Range<u64>,
-    /// Pairs of routers whose datagrams from the first to the second are lost.
+    /// Links that are cut, as pairs of a sending and a receiving router. All datagrams on them are lost.
     pub cut: BTreeSet<(usize, usize)>,
 }
 
 impl LinkFaults {
-    /// No faults, and a delay.
+    /// Returns faults that only delay datagrams.
     pub fn none(delay_us: Range<u64>) -> LinkFaults {
         LinkFaults { loss_per_mille: 0, duplicates_per_mille: 0, delay_us, cut: BTreeSet::new() }
     }
 
-    /// Cuts all links between groups of routers, and repairs all others.
+    /// Cuts all links between the groups of routers in both directions, and repairs all other links.
     pub fn partition(&mut self, groups: &[Vec<usize>]) {
         self.cut.clear();
         for (n, group) in groups.iter().enumerate() {
@@ -35,15 +35,20 @@
         }
     }
 
-    /// The delays of the copies of a datagram that arrive; none if it is lost. `draw` gives a random number
-    /// below its argument.
-    pub fn deliveries(&self, from: usize, to: usize, mut draw: impl FnMut(u64) -> u64) -> Vec<Duration> {
-        if self.cut.contains(&(from, to)) || draw(1000) < self.loss_per_mille {
+    /// Returns the delay of each delivered copy of a datagram; none if the datagram is lost. `random_below`
+    /// returns a random number below its argument.
+    pub fn deliveries(
+        &self,
+        from: usize,
+        to: usize,
+        mut random_below: impl FnMut(u64) -> u64,
+    ) -> Vec<Duration> {
+        if self.cut.contains(&(from, to)) || random_below(1000) < self.loss_per_mille {
             return Vec::new();
         }
-        let copies = 1 + usize::from(draw(1000) < self.duplicates_per_mille);
+        let copies = 1 + usize::from(random_below(1000) < self.duplicates_per_mille);
         let Range { start, end } = self.delay_us;
         let spread = end.saturating_sub(start).max(1);
-        (0..copies).map(|_| Duration::from_micros(start + draw(spread))).collect()
+        (0..copies).map(|_| Duration::from_micros(start + random_below(spread))).collect()
     }
 }
--- a/crates/standin/src/router_process.rs
+++ b/crates/standin/src/router_process.rs
@@ -1,4 +1,4 @@
-//! Router processes: started with a configuration, stopped or killed, started again at the same address, and
+//! Router processes: started with a configuration, stopped or killed, restarted at the same address, and
 //! observed through their log and `/proc`.
 
 use crate::{StandinError, Watched};
@@ -10,41 +10,42 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What comes before a router's address in its log.
+/// Text before the address of a router in the line that it logs when it starts to listen.
 const LISTENING_MARKER: &str = "listens on ";
-/// The unit of processor time in `/proc/PID/stat`: `sysconf(_SC_CLK_TCK)` is 100 on Linux.
+/// Unit of processor time in `/proc/PID/stat`: `sysconf(_SC_CLK_TCK)` is 100 on Linux.
 const CLOCK_TICK: Duration = Duration::from_millis(10);
-/// Fields of `/proc/PID/stat` between the process's name and `utime`, which `stime` follows (proc(5)).
+/// Number of fields in `/proc/PID/stat` between the name of the process and `utime`, which is followed by
+/// `stime` (proc(5)).
 const FIELDS_BEFORE_UTIME: usize = 11;
 
-/// What a router process is started with.
+/// Options of a router process.
 #[derive(Clone, Debug)]
 pub struct RouterOptions {
-    /// The program.
+    /// Path of the program.
     pub program: PathBuf,
-    /// Its configuration file (JSON).
+    /// Path of the configuration file (JSON).
     pub config: PathBuf,
-    /// The file of its own settings (KDL), if it is given any.
+    /// Path of the file with the local settings (KDL), if any.
     pub settings: Option<PathBuf>,
-    /// Where discovery answers.
+    /// Address of discovery.
     pub discovery: SocketAddr,
 }
 
-/// A router's process. It is killed when dropped.
+/// A router process. It is killed when dropped.
 pub struct RouterProcess {
     options: RouterOptions,
     name: String,
-    /// Where it listens, the same after a restart.
+    /// Address that it listens on, which stays the same after a restart.
     pub addr: SocketAddr,
-    /// How often it has been started again.
+    /// Number of restarts.
     restarts: usize,
     child: Child,
-    /// Lines of its log, of all its incarnations.
+    /// Lines of its log, including those from before a restart.
     pub log: Arc<Watched<Vec<String>>>,
 }
 
 impl RouterProcess {
-    /// Starts a router on a port of its own and waits until it listens.
+    /// Starts a router on a free port and waits until it listens.
     pub fn start(name: &str, options: RouterOptions) -> Result<RouterProcess, StandinError> {
         let log = Arc::default();
         let any_port = (Ipv4Addr::LOCALHOST, 0).into();
@@ -52,26 +53,26 @@
         Ok(RouterProcess { options, name: name.into(), addr, restarts: 0, child, log })
     }
 
-    /// Kills it with SIGKILL and starts it again at the same address.
+    /// Kills the router with SIGKILL and restarts it at the same address.
     pub fn kill_and_restart(&mut self) -> Result<(), StandinError> {
         self.kill()?;
         self.restart()
     }
 
-    /// Stops it gracefully with SIGTERM and starts it again at the same address.
+    /// Stops the router gracefully with SIGTERM and restarts it at the same address once it has exited.
     pub fn stop_and_restart(&mut self) -> Result<(), StandinError> {
         self.signal("TERM")?;
         self.child.wait()?;
         self.restart()
     }
 
-    /// Kills it with SIGKILL.
+    /// Kills the router with SIGKILL and waits until it has exited.
     pub fn kill(&mut self) -> io::Result<()> {
         self.child.kill()?;
         self.child.wait().map(drop)
     }
 
-    /// Starts it again at the same address after it has ended.
+    /// Restarts the router at the same address after it has exited.
     pub fn restart(&mut self) -> Result<(), StandinError> {
         self.restarts += 1;
         let (child, addr) = spawn(&self.name, &self.options, self.addr, &self.log)?;
@@ -80,32 +81,32 @@
         Ok(())
     }
 
-    /// How often it has been started again.
+    /// Returns how often the router has been restarted.
     pub fn restarts(&self) -> usize {
         self.restarts
     }
 
-    /// Its process's id.
+    /// Returns the process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Its configuration file.
+    /// Returns the path of the configuration file.
     pub fn config(&self) -> &Path {
         &self.options.config
     }
 
-    /// Waits for its process to end by itself.
+    /// Waits until the router has exited.
     pub fn wait_for_exit(&mut self) -> io::Result<ExitStatus> {
         self.child.wait()
     }
 
-    /// Descriptors that its process has open.
+    /// Returns the number of file descriptors that the process has open.
     pub fn descriptors(&self) -> io::Result<usize> {
         Ok(std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))?.count())
     }
 
-    /// Sends it a signal, named without `SIG`.
+    /// Sends a signal to the process. `name` is the name of the signal without `SIG`.
     pub fn signal(&self, name: &str) -> Result<(), StandinError> {
         let pid = self.child.id();
         let status = Command::new("kill").args([format!("-{name}"), pid.to_string()]).status()?;
@@ -115,13 +116,13 @@
         }
     }
 
-    /// Waits for a line of its log that contains `part`, also one of earlier. `None` after
-    /// [`crate::TIMEOUT`].
+    /// Returns the first line of the log that contains `part`, waiting for it if it has not been logged yet.
+    /// Returns `None` after [`crate::TIMEOUT`].
     pub fn wait_for_log(&self, part: &str) -> Option<String> {
         self.log.wait(|lines| lines.iter().find(|line| line.contains(part)).cloned())
     }
 
-    /// Processor time that its process has used, in steps of 10 ms.
+    /// Returns the processor time that the process has used, with a resolution of 10 ms.
     pub fn cpu_time(&self) -> Option<Duration> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).ok()?;
         let fields = stat.rsplit_once(')')?.1.split_whitespace();
@@ -130,7 +131,7 @@
         Some(Duration::from_millis(ticks * CLOCK_TICK.as_millis() as u64))
     }
 
-    /// Its process's resident memory, in KiB.
+    /// Returns the resident memory of the process, in KiB.
     pub fn resident_kib(&self) -> Option<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).ok()?;
         status.lines().find_map(|l| l.strip_prefix("VmRSS:")?.split_whitespace().next()?.parse().ok())
@@ -144,7 +145,7 @@
     }
 }
 
-/// Starts a router's process and waits until it listens; the process and its address.
+/// Starts a router process and waits until it listens. Returns the process and its address.
 fn spawn(
     name: &str,
     options: &RouterOptions,
@@ -171,9 +172,10 @@
     }
 }
 
-/// Appends a process's lines to its log on a thread of their own, and waits for the address in them.
+/// Appends the lines that a process writes to `stderr` to its log, on a thread of its own. Returns the
+/// address that the process listens on, or `None` if it has not logged one within [`crate::TIMEOUT`].
 fn follow_log(stderr: impl Read + Send + 'static, log: &Arc<Watched<Vec<String>>>) -> Option<SocketAddr> {
-    let earlier_lines = log.lock().len();
+    let earlier_line_count = log.lock().len();
     let sink = Arc::clone(log);
     std::thread::spawn(move || {
         for line in BufReader::new(stderr).lines().map_while(Result::ok) {
@@ -181,10 +183,11 @@
         }
     });
     let listen_addr = |line: &String| line.split_once(LISTENING_MARKER)?.1.trim().parse().ok();
-    log.wait(|lines| lines[earlier_lines..].iter().find_map(listen_addr))
+    log.wait(|lines| lines[earlier_line_count..].iter().find_map(listen_addr))
 }
 
-/// Writes a text to a new file in a folder, under a name that no other call in this machine's processes uses.
+/// Writes a text to a file in a folder and returns its path. The name of the file contains the process id and
+/// a counter, so that concurrent tests don't share files.
 pub fn write_unique_file(folder: &Path, name: &str, text: &str) -> io::Result<PathBuf> {
     static COUNT: AtomicU32 = AtomicU32::new(0);
     let number = COUNT.fetch_add(1, Ordering::Relaxed);
--- a/crates/standin/src/udp_proxy.rs
+++ b/crates/standin/src/udp_proxy.rs
@@ -1,5 +1,5 @@
-//! A lossy UDP proxy between router processes on loopback: a port for each directed pair of routers, and
-//! faults on the links between them.
+//! A lossy UDP proxy between router processes on loopback. It has a port for each directed pair of routers
+//! and applies faults to the datagrams between them.
 
 use crate::link_faults::LinkFaults;
 use crate::Rng;
@@ -11,41 +11,42 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// The longest datagram that passes, in bytes.
-const MAX_DATAGRAM: usize = 2048;
-/// Shorter delays than this are left out: a timer would take as long.
-const SHORTEST_TIMER: Duration = Duration::from_micros(50);
+/// Longest datagram that is forwarded, in bytes; longer ones are cut off there.
+const MAX_DATAGRAM_LEN: usize = 2048;
+/// Datagrams with a shorter delay are sent at once, because a timer can't measure it.
+const MIN_TIMER_DELAY: Duration = Duration::from_micros(50);
 
 /// Datagrams that a router has sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// How many.
+    /// Number of datagrams.
     pub datagrams: u64,
-    /// Their bytes.
+    /// Number of bytes in these datagrams.
     pub bytes: u64,
 }
 
-/// The links of a proxy, and what has passed.
+/// The links of a proxy and their traffic.
 #[derive(Debug)]
 pub struct Links {
-    /// Where each router really listens. Datagrams to the others are lost.
+    /// Address that each router listens on. Datagrams to a router without an address are lost.
     pub targets: Vec<Option<SocketAddr>>,
-    /// What goes wrong.
+    /// Faults of the links.
     pub faults: LinkFaults,
-    /// What has reached the proxy from each router.
+    /// Traffic that the proxy has received from each router, including lost datagrams.
     pub sent: Vec<Traffic>,
     rng: Rng,
 }
 
-/// A proxy. It runs until the process ends.
+/// A UDP proxy. It runs until the process exits.
 #[derive(Clone)]
 pub struct UdpProxy {
     links: Arc<Mutex<Links>>,
-    ports: Vec<Vec<SocketAddr>>,
+    /// Addresses of the proxy's sockets, by sending and receiving router.
+    link_addrs: Vec<Vec<SocketAddr>>,
 }
 
 impl UdpProxy {
-    /// Starts a proxy between so many routers, without faults and delays.
+    /// Starts a proxy for a number of routers, without faults or delays.
     pub fn start(routers: usize, seed: u64) -> io::Result<UdpProxy> {
         let links = Links {
             targets: vec![None; routers],
@@ -55,33 +56,33 @@
         };
         let links = Arc::new(Mutex::new(links));
         let mut sockets = Vec::new();
-        let mut ports = Vec::new();
+        let mut link_addrs = Vec::new();
         for _ in 0..routers {
             let row = bind_row(routers)?;
-            ports.push(row.iter().map(UdpSocket::local_addr).collect::<io::Result<_>>()?);
+            link_addrs.push(row.iter().map(UdpSocket::local_addr).collect::<io::Result<_>>()?);
             sockets.push(row);
         }
         let shared = Arc::clone(&links);
         std::thread::spawn(move || run(sockets, &shared));
-        Ok(UdpProxy { links, ports })
+        Ok(UdpProxy { links, link_addrs })
     }
 
-    /// Where one router reaches another.
+    /// Returns the address to which one router sends datagrams for another.
     pub fn link_addr(&self, from: usize, to: usize) -> SocketAddr {
-        self.ports[from][to]
+        self.link_addrs[from][to]
     }
 
-    /// Locks the links, to look at them or to change them.
+    /// Locks the links for reading or changing them.
     pub fn links(&self) -> MutexGuard<'_, Links> {
         lock(&self.links)
     }
 
-    /// Cuts all links between groups of routers, and repairs all others.
+    /// Cuts all links between the groups of routers in both directions, and repairs all other links.
     pub fn partition(&self, groups: &[Vec<usize>]) {
         self.links().faults.partition(groups);
     }
 
-    /// Repairs all links that are cut.
+    /// Repairs all cut links.
     pub fn heal(&self) {
         self.links().faults.cut.clear();
     }
@@ -95,42 +96,42 @@
     (0..routers).map(|_| UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))).collect()
 }
 
-/// Forwards datagrams of all pairs, on this thread, for ever.
+/// Forwards the datagrams of all links on this thread. Does not return.
 fn run(sockets: Vec<Vec<UdpSocket>>, links: &Arc<Mutex<Links>>) {
     let executor = Rc::new(LocalExecutor::new());
     for (from, row) in sockets.into_iter().enumerate() {
         for (to, socket) in row.into_iter().enumerate() {
-            let pair = Pair { from, to, links: Arc::clone(links) };
-            executor.spawn(pair.forward(Rc::clone(&executor), socket)).detach();
+            let link = Link { from, to, links: Arc::clone(links) };
+            executor.spawn(link.forward(Rc::clone(&executor), socket)).detach();
         }
     }
     async_io::block_on(executor.run(std::future::pending::<()>()));
 }
 
-/// A directed pair of routers.
-struct Pair {
+/// The link from one router to another.
+struct Link {
     from: usize,
     to: usize,
     links: Arc<Mutex<Links>>,
 }
 
-/// Where a datagram goes, and the delays of its copies.
+/// Target address of a datagram, and the delays of its copies.
 struct Deliveries {
     target: SocketAddr,
     delays: Vec<Duration>,
 }
 
-impl Pair {
+impl Link {
     async fn forward(self, executor: Rc<LocalExecutor<'static>>, socket: UdpSocket) {
         let Ok(socket) = Async::new(socket) else { return };
         let socket = Rc::new(socket);
-        let mut buffer = [0; MAX_DATAGRAM];
+        let mut buffer = [0; MAX_DATAGRAM_LEN];
         loop {
             let Ok(len) = socket.recv(&mut buffer).await else { continue };
             let datagram = &buffer[..len];
             let Some(Deliveries { target, delays }) = self.deliveries(len) else { continue };
             for delay in delays {
-                if delay < SHORTEST_TIMER {
+                if delay < MIN_TIMER_DELAY {
                     let _ = socket.send_to(datagram, target).await;
                 } else {
                     let socket = Rc::clone(&socket);
@@ -145,8 +146,8 @@
         }
     }
 
-    /// Counts a datagram of so many bytes and decides what becomes of it. `None` if the router that it is
-    /// for is not known.
+    /// Counts a datagram of `len` bytes and returns its target and the delays of its copies. Returns `None`
+    /// if the receiving router has no address yet.
     fn deliveries(&self, len: usize) -> Option<Deliveries> {
         let mut links = lock(&self.links);
         let links = &mut *links;
