--- a/crates/standin/src/session_load.rs
+++ b/crates/standin/src/session_load.rs
@@ -1,4 +1,5 @@
-//! A load of sessions that write and read through routers, each answer checked against the group's oracle.
+//! A load of sessions that write and read through routers. Each read is checked against the oracle of the
+//! group.
 
 mod report;
 mod session;
@@ -11,38 +12,41 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Between two calls of what runs beside a load.
-const MEANWHILE_INTERVAL: Duration = Duration::from_millis(5);
-/// Spreads the seed of a load over its sessions: a prime larger than any count of sessions.
+/// The time between two calls of the progress callback.
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(5);
+/// Difference between the session seeds of two loads with consecutive seeds: a prime larger than any number
+/// of sessions, so that the sessions of both loads have different seeds.
 const SEED_STRIDE: u64 = 1_000_003;
 
 /// How sessions connect to routers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionMode {
-    /// Each session has one connection at a time, and closes it before it moves to another router.
+    /// Each session has one connection, which it closes before it switches to another router.
     OneAtATime,
-    /// Sessions use pooled connections to all routers.
+    /// Sessions share pooled connections to all routers.
     Pooled,
-    /// As `Pooled`, and the session token that a router hands out is given back to the next one.
+    /// As [`Self::Pooled`], and each session sends the last session token that it has received with its next
+    /// request.
     PooledTokens,
-    /// Each session stays with one router, over pooled connections.
+    /// Each session uses one router, over pooled connections.
     OneRouter,
 }
 
-/// What sessions do.
+/// Configuration of a load.
 #[derive(Clone, Debug)]
 pub struct SessionLoad {
-    /// How they connect.
+    /// How sessions connect to routers.
     pub mode: ConnectionMode,
-    /// How many run at a time, a thread each.
+    /// Number of concurrent sessions, each on a thread of its own.
     pub sessions: usize,
-    /// They stop after so many reads together.
+    /// Number of served reads, over all sessions, after which the load stops.
     pub reads: usize,
-    /// One in so many reads, at random, goes to the class `status`, which sees all writes; none if 0.
+    /// One in this many reads, at random, has the class `status`, which must see the writes of all sessions;
+    /// none if 0.
     pub status_every: u64,
-    /// The longest pause before a read, in microseconds; half of the reads come without one.
+    /// Longest pause before a read, in microseconds. Half of the reads have no pause.
     pub max_think_time_us: u64,
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
@@ -52,23 +56,23 @@
     }
 }
 
-/// Runs a load against routers until it has had its reads. `meanwhile` is called again and again beside it,
-/// with the fraction of the reads that are done.
+/// Runs a load against routers until [`SessionLoad::reads`] reads have been served. Every 5 ms, calls
+/// `on_progress` with the fraction of the reads that have been served.
 pub fn run_load(
     group: &Group,
     routers: &[SocketAddr],
     load: &SessionLoad,
-    mut meanwhile: impl FnMut(f64),
+    mut on_progress: impl FnMut(f64),
 ) -> SessionLoadReport {
-    let reads_done = AtomicUsize::new(0);
-    let is_over = AtomicBool::new(false);
+    let served_reads = AtomicUsize::new(0);
+    let stopped = AtomicBool::new(false);
     let pools: Vec<_> = routers.iter().map(|_| session::Pool::default()).collect();
     let run_session = |number: usize| {
         let mut session = Session::new(number, routers, &pools, load);
-        while !is_over.load(Ordering::Relaxed) {
+        while !stopped.load(Ordering::Relaxed) {
             let served = session.run_round(group);
-            if reads_done.fetch_add(served, Ordering::Relaxed) + served >= load.reads {
-                is_over.store(true, Ordering::Relaxed);
+            if served_reads.fetch_add(served, Ordering::Relaxed) + served >= load.reads {
+                stopped.store(true, Ordering::Relaxed);
             }
         }
         session.into_report()
@@ -78,13 +82,13 @@
     std::thread::scope(|scope| {
         let sessions: Vec<_> =
             (0..load.sessions).map(|number| scope.spawn(move || run_session(number))).collect();
-        while !is_over.load(Ordering::Relaxed) {
-            meanwhile(reads_done.load(Ordering::Relaxed) as f64 / load.reads.max(1) as f64);
-            std::thread::sleep(MEANWHILE_INTERVAL);
+        while !stopped.load(Ordering::Relaxed) {
+            on_progress(served_reads.load(Ordering::Relaxed) as f64 / load.reads.max(1) as f64);
+            std::thread::sleep(PROGRESS_INTERVAL);
         }
         for session in sessions {
-            if let Ok(of_session) = session.join() {
-                report.add(of_session);
+            if let Ok(session_report) = session.join() {
+                report.add(session_report);
             }
         }
     });
--- a/crates/standin/src/session_load/report.rs
+++ b/crates/standin/src/session_load/report.rs
@@ -1,17 +1,17 @@
-//! The figures of a session load.
+//! The results of a session load.
 
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// How many of the first stale answers are described.
+/// Number of stale reads that are described.
 const STALE_EXAMPLES: usize = 5;
-/// A member that sends nothing for 250 ms is out of service for a second: an answer that takes longer than
-/// this may be the sign of a machine that stalled.
-const STALL: Duration = Duration::from_millis(200);
-/// So long after a stall the primary may still serve what replicas could have.
+/// A wait for a reply that is longer than this counts as a stall of the machine. Routers take a member that
+/// has sent nothing for 250 ms out of service for a second, so a stall may change which members serve reads.
+const STALL_THRESHOLD: Duration = Duration::from_millis(200);
+/// Time after a stall during which the primary may still serve reads that replicas would otherwise serve.
 const STALL_AFTERMATH: Duration = Duration::from_millis(1500);
 
-/// A span of time in which somebody waited for an answer for longer than [`STALL`].
+/// A time span in which a session waited for a reply for longer than [`STALL_THRESHOLD`].
 #[derive(Clone, Copy, Debug)]
 struct Stall {
     from: Instant,
@@ -25,42 +25,42 @@
     by_replica: bool,
 }
 
-/// How much replicas have served of a number of session reads.
+/// The fraction of session reads that replicas served.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplicaFraction {
-    /// The session reads that count.
+    /// Number of session reads that were counted.
     pub reads: usize,
-    /// The fraction of them that replicas served; 0 without any.
+    /// Fraction of them that replicas served; 0 if there were none.
     pub fraction: f64,
 }
 
-/// What came of a session load.
+/// The results of a session load.
 #[derive(Clone, Debug, Default)]
 pub struct SessionLoadReport {
-    /// Session reads and fresh reads served.
+    /// Served reads of the classes `own` (session reads) and `status`.
     pub reads: usize,
-    /// Of them, answers older than what had been written before the read was sent.
+    /// Number of them that returned an older value than the last one committed before the read was sent.
     pub stale: usize,
-    /// Session reads served.
+    /// Served session reads.
     pub session_reads: usize,
-    /// Of them, reads that replicas served.
+    /// Number of them that replicas served.
     pub replica_reads: usize,
-    /// Writes that succeeded.
+    /// Writes with a row as the reply.
     pub writes: usize,
-    /// Writes whose outcome the session does not know.
+    /// Writes that may or may not have been executed: there was no reply, or an error other than a rejection.
     pub unknown: usize,
-    /// Requests rejected or failed, and connections that broke.
+    /// Requests that were rejected or failed, or whose connection failed.
     pub not_served: usize,
-    /// How long session reads took, in microseconds.
+    /// Latencies of the session reads, in microseconds.
     pub latencies_us: Vec<u32>,
-    /// Descriptions of the first stale answers.
+    /// Descriptions of some of the stale reads.
     pub first_stale: Vec<String>,
     served_reads: Vec<ServedRead>,
     stalls: Vec<Stall>,
 }
 
 impl SessionLoadReport {
-    /// Adds another's figures.
+    /// Adds the results of another report.
     pub fn add(&mut self, other: SessionLoadReport) {
         self.reads += other.reads;
         self.stale += other.stale;
@@ -76,55 +76,57 @@
         self.stalls.extend(other.stalls);
     }
 
-    /// Notes how long an answer took, for [`Self::replica_fraction_without_stalls`].
+    /// Records the time span of a request, for [`Self::replica_fraction_without_stalls`].
     pub(super) fn record_wait(&mut self, from: Instant, until: Instant) {
-        if until - from > STALL {
+        if until - from > STALL_THRESHOLD {
             self.stalls.push(Stall { from, until });
         }
     }
 
-    /// Counts a session read that was served.
-    pub(super) fn record_session_read(&mut self, sent_at: Instant, took: Duration, by_replica: bool) {
+    /// Counts a served session read.
+    pub(super) fn record_session_read(&mut self, sent_at: Instant, elapsed: Duration, by_replica: bool) {
         self.session_reads += 1;
         self.replica_reads += usize::from(by_replica);
-        self.latencies_us.push(took.as_micros() as u32);
+        self.latencies_us.push(elapsed.as_micros() as u32);
         self.served_reads.push(ServedRead { sent_at, by_replica });
     }
 
-    /// Counts a stale answer.
+    /// Counts a stale read.
     pub(super) fn record_stale(&mut self, description: String) {
         self.stale += 1;
         self.first_stale.push(description);
         self.first_stale.truncate(STALE_EXAMPLES);
     }
 
-    /// The time within which this fraction of the session reads was served, in microseconds; 0 without any.
+    /// Returns the latency within which this fraction of the session reads was served, in microseconds; 0 if
+    /// there were none.
     pub fn quantile_us(&self, fraction: f64) -> u32 {
         let mut latencies = self.latencies_us.clone();
         latencies.sort_unstable();
         let last = latencies.len().saturating_sub(1);
-        let at = ((latencies.len() as f64 * fraction) as usize).min(last);
-        latencies.get(at).copied().unwrap_or(0)
+        let index = ((latencies.len() as f64 * fraction) as usize).min(last);
+        latencies.get(index).copied().unwrap_or(0)
     }
 
-    /// Of the session reads that were sent while the machine did not stall: how many, and the fraction of
-    /// them that replicas served. On a machine that stalls, members answer too late and are out of service
-    /// for a while, as they should be.
+    /// Returns how many session reads were sent neither during a stall nor shortly after it, and the fraction
+    /// of them that replicas served. When the machine stalls, responses of members are late and routers take
+    /// these members out of service for some time, as intended.
     pub fn replica_fraction_without_stalls(&self) -> ReplicaFraction {
-        let counts = |read: &&ServedRead| !self.is_near_stall(read.sent_at);
+        let is_counted = |read: &&ServedRead| !self.is_near_stall(read.sent_at);
         let (mut reads, mut by_replicas) = (0, 0);
-        for read in self.served_reads.iter().filter(counts) {
+        for read in self.served_reads.iter().filter(is_counted) {
             reads += 1;
             by_replicas += usize::from(read.by_replica);
         }
         ReplicaFraction { reads, fraction: by_replicas as f64 / reads.max(1) as f64 }
     }
 
-    fn is_near_stall(&self, moment: Instant) -> bool {
-        self.stalls.iter().any(|stall| stall.from <= moment && moment <= stall.until + STALL_AFTERMATH)
+    /// Returns whether `at` is within a stall or within [`STALL_AFTERMATH`] after one.
+    fn is_near_stall(&self, at: Instant) -> bool {
+        self.stalls.iter().any(|stall| stall.from <= at && at <= stall.until + STALL_AFTERMATH)
     }
 
-    /// The fraction of the session reads that replicas served.
+    /// Returns the fraction of the session reads that replicas served.
     pub fn replica_fraction(&self) -> f64 {
         self.replica_reads as f64 / self.session_reads.max(1) as f64
     }
--- a/crates/standin/src/session_load/session.rs
+++ b/crates/standin/src/session_load/session.rs
@@ -1,4 +1,4 @@
-//! One session of a load: rounds of a write and a few reads, through routers that it moves between.
+//! A session of a load. It runs rounds of a write and a few reads, and switches between routers.
 
 use super::{ConnectionMode, SessionLoad, SessionLoadReport};
 use crate::client::{Client, Reply};
@@ -8,29 +8,30 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Idle connections to one router.
+/// Idle connections to a router.
 pub(super) type Pool = Mutex<Vec<Client>>;
 
-/// How long a session waits after a connect that failed.
-const CONNECT_RETRY: Duration = Duration::from_millis(2);
-/// The most reads after a write.
+/// How long a session waits after a failed connect.
+const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(2);
+/// The largest number of reads after a write.
 const MAX_READS_PER_ROUND: u64 = 4;
-/// Request ids have so many bits.
+/// Number of bits in a request id.
 const ID_BITS: u32 = 60;
 
-/// A session. It writes under its own name as the key.
+/// A session. The key of its writes is its own name.
 pub(super) struct Session<'a> {
     name: String,
     routers: &'a [SocketAddr],
-    /// Idle connections by router, shared with the other sessions.
+    /// Idle connections by router, shared by all sessions.
     pools: &'a [Pool],
     load: &'a SessionLoad,
-    /// The router that it uses now.
+    /// Index of the router that it currently uses.
     router: usize,
     /// Its own connection, in [`ConnectionMode::OneAtATime`].
     connection: Option<Client>,
+    /// The last session token that it has received.
     token: Option<String>,
-    /// Writes so far; the value of the last one.
+    /// Number of writes so far, which is also the value of the last one.
     sequence: u64,
     rng: Rng,
     report: SessionLoadReport,
@@ -61,16 +62,16 @@
         self.report
     }
 
-    /// One round: a move half of the time, a write, a move half of the time, then reads. How many reads were
-    /// served.
+    /// Runs one round: a write and then 1 to [`MAX_READS_PER_ROUND`] reads, with a switch to another router
+    /// before and after the write, each with a probability of 50%. Returns the number of served reads.
     pub fn run_round(&mut self, group: &Group) -> usize {
-        self.maybe_move();
+        self.maybe_switch_router();
         self.write();
-        self.maybe_move();
+        self.maybe_switch_router();
         let mut served = 0;
         for _ in 0..1 + self.rng.u64(..MAX_READS_PER_ROUND) {
             self.think();
-            served += usize::from(self.read_something(group));
+            served += usize::from(self.read_own_or_status(group));
         }
         served
     }
@@ -83,15 +84,15 @@
         self.pools[self.router].lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Half of the time, leaves its connection and takes a router at random.
-    fn maybe_move(&mut self) {
+    /// With a probability of 50%, closes its own connection and picks a router at random.
+    fn maybe_switch_router(&mut self) {
         if self.load.mode != ConnectionMode::OneRouter && self.rng.bool() {
             self.connection = None;
             self.router = self.rng.usize(..self.routers.len());
         }
     }
 
-    /// Pauses before half of the reads.
+    /// Pauses for a random time before half of the reads.
     fn think(&mut self) {
         let pause_us = self.rng.u64(..self.load.max_think_time_us.max(1));
         if self.rng.bool() && pause_us > 0 {
@@ -99,7 +100,7 @@
         }
     }
 
-    /// An idle connection to its router, or a new one.
+    /// Returns an idle connection to the current router, or a new one.
     fn take_connection(&mut self) -> Option<Client> {
         let idle = if self.is_pooled() { self.pool().pop() } else { self.connection.take() };
         idle.or_else(|| Client::connect(self.routers[self.router]).ok())
@@ -113,25 +114,26 @@
         }
     }
 
-    /// Sends one statement. `None` if the connection broke or could not be opened.
+    /// Sends a statement and returns its reply. Returns `None` if the connection failed or could not be
+    /// opened.
     fn query(&mut self, text: &str) -> Option<Reply> {
         let Some(mut client) = self.take_connection() else {
-            std::thread::sleep(CONNECT_RETRY);
+            std::thread::sleep(CONNECT_RETRY_DELAY);
             return None;
         };
         client.token = None;
         let sent_at = Instant::now();
-        let answer = client.query(text).ok();
+        let reply = client.query(text).ok();
         self.report.record_wait(sent_at, Instant::now());
-        // A token counts even without an answer: it may have been sent ahead of it.
+        // A token is kept even without a reply: the router may have sent it before the connection failed.
         self.token = client.token.take().or(self.token.take());
-        if answer.is_some() {
+        if reply.is_some() {
             self.return_connection(client);
         }
-        answer
+        reply
     }
 
-    /// A statement's comment, with the session's token if it gives tokens back.
+    /// Returns the comment of a statement, with the session token in [`ConnectionMode::PooledTokens`].
     fn comment(&mut self, class: &str) -> String {
         let id = self.rng.u64(..1 << ID_BITS);
         let token = self.token.as_ref().filter(|_| self.load.mode == ConnectionMode::PooledTokens);
@@ -146,7 +148,7 @@
         let text = format!("INSERT INTO records (k, v) VALUES ('{name}', '{value}') RETURNING v {comment}");
         match self.query(&text) {
             Some(Reply::Row(_)) => self.report.writes += 1,
-            Some(answer) if answer.is_rejection() => self.report.not_served += 1,
+            Some(reply) if reply.is_rejection() => self.report.not_served += 1,
             _ => {
                 self.report.unknown += 1;
                 self.report.not_served += 1;
@@ -154,10 +156,11 @@
         }
     }
 
-    /// A read of its own key, or now and then a fresh read of some session's key. Whether it was served.
-    fn read_something(&mut self, group: &Group) -> bool {
-        let is_fresh = self.load.status_every > 0 && self.rng.u64(..self.load.status_every) == 0;
-        if is_fresh {
+    /// Reads its own key, or one time in [`SessionLoad::status_every`] the key of a random session with class
+    /// `status`. Returns whether the read was served.
+    fn read_own_or_status(&mut self, group: &Group) -> bool {
+        let is_status = self.load.status_every > 0 && self.rng.u64(..self.load.status_every) == 0;
+        if is_status {
             let other = format!("s{}", self.rng.usize(..self.load.sessions));
             self.read("status", &other, group)
         } else {
@@ -166,29 +169,29 @@
         }
     }
 
-    /// Reads a key and checks the answer against the oracle. Whether it was served.
+    /// Reads a key and checks the value against the oracle. Returns whether the read was served.
     fn read(&mut self, class: &str, key: &str, group: &Group) -> bool {
         let comment = self.comment(class);
         let text = format!("SELECT v FROM records WHERE k = '{key}' {comment}");
         let sent_at = Instant::now();
-        let answer = self.query(&text);
-        let took = sent_at.elapsed();
-        let Some(Reply::Row(value)) = answer else {
+        let reply = self.query(&text);
+        let elapsed = sent_at.elapsed();
+        let Some(Reply::Row(value)) = reply else {
             self.report.not_served += 1;
             return false;
         };
         let value = String::from_utf8_lossy(&value).into_owned();
-        // VALUE@SERIAL@RANK
+        // The value has the form VALUE@SERIAL@RANK (`GroupBehavior::annotated`).
         let mut parts = value.split('@').skip(1);
         let serial: u64 = parts.next().and_then(|n| n.parse().ok()).unwrap_or(0);
         let rank = parts.next().unwrap_or_default();
         let floor = group.newest_serial_before(key, sent_at);
         self.report.reads += 1;
         if serial < floor {
-            self.report.record_stale(format!("{class} of {key}: {value:?}, but {floor} was there"));
+            self.report.record_stale(format!("{class} read of {key}: {value:?}, oracle has serial {floor}"));
         }
         if class == "own" {
-            self.report.record_session_read(sent_at, took, rank == REPLICA_RANK);
+            self.report.record_session_read(sent_at, elapsed, rank == REPLICA_RANK);
         }
         true
     }
