--- a/crates/standin/src/simulated_fleet.rs
+++ b/crates/standin/src/simulated_fleet.rs
@@ -1,6 +1,8 @@
-//! A fleet of cores in simulated time: links that lose, delay, repeat and break, clocks of different rates,
-//! routers that are killed, paused and started again. The same seed gives the same run. What routers admit is
-//! observed by true time, which none of them knows.
+//! A fleet in simulated time. Each router is a core of the fleet protocol ([`Fleet`]) without sockets. Links
+//! lose, duplicate and delay datagrams and can be cut, clocks run at different rates, and routers can be
+//! killed, paused and restarted. The same seed gives the same run.
+//!
+//! Each router reads only its own clock. What routers admit is recorded by true time.
 
 mod node;
 mod observations;
@@ -16,70 +18,72 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// How long a datagram is on its way without faults, in microseconds.
+/// Delay of a datagram without faults, in microseconds.
 const DELAY_US: std::ops::Range<u64> = 100..1000;
-/// How old a datagram may be.
+/// Largest age at which a datagram is accepted.
 const MAX_DATAGRAM_AGE: Time = Time::ms(1000);
-/// The bytes of the key that all routers sign with.
+/// The key with which all routers sign datagrams.
 const KEY_BYTES: [u8; 16] = [7; 16];
-/// Gaps between requests are drawn in steps of a millionth of their mean, up to twice the mean.
-const GAP_STEPS: u64 = 2_000_000;
-/// Nanoseconds of a step for one request a second.
-const STEP_NS: f64 = 1e3;
-/// A permit is used for at least one part in so many of the longest time.
-const SHORTEST_USE: u64 = 20;
-
-/// Something that happens at a moment.
+/// Intervals between requests are random multiples of a millionth of the mean interval, below this number of
+/// steps: twice the mean.
+const INTERVAL_STEPS: u64 = 2_000_000;
+/// Nanoseconds in a step of the interval at one request per second.
+const INTERVAL_STEP_NS: f64 = 1e3;
+/// The longest use of a permit, divided by this, is the shortest one.
+const SHORTEST_USE_DIVISOR: u64 = 20;
+
+/// A scheduled event.
 enum Event {
-    /// A datagram arrives at a router.
-    Arrival { router: usize, datagram: Vec<u8> },
-    /// The core of a router's incarnation is due.
+    /// A datagram is delivered to a router.
+    Delivery { router: usize, datagram: Vec<u8> },
+    /// The next tick of a router's core is due; ignored if the router has been restarted since.
     Tick { router: usize, incarnation: u64 },
-    /// A request that counts under the limit on the rate; void if the demand has changed since.
+    /// A request under the rate limit; ignored if the demand has been changed since.
     Request { router: usize, demand_version: u64 },
-    /// A request that needs a permit of the limit on concurrent requests; void if the demand has changed.
+    /// A request under the concurrency limit; ignored if the demand has been changed since.
     PermitRequest { router: usize, demand_version: u64 },
-    /// A request that has a permit ends.
-    PermitEnd { router: usize, permit: u64 },
+    /// A request that holds a permit completes.
+    PermitRelease { router: usize, permit: u64 },
 }
 
-/// The copy of a datagram that was sent.
+/// A copy of a datagram that was sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordedDatagram {
-    /// The router that it was sent to.
+    /// Number of the router that it was sent to.
     pub to: usize,
-    /// Its bytes.
+    /// Contents of the datagram.
     pub bytes: Vec<u8>,
 }
 
-/// A fleet of cores. Routers are named by their numbers from 0.
+/// A simulated fleet. Routers are identified by their numbers, counted from 0.
 pub struct SimulatedFleet {
-    /// True time.
+    /// Current true time.
     pub now: Time,
-    /// What goes wrong on the links.
+    /// Faults of the links.
     pub links: LinkFaults,
-    /// What was seen from outside.
+    /// What an observer outside the routers has recorded.
     pub observations: Observations,
-    /// Whether the units that all routers may use are summed after each tick: work that grows with the square
-    /// of the fleet.
+    /// Whether the units that all routers may use are summed after each tick. The cost of this grows with the
+    /// square of the number of routers.
     pub tracks_allocated_units: bool,
     config: FleetConfig,
     codec: DatagramCodec,
     nodes: Vec<Node>,
-    /// Events by their moments and, at the same moment, in the order in which they were scheduled.
+    /// Scheduled events by true time; events at the same time are in the order in which they were scheduled.
     queue: BTreeMap<(Time, u64), Event>,
-    /// The last number given to an event or a permit.
+    /// The last number that an event or a permit was given.
     last_number: u64,
     open_permits: BTreeSet<u64>,
     rng: Rng,
     rate_limit: Option<LimitKey>,
     concurrency_limit: Option<LimitKey>,
-    /// The longest time for which a router uses a permit, by its own clock.
+    /// The longest time for which a router holds a permit, by its own clock.
     longest_use: Time,
+    /// Copies of the datagrams sent, while they are recorded.
     recorded: Option<Vec<RecordedDatagram>>,
 }
 
-/// The codec of datagrams, the same for all simulated routers.
+/// Returns the datagram codec, which is the same for all routers.
 fn datagram_codec() -> DatagramCodec {
     let Some(signing) = SigningKey::new(KeyId(1), KEY_BYTES.to_vec()) else {
         unreachable!("a key of 16 bytes is long enough")
@@ -87,7 +91,7 @@
     DatagramCodec::new(KeyRing { signing, verifying: Vec::new(), max_age: MAX_DATAGRAM_AGE })
 }
 
-/// A roster of routers `n0`, `n1` and so on, at ports that are their numbers plus one.
+/// Returns a roster of routers named `n0`, `n1` and so on. The port of each router is its number plus one.
 pub fn numbered_roster(count: usize) -> Roster {
     let peer = |n: usize| Peer {
         name: format!("n{n}"),
@@ -98,8 +102,8 @@
 }
 
 impl SimulatedFleet {
-    /// The routers of a configuration, none of them started. Requests count under `rate_limit`, those that
-    /// need permits under `concurrency_limit`.
+    /// Creates a fleet of the routers in the roster of `config`, none of which is started. Requests without
+    /// permits count under `rate_limit`, and requests with permits under `concurrency_limit`.
     pub fn new(
         config: FleetConfig,
         rate_limit: Option<LimitKey>,
@@ -128,7 +132,7 @@
         }
     }
 
-    /// Starts a router, or starts it again.
+    /// Starts or restarts a router.
     pub fn start(&mut self, router: usize) {
         let local_now = self.local_now(router);
         let seed = self.rng.u64(..);
@@ -139,24 +143,24 @@
         self.schedule_tick(router);
     }
 
-    /// Kills a router.
+    /// Kills a router, which sends nothing more.
     pub fn kill(&mut self, router: usize) {
         self.nodes[router].core = None;
     }
 
-    /// Stops a router gracefully.
+    /// Stops a router gracefully: it tells its peers that it leaves the fleet.
     pub fn stop(&mut self, router: usize) {
         let now = self.local_now(router);
         self.with_core(router, |core, effects| core.leave(now, effects));
         self.nodes[router].core = None;
     }
 
-    /// Pauses a router, as SIGSTOP does with a process.
+    /// Pauses a router, as SIGSTOP pauses a process.
     pub fn pause(&mut self, router: usize) {
         self.nodes[router].paused = true;
     }
 
-    /// Lets a paused router go on, with all datagrams that have arrived meanwhile.
+    /// Resumes a paused router and delivers the datagrams that were received while it was paused.
     pub fn resume(&mut self, router: usize) {
         if !std::mem::take(&mut self.nodes[router].paused) {
             return;
@@ -167,17 +171,19 @@
         self.tick(router);
     }
 
-    /// Sets a router's system clock off by so many milliseconds; it shows when the router is next started.
+    /// Sets the offset of a router's system clock in milliseconds. The router reads its system clock only
+    /// when it starts.
     pub fn set_system_clock_offset_ms(&mut self, router: usize, offset_ms: i64) {
         self.nodes[router].system_clock_offset_ms = offset_ms;
     }
 
-    /// Whether a router runs, be it paused.
+    /// Returns whether a router is running; it may be paused.
     pub fn is_running(&self, router: usize) -> bool {
         self.nodes[router].core.is_some()
     }
 
-    /// Sets the demand at a router: requests a second that count under the rate, and that need permits.
+    /// Sets the demand at a router: the rates of requests under the rate limit and of requests that need
+    /// permits, both per second.
     pub fn set_demand(&mut self, router: usize, per_s: f64, permits_per_s: f64) {
         let node = &mut self.nodes[router];
         node.per_s = per_s;
@@ -187,40 +193,40 @@
         self.schedule_permit_request(router);
     }
 
-    /// A router's core, if it runs.
+    /// Returns the core of a router, if the router is running.
     pub fn core(&self, router: usize) -> Option<&Fleet> {
         self.nodes[router].core.as_ref()
     }
 
-    /// The status that a router reports; nothing if it does not run.
+    /// Returns the status that a router reports; empty if the router is not running.
     pub fn status_lines(&self, router: usize) -> Vec<String> {
         let now = self.local_now(router);
         self.core(router).map(|core| core.status_lines(now)).unwrap_or_default()
     }
 
-    /// Has a router take another configuration while it runs.
+    /// Replaces the configuration of a running router.
     pub fn reload(&mut self, router: usize, config: FleetConfig) {
         let now = self.local_now(router);
         let codec = self.codec.clone();
         self.with_core(router, |core, effects| core.reload(now, config, codec, effects));
     }
 
-    /// Sets the configuration that routers are started with from now on.
+    /// Sets the configuration of routers that are started later.
     pub fn set_config(&mut self, config: FleetConfig) {
         self.config = config;
     }
 
-    /// Begins to copy all datagrams sent, or ends it and drops the copies.
+    /// Starts recording all datagrams sent, or stops recording and drops the recorded datagrams.
     pub fn record_datagrams(&mut self, on: bool) {
         self.recorded = on.then(Vec::new);
     }
 
-    /// Ends the recording. The datagrams copied, in the order in which they were sent.
+    /// Stops recording and returns the recorded datagrams in the order in which they were sent.
     pub fn take_recorded_datagrams(&mut self) -> Vec<RecordedDatagram> {
         self.recorded.take().unwrap_or_default()
     }
 
-    /// Hands a datagram to a router, as if it had just arrived.
+    /// Delivers a datagram to a router. If the router is paused, it gets the datagram when it is resumed.
     pub fn inject(&mut self, router: usize, datagram: &[u8]) {
         let node = &mut self.nodes[router];
         if node.paused {
@@ -231,7 +237,7 @@
         self.with_core(router, |core, effects| core.receive_datagram(now, datagram, effects));
     }
 
-    /// Lets time go on to a moment.
+    /// Runs all events up to `until` and advances true time to it.
     pub fn run_until(&mut self, until: Time) {
         while let Some(entry) = self.queue.first_entry() {
             let (at, _) = *entry.key();
@@ -247,7 +253,7 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Arrival { router, datagram } => self.inject(router, &datagram),
+            Event::Delivery { router, datagram } => self.inject(router, &datagram),
             Event::Tick { router, incarnation } => {
                 let node = &self.nodes[router];
                 if node.incarnations == incarnation && node.core.is_some() && !node.paused {
@@ -257,21 +263,21 @@
             }
             Event::Request { router, demand_version } => {
                 if self.nodes[router].demand_version == demand_version {
-                    self.request(router);
+                    self.make_request(router);
                     self.schedule_request(router);
                 }
             }
             Event::PermitRequest { router, demand_version } => {
                 if self.nodes[router].demand_version == demand_version {
-                    self.request_permit(router);
+                    self.make_permit_request(router);
                     self.schedule_permit_request(router);
                 }
             }
-            Event::PermitEnd { router, permit } => self.end_permit(router, permit),
+            Event::PermitRelease { router, permit } => self.release_permit(router, permit),
         }
     }
 
-    /// A router's own clock.
+    /// Returns the current time by a router's own clock.
     fn local_now(&self, router: usize) -> Time {
         self.nodes[router].local_time(self.now)
     }
@@ -303,16 +309,17 @@
         }
     }
 
-    /// When the next of so many requests a second is due. Gaps are evenly distributed up to twice the mean.
+    /// Returns when the next request is due at this rate per second, or `None` if the rate is 0. The
+    /// intervals are uniformly distributed between 0 and twice the mean.
     fn next_request(&mut self, per_s: f64) -> Option<Time> {
         if per_s <= 0.0 {
             return None;
         }
-        let gap_ns = self.rng.u64(..GAP_STEPS) as f64 / per_s * STEP_NS;
-        Some(self.now.plus(Time(gap_ns as u64)))
+        let interval_ns = self.rng.u64(..INTERVAL_STEPS) as f64 / per_s * INTERVAL_STEP_NS;
+        Some(self.now.plus(Time(interval_ns as u64)))
     }
 
-    /// Calls a router's core and carries out its effects, unless the router is paused or does not run.
+    /// Calls the core of a router and executes the effects, unless the router is paused or not running.
     fn with_core(&mut self, router: usize, call: impl FnOnce(&mut Fleet, &mut Vec<Effect>)) {
         let node = &mut self.nodes[router];
         if node.paused {
@@ -340,7 +347,7 @@
         let delays = self.links.deliveries(from, to, |bound| self.rng.u64(..bound));
         for delay in delays {
             let at = self.now.plus(Time(delay.as_nanos() as u64));
-            self.schedule(at, Event::Arrival { router: to, datagram: datagram.clone() });
+            self.schedule(at, Event::Delivery { router: to, datagram: datagram.clone() });
         }
     }
 
@@ -354,8 +361,8 @@
         self.schedule_tick(router);
     }
 
-    /// A request arrives at a router and is admitted or rejected under the rate.
-    fn request(&mut self, router: usize) {
+    /// Makes a request at a router, which admits or rejects it under the rate limit.
+    fn make_request(&mut self, router: usize) {
         let Some(key) = self.rate_limit else { return };
         let now = self.local_now(router);
         self.observations.requests += 1;
@@ -372,34 +379,35 @@
         }
     }
 
-    /// A request that needs a permit arrives at a router, and gets one or is rejected.
-    fn request_permit(&mut self, router: usize) {
+    /// Makes a request that needs a permit at a router, which grants one or rejects the request.
+    fn make_permit_request(&mut self, router: usize) {
         let Some(key) = self.concurrency_limit else { return };
         let now = self.local_now(router);
         self.last_number += 1;
         let permit = self.last_number;
         let longest_use = self.longest_use;
-        let mut is_taken = false;
+        let mut is_granted = false;
         self.with_core(router, |core, _| {
-            is_taken = core.free_slots(now, key, longest_use) > 0;
-            match is_taken {
+            is_granted = core.free_slots(now, key, longest_use) > 0;
+            match is_granted {
                 true => core.occupy_slot(now, key, permit, now.plus(longest_use)),
                 false => core.record_missing_slot(key),
             }
         });
-        if !is_taken {
+        if !is_granted {
             return;
         }
-        // It ends by itself, or its router has given it up by then: by a slow clock, a little later.
+        // The request completes within `longest`, the true time after which a router with the fastest allowed
+        // clock would reclaim the permit. Routers with slower clocks would reclaim it later.
         let longest = (longest_use.0 as f64 / (1.0 + self.config.timing.drift)) as u64;
-        let shortest = longest / SHORTEST_USE;
+        let shortest = longest / SHORTEST_USE_DIVISOR;
         let until = self.now.plus(Time(shortest + self.rng.u64(..longest - shortest)));
         self.open_permits.insert(permit);
         self.observations.permits.push(Permit { from: self.now, until, router });
-        self.schedule(until, Event::PermitEnd { router, permit });
+        self.schedule(until, Event::PermitRelease { router, permit });
     }
 
-    fn end_permit(&mut self, router: usize, permit: u64) {
+    fn release_permit(&mut self, router: usize, permit: u64) {
         let now = self.local_now(router);
         if !self.open_permits.remove(&permit) {
             return;
@@ -409,17 +417,17 @@
         }
     }
 
-    /// Sums the units of a limit that all routers may use at this moment.
+    /// Adds up the units of a limit that all routers may use at this time, and records the largest sum.
     fn track_allocated_units(&mut self) {
         if !self.tracks_allocated_units {
             return;
         }
         let Some(key) = self.rate_limit.or(self.concurrency_limit) else { return };
-        let usable = |node: &Node| {
+        let usable_units = |node: &Node| {
             let stats = node.core.as_ref()?.account_stats(node.local_time(self.now), key)?;
             Some(stats.usable)
         };
-        let sum: u64 = self.nodes.iter().filter_map(usable).sum();
+        let sum: u64 = self.nodes.iter().filter_map(usable_units).sum();
         let peak = &mut self.observations.peak_allocated_units;
         *peak = sum.max(*peak);
     }
--- a/crates/standin/src/simulated_fleet/node.rs
+++ b/crates/standin/src/simulated_fleet/node.rs
@@ -1,44 +1,45 @@
-//! A simulated router: its core, its clocks, and the demand at it.
+//! A simulated router: its core, its clocks and its demand.
 
 use crate::Rng;
 use basalthill_fleet::Fleet;
 use basalthill_policy::api::Time;
 
-/// What clocks show at true time zero lies below this, in nanoseconds.
+/// Clocks start, at true time zero, at a random value below this, in nanoseconds.
 const MAX_CLOCK_OFFSET_NS: u64 = 1_000_000_000_000;
-/// What system clocks show at true time zero, in milliseconds.
+/// Value of system clocks without an offset at true time zero, in milliseconds.
 const SYSTEM_CLOCK_START_MS: i64 = 1_000_000_000;
 const NS_PER_MS: i64 = 1_000_000;
-/// Drifts are drawn in steps of so small a part of the greatest one.
+/// Number of steps between 0 and the largest drift, from which random drifts are chosen.
 const DRIFT_STEPS: u64 = 1000;
 
-/// A router.
+/// A simulated router.
 pub(super) struct Node {
-    /// Its core while it runs.
+    /// Its core; `None` while the router is not running.
     pub core: Option<Fleet>,
-    /// How fast its clock is: 1 for true time.
+    /// Rate of its clock relative to true time.
     clock_rate: f64,
-    /// What its clock shows at true time zero, in nanoseconds.
+    /// Value of its clock at true time zero, in nanoseconds.
     clock_offset_ns: u64,
-    /// By how much its system clock is off, in milliseconds.
+    /// Offset of its system clock, in milliseconds.
     pub system_clock_offset_ms: i64,
     pub paused: bool,
-    /// Datagrams that have arrived while it is paused.
+    /// Datagrams received while the router is paused.
     pub inbox: Vec<Vec<u8>>,
-    /// How often it has been started.
+    /// Number of times that the router has been started.
     pub incarnations: u64,
-    /// Requests a second that count under the rate.
+    /// Requests per second under the rate limit.
     pub per_s: f64,
-    /// Requests a second that need permits.
+    /// Requests per second that need permits.
     pub permits_per_s: f64,
-    /// Counts the changes of the demand.
+    /// Number of changes of the demand.
     pub demand_version: u64,
 }
 
 impl Node {
-    /// A router that does not run. Its clock's rate is off by at most `max_drift` of true time.
+    /// Creates a router that is not running. The rate of its clock differs from 1 by at most `max_drift`.
     pub fn new(max_drift: f64, rng: &mut Rng) -> Node {
-        // Rates are spread over all that is allowed; half of them are at its ends.
+        // Half of the drifts are at the ends of the allowed range; the others are uniformly distributed
+        // over the range.
         let drift = match rng.u64(..4) {
             0 => max_drift,
             1 => -max_drift,
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Begins a new incarnation.
+    /// Starts a new incarnation with this core.
     pub fn start(&mut self, core: Fleet) {
         self.core = Some(core);
         self.paused = false;
@@ -66,18 +67,18 @@
         self.incarnations += 1;
     }
 
-    /// What its clock shows at a true time.
+    /// Returns the value of its clock at a true time.
     pub fn local_time(&self, true_time: Time) -> Time {
         Time(self.clock_offset_ns + (true_time.0 as f64 * self.clock_rate) as u64)
     }
 
-    /// A true time at which its clock shows at least a local time.
+    /// Returns a true time at which the value of its clock is at least `local_time`.
     pub fn true_time(&self, local_time: Time) -> Time {
         let elapsed_ns = local_time.0.saturating_sub(self.clock_offset_ns) as f64 / self.clock_rate;
         Time(elapsed_ns.ceil() as u64 + 1)
     }
 
-    /// What its system clock shows at a true time, in milliseconds.
+    /// Returns the value of its system clock at a true time, in milliseconds.
     pub fn system_clock_ms(&self, true_time: Time) -> u64 {
         let true_ms = true_time.0 as i64 / NS_PER_MS;
         (true_ms + SYSTEM_CLOCK_START_MS + self.system_clock_offset_ms) as u64
--- a/crates/standin/src/simulated_fleet/observations.rs
+++ b/crates/standin/src/simulated_fleet/observations.rs
@@ -1,62 +1,63 @@
-//! What is seen of a simulated fleet from outside, and how far it exceeds limits.
+//! Observations of a simulated fleet, and by how much they exceed limits.
 
 use basalthill_policy::api::Time;
 
-/// A request that a router admitted.
+/// A request that a router admitted under the rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Admission {
-    /// True time.
+    /// True time of the admission.
     pub at: Time,
-    /// The router's number.
+    /// Number of the router.
     pub router: usize,
 }
 
-/// A permit of a limit on concurrent requests that a router took.
+/// A permit of the concurrency limit that a router granted to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permit {
-    /// True time at which it was taken.
+    /// True time at which it was granted.
     pub from: Time,
-    /// True time at which it is returned.
+    /// True time at which it is released.
     pub until: Time,
-    /// The router's number.
+    /// Number of the router.
     pub router: usize,
 }
 
 /// A line that a router logged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogLine {
-    /// True time.
+    /// True time of the line.
     pub at: Time,
-    /// The router's number.
+    /// Number of the router.
     pub router: usize,
-    /// Its text.
+    /// Text of the line.
     pub text: String,
 }
 
-/// What was seen from outside.
+/// What an observer outside the routers has recorded of a fleet.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Observations {
-    /// Requests that were admitted under the rate, in order.
+    /// Requests that were admitted under the rate limit, in order.
     pub admitted: Vec<Admission>,
-    /// Requests that arrived and count under the rate.
+    /// Number of requests made under the rate limit.
     pub requests: u64,
-    /// Permits that were taken, in order.
+    /// Permits that were granted, in order.
     pub permits: Vec<Permit>,
-    /// Datagrams sent.
+    /// Number of datagrams sent.
     pub datagrams: u64,
-    /// Their bytes.
+    /// Number of bytes in these datagrams.
     pub bytes: u64,
-    /// The largest sum, at any time, of a limit's units that all routers might use.
+    /// The largest sum, at any time, of the units of a limit that all routers were allowed to use.
     pub peak_allocated_units: u64,
     /// Lines that routers logged, in order.
     pub log_lines: Vec<LogLine>,
 }
 
-/// By how many requests admissions exceed a rate with a burst, at worst over all windows of time; below zero
-/// if they never do.
+/// Returns by how many requests the admissions exceed a rate with a burst, in the worst of all time windows.
+/// The result is negative if they never exceed it.
 pub fn rate_excess(mut admitted: Vec<Time>, per_s: f64, burst: f64) -> f64 {
     admitted.sort_unstable();
-    // A token bucket that goes below zero by what is too much.
+    // Tokens of a token bucket with this rate and burst. Unlike in a rate limiter, they go below zero by the
+    // number of excess requests.
     let mut tokens = burst;
     let mut last = Time(0);
     let mut worst = -burst;
@@ -68,16 +69,16 @@
     worst
 }
 
-/// The most permits that were taken at a time.
+/// Returns the largest number of permits that were held at the same time.
 pub fn max_concurrent(permits: &[Permit]) -> i64 {
     let mut changes: Vec<(Time, i64)> = permits.iter().flat_map(|p| [(p.from, 1), (p.until, -1)]).collect();
-    // At the same moment, permits are returned before others are taken.
+    // Among changes at the same time, releases (-1) sort before grants (1).
     changes.sort_unstable();
-    let mut taken = 0;
-    let mut most = 0;
+    let mut held = 0;
+    let mut max_held = 0;
     for (_, change) in changes {
-        taken += change;
-        most = most.max(taken);
+        held += change;
+        max_held = max_held.max(held);
     }
-    most
+    max_held
 }
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -1,9 +1,9 @@
-//! A toy deployment to try the router with: one primary, two replicas and discovery on this machine.
+//! A toy deployment to try the router with: a primary, two replicas and discovery on this machine.
 //!
 //!     cargo run --example toy -- serve [DISCOVERY [LAG]]
 //!
-//! It runs until interrupted. Discovery's address is that of `examples/router.json` unless given; replicas
-//! follow LAG milliseconds behind.
+//! It runs until interrupted. DISCOVERY is the address that discovery listens on; the default is the one in
+//! `examples/router.json`. LAG is the lag of the replicas in milliseconds; the default is 5.
 
 use basalthill_standin::discovery::{endpoint_list, Discovery};
 use basalthill_standin::group::{Group, GroupBehavior, StaleRead};
@@ -11,29 +11,29 @@
 use std::num::ParseIntError;
 use std::process::ExitCode;
 
-/// Where `examples/router.json` expects discovery.
-const DISCOVERY: &str = "127.0.0.1:6500";
-/// The group that statements name (`cluster=1`).
+/// Address of discovery in `examples/router.json`.
+const DEFAULT_DISCOVERY: &str = "127.0.0.1:6500";
+/// Number of the group, as given in statements (`cluster=1`).
 const GROUP: u32 = 1;
-/// The primary and its replicas.
+/// Number of members: the primary and its replicas.
 const MEMBERS: usize = 3;
-/// How long a replica takes to apply what was written, in milliseconds.
-const LAG_MS: u64 = 5;
+/// Default time from a commit at the primary until a replica applies it, in milliseconds.
+const DEFAULT_LAG_MS: u64 = 5;
 
-/// Why the deployment did not start.
+/// The reason why the deployment did not start.
 #[derive(Debug, thiserror::Error)]
 enum ToyError {
     #[error("usage: toy serve [DISCOVERY [LAG]]")]
     Usage,
-    #[error("{text}: {error}")]
+    #[error("invalid address {text:?} of discovery: {error}")]
     Address { text: String, error: AddrParseError },
-    #[error("{text}: {error}")]
+    #[error("invalid lag {text:?} in milliseconds: {error}")]
     Lag { text: String, error: ParseIntError },
     #[error(transparent)]
     Io(#[from] std::io::Error),
 }
 
-/// The command line, with defaults for what it leaves out.
+/// Arguments of the command line, with defaults for those not given.
 struct Arguments {
     discovery: SocketAddr,
     lag_ms: u64,
@@ -43,8 +43,8 @@
     fn parse(words: &[String]) -> Result<Arguments, ToyError> {
         let words: Vec<&str> = words.iter().map(String::as_str).collect();
         let (discovery, lag_ms) = match words[..] {
-            ["serve"] => (DISCOVERY, LAG_MS),
-            ["serve", discovery] => (discovery, LAG_MS),
+            ["serve"] => (DEFAULT_DISCOVERY, DEFAULT_LAG_MS),
+            ["serve", discovery] => (discovery, DEFAULT_LAG_MS),
             ["serve", discovery, lag] => (discovery, parse_lag(lag)?),
             _ => return Err(ToyError::Usage),
         };
@@ -60,7 +60,7 @@
     text.parse().map_err(|error| ToyError::Lag { text: text.into(), error })
 }
 
-/// Starts the deployment, prints where its members listen, and keeps it running.
+/// Starts the deployment, prints the addresses of its members and of discovery, and keeps it running.
 fn serve(arguments: &Arguments) -> Result<(), ToyError> {
     let behavior = GroupBehavior {
         lag_ms: arguments.lag_ms,
