--- a/crates/standin/src/connect_recorder.rs
+++ b/crates/standin/src/connect_recorder.rs
@@ -19,7 +19,7 @@
 /// Installs the recorder and clears the recorded connects. If the process already has another metrics
 /// recorder, no connects are recorded.
 pub fn start() {
-    // This fails if an earlier call has installed the recorder, which then stays in use.
+    // This fails if a recorder is installed already. If it is the one of an earlier call, it stays in use.
     let _ = metrics::set_global_recorder(ConnectRecorder);
     connects().clear();
 }
--- a/crates/standin/src/deployment.rs
+++ b/crates/standin/src/deployment.rs
@@ -12,7 +12,7 @@
 const GROUP: u32 = 2;
 /// Number of members of the group. The first one is the primary.
 const MEMBERS: usize = 3;
-/// Limits of the run configuration, which no test or experiment reaches.
+/// Limits of sockets and memory in the run configuration, which no test or experiment reaches.
 const LIMITS: &str = r#"{"sockets":16384,"memory_mb":192}"#;
 
 /// A replicated group, discovery and router processes.
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -17,7 +17,7 @@
 /// The query parameter that a request line has for a watch but not for a poll.
 const WATCH_PARAMETER: &str = "watch=1";
 /// The time between two bytes of [`ResponseMode::EndlessLine`].
-const DRIP_INTERVAL: Duration = Duration::from_millis(50);
+const ENDLESS_LINE_INTERVAL: Duration = Duration::from_millis(50);
 /// The time between two events of a watch, so that each of them is sent as a TCP segment of its own.
 const EVENT_INTERVAL: Duration = Duration::from_millis(1);
 
@@ -161,7 +161,7 @@
             write!(stream, "{OK_HEAD}\r\n{list}\n{{")?;
             loop {
                 stream.write_all(b" ")?;
-                std::thread::sleep(DRIP_INTERVAL);
+                std::thread::sleep(ENDLESS_LINE_INTERVAL);
             }
         }
         ResponseMode::Indented => {
--- a/crates/standin/src/harness.rs
+++ b/crates/standin/src/harness.rs
@@ -23,7 +23,7 @@
 const KEY: &str = "51e0a8c97b3d2f6604de8f13c5a97b20";
 /// Number of the group that all hosts belong to, as given in statements (`cluster=2`).
 const GROUP: u32 = 2;
-/// Limits of the run configuration, which no test or experiment reaches.
+/// Limits of sockets and memory in the run configuration, which no test or experiment reaches.
 const LIMITS: &str = r#"{"sockets":4096,"memory_mb":192}"#;
 /// Text before the address of a router's fleet socket in the line that it logs when it opens the socket.
 const FLEET_LISTENING_MARKER: &str = "names, listens on ";
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -36,7 +36,7 @@
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Settings (JSON) of a deployment with five classes: `view` reads with bounded lag, `own` with causal and
+/// Site settings (JSON) of a deployment with five classes: `view` reads with bounded lag, `own` with causal and
 /// `status` with strong consistency, `report` with eventual consistency; `write` writes.
 pub const SETTINGS: &str = r#"{"balancers": 2, "me": 1, "zone": 0, "zones": ["a"], "quantum": 5000000,
  "discovery": "automatic", "weights": "rough", "overShareWorth": 0.2,
--- a/crates/standin/src/udp_proxy.rs
+++ b/crates/standin/src/udp_proxy.rs
@@ -58,7 +58,7 @@
         let mut sockets = Vec::new();
         let mut link_addrs = Vec::new();
         for _ in 0..routers {
-            let row = bind_row(routers)?;
+            let row = bind_link_sockets(routers)?;
             link_addrs.push(row.iter().map(UdpSocket::local_addr).collect::<io::Result<_>>()?);
             sockets.push(row);
         }
@@ -92,7 +92,7 @@
     links.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn bind_row(routers: usize) -> io::Result<Vec<UdpSocket>> {
+fn bind_link_sockets(routers: usize) -> io::Result<Vec<UdpSocket>> {
     (0..routers).map(|_| UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))).collect()
 }
 
--- a/crates/standin/src/watched.rs
+++ b/crates/standin/src/watched.rs
@@ -14,7 +14,7 @@
 }
 
 impl<T> Watched<T> {
-    /// Wraps a value.
+    /// Creates a watched value.
     pub fn new(value: T) -> Watched<T> {
         Watched { value: Mutex::new(value), changed: Condvar::new() }
     }
