--- a/crates/lab/src/client_load.rs
+++ b/crates/lab/src/client_load.rs
@@ -12,7 +12,7 @@
 /// Spreads the seed of a load over its clients.
 const SEED_STRIDE: u64 = 7919;
 /// Naive clients have a thread each, whose stack has so many bytes.
-const NAIVE_STACK: usize = 128 * 1024;
+const NAIVE_STACK_BYTES: usize = 128 * 1024;
 
 /// What clients do when a request is not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,7 +23,7 @@
     /// when a connection ends.
     Naive,
     /// Nothing.
-    Once,
+    NoRetries,
 }
 
 /// A load.
@@ -53,7 +53,7 @@
 
 /// A request that has ended.
 #[derive(Clone, Copy, Debug)]
-pub struct EndedRequest {
+pub struct CompletedRequest {
     /// When it ended.
     pub at: Instant,
     /// Whether it was served in time.
@@ -66,7 +66,7 @@
     /// When connects were begun.
     pub connects: Vec<Instant>,
     /// Requests that have ended.
-    pub ended: Vec<EndedRequest>,
+    pub completed: Vec<CompletedRequest>,
     /// Attempts in all.
     pub attempts: u64,
 }
@@ -74,32 +74,32 @@
 impl ClientRecord {
     /// How many requests were served in time.
     pub fn served(&self) -> usize {
-        self.ended.iter().filter(|request| request.served).count()
+        self.completed.iter().filter(|request| request.served).count()
     }
 
     /// Attempts for each request, on average.
     pub fn attempts_per_request(&self) -> f64 {
-        self.attempts as f64 / self.ended.len().max(1) as f64
+        self.attempts as f64 / self.completed.len().max(1) as f64
     }
 
     fn add(&mut self, mut other: ClientRecord) {
         self.connects.append(&mut other.connects);
-        self.ended.append(&mut other.ended);
+        self.completed.append(&mut other.completed);
         self.attempts += other.attempts;
     }
 }
 
 /// A load that runs.
-struct RunningLoad<'a> {
+struct LoadRun<'a> {
     load: &'a ClientLoad,
     routers: &'a [SocketAddr],
     /// The moment from which deadlines in keys count.
-    zero: Instant,
-    until: Instant,
+    epoch: Instant,
+    end: Instant,
     record: Mutex<ClientRecord>,
 }
 
-impl RunningLoad<'_> {
+impl LoadRun<'_> {
     /// Adds what a client has seen.
     fn add(&self, record: ClientRecord) {
         self.record.lock().unwrap_or_else(PoisonError::into_inner).add(record);
@@ -110,27 +110,27 @@
 pub fn run_clients(
     routers: &[SocketAddr],
     load: &ClientLoad,
-    zero: Instant,
-    meanwhile: impl FnOnce() + Send,
+    epoch: Instant,
+    side_task: impl FnOnce() + Send,
 ) -> anyhow::Result<ClientRecord> {
     connect_recorder::start();
-    let until = Instant::now() + load.duration;
-    let running = RunningLoad { load, routers, zero, until, record: Mutex::default() };
+    let end = Instant::now() + load.duration;
+    let load_run = LoadRun { load, routers, epoch, end, record: Mutex::default() };
     std::thread::scope(|scope| {
-        scope.spawn(meanwhile);
+        scope.spawn(side_task);
         match load.kind {
-            ClientKind::Library => with_library::run(&running),
-            ClientKind::Naive | ClientKind::Once => {
+            ClientKind::Library => with_library::run(&load_run),
+            ClientKind::Naive | ClientKind::NoRetries => {
                 for n in 0..load.clients {
-                    let running = &running;
-                    let thread = std::thread::Builder::new().stack_size(NAIVE_STACK);
-                    thread.spawn_scoped(scope, move || naive::run(running, n))?;
+                    let load_run = &load_run;
+                    let thread = std::thread::Builder::new().stack_size(NAIVE_STACK_BYTES);
+                    thread.spawn_scoped(scope, move || naive::run(load_run, n))?;
                 }
                 Ok(())
             }
         }
     })?;
-    let mut record = running.record.into_inner().unwrap_or_else(PoisonError::into_inner);
+    let mut record = load_run.record.into_inner().unwrap_or_else(PoisonError::into_inner);
     record.connects.append(&mut connect_recorder::take());
     Ok(record)
 }
@@ -147,7 +147,7 @@
     rng: Rng,
     next_at: Instant,
     mean_gap_s: f64,
-    number: u64,
+    sequence: u64,
     write_every: u64,
     client: usize,
 }
@@ -158,7 +158,7 @@
             rng: Rng::with_seed(load.client_seed(client)),
             next_at: from,
             mean_gap_s: 1.0 / load.per_s,
-            number: 0,
+            sequence: 0,
             write_every: load.write_every,
             client,
         };
@@ -175,25 +175,25 @@
     }
 
     /// The next request, whose deadline counts from `zero`.
-    fn next_request(&mut self, zero: Instant, deadline: Instant) -> NextRequest {
-        self.number += 1;
-        let is_write = self.write_every > 0 && self.number % self.write_every == 0;
-        let deadline_us = deadline.duration_since(zero).as_micros();
-        NextRequest { key: format!("{}-{}-{deadline_us}", self.client, self.number), is_write }
+    fn next_request(&mut self, epoch: Instant, deadline: Instant) -> NextRequest {
+        self.sequence += 1;
+        let is_write = self.write_every > 0 && self.sequence % self.write_every == 0;
+        let deadline_us = deadline.duration_since(epoch).as_micros();
+        NextRequest { key: format!("{}-{}-{deadline_us}", self.client, self.sequence), is_write }
     }
 }
 
 /// The most of these moments that lie within any `window` of a span of time.
-pub fn peak(moments: &[Instant], within: Range<Instant>, window: Duration) -> usize {
-    let mut sorted: Vec<Instant> = moments.iter().copied().filter(|m| within.contains(m)).collect();
+pub fn peak_in_window(times: &[Instant], within: Range<Instant>, window: Duration) -> usize {
+    let mut sorted: Vec<Instant> = times.iter().copied().filter(|m| within.contains(m)).collect();
     sorted.sort();
     let mut first = 0;
-    let mut most = 0;
+    let mut max = 0;
     for (n, moment) in sorted.iter().enumerate() {
         while *moment - sorted[first] > window {
             first += 1;
         }
-        most = most.max(n + 1 - first);
+        max = max.max(n + 1 - first);
     }
-    most
+    max
 }
--- a/crates/lab/src/client_load/with_library.rs
+++ b/crates/lab/src/client_load/with_library.rs
@@ -1,6 +1,6 @@
 //! Clients of the client library, on one runtime of it. Each sends one request at a time, as naive ones do.
 
-use super::{ClientRecord, EndedRequest, NextRequest, RequestSchedule, RunningLoad};
+use super::{ClientRecord, CompletedRequest, LoadRun, NextRequest, RequestSchedule};
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use basalthill_client::{Client, Config, Idempotency, Priority, Request, RequestOutcome, Runtime};
@@ -11,16 +11,16 @@
 const GROUP: u32 = 2;
 
 /// Runs all clients of a load until it is over.
-pub fn run(running: &RunningLoad<'_>) -> anyhow::Result<()> {
+pub fn run(load_run: &LoadRun<'_>) -> anyhow::Result<()> {
     let runtime = Runtime::start()?;
     let executor = LocalExecutor::new();
     let from = Instant::now();
     let spawn = |n: usize| {
-        let seed = running.load.seed + n as u64;
-        let client = runtime.client(Config { seed, ..Config::new(running.routers) });
-        executor.spawn(run_client(running, client, RequestSchedule::new(running.load, n, from)))
+        let seed = load_run.load.seed + n as u64;
+        let client = runtime.client(Config { seed, ..Config::new(load_run.routers) });
+        executor.spawn(run_client(load_run, client, RequestSchedule::new(load_run.load, n, from)))
     };
-    let clients: Vec<_> = (0..running.load.clients).map(spawn).collect();
+    let clients: Vec<_> = (0..load_run.load.clients).map(spawn).collect();
     block_on(executor.run(async {
         for client in clients {
             client.await;
@@ -29,20 +29,20 @@
     Ok(())
 }
 
-async fn run_client(running: &RunningLoad<'_>, client: Client, mut schedule: RequestSchedule) {
+async fn run_client(load_run: &LoadRun<'_>, client: Client, mut schedule: RequestSchedule) {
     let mut record = ClientRecord::default();
-    while schedule.next_at < running.until {
+    while schedule.next_at < load_run.end {
         Timer::at(schedule.next_at).await;
-        let deadline = Instant::now() + running.load.timeout;
-        let request = request(schedule.next_request(running.zero, deadline));
+        let deadline = Instant::now() + load_run.load.timeout;
+        let request = request(schedule.next_request(load_run.epoch, deadline));
         let request = request.tenant("acme").deadline(deadline).priority(Priority::Normal);
         let report = client.execute(request).await;
         record.attempts += report.attempts.len() as u64;
         let served = matches!(report.outcome, RequestOutcome::Served(_));
-        record.ended.push(EndedRequest { at: Instant::now(), served });
+        record.completed.push(CompletedRequest { at: Instant::now(), served });
         schedule.advance();
     }
-    running.add(record);
+    load_run.add(record);
 }
 
 fn request(next: NextRequest) -> Request {
--- a/crates/lab/src/cost.rs
+++ b/crates/lab/src/cost.rs
@@ -28,7 +28,7 @@
 /// One in so many requests is a write.
 const WRITE_EVERY: u32 = 4;
 /// Tokens made, and tokens read, to measure what that takes.
-const TOKENS: u32 = 50_000;
+const TOKEN_ITERATIONS: u32 = 50_000;
 
 /// Under this name, and in this order, the modes are shown.
 const CASES: [(Mode, &str); 3] = [
@@ -69,9 +69,9 @@
             read_delay: Duration::ZERO,
             ..GroupBehavior::default()
         };
-        let own = mode.own_settings("");
+        let settings = mode.local_settings("");
         let folder = std::env::temp_dir();
-        let deployment = Deployment::start(&common.program()?, &folder, 1, behavior, own.as_deref())?;
+        let deployment = Deployment::start(&common.program()?, &folder, 1, behavior, settings.as_deref())?;
         Ok(Case { deployment, token: None, cpu_time: Duration::ZERO, latencies_us: Vec::new(), bytes: 0 })
     }
 
@@ -87,7 +87,7 @@
     }
 
     /// Sends so many requests one after the other, a write and then three reads.
-    fn run_turn(&mut self, requests: u32) -> anyhow::Result<()> {
+    fn run_round(&mut self, requests: u32) -> anyhow::Result<()> {
         // A connection of this turn's own: a router closes connections that are idle for long.
         let mut client = Client::connect(self.router().addr)?;
         let cpu_before = self.router().cpu_time().unwrap_or_default();
@@ -95,10 +95,10 @@
         for n in 0..requests {
             let text = self.statement(n);
             let sent_at = Instant::now();
-            let answer = client.query(&text)?;
+            let reply = client.query(&text)?;
             self.latencies_us.push(sent_at.elapsed().as_micros() as u32);
-            if !matches!(answer, Reply::Row(_)) {
-                bail!("not served: {answer:?}");
+            if !matches!(reply, Reply::Row(_)) {
+                bail!("not served: {reply:?}");
             }
             self.token = client.token.take().or(self.token.take());
         }
@@ -146,9 +146,9 @@
     floors.raise(GroupId(2), now);
     let token = issue(&keys, now, owner, &floors);
     let time_us = |call: &dyn Fn()| {
-        let begun = Instant::now();
-        (0..TOKENS).for_each(|_| call());
-        begun.elapsed().as_secs_f64() * 1e6 / f64::from(TOKENS)
+        let started_at = Instant::now();
+        (0..TOKEN_ITERATIONS).for_each(|_| call());
+        started_at.elapsed().as_secs_f64() * 1e6 / f64::from(TOKEN_ITERATIONS)
     };
     let issue_us = time_us(&|| drop(black_box(issue(&keys, now, owner, &floors))));
     let verify_us = time_us(&|| drop(black_box(verify(&keys, now, Time(0), owner, token.as_bytes()))));
@@ -163,19 +163,24 @@
     }
     // Warm up, then in turn, so that the machine's drift meets all.
     for case in &mut cases {
-        case.run_turn(options.turn)?;
+        case.run_round(options.turn)?;
         case.reset();
     }
     for _ in 0..options.requests / options.turn.max(1) {
         for case in &mut cases {
-            case.run_turn(options.turn)?;
+            case.run_round(options.turn)?;
         }
     }
     let costs: Vec<RequestCost> = cases.iter().map(Case::cost).collect();
     let [_, off, on] = costs[..] else { bail!("{} cases in place of three", costs.len()) };
     let token = measure_token().unwrap_or_default();
     let table = Table {
-        heads: vec!["tokens", "CPU of the router, us a request", "median time, us", "bytes with the client"],
+        headers: vec![
+            "tokens",
+            "CPU of the router, us a request",
+            "median time, us",
+            "bytes with the client",
+        ],
         rows: CASES.iter().zip(&costs).map(|((_, name), cost)| cost.row(name)).collect(),
     };
     let TokenCost { issue_us, verify_us } = token;
--- a/crates/lab/src/fleet_limits.rs
+++ b/crates/lab/src/fleet_limits.rs
@@ -32,9 +32,9 @@
 }
 
 /// The limit: requests a second, and the burst.
-const PER_S: f64 = 1200.0;
+const LIMIT_PER_S: f64 = 1200.0;
 /// The comment of all statements, besides their ids.
-const COMMENT: &str = "c=report,t=acme,d=1400,cluster=2";
+const STATEMENT_COMMENT: &str = "c=report,t=acme,d=1400,cluster=2";
 /// Until routers that have just started know of each other and of the demand.
 const SETTLING_TIME: Duration = Duration::from_secs(8);
 
@@ -66,7 +66,8 @@
 
     /// Nodes of routers' own settings (KDL), inside `fleet`.
     fn limits(self) -> Option<String> {
-        let limit = |alone| format!("limit \"acme\" tenant=\"acme\" per-s={PER_S} alone-percent={alone}");
+        let limit =
+            |alone| format!("limit \"acme\" tenant=\"acme\" per-s={LIMIT_PER_S} alone-percent={alone}");
         match self {
             LimitMode::Fleet | LimitMode::FullEach => Some(limit(10)),
             LimitMode::StaticFractions => Some(limit(100)),
--- a/crates/lab/src/fleet_limits/gossip_cost.rs
+++ b/crates/lab/src/fleet_limits/gossip_cost.rs
@@ -18,9 +18,9 @@
 const MEASURED_TIME: Time = Time::ms(10_000);
 /// The limit for each router's part of it, in requests a second, and the demand at routers of even and of odd
 /// numbers.
-const LIMIT_PER_ROUTER: f64 = 4.0;
-const HIGH_DEMAND: f64 = 7.0;
-const LOW_DEMAND: f64 = 0.7;
+const LIMIT_PER_ROUTER_PER_S: f64 = 4.0;
+const HIGH_DEMAND_PER_S: f64 = 7.0;
+const LOW_DEMAND_PER_S: f64 = 0.7;
 
 /// What gossip costs a router on average, a second.
 struct GossipCost {
@@ -28,11 +28,11 @@
     bytes: f64,
     cpu_us: f64,
     /// Datagrams of the router that sent most.
-    most_datagrams: f64,
+    max_datagrams: f64,
 }
 
 fn fleet_config(routers: usize) -> FleetConfig {
-    let per_s = LIMIT_PER_ROUTER * routers as f64;
+    let per_s = LIMIT_PER_ROUTER_PER_S * routers as f64;
     let limit = Limit {
         name: "acme".into(),
         subject: Subject::Tenant("acme".into()),
@@ -60,23 +60,23 @@
     let datagrams = fleet.observations.datagrams;
     let bytes = fleet.observations.bytes;
     let by_router = datagrams_by_router(fleet, routers);
-    let began = Instant::now();
+    let started_at = Instant::now();
     fleet.run_until(fleet.now.plus(MEASURED_TIME));
-    let cpu_us = began.elapsed().as_micros() as f64 / routers as f64 / MEASURED_S;
+    let cpu_us = started_at.elapsed().as_micros() as f64 / routers as f64 / MEASURED_S;
     let per_router_and_s = |now: u64, before: u64| (now - before) as f64 / routers as f64 / MEASURED_S;
     let sent = datagrams_by_router(fleet, routers);
-    let most = sent.iter().zip(&by_router).map(|(now, before)| now - before).max().unwrap_or(0);
+    let max_sent = sent.iter().zip(&by_router).map(|(now, before)| now - before).max().unwrap_or(0);
     GossipCost {
         datagrams: per_router_and_s(fleet.observations.datagrams, datagrams),
         bytes: per_router_and_s(fleet.observations.bytes, bytes),
         cpu_us,
-        most_datagrams: most as f64 / MEASURED_S,
+        max_datagrams: max_sent as f64 / MEASURED_S,
     }
 }
 
 /// Runs the experiment for fleets of up to so many routers.
 pub fn run(max_routers: usize, common: &CommonOptions) -> anyhow::Result<Outcome> {
-    let heads = vec![
+    let headers = vec![
         "routers",
         "datagrams a second and router, idle",
         "bytes",
@@ -95,26 +95,26 @@
         fleet.run_until(START_TIME);
         let idle = measure(&mut fleet, routers);
         for n in 0..routers {
-            fleet.set_demand(n, if n % 2 == 0 { HIGH_DEMAND } else { LOW_DEMAND }, 0.0);
+            fleet.set_demand(n, if n % 2 == 0 { HIGH_DEMAND_PER_S } else { LOW_DEMAND_PER_S }, 0.0);
         }
         fleet.run_until(fleet.now.plus(DEMAND_SETTLING_TIME));
-        let busy = measure(&mut fleet, routers);
+        let loaded = measure(&mut fleet, routers);
         rows.push(vec![
             routers.to_string(),
             format!("{:.1}", idle.datagrams),
             format!("{:.0}", idle.bytes),
             format!("{:.0}", idle.cpu_us),
-            format!("{:.1}", idle.most_datagrams),
-            format!("{:.1}", busy.datagrams),
-            format!("{:.0}", busy.bytes),
-            format!("{:.0}", busy.cpu_us),
+            format!("{:.1}", idle.max_datagrams),
+            format!("{:.1}", loaded.datagrams),
+            format!("{:.0}", loaded.bytes),
+            format!("{:.0}", loaded.cpu_us),
         ]);
         summary = format!(
             "routers={routers} datagrams_per_s={:.1} bytes_per_s={:.0} cpu_us={:.0}",
-            busy.datagrams, busy.bytes, busy.cpu_us
+            loaded.datagrams, loaded.bytes, loaded.cpu_us
         );
     }
-    let table = Table { heads, rows };
+    let table = Table { headers, rows };
     let description = format!(
         "Simulated, one thread for all routers, seed {}: one rate, idle, and with requests at every \
          router. CPU holds the simulation's own work and both ends of each datagram.",
--- a/crates/lab/src/fleet_limits/many_routers.rs
+++ b/crates/lab/src/fleet_limits/many_routers.rs
@@ -1,6 +1,6 @@
 //! Many real processes on one machine that reach each other without a proxy: idle, and under light load.
 
-use super::{cpu_time, harness_config, router_addrs, start_harness, LimitMode, COMMENT};
+use super::{cpu_time, harness_config, router_addrs, start_harness, LimitMode, STATEMENT_COMMENT};
 use crate::results::{write_table, Table};
 use crate::{CommonOptions, Outcome};
 use basalthill_standin::harness::{FleetHarness, HarnessConfig, PacedClients};
@@ -21,8 +21,8 @@
 fn measure_cpu_us(harness: &FleetHarness) -> f64 {
     let before = cpu_time(harness);
     sleep(MEASURED_TIME);
-    let spent = cpu_time(harness) - before;
-    spent.as_secs_f64() / MEASURED_TIME.as_secs_f64() / harness.routers.len() as f64 * 1e6
+    let used = cpu_time(harness) - before;
+    used.as_secs_f64() / MEASURED_TIME.as_secs_f64() / harness.routers.len() as f64 * 1e6
 }
 
 /// How many routers are alive by a router's status.
@@ -34,21 +34,21 @@
 pub fn run(routers: usize, common: &CommonOptions) -> anyhow::Result<Outcome> {
     let config = harness_config(routers, LimitMode::Fleet, common.seed);
     let config = HarnessConfig { direct: true, hosts: HOSTS, ..config };
-    let began = Instant::now();
+    let started_at = Instant::now();
     let harness = start_harness(&config, common)?;
-    let started_s = began.elapsed().as_secs_f64();
+    let started_s = started_at.elapsed().as_secs_f64();
     sleep(START_TIME);
     let idle_us = measure_cpu_us(&harness);
-    let clients = PacedClients::start(&router_addrs(&harness), 1, COMMENT, common.seed);
+    let clients = PacedClients::start(&router_addrs(&harness), 1, STATEMENT_COMMENT, common.seed);
     (0..routers).for_each(|n| clients.set_rate(n, LIGHT_LOAD_PER_S));
     sleep(DEMAND_SETTLING_TIME);
     let served_before = clients.totals().served;
     let light_us = measure_cpu_us(&harness);
     let served = clients.totals().served - served_before;
     let alive = alive_count(&harness.status(&common.program()?, 0)?).unwrap_or(0);
-    let most_kib = harness.routers.iter().filter_map(|r| r.resident_kib()).max().unwrap_or(0);
+    let max_kib = harness.routers.iter().filter_map(|r| r.resident_kib()).max().unwrap_or(0);
     if let Some(out) = &common.out {
-        let heads = vec![
+        let headers = vec![
             "routers",
             "alive at one",
             "started in, s",
@@ -62,16 +62,16 @@
             format!("{started_s:.1}"),
             format!("{idle_us:.0}"),
             format!("{light_us:.0}"),
-            most_kib.to_string(),
+            max_kib.to_string(),
         ];
         let description =
             "Real router processes on one machine, without a relay: one rate, idle and under light load.";
-        write_table(out, "fleet-crowd", description, &Table { heads, rows: vec![row] })?;
+        write_table(out, "fleet-crowd", description, &Table { headers, rows: vec![row] })?;
     }
     let served_per_s = served as f64 / MEASURED_TIME.as_secs_f64();
     let summary = format!(
         "routers={routers} alive={alive} started_s={started_s:.1} cpu_us_idle={idle_us:.0} \
-         cpu_us_light={light_us:.0} served_per_s={served_per_s:.0} kib={most_kib}"
+         cpu_us_light={light_us:.0} served_per_s={served_per_s:.0} kib={max_kib}"
     );
     Ok(Outcome { summary, passed: alive == routers })
 }
--- a/crates/lab/src/fleet_limits/request_overhead.rs
+++ b/crates/lab/src/fleet_limits/request_overhead.rs
@@ -1,7 +1,9 @@
 //! What a fleet costs a request: two pairs of routers, one with a fleet whose limit is never reached and one
 //! without, under load in turn.
 
-use super::{cpu_time, harness_config, router_addrs, start_harness, LimitMode, COMMENT, SETTLING_TIME};
+use super::{
+    cpu_time, harness_config, router_addrs, start_harness, LimitMode, SETTLING_TIME, STATEMENT_COMMENT,
+};
 use crate::results::{print_and_write_table, Table};
 use crate::{CommonOptions, Outcome};
 use anyhow::ensure;
@@ -16,10 +18,10 @@
 /// Connections to each router, and the requests a second that they send to it.
 const CONNECTIONS: usize = 4;
 const LOAD_PER_S: f64 = 1500.0;
-const TURNS: usize = 6;
-const TURN: Duration = Duration::from_secs(3);
+const ROUNDS: usize = 6;
+const ROUND_DURATION: Duration = Duration::from_secs(3);
 /// After a turn, until all is answered.
-const REST: Duration = Duration::from_millis(200);
+const DRAIN_TIME: Duration = Duration::from_millis(200);
 
 /// A pair of routers with its clients, and what its turns have taken so far.
 struct Pair {
@@ -29,7 +31,7 @@
     /// Processor time that both routers take in a turn without load.
     idle_cpu: Duration,
     /// Processor time that requests have taken beyond that.
-    spent: Duration,
+    request_cpu: Duration,
     served: u64,
 }
 
@@ -37,27 +39,28 @@
     fn start(name: &'static str, limits: Option<String>, common: &CommonOptions) -> anyhow::Result<Pair> {
         let config = harness_config(ROUTERS, LimitMode::Unlimited, common.seed);
         let harness = start_harness(&HarnessConfig { limits, ..config }, common)?;
-        let clients = PacedClients::start(&router_addrs(&harness), CONNECTIONS, COMMENT, common.seed);
+        let clients =
+            PacedClients::start(&router_addrs(&harness), CONNECTIONS, STATEMENT_COMMENT, common.seed);
         let idle_cpu = Duration::ZERO;
-        Ok(Pair { name, harness, clients, idle_cpu, spent: Duration::ZERO, served: 0 })
+        Ok(Pair { name, harness, clients, idle_cpu, request_cpu: Duration::ZERO, served: 0 })
     }
 
     fn measure_idle(&mut self) {
         let before = cpu_time(&self.harness);
-        sleep(TURN * 2);
+        sleep(ROUND_DURATION * 2);
         self.idle_cpu = (cpu_time(&self.harness) - before) / 2;
     }
 
     /// A turn under load. What a fleet takes without load is the same under any: it is taken off.
-    fn run_turn(&mut self) {
+    fn run_round(&mut self) {
         let cpu_before = cpu_time(&self.harness);
         let served_before = self.clients.totals().served;
         self.set_rate(LOAD_PER_S);
-        sleep(TURN);
+        sleep(ROUND_DURATION);
         self.set_rate(0.0);
-        sleep(REST);
-        let idle = self.idle_cpu.mul_f64((TURN + REST).div_duration_f64(TURN));
-        self.spent += (cpu_time(&self.harness) - cpu_before).saturating_sub(idle);
+        sleep(DRAIN_TIME);
+        let idle = self.idle_cpu.mul_f64((ROUND_DURATION + DRAIN_TIME).div_duration_f64(ROUND_DURATION));
+        self.request_cpu += (cpu_time(&self.harness) - cpu_before).saturating_sub(idle);
         self.served += self.clients.totals().served - served_before;
     }
 
@@ -67,7 +70,7 @@
 
     /// Processor time of a request, in microseconds.
     fn cpu_us_per_request(&self) -> f64 {
-        self.spent.as_secs_f64() * 1e6 / self.served.max(1) as f64
+        self.request_cpu.as_secs_f64() * 1e6 / self.served.max(1) as f64
     }
 
     fn row(&self) -> Vec<String> {
@@ -81,7 +84,7 @@
             let at = (latencies.len() as f64 * fraction) as usize;
             latencies.get(at).copied().unwrap_or(0)
         };
-        let idle_us = self.idle_cpu.as_secs_f64() / TURN.as_secs_f64() * 1e6 / ROUTERS as f64;
+        let idle_us = self.idle_cpu.as_secs_f64() / ROUND_DURATION.as_secs_f64() * 1e6 / ROUTERS as f64;
         vec![
             self.name.to_string(),
             self.served.to_string(),
@@ -100,23 +103,23 @@
     sleep(SETTLING_TIME);
     with_fleet.measure_idle();
     without.measure_idle();
-    for _ in 0..TURNS {
-        with_fleet.run_turn();
-        without.run_turn();
+    for _ in 0..ROUNDS {
+        with_fleet.run_round();
+        without.run_round();
     }
     for pair in [&with_fleet, &without] {
         let failed = pair.clients.totals().failed;
         ensure!(failed == 0, "{failed} requests failed");
     }
-    let heads =
+    let headers =
         vec!["", "served", "p50, us", "p99, us", "CPU a request, us", "CPU a second and router at rest, us"];
-    let table = Table { heads, rows: vec![with_fleet.row(), without.row()] };
+    let table = Table { headers, rows: vec![with_fleet.row(), without.row()] };
     let description =
         "Real router processes, stand-in hosts: two pairs of routers, asked in turn for 3 s, six times \
          each; one pair has a fleet and a limit that is never reached. What a router takes at rest is \
          off the CPU of a request.";
     print_and_write_table(common.out.as_deref(), "fleet-overhead", description, &table)?;
     let (on, off) = (with_fleet.cpu_us_per_request(), without.cpu_us_per_request());
-    let more = on / off - 1.0;
-    Ok(Outcome { summary: format!("cpu_us_on={on:.1} cpu_us_off={off:.1} more={more:.4}"), passed: true })
+    let overhead = on / off - 1.0;
+    Ok(Outcome { summary: format!("cpu_us_on={on:.1} cpu_us_off={off:.1} more={overhead:.4}"), passed: true })
 }
--- a/crates/lab/src/fleet_limits/through_faults.rs
+++ b/crates/lab/src/fleet_limits/through_faults.rs
@@ -1,6 +1,9 @@
 //! The limit while links and routers fail at random, for each mode of keeping it.
 
-use super::{harness_config, router_addrs, start_harness, LimitMode, Options, COMMENT, PER_S, SETTLING_TIME};
+use super::{
+    harness_config, router_addrs, start_harness, LimitMode, Options, LIMIT_PER_S, SETTLING_TIME,
+    STATEMENT_COMMENT,
+};
 use crate::results::{write_table_and_chart, Axes, Chart, Line, Table};
 use crate::{CommonOptions, Outcome};
 use anyhow::Context;
@@ -11,9 +14,9 @@
 use std::time::{Duration, Instant};
 
 /// Statements reach hosts at most so much later one than another after they were admitted, in seconds.
-const SPREAD_S: f64 = 0.25;
+const ARRIVAL_SPREAD_S: f64 = 0.25;
 /// How much may arrive beyond rate times time: the burst, which is the rate, and the spread.
-const BOUND: f64 = PER_S + PER_S * SPREAD_S;
+const MAX_EXCESS: f64 = LIMIT_PER_S + LIMIT_PER_S * ARRIVAL_SPREAD_S;
 /// A fault and the time after it.
 const FAULT_CYCLE: Duration = Duration::from_secs(8);
 /// Until routers have followed a change of the demand.
@@ -29,7 +32,7 @@
 const RECOVERY_STEP: Duration = Duration::from_millis(100);
 const STEPS_PER_S: u32 = 10;
 /// How many routers are killed at a time.
-const VICTIMS: usize = 3;
+const ROUTERS_PER_KILL: usize = 3;
 
 /// What came of one mode.
 struct ModeResult {
@@ -37,10 +40,10 @@
     /// By how much arrivals exceeded the rate.
     excess: f64,
     /// The fractions of the limit used, without faults and with them.
-    used: f64,
-    used_with_faults: f64,
+    used_fraction: f64,
+    used_fraction_with_faults: f64,
     /// The fraction of requests rejected while the demand was below the limit.
-    needlessly_rejected: f64,
+    rejected_below_limit: f64,
     /// The longest time to recovery after a partition; `None` if it took too long.
     recovery_ms: Option<u128>,
     /// Bytes that each router sent to others, a second.
@@ -58,10 +61,10 @@
         vec![
             mode.name().into(),
             self.admitted.to_string(),
-            format!("{:.0} (bound {BOUND:.0})", self.excess),
-            format!("{:.3}", self.used),
-            format!("{:.3}", self.used_with_faults),
-            format!("{:.4}", self.needlessly_rejected),
+            format!("{:.0} (bound {MAX_EXCESS:.0})", self.excess),
+            format!("{:.3}", self.used_fraction),
+            format!("{:.3}", self.used_fraction_with_faults),
+            format!("{:.4}", self.rejected_below_limit),
             self.recovery(),
             format!("{:.0}", self.bytes_per_s),
         ]
@@ -69,13 +72,13 @@
 
     fn summary(&self) -> String {
         format!(
-            "admitted={} limit={PER_S} over_peak={:.0} bound={BOUND:.0} used_share={:.3} \
+            "admitted={} limit={LIMIT_PER_S} over_peak={:.0} bound={MAX_EXCESS:.0} used_share={:.3} \
              used_share_faults={:.3} refused_needlessly={:.4} recover_ms={} bytes_per_s={:.0}",
             self.admitted,
             self.excess,
-            self.used,
-            self.used_with_faults,
-            self.needlessly_rejected,
+            self.used_fraction,
+            self.used_fraction_with_faults,
+            self.rejected_below_limit,
             self.recovery(),
             self.bytes_per_s
         )
@@ -87,16 +90,16 @@
 
 impl Arrivals {
     /// The fraction of the limit that was used in a span of time.
-    fn used(&self, within: Range<Instant>) -> f64 {
+    fn used_fraction(&self, within: Range<Instant>) -> f64 {
         let count = self.0.iter().filter(|at| within.contains(at)).count();
-        count as f64 / (within.end - within.start).as_secs_f64() / PER_S
+        count as f64 / (within.end - within.start).as_secs_f64() / LIMIT_PER_S
     }
 
     /// How long after a moment a second begins in which at least `wanted` of the limit is used.
-    fn recovery_ms(&self, from: Instant, wanted: f64) -> Option<u128> {
+    fn recovery_ms(&self, from: Instant, threshold: f64) -> Option<u128> {
         let is_recovered = |step: &u32| {
             let begin = from + RECOVERY_STEP * *step;
-            self.used(begin..begin + RECOVERY_STEP * STEPS_PER_S) >= wanted
+            self.used_fraction(begin..begin + RECOVERY_STEP * STEPS_PER_S) >= threshold
         };
         let steps = ((FAULT_CYCLE / 2).as_millis() / RECOVERY_STEP.as_millis()) as u32;
         let step = (0..steps - STEPS_PER_S).find(is_recovered)?;
@@ -106,10 +109,10 @@
 
 /// Sets the demand at all routers together to a part of the limit; half of them get ten times as much as the
 /// others.
-fn set_demand(clients: &PacedClients, routers: usize, of_limit: f64) {
-    let unit = of_limit * PER_S / (routers as f64 / 2.0 * (DEMAND_RATIO + 1.0));
+fn set_demand(clients: &PacedClients, routers: usize, fraction_of_limit: f64) {
+    let low_rate = fraction_of_limit * LIMIT_PER_S / (routers as f64 / 2.0 * (DEMAND_RATIO + 1.0));
     for n in 0..routers {
-        clients.set_rate(n, if n % 2 == 0 { DEMAND_RATIO * unit } else { unit });
+        clients.set_rate(n, if n % 2 == 0 { DEMAND_RATIO * low_rate } else { low_rate });
     }
 }
 
@@ -131,20 +134,20 @@
 fn measure(options: &Options, common: &CommonOptions, mode: LimitMode) -> anyhow::Result<ModeResult> {
     let routers = options.routers;
     let mut harness = start_harness(&harness_config(routers, mode, common.seed), common)?;
-    let clients = PacedClients::start(&router_addrs(&harness), 2, COMMENT, common.seed);
+    let clients = PacedClients::start(&router_addrs(&harness), 2, STATEMENT_COMMENT, common.seed);
     let phase = Duration::from_secs_f64(options.minutes * 60.0 / 6.0);
     set_demand(&clients, routers, HIGH_DEMAND);
     sleep(SETTLING_TIME);
-    let zero = Instant::now();
+    let start = Instant::now();
     let sent = bytes_sent(&harness);
     sleep(phase);
-    let undisturbed = zero..Instant::now();
+    let undisturbed = start..Instant::now();
     let bytes_per_s = (bytes_sent(&harness) - sent) / phase.as_secs_f64();
     set_demand(&clients, routers, LOW_DEMAND);
     sleep(DEMAND_SETTLING_TIME);
     let before = clients.totals();
     sleep(phase);
-    let needlessly_rejected = rejected_fraction(before, clients.totals());
+    let rejected_below_limit = rejected_fraction(before, clients.totals());
     set_demand(&clients, routers, HIGH_DEMAND);
     sleep(DEMAND_SETTLING_TIME);
     let faults_from = Instant::now();
@@ -156,20 +159,20 @@
     let end = Instant::now();
     drop(clients);
     let arrivals = Arrivals(harness.arrivals("t=acme"));
-    let wanted = RECOVERED_FRACTION * arrivals.used(undisturbed.clone()).min(1.0);
+    let threshold = RECOVERED_FRACTION * arrivals.used_fraction(undisturbed.clone()).min(1.0);
     let recoveries: Option<Vec<u128>> =
-        healed_at.iter().map(|at| arrivals.recovery_ms(*at, wanted)).collect();
-    let second = |n: u64| zero + Duration::from_secs(n);
-    let used_in = |n: u64| (n as f64 + 1.0, arrivals.used(second(n)..second(n + 1)));
+        healed_at.iter().map(|at| arrivals.recovery_ms(*at, threshold)).collect();
+    let second = |n: u64| start + Duration::from_secs(n);
+    let used_in = |n: u64| (n as f64 + 1.0, arrivals.used_fraction(second(n)..second(n + 1)));
     Ok(ModeResult {
         admitted: arrivals.0.len(),
-        excess: rate_excess(&arrivals.0, PER_S, 0.0),
-        used: arrivals.used(undisturbed),
-        used_with_faults: arrivals.used(faults_from..end),
-        needlessly_rejected,
+        excess: rate_excess(&arrivals.0, LIMIT_PER_S, 0.0),
+        used_fraction: arrivals.used_fraction(undisturbed),
+        used_fraction_with_faults: arrivals.used_fraction(faults_from..end),
+        rejected_below_limit,
         recovery_ms: recoveries.and_then(|times| times.into_iter().max()),
         bytes_per_s: bytes_per_s / routers as f64,
-        curve: (0..(end - zero).as_secs()).map(used_in).collect(),
+        curve: (0..(end - start).as_secs()).map(used_in).collect(),
     })
 }
 
@@ -190,7 +193,7 @@
         match rng.u64(..6) {
             0 | 1 => Fault::Partition(random_groups(rng, routers, 2)),
             2 => Fault::Partition(random_groups(rng, routers, 3)),
-            3 => Fault::Kill((0..VICTIMS).map(|_| rng.usize(..routers)).collect()),
+            3 => Fault::Kill((0..ROUTERS_PER_KILL).map(|_| rng.usize(..routers)).collect()),
             4 => Fault::Pause(rng.usize(..routers)),
             _ => Fault::LossyLinks,
         }
@@ -217,21 +220,21 @@
             harness.heal();
             healed_at = Some(Instant::now());
         }
-        Fault::Kill(mut victims) => {
-            victims.sort_unstable();
-            victims.dedup();
-            for n in &victims {
+        Fault::Kill(mut killed) => {
+            killed.sort_unstable();
+            killed.dedup();
+            for n in &killed {
                 harness.kill(*n)?;
             }
             sleep(FAULT_CYCLE / 2);
-            for n in victims {
+            for n in killed {
                 harness.restart(n)?;
             }
         }
-        Fault::Pause(victim) => {
-            harness.set_paused(victim, true)?;
+        Fault::Pause(router) => {
+            harness.set_paused(router, true)?;
             sleep(FAULT_CYCLE / 2);
-            harness.set_paused(victim, false)?;
+            harness.set_paused(router, false)?;
         }
         Fault::LossyLinks => {
             harness.set_link_quality(300, 500..20_000);
@@ -251,16 +254,16 @@
 ) -> anyhow::Result<()> {
     let description = format!(
         "Real router processes and sockets, a relay between them, stand-in hosts whose record is \
-         judged: {} routers, a rate of {PER_S} requests a second with as many at once, seed {}, {} \
+         judged: {} routers, a rate of {LIMIT_PER_S} requests a second with as many at once, seed {}, {} \
          minutes each. Half of the routers are asked ten times as much as the others; a sixth of \
          the time without faults, a sixth at 0.7 of the limit, the rest with random splits, kills, \
          freezes and loss. Most over the rate: what came beyond rate times time, at worst over all \
-         windows; the bound is the burst and {SPREAD_S} s of the rate, by which arrivals at hosts \
+         windows; the bound is the burst and {ARRIVAL_SPREAD_S} s of the rate, by which arrivals at hosts \
          spread.",
         options.routers, common.seed, options.minutes
     );
     let title = "Admitted, as a share of the limit";
-    let axes = Axes { title, x: "seconds", y: "share", range: 0.0..2.0 };
+    let axes = Axes { title, x: "seconds", y: "share", y_range: 0.0..2.0 };
     let chart = Chart { axes, lines };
     write_table_and_chart(common.out.as_deref(), "fleet-limits", &description, table, &chart)
 }
@@ -268,7 +271,7 @@
 /// Runs the experiment. It passes if the fleet's limit was never exceeded by more than its burst and the
 /// spread of arrivals.
 pub fn run(options: &Options, common: &CommonOptions) -> anyhow::Result<Outcome> {
-    let heads = vec![
+    let headers = vec![
         "how",
         "admitted",
         "most over the rate",
@@ -278,18 +281,18 @@
         "recovered after a split, ms",
         "bytes a second and router",
     ];
-    let (mut rows, mut lines, mut of_fleet) = (Vec::new(), Vec::new(), None);
+    let (mut rows, mut lines, mut fleet_result) = (Vec::new(), Vec::new(), None);
     for mode in LimitMode::ALL {
         let result = measure(options, common, mode)?;
         rows.push(result.row(mode));
         lines.push(Line { name: mode.name().into(), points: result.curve.clone() });
         if mode == LimitMode::Fleet {
-            of_fleet = Some(result);
+            fleet_result = Some(result);
         }
     }
-    let table = Table { heads, rows };
+    let table = Table { headers, rows };
     println!("{}", table.to_markdown());
     write_results(options, common, &table, &lines)?;
-    let of_fleet = of_fleet.context("the fleet's limit was not among the modes")?;
-    Ok(Outcome { summary: of_fleet.summary(), passed: of_fleet.excess <= BOUND })
+    let fleet_result = fleet_result.context("the fleet's limit was not among the modes")?;
+    Ok(Outcome { summary: fleet_result.summary(), passed: fleet_result.excess <= MAX_EXCESS })
 }
--- a/crates/lab/src/floor_table.rs
+++ b/crates/lab/src/floor_table.rs
@@ -59,9 +59,9 @@
 
 /// Nanoseconds for each of `n` calls.
 fn time_calls_ns(n: u64, mut call: impl FnMut(u64)) -> f64 {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     (0..n).for_each(&mut call);
-    begun.elapsed().as_nanos() as f64 / n as f64
+    started_at.elapsed().as_nanos() as f64 / n as f64
 }
 
 /// What a structure costs.
@@ -88,7 +88,7 @@
         Keys((0..count).map(|_| SessionKey(rng.u64(..1 << KEY_BITS))).collect())
     }
 
-    fn visit(&self, n: u64) -> SessionKey {
+    fn key_at(&self, n: u64) -> SessionKey {
         self.0[(n.wrapping_mul(VISIT_STRIDE) % self.0.len() as u64) as usize]
     }
 }
@@ -98,21 +98,21 @@
     let before = resident_bytes();
     let mut map = BTreeMap::new();
     let add_ns = time_calls_ns(sessions, |n| {
-        raise_in_map(&mut map, keys.visit(n), options.commit_time(n));
+        raise_in_map(&mut map, keys.key_at(n), options.commit_time(n));
     });
     let bytes_per_session = resident_bytes().saturating_sub(before) as f64 / sessions as f64;
     let get_ns = time_calls_ns(sessions, |n| {
-        black_box(map.get(&(GROUP, keys.visit(n * 31))));
+        black_box(map.get(&(GROUP, keys.key_at(n * 31))));
     });
     let raise_ns = time_calls_ns(sessions, |n| {
-        raise_in_map(&mut map, keys.visit(n), options.commit_time(sessions + n));
+        raise_in_map(&mut map, keys.key_at(n), options.commit_time(sessions + n));
     });
     Costs { add_ns, raise_ns, get_ns, bytes_per_session }
 }
 
 fn raise_in_map(map: &mut BTreeMap<(GroupId, SessionKey), Time>, session: SessionKey, floor: Time) {
-    let known = map.entry((GROUP, session)).or_insert(Time(0));
-    *known = floor.max(*known);
+    let current = map.entry((GROUP, session)).or_insert(Time(0));
+    *current = floor.max(*current);
 }
 
 /// The costs of a table for all sessions, and the fraction of floors that it knows exactly.
@@ -120,15 +120,15 @@
     let sessions = options.sessions;
     let before = resident_bytes();
     let mut table = FloorTable::new(START, options.full_size(), seed);
-    let add_ns = time_calls_ns(sessions, |n| table.raise(GROUP, keys.visit(n), options.commit_time(n)));
+    let add_ns = time_calls_ns(sessions, |n| table.raise(GROUP, keys.key_at(n), options.commit_time(n)));
     let bytes_per_session = resident_bytes().saturating_sub(before) as f64 / sessions as f64;
     let get_ns = time_calls_ns(sessions, |n| {
-        black_box(table.get(GROUP, keys.visit(n * 31)));
+        black_box(table.get(GROUP, keys.key_at(n * 31)));
     });
     let raise_ns = time_calls_ns(sessions, |n| {
-        table.raise(GROUP, keys.visit(n), options.commit_time(sessions + n));
+        table.raise(GROUP, keys.key_at(n), options.commit_time(sessions + n));
     });
-    let exact = (0..sessions).filter(|n| table.get(GROUP, keys.visit(*n)).exact.is_some()).count();
+    let exact = (0..sessions).filter(|n| table.get(GROUP, keys.key_at(*n)).exact.is_some()).count();
     (Costs { add_ns, raise_ns, get_ns, bytes_per_session }, exact as f64 / sessions as f64)
 }
 
@@ -173,9 +173,9 @@
 }
 
 fn measure_overflow(options: &Options, seed: u64) -> Overflow {
-    let heads =
+    let headers =
         vec!["replicas behind", "bytes a session", "reads that replicas may serve", "with an exact map"];
-    let mut overflow = Overflow { table: Table { heads, rows: Vec::new() }, lines: Vec::new() };
+    let mut overflow = Overflow { table: Table { headers, rows: Vec::new() }, lines: Vec::new() };
     for lag in LAGS {
         let mut points = Vec::new();
         for size in SIZES {
@@ -203,7 +203,7 @@
     let map = map_costs(options, &keys);
     let (table, exact_fraction) = table_costs(options, &keys, common.seed);
     let costs = Table {
-        heads: vec!["structure", "add, ns", "raise, ns", "look up, ns", "bytes a session"],
+        headers: vec!["structure", "add, ns", "raise, ns", "look up, ns", "bytes a session"],
         rows: vec![map.row("ordered map, grows for ever"), table.row("book, room for all")],
     };
     println!("{}", costs.to_markdown());
@@ -216,7 +216,7 @@
         costs.to_markdown()
     );
     let title = "Reads that replicas may serve as the book overflows";
-    let axes = Axes { title, x: "bytes a session", y: "share", range: 0.0..1.0 };
+    let axes = Axes { title, x: "bytes a session", y: "share", y_range: 0.0..1.0 };
     let chart = Chart { axes, lines: &overflow.lines };
     write_table_and_chart(common.out.as_deref(), "book", &description, &overflow.table, &chart)?;
     let Costs { add_ns, raise_ns, get_ns, bytes_per_session } = table;
--- a/crates/lab/src/host_records.rs
+++ b/crates/lab/src/host_records.rs
@@ -17,17 +17,17 @@
 
 /// Counts what hosts have seen. The keys of statements end with `-` and their deadline, in microseconds from
 /// `zero`.
-pub fn count_at_hosts(deployment: &Deployment, zero: Instant) -> HostCounts {
+pub fn count_at_hosts(deployment: &Deployment, epoch: Instant) -> HostCounts {
     let mut statements = 0;
     let mut late_statements = 0;
     let mut written_keys = BTreeSet::new();
     for host in &deployment.group.hosts {
-        let seen = host.record.lock();
-        for statement in &seen.statements {
+        let record = host.record.lock();
+        for statement in &record.statements {
             let Some(key) = statement.text.split('\'').nth(1) else { continue };
             statements += 1;
             let deadline = key.rsplit('-').next().and_then(|d| d.parse().ok()).map(Duration::from_micros);
-            late_statements += usize::from(deadline.is_some_and(|d| statement.received_at > zero + d));
+            late_statements += usize::from(deadline.is_some_and(|d| statement.received_at > epoch + d));
             if statement.text.starts_with("INSERT") {
                 written_keys.insert(key.to_string());
             }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -23,9 +23,9 @@
 static ALLOCATOR: &stats_alloc::StatsAlloc<std::alloc::System> = &stats_alloc::INSTRUMENTED_SYSTEM;
 
 /// A promise that the experiment checks was broken.
-const EXIT_BROKEN: u8 = 1;
+const EXIT_CHECK_FAILED: u8 = 1;
 /// The experiment could not be run.
-const EXIT_FAILED: u8 = 2;
+const EXIT_NOT_RUN: u8 = 2;
 
 /// Experiments with basalthill.
 #[derive(Parser)]
@@ -109,12 +109,12 @@
             if passed {
                 ExitCode::SUCCESS
             } else {
-                ExitCode::from(EXIT_BROKEN)
+                ExitCode::from(EXIT_CHECK_FAILED)
             }
         }
         Err(e) => {
             eprintln!("basalthill-lab: {e:#}");
-            ExitCode::from(EXIT_FAILED)
+            ExitCode::from(EXIT_NOT_RUN)
         }
     }
 }
--- a/crates/lab/src/overhead.rs
+++ b/crates/lab/src/overhead.rs
@@ -71,12 +71,12 @@
         };
         (0..requests_each).filter_map(request).collect()
     };
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let latencies: Vec<Duration> = std::thread::scope(|scope| {
         let threads: Vec<_> = (0..in_flight).map(|_| scope.spawn(run_loop)).collect();
         threads.into_iter().flat_map(|t| t.join().unwrap_or_default()).collect()
     });
-    RequestCost::new(latencies, begun.elapsed(), 0)
+    RequestCost::new(latencies, started_at.elapsed(), 0)
 }
 
 /// One client of the library, with so many requests in flight.
@@ -88,7 +88,7 @@
     let tasks: Vec<_> =
         (0..in_flight).map(|_| executor.spawn(run_requests(client.clone(), requests_each))).collect();
     let allocations = stats_alloc::Region::new(ALLOCATOR);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let latencies = block_on(executor.run(async {
         let mut all = Vec::new();
         for task in tasks {
@@ -96,7 +96,7 @@
         }
         all
     }));
-    Ok(RequestCost::new(latencies, begun.elapsed(), allocations.change().allocations))
+    Ok(RequestCost::new(latencies, started_at.elapsed(), allocations.change().allocations))
 }
 
 /// So many requests, one after the other; how long those took that were served.
@@ -115,19 +115,19 @@
 /// Runs the experiment.
 pub fn run(options: &Options, common: &CommonOptions) -> anyhow::Result<Outcome> {
     let host = Host::start(|_| (Response::Row(b"v".to_vec()), Vec::new()))?;
-    let forget_statements = || host.record.change(|seen| seen.statements.clear());
+    let clear_statements = || host.record.change(|seen| seen.statements.clear());
     let (mut rows, mut summaries) = (Vec::new(), Vec::new());
     for in_flight in IN_FLIGHT {
-        forget_statements();
+        clear_statements();
         let bare = measure_bare(&host, in_flight, options.requests);
-        forget_statements();
+        clear_statements();
         let library = measure_library(&host, in_flight, options.requests)?;
         rows.push(bare.row(in_flight, "bare loop, a thread each", "-".into()));
         rows.push(library.row(in_flight, "library", format!("{:.1}", library.allocations)));
         summaries
             .push(format!("bare_{in_flight}={:.0} library_{in_flight}={:.0}", bare.per_s, library.per_s));
     }
-    let heads = vec![
+    let headers = vec![
         "in flight",
         "client",
         "p50, us",
@@ -135,7 +135,7 @@
         "requests/s",
         "allocations a request, stand-in's too",
     ];
-    let table = Table { heads, rows };
+    let table = Table { headers, rows };
     let description = format!(
         "Real sockets, one process: a stand-in that answers at once, a thread a connection, takes part \
          of the same cores; {} requests for each row.",
--- a/crates/lab/src/overload.rs
+++ b/crates/lab/src/overload.rs
@@ -34,7 +34,7 @@
 /// The library's budget allows retries of a tenth of the requests.
 const BUDGET_FRACTION: f64 = 0.1;
 /// Retries that each client of the library may send beyond that fraction: its budget is full at the start.
-const INITIAL_BUDGET: f64 = 10.0;
+const INITIAL_RETRIES: f64 = 10.0;
 
 /// What one kind of client shows.
 struct KindResult {
@@ -65,35 +65,38 @@
         timeout: Duration::from_millis(900),
         seed: common.seed,
     };
-    let zero = Instant::now();
+    let epoch = Instant::now();
     let addrs: Vec<_> = deployment.routers.iter().map(|r| r.addr).collect();
-    let record = run_clients(&addrs, &load, zero, || {})?;
-    let took_s = zero.elapsed().as_secs_f64();
-    let at_hosts = count_at_hosts(&deployment, zero);
+    let record = run_clients(&addrs, &load, epoch, || {})?;
+    let elapsed_s = epoch.elapsed().as_secs_f64();
+    let host_counts = count_at_hosts(&deployment, epoch);
     let attempts_per_request = record.attempts_per_request();
     let row = vec![
         name.to_string(),
-        format!("{:.0}", record.ended.len() as f64 / took_s),
-        format!("{:.0}", record.served() as f64 / took_s),
+        format!("{:.0}", record.completed.len() as f64 / elapsed_s),
+        format!("{:.0}", record.served() as f64 / elapsed_s),
         format!("{attempts_per_request:.3}"),
-        format!("{:.0}", record.attempts as f64 / took_s),
-        format!("{:.0}", at_hosts.statements as f64 / took_s),
-        at_hosts.late_statements.to_string(),
+        format!("{:.0}", record.attempts as f64 / elapsed_s),
+        format!("{:.0}", host_counts.statements as f64 / elapsed_s),
+        host_counts.late_statements.to_string(),
     ];
     Ok(KindResult { attempts_per_request, row })
 }
 
 /// Runs the experiment. It passes if the library's retries stay within its budget.
 pub fn run(options: &Options, common: &CommonOptions) -> anyhow::Result<Outcome> {
-    let kinds =
-        [("no retries", ClientKind::Once), ("naive", ClientKind::Naive), ("library", ClientKind::Library)];
+    let kinds = [
+        ("no retries", ClientKind::NoRetries),
+        ("naive", ClientKind::Naive),
+        ("library", ClientKind::Library),
+    ];
     let (mut rows, mut attempts) = (Vec::new(), Vec::new());
     for (name, kind) in kinds {
         let result = measure(options, common, name, kind)?;
         rows.push(result.row);
         attempts.push(result.attempts_per_request);
     }
-    let heads = vec![
+    let headers = vec![
         "clients",
         "requests/s",
         "served in time/s",
@@ -102,7 +105,7 @@
         "statements/s at the hosts",
         "late at the hosts",
     ];
-    let table = Table { heads, rows };
+    let table = Table { headers, rows };
     let description = format!(
         "Real router processes and sockets, stand-in group of three, each of which works on {} \
          statements of 20 ms at a time: {} clients of {} reads a second, one at a time each, two \
@@ -110,9 +113,11 @@
         options.slots, options.clients, options.per_s, options.come_back_ms, options.seconds
     );
     print_and_write_table(common.out.as_deref(), "overload", &description, &table)?;
-    let [once, naive, library] = attempts[..] else { bail!("{} kinds in place of three", attempts.len()) };
-    let summary = format!("tries_once={once:.3} tries_naive={naive:.3} tries_library={library:.3}");
+    let [no_retries, naive, library] = attempts[..] else {
+        bail!("{} kinds in place of three", attempts.len())
+    };
+    let summary = format!("tries_once={no_retries:.3} tries_naive={naive:.3} tries_library={library:.3}");
     let requests_per_client = options.per_s * options.seconds as f64;
-    let most = 1.0 + BUDGET_FRACTION + INITIAL_BUDGET / requests_per_client;
-    Ok(Outcome { summary, passed: library <= most })
+    let max_attempts = 1.0 + BUDGET_FRACTION + INITIAL_RETRIES / requests_per_client;
+    Ok(Outcome { summary, passed: library <= max_attempts })
 }
--- a/crates/lab/src/reconnect.rs
+++ b/crates/lab/src/reconnect.rs
@@ -1,6 +1,6 @@
 //! A router is killed under load and comes back: how its clients arrive at the others, and at it again.
 
-use crate::client_load::{peak, run_clients, ClientKind, ClientLoad, ClientRecord};
+use crate::client_load::{peak_in_window, run_clients, ClientKind, ClientLoad, ClientRecord};
 use crate::host_records::count_at_hosts;
 use crate::results::{write_table_and_chart, Axes, Chart, Line, Table};
 use crate::{CommonOptions, Outcome};
@@ -22,9 +22,9 @@
 }
 
 /// When the router is killed and started again, and when the load ends, from its start.
-const KILLED_AFTER: Duration = Duration::from_secs(4);
-const RESTARTED_AFTER: Duration = Duration::from_secs(7);
-const DURATION: Duration = Duration::from_secs(11);
+const KILL_AT: Duration = Duration::from_secs(4);
+const RESTART_AT: Duration = Duration::from_secs(7);
+const LOAD_DURATION: Duration = Duration::from_secs(11);
 /// Connects are counted for each of these spans of time, and served requests too.
 const BUCKET: Duration = Duration::from_millis(100);
 const BUCKETS_PER_S: f64 = 10.0;
@@ -32,16 +32,16 @@
 /// A bucket in which this fraction of the requests is served counts as undisturbed.
 const RECOVERED_FRACTION: f64 = 0.98;
 /// Routers' own settings (KDL): they send a farewell before they close a connection.
-const OWN_SETTINGS: &str = "clients {\n farewell #true\n}\n";
+const LOCAL_SETTINGS: &str = "clients {\n farewell #true\n}\n";
 
 /// What one kind of client shows.
 struct KindResult {
     /// The most connects within a second, before the router is killed.
     peak_before: usize,
     /// While it is dead.
-    peak_at_death: usize,
+    peak_while_down: usize,
     /// After its restart.
-    peak_at_return: usize,
+    peak_after_restart: usize,
     /// The most connects within a bucket, while it is dead.
     peak_bucket: usize,
     /// How long requests were disturbed; `None` if up to the router's restart.
@@ -51,7 +51,7 @@
     repeated_writes: usize,
     late_statements: usize,
     /// Connects a second, by buckets: the end of the bucket in seconds, and the connects.
-    curve: Vec<(f64, f64)>,
+    connects_per_s: Vec<(f64, f64)>,
 }
 
 impl KindResult {
@@ -59,9 +59,9 @@
         vec![
             name.to_string(),
             self.peak_before.to_string(),
-            self.peak_at_death.to_string(),
+            self.peak_while_down.to_string(),
             self.peak_bucket.to_string(),
-            self.peak_at_return.to_string(),
+            self.peak_after_restart.to_string(),
             self.recovered_after.map_or("not".into(), |after| after.as_millis().to_string()),
             format!("{:.4}", self.served_fraction),
             self.repeated_writes.to_string(),
@@ -70,10 +70,10 @@
     }
 
     fn line(&self, name: &str) -> Line {
-        Line { name: name.into(), points: self.curve.clone() }
+        Line { name: name.into(), points: self.connects_per_s.clone() }
     }
 
-    fn is_sound(&self) -> bool {
+    fn passes(&self) -> bool {
         self.repeated_writes == 0 && self.late_statements == 0 && self.recovered_after.is_some()
     }
 }
@@ -82,39 +82,39 @@
 fn measure(options: &Options, common: &CommonOptions, kind: ClientKind) -> anyhow::Result<KindResult> {
     let behavior = GroupBehavior { write_delays: [Duration::from_millis(1); 2], ..GroupBehavior::default() };
     let folder = std::env::temp_dir();
-    let own = Some(OWN_SETTINGS);
-    let mut deployment = Deployment::start(&common.program()?, &folder, options.routers, behavior, own)?;
+    let settings = Some(LOCAL_SETTINGS);
+    let mut deployment = Deployment::start(&common.program()?, &folder, options.routers, behavior, settings)?;
     let load = ClientLoad {
         kind,
         clients: options.clients,
         per_s: options.per_s,
         write_every: 3,
-        duration: DURATION,
+        duration: LOAD_DURATION,
         timeout: Duration::from_millis(900),
         seed: common.seed,
     };
-    let zero = Instant::now();
+    let epoch = Instant::now();
     let addrs: Vec<_> = deployment.routers.iter().map(|r| r.addr).collect();
-    let mut victim = deployment.routers.remove(0);
-    let record = run_clients(&addrs, &load, zero, || {
-        std::thread::sleep(KILLED_AFTER);
-        drop(victim.kill());
-        std::thread::sleep(RESTARTED_AFTER - KILLED_AFTER);
-        drop(victim.restart());
+    let mut router = deployment.routers.remove(0);
+    let record = run_clients(&addrs, &load, epoch, || {
+        std::thread::sleep(KILL_AT);
+        drop(router.kill());
+        std::thread::sleep(RESTART_AT - KILL_AT);
+        drop(router.restart());
     })?;
-    let (killed, restarted, end) = (zero + KILLED_AFTER, zero + RESTARTED_AFTER, zero + DURATION);
+    let (killed, restarted, end) = (epoch + KILL_AT, epoch + RESTART_AT, epoch + LOAD_DURATION);
     let connects = &record.connects;
-    let at_hosts = count_at_hosts(&deployment, zero);
+    let host_counts = count_at_hosts(&deployment, epoch);
     Ok(KindResult {
-        peak_before: peak(connects, killed - SECOND * 2..killed, SECOND),
-        peak_at_death: peak(connects, killed..restarted, SECOND),
-        peak_at_return: peak(connects, restarted..end, SECOND),
-        peak_bucket: peak(connects, killed..restarted, BUCKET),
-        recovered_after: recovered_after(&record, zero),
-        served_fraction: record.served() as f64 / record.ended.len().max(1) as f64,
-        repeated_writes: at_hosts.repeated_writes,
-        late_statements: at_hosts.late_statements,
-        curve: connect_curve(&record, zero),
+        peak_before: peak_in_window(connects, killed - SECOND * 2..killed, SECOND),
+        peak_while_down: peak_in_window(connects, killed..restarted, SECOND),
+        peak_after_restart: peak_in_window(connects, restarted..end, SECOND),
+        peak_bucket: peak_in_window(connects, killed..restarted, BUCKET),
+        recovered_after: recovered_after(&record, epoch),
+        served_fraction: record.served() as f64 / record.completed.len().max(1) as f64,
+        repeated_writes: host_counts.repeated_writes,
+        late_statements: host_counts.late_statements,
+        connects_per_s: connect_curve(&record, epoch),
     })
 }
 
@@ -125,33 +125,33 @@
 
 /// How long after the kill the last bucket ends, up to the router's restart, in which too few requests were
 /// served. `None` if that is the bucket right before the restart.
-fn recovered_after(record: &ClientRecord, zero: Instant) -> Option<Duration> {
+fn recovered_after(record: &ClientRecord, epoch: Instant) -> Option<Duration> {
     let is_disturbed = |bucket: &u32| {
-        let from = zero + BUCKET * *bucket;
-        let within = record.ended.iter().filter(|r| r.at >= from && r.at < from + BUCKET);
-        let (mut ended, mut served) = (0, 0);
+        let from = epoch + BUCKET * *bucket;
+        let within = record.completed.iter().filter(|r| r.at >= from && r.at < from + BUCKET);
+        let (mut completed, mut served) = (0, 0);
         for request in within {
-            ended += 1;
+            completed += 1;
             served += usize::from(request.served);
         }
-        ended > 0 && (served as f64) < RECOVERED_FRACTION * ended as f64
+        completed > 0 && (served as f64) < RECOVERED_FRACTION * completed as f64
     };
-    let mut while_dead = buckets(KILLED_AFTER)..buckets(RESTARTED_AFTER);
-    let end = while_dead.end;
-    match while_dead.rfind(is_disturbed) {
+    let mut down_buckets = buckets(KILL_AT)..buckets(RESTART_AT);
+    let end = down_buckets.end;
+    match down_buckets.rfind(is_disturbed) {
         None => Some(Duration::ZERO),
         Some(last) if last + 1 == end => None,
-        Some(last) => Some(BUCKET * (last + 1) - KILLED_AFTER),
+        Some(last) => Some(BUCKET * (last + 1) - KILL_AT),
     }
 }
 
-fn connect_curve(record: &ClientRecord, zero: Instant) -> Vec<(f64, f64)> {
+fn connect_curve(record: &ClientRecord, epoch: Instant) -> Vec<(f64, f64)> {
     let point = |bucket: u32| {
-        let from = zero + BUCKET * bucket;
+        let from = epoch + BUCKET * bucket;
         let count = record.connects.iter().filter(|c| **c >= from && **c < from + BUCKET).count();
         (f64::from(bucket) / BUCKETS_PER_S + 1.0 / BUCKETS_PER_S, count as f64 * BUCKETS_PER_S)
     };
-    (0..buckets(DURATION)).map(point).collect()
+    (0..buckets(LOAD_DURATION)).map(point).collect()
 }
 
 /// Runs the experiment. It passes if no write of the library's clients ran twice, nothing reached a host
@@ -159,7 +159,7 @@
 pub fn run(options: &Options, common: &CommonOptions) -> anyhow::Result<Outcome> {
     let library = measure(options, common, ClientKind::Library)?;
     let naive = measure(options, common, ClientKind::Naive)?;
-    let heads = vec![
+    let headers = vec![
         "clients",
         "connects, most in 1 s before the death",
         "after it",
@@ -170,7 +170,7 @@
         "writes run twice",
         "statements at hosts after their deadline",
     ];
-    let table = Table { heads, rows: vec![library.row("library"), naive.row("naive")] };
+    let table = Table { headers, rows: vec![library.row("library"), naive.row("naive")] };
     println!("{}", table.to_markdown());
     let description = format!(
         "Real router processes and sockets, stand-in group: {} clients of {} requests a second (a third \
@@ -179,12 +179,13 @@
          up to three times.",
         options.clients, options.per_s, options.routers
     );
-    let most = library.curve.iter().chain(&naive.curve).map(|p| p.1).fold(1.0, f64::max);
+    let max_per_s =
+        library.connects_per_s.iter().chain(&naive.connects_per_s).map(|p| p.1).fold(1.0, f64::max);
     let axes = Axes {
         title: "Connects a second: a router dies at 4 s and returns at 7 s",
         x: "s",
         y: "connects a second",
-        range: 0.0..most * 1.05,
+        y_range: 0.0..max_per_s * 1.05,
     };
     let chart = Chart { axes, lines: &[library.line("library"), naive.line("naive")] };
     write_table_and_chart(common.out.as_deref(), "reconnect", &description, &table, &chart)?;
@@ -197,5 +198,5 @@
         library.repeated_writes,
         library.late_statements
     );
-    Ok(Outcome { summary, passed: library.is_sound() })
+    Ok(Outcome { summary, passed: library.passes() })
 }
--- a/crates/lab/src/restart.rs
+++ b/crates/lab/src/restart.rs
@@ -41,7 +41,7 @@
 }
 
 /// A router's own settings (KDL): floors by its memory, with a snapshot or without.
-fn own_settings(snapshot: bool) -> String {
+fn local_settings(snapshot: bool) -> String {
     let path = std::env::temp_dir().join(format!("basalthill-lab-{}", std::process::id()));
     let line = if snapshot { format!("snapshot {:?}", path.to_str().unwrap_or("")) } else { String::new() };
     format!("sessions floor=\"router\" {{\nsettle-ms 0\n{line}\n}}")
@@ -52,9 +52,9 @@
 fn measure(options: &Options, common: &CommonOptions, snapshot: bool) -> anyhow::Result<ReadsAfterRestart> {
     let behavior =
         GroupBehavior { lag_ms: options.lag_ms, stale_reads: StaleRead::Reject, ..GroupBehavior::default() };
-    let own = own_settings(snapshot);
+    let settings = local_settings(snapshot);
     let folder = std::env::temp_dir();
-    let mut deployment = Deployment::start(&common.program()?, &folder, 1, behavior, Some(&own))?;
+    let mut deployment = Deployment::start(&common.program()?, &folder, 1, behavior, Some(&settings))?;
     let mut client = Client::connect(deployment.routers[0].addr)?;
     let early_sessions = options.sessions * 3 / 4;
     write_all(&mut client, 0..early_sessions)?;
@@ -97,7 +97,7 @@
     let without = measure(options, common, false)?;
     let with = measure(options, common, true)?;
     let table = Table {
-        heads: vec!["snapshot", "reads served", "by replicas"],
+        headers: vec!["snapshot", "reads served", "by replicas"],
         rows: vec![without.row("none"), with.row("kept at the stop")],
     };
     let description = format!(
--- a/crates/lab/src/results.rs
+++ b/crates/lab/src/results.rs
@@ -8,12 +8,12 @@
 /// A chart's width and height, in pixels.
 const CHART_SIZE: (u32, u32) = (760, 440);
 /// The least x of a chart: its axis is logarithmic.
-const LEAST_X: f64 = 1e-3;
+const MIN_X: f64 = 1e-3;
 
 /// A table of texts.
 pub struct Table {
     /// The heads of its columns.
-    pub heads: Vec<&'static str>,
+    pub headers: Vec<&'static str>,
     /// Its rows, with a cell for each head.
     pub rows: Vec<Vec<String>>,
 }
@@ -22,8 +22,8 @@
     /// The table as Markdown.
     pub fn to_markdown(&self) -> String {
         let line = |cells: Vec<&str>| format!("| {} |\n", cells.join(" | "));
-        let mut out = line(self.heads.clone());
-        out += &line(vec!["---"; self.heads.len()]);
+        let mut out = line(self.headers.clone());
+        out += &line(vec!["---"; self.headers.len()]);
         for row in &self.rows {
             out += &line(row.iter().map(String::as_str).collect());
         }
@@ -66,7 +66,7 @@
     /// Beside it.
     pub y: &'static str,
     /// The span of y.
-    pub range: Range<f64>,
+    pub y_range: Range<f64>,
 }
 
 /// A chart of lines.
@@ -97,15 +97,15 @@
     let path = folder.join(format!("{name}.svg"));
     let root = SVGBackend::new(&path, CHART_SIZE).into_drawing_area();
     root.fill(&WHITE)?;
-    let xs = || lines.iter().flat_map(|l| l.points.iter().map(|p| p.0));
-    let from = xs().fold(f64::MAX, f64::min).max(LEAST_X);
-    let to = xs().fold(f64::MIN, f64::max);
+    let x_values = || lines.iter().flat_map(|l| l.points.iter().map(|p| p.0));
+    let from = x_values().fold(f64::MAX, f64::min).max(MIN_X);
+    let max_x = x_values().fold(f64::MIN, f64::max);
     let mut chart = ChartBuilder::on(&root)
         .caption(axes.title, ("sans-serif", 18))
         .margin(12)
         .x_label_area_size(40)
         .y_label_area_size(52)
-        .build_cartesian_2d((from..to * 1.05).log_scale(), axes.range.clone())?;
+        .build_cartesian_2d((from..max_x * 1.05).log_scale(), axes.y_range.clone())?;
     chart.configure_mesh().x_desc(axes.x).y_desc(axes.y).light_line_style(WHITE.mix(0.0)).draw()?;
     for (n, line) in lines.iter().enumerate() {
         let color = Palette99::pick(n).to_rgba();
--- a/crates/lab/src/sessions.rs
+++ b/crates/lab/src/sessions.rs
@@ -33,7 +33,7 @@
         [Mode::Connection, Mode::Arrival, Mode::Tokens, Mode::TokensReads, Mode::Router];
 
     /// Routers' own settings (KDL), with further lines of the node `sessions`.
-    pub fn own_settings(self, more: &str) -> Option<String> {
+    pub fn local_settings(self, more: &str) -> Option<String> {
         let (floor, tokens) = match self {
             Mode::Connection => ("connection", ""),
             Mode::Arrival => ("arrival", ""),
@@ -134,10 +134,11 @@
         stale_reads: options.behind.into(),
         ..GroupBehavior::default()
     };
-    let own = mode.own_settings(&options.more);
+    let settings = mode.local_settings(&options.more);
     let folder = std::env::temp_dir();
     let program = common.program()?;
-    let mut deployment = Deployment::start(&program, &folder, options.routers, behavior, own.as_deref())?;
+    let mut deployment =
+        Deployment::start(&program, &folder, options.routers, behavior, settings.as_deref())?;
     let load = SessionLoad {
         mode: mode.connection_mode(),
         sessions: options.sessions,
@@ -175,7 +176,7 @@
          behind (what they do with reads then: {:?}), seed {}. {}",
         options.routers, options.sessions, options.lag_ms, options.behind, common.seed, options.more
     );
-    let axes = Axes { title: "Session reads served within", x: "ms", y: "share", range: 0.0..1.0 };
+    let axes = Axes { title: "Session reads served within", x: "ms", y: "share", y_range: 0.0..1.0 };
     let chart = Chart { axes, lines };
     write_table_and_chart(common.out.as_deref(), &options.name, &description, table, &chart)
 }
@@ -183,7 +184,7 @@
 /// Runs the experiment. It passes if no read was stale, but for the mode that promises nothing.
 pub fn run(options: &Options, common: &CommonOptions) -> anyhow::Result<Outcome> {
     let modes = if options.mode.is_empty() { Mode::WITH_FLOORS.to_vec() } else { options.mode.clone() };
-    let mut sum = SessionLoadReport::default();
+    let mut total = SessionLoadReport::default();
     let (mut lines, mut rows) = (Vec::new(), Vec::new());
     let mut passed = true;
     for mode in modes {
@@ -195,9 +196,9 @@
         passed &= report.stale == 0 || mode == Mode::Off;
         rows.push(row(options, mode, &report));
         lines.push(Line { name: format!("{mode:?}"), points: latency_curve(&report)? });
-        sum.add(report);
+        total.add(report);
     }
-    let heads = vec![
+    let headers = vec![
         "mode",
         "reads",
         "kills",
@@ -209,13 +210,13 @@
         "of unknown end",
         "not served",
     ];
-    write_results(options, common, &Table { heads, rows }, &lines)?;
-    let (reads, stale, kills) = (sum.reads, sum.stale, options.kills);
+    write_results(options, common, &Table { headers, rows }, &lines)?;
+    let (reads, stale, kills) = (total.reads, total.stale, options.kills);
     let summary = format!(
         "reads={reads} kills={kills} stale={stale} replica_share={:.4} p50_us={} p99_us={}",
-        sum.replica_fraction(),
-        sum.quantile_us(0.5),
-        sum.quantile_us(0.99)
+        total.replica_fraction(),
+        total.quantile_us(0.5),
+        total.quantile_us(0.99)
     );
     Ok(Outcome { summary, passed })
 }
