--- a/crates/lab/src/client_load.rs
+++ b/crates/lab/src/client_load.rs
@@ -1,4 +1,4 @@
-//! Loads by many clients: of the library's kind, of the naive kind, and of the kind that never retries.
+//! Loads from many clients: clients of the library, naive clients, and clients that never retry.
 
 mod naive;
 mod with_library;
@@ -9,39 +9,39 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Spreads the seed of a load over its clients.
+/// A prime number by which the random seeds of consecutive clients of a load differ.
 const SEED_STRIDE: u64 = 7919;
-/// Naive clients have a thread each, whose stack has so many bytes.
+/// Stack size of a naive client's thread, in bytes. Each naive client has its own thread.
 const NAIVE_STACK_BYTES: usize = 128 * 1024;
 
 /// What clients do when a request is not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientKind {
-    /// What the library does.
+    /// The client library retries the request within its retry budget.
     Library,
-    /// They retry at once, up to three times, whatever the error was, and connect to the next router at once
-    /// when a connection ends.
+    /// Clients retry the request immediately, up to three times, whatever the error was. If their connection
+    /// closes, they connect to the next router immediately.
     Naive,
-    /// Nothing.
+    /// Clients do not retry the request. They replace closed connections as [`ClientKind::Naive`] does.
     NoRetries,
 }
 
-/// A load.
+/// The parameters of a load.
 #[derive(Clone, Debug)]
 pub struct ClientLoad {
-    /// What clients do when a request is not served.
+    /// The kind of its clients.
     pub kind: ClientKind,
-    /// How many there are.
+    /// The number of clients.
     pub clients: usize,
-    /// Requests a second of each, at random moments.
+    /// Requests per second of each client, on average, at random times.
     pub per_s: f64,
-    /// One in so many requests is a write; none if 0.
+    /// Each `write_every`-th request of a client is a write; none is if this is 0.
     pub write_every: u64,
-    /// How long it goes on.
+    /// The duration of the load.
     pub duration: Duration,
-    /// The time that each request has.
+    /// The timeout of each request.
     pub timeout: Duration,
-    /// For random numbers.
+    /// The seed of the random number generators.
     pub seed: u64,
 }
 
@@ -51,33 +51,33 @@
     }
 }
 
-/// A request that has ended.
+/// A request that has completed, served or not.
 #[derive(Clone, Copy, Debug)]
 pub struct CompletedRequest {
-    /// When it ended.
+    /// The time at which the request completed.
     pub at: Instant,
-    /// Whether it was served in time.
+    /// Whether the request was served before its deadline.
     pub served: bool,
 }
 
-/// What clients have seen.
+/// What the clients of a load recorded.
 #[derive(Debug, Default)]
 pub struct ClientRecord {
-    /// When connects were begun.
+    /// The times at which connection attempts began.
     pub connects: Vec<Instant>,
-    /// Requests that have ended.
+    /// The requests that have completed.
     pub completed: Vec<CompletedRequest>,
-    /// Attempts in all.
+    /// The number of attempts of all requests.
     pub attempts: u64,
 }
 
 impl ClientRecord {
-    /// How many requests were served in time.
+    /// Returns the number of requests that were served before their deadlines.
     pub fn served(&self) -> usize {
         self.completed.iter().filter(|request| request.served).count()
     }
 
-    /// Attempts for each request, on average.
+    /// Returns the mean number of attempts per request.
     pub fn attempts_per_request(&self) -> f64 {
         self.attempts as f64 / self.completed.len().max(1) as f64
     }
@@ -89,24 +89,24 @@
     }
 }
 
-/// A load that runs.
+/// A load that is running.
 struct LoadRun<'a> {
     load: &'a ClientLoad,
     routers: &'a [SocketAddr],
-    /// The moment from which deadlines in keys count.
+    /// The time from which the deadlines in keys are counted.
     epoch: Instant,
     end: Instant,
     record: Mutex<ClientRecord>,
 }
 
 impl LoadRun<'_> {
-    /// Adds what a client has seen.
+    /// Adds the record of one client.
     fn add(&self, record: ClientRecord) {
         self.record.lock().unwrap_or_else(PoisonError::into_inner).add(record);
     }
 }
 
-/// Runs a load; `meanwhile` runs beside it, on a thread of its own.
+/// Runs a load. `side_task` runs at the same time, on its own thread.
 pub fn run_clients(
     routers: &[SocketAddr],
     load: &ClientLoad,
@@ -135,14 +135,14 @@
     Ok(record)
 }
 
-/// A request that a client sends next.
+/// The next request of a client.
 struct NextRequest {
-    /// Its key, which no other request has and which contains its deadline.
+    /// The key, which is unique and contains the deadline of the request.
     key: String,
     is_write: bool,
 }
 
-/// The requests of one client: their moments, and what they are.
+/// Generates the requests of one client and the times at which they are sent.
 struct RequestSchedule {
     rng: Rng,
     next_at: Instant,
@@ -166,15 +166,15 @@
         schedule
     }
 
-    /// Goes on to the next request's moment: gaps are distributed exponentially, as between independent
-    /// requests.
+    /// Advances to the time of the next request. The intervals are distributed exponentially, as those
+    /// between independent requests are.
     fn advance(&mut self) {
-        // In (0, 1], so that its logarithm is finite.
+        // `uniform` is in (0, 1], so that its logarithm is finite.
         let uniform = 1.0 - self.rng.f64();
         self.next_at += Duration::from_secs_f64(-uniform.ln() * self.mean_gap_s);
     }
 
-    /// The next request, whose deadline counts from `zero`.
+    /// Returns the next request. Its key contains the deadline in microseconds since `epoch`.
     fn next_request(&mut self, epoch: Instant, deadline: Instant) -> NextRequest {
         self.sequence += 1;
         let is_write = self.write_every > 0 && self.sequence % self.write_every == 0;
@@ -183,7 +183,7 @@
     }
 }
 
-/// The most of these moments that lie within any `window` of a span of time.
+/// Returns the largest number of `times` in any window of length `window` inside the range `within`.
 pub fn peak_in_window(times: &[Instant], within: Range<Instant>, window: Duration) -> usize {
     let mut sorted: Vec<Instant> = times.iter().copied().filter(|m| within.contains(m)).collect();
     sorted.sort();
--- a/crates/lab/src/client_load/naive.rs
+++ b/crates/lab/src/client_load/naive.rs
@@ -1,18 +1,19 @@
-//! Clients as small teams write them: one connection, one request at a time, and retries without a pause.
+//! Naive clients, such as small teams write: one connection, one request at a time, and retries without
+//! backoff.
 
 use super::{ClientKind, ClientRecord, CompletedRequest, LoadRun, NextRequest, RequestSchedule};
 use basalthill_standin::client::{Client, Reply};
 use std::io::ErrorKind;
 use std::time::{Duration, Instant};
 
-/// Attempts of a naive client for a request.
+/// The highest number of attempts of a naive client for one request.
 const NAIVE_ATTEMPTS: usize = 4;
-/// How long a client waits for an answer.
+/// Time that a client waits for a reply.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
-/// A connection is not looked at in so short a time before the next request.
+/// If the next request is due within this time, the client sleeps until then without watching its connection.
 const MIN_PEEK_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// Runs one client until the load is over.
+/// Runs one client until the end of the load.
 pub fn run(load_run: &LoadRun<'_>, client_index: usize) {
     let router = client_index % load_run.routers.len();
     let record = ClientRecord::default();
@@ -32,15 +33,15 @@
 struct NaiveClient<'a> {
     load_run: &'a LoadRun<'a>,
     client_index: usize,
-    /// The router that it uses now.
+    /// The index of the router that it uses.
     router: usize,
     connection: Option<Client>,
     record: ClientRecord,
 }
 
 impl NaiveClient<'_> {
-    /// Waits until a moment. A connection that ends meanwhile is opened anew at once, at the next router, as
-    /// connection pools with a least size do.
+    /// Waits until a point in time. If the connection is closed during the wait, the client immediately
+    /// connects to the next router, as a connection pool with a minimum size does.
     fn wait_until(&mut self, until: Instant) {
         loop {
             let remaining = until.saturating_duration_since(Instant::now());
@@ -62,7 +63,8 @@
         self.connection = Client::connect(self.load_run.routers[self.router]).ok();
     }
 
-    /// Sends a request, again where its kind of client does that. Whether it was served in time.
+    /// Sends a request, with retries if the client is of a kind that retries. Returns whether it was served
+    /// before its deadline.
     fn request(&mut self, request: &NextRequest, deadline: Instant) -> bool {
         let max_attempts = if self.load_run.load.kind == ClientKind::Naive { NAIVE_ATTEMPTS } else { 1 };
         for _ in 0..max_attempts {
@@ -83,7 +85,7 @@
         false
     }
 
-    /// A statement with an id of its own for each attempt.
+    /// Returns the statement of an attempt, with a request id that is unique to the attempt.
     fn statement(&self, request: &NextRequest) -> String {
         let NextRequest { key, is_write } = request;
         let (operation, class) = match is_write {
@@ -96,7 +98,7 @@
     }
 }
 
-/// Whether a connection on which nothing is expected ends within a span of time.
+/// Returns whether an idle connection is closed within `span`.
 fn closes_within(connection: &Client, span: Duration) -> bool {
     let _ = connection.stream.set_read_timeout(Some(span));
     let closed = match connection.stream.peek(&mut [0]) {
--- a/crates/lab/src/client_load/with_library.rs
+++ b/crates/lab/src/client_load/with_library.rs
@@ -1,4 +1,5 @@
-//! Clients of the client library, on one runtime of it. Each sends one request at a time, as naive ones do.
+//! Clients that use the client library and share one of its runtimes. Each sends one request at a time, as
+//! naive clients do.
 
 use super::{ClientRecord, CompletedRequest, LoadRun, NextRequest, RequestSchedule};
 use async_executor::LocalExecutor;
@@ -7,10 +8,10 @@
 use futures_lite::future::block_on;
 use std::time::Instant;
 
-/// The group that requests name.
+/// The group that requests are sent to.
 const GROUP: u32 = 2;
 
-/// Runs all clients of a load until it is over.
+/// Runs all clients of a load until its end.
 pub fn run(load_run: &LoadRun<'_>) -> anyhow::Result<()> {
     let runtime = Runtime::start()?;
     let executor = LocalExecutor::new();
--- a/crates/lab/src/cost.rs
+++ b/crates/lab/src/cost.rs
@@ -1,5 +1,7 @@
-//! What tokens cost a request: routers before the same kind of group, without their own settings, with floors
-//! alone and with tokens, under load in turn.
+//! Measures what session floors and session tokens cost per request.
+//!
+//! Three routers run with the same kind of group: one without local settings, one with floors that the router
+//! keeps in memory, and one with tokens. Each is under load in turn.
 
 use crate::results::{print_and_write_table, Table};
 use crate::sessions::Mode;
@@ -17,27 +19,27 @@
 
 #[derive(clap::Args)]
 pub struct Options {
-    /// Requests at each router.
+    /// Number of requests sent to each router.
     #[arg(long, default_value_t = 40_000)]
     requests: u32,
-    /// Requests in a turn.
+    /// Number of requests that a router receives before the next router's turn.
     #[arg(long, default_value_t = 500)]
     turn: u32,
 }
 
-/// One in so many requests is a write.
+/// Every fourth request is a write; the others are reads.
 const WRITE_EVERY: u32 = 4;
-/// Tokens made, and tokens read, to measure what that takes.
+/// Number of tokens that are issued, and verified, to measure the time of each operation.
 const TOKEN_ITERATIONS: u32 = 50_000;
 
-/// Under this name, and in this order, the modes are shown.
+/// The modes that are compared and their names, in the order of the table's rows.
 const CASES: [(Mode, &str); 3] = [
     (Mode::Off, "off, no floors"),
     (Mode::Router, "off, floors by the router's memory"),
     (Mode::Tokens, "on, early ones too"),
 ];
 
-/// A router in one of the modes, and what its requests have taken so far.
+/// A router in one of the modes, with the totals of its requests so far.
 struct Case {
     deployment: Deployment,
     token: Option<String>,
@@ -46,7 +48,7 @@
     bytes: u64,
 }
 
-/// What a request has taken on average.
+/// CPU time and bytes of a request, on average, and the median latency.
 #[derive(Clone, Copy)]
 struct RequestCost {
     cpu_us: f64,
@@ -79,16 +81,17 @@
         &self.deployment.routers[0]
     }
 
-    /// Forgets what requests have taken.
+    /// Clears the totals, after the warm-up.
     fn reset(&mut self) {
         self.cpu_time = Duration::ZERO;
         self.latencies_us.clear();
         self.bytes = 0;
     }
 
-    /// Sends so many requests one after the other, a write and then three reads.
+    /// Sends `requests` requests one after another: a write, then three reads, and so on.
     fn run_round(&mut self, requests: u32) -> anyhow::Result<()> {
-        // A connection of this turn's own: a router closes connections that are idle for long.
+        // Each round opens a new connection, since a router closes connections that are idle for long, as
+        // this one would be while the other routers are measured.
         let mut client = Client::connect(self.router().addr)?;
         let cpu_before = self.router().cpu_time().unwrap_or_default();
         let bytes_before = client.bytes_transferred;
@@ -98,7 +101,7 @@
             let reply = client.query(&text)?;
             self.latencies_us.push(sent_at.elapsed().as_micros() as u32);
             if !matches!(reply, Reply::Row(_)) {
-                bail!("not served: {reply:?}");
+                bail!("request not served: {reply:?}");
             }
             self.token = client.token.take().or(self.token.take());
         }
@@ -130,7 +133,7 @@
     }
 }
 
-/// How long it takes to make and to read a token of one group, in microseconds.
+/// Time that it takes to issue and to verify a token with the floor of one group, in microseconds.
 #[derive(Default)]
 struct TokenCost {
     issue_us: f64,
@@ -155,13 +158,14 @@
     Some(TokenCost { issue_us, verify_us })
 }
 
-/// Runs the experiment.
+/// Runs the experiment. It checks no guarantee and always passes.
 pub fn run(options: &Options, common: &CommonOptions) -> anyhow::Result<Outcome> {
     let mut cases = Vec::new();
     for (mode, _) in CASES {
         cases.push(Case::start(mode, common)?);
     }
-    // Warm up, then in turn, so that the machine's drift meets all.
+    // The first round is a warm-up. After it the routers take turns, so that changes in the speed of the
+    // machine affect all of them alike.
     for case in &mut cases {
         case.run_round(options.turn)?;
         case.reset();
@@ -172,7 +176,7 @@
         }
     }
     let costs: Vec<RequestCost> = cases.iter().map(Case::cost).collect();
-    let [_, off, on] = costs[..] else { bail!("{} cases in place of three", costs.len()) };
+    let [_, off, on] = costs[..] else { bail!("expected 3 cases, got {}", costs.len()) };
     let token = measure_token().unwrap_or_default();
     let table = Table {
         headers: vec![
--- a/crates/lab/src/fleet_limits.rs
+++ b/crates/lab/src/fleet_limits.rs
@@ -1,6 +1,9 @@
-//! A limit over all routers, on real processes with links, routers and demand that change: how much of it is
-//! used, and by how much it is exceeded, by the hosts' own record. `--model` counts what gossip costs by the
-//! fleet's size, `--crowd` starts many processes, `--overhead` measures requests with the fleet on and off.
+//! Experiments on a rate limit that all routers of a fleet share.
+//!
+//! By default, real router processes run under changing demand while links and routers fail. The hosts'
+//! records show how much of the limit is used and by how much it is exceeded. `--model` simulates the cost of
+//! gossip by fleet size, `--crowd` starts many router processes on one machine, and `--overhead` measures the
+//! cost of requests with the fleet on and off.
 
 mod gossip_cost;
 mod many_routers;
@@ -14,40 +17,40 @@
 
 #[derive(clap::Args)]
 pub struct Options {
-    /// Routers.
+    /// Number of routers.
     #[arg(long, default_value_t = 24)]
     routers: usize,
-    /// How long each way of keeping the limit is played.
+    /// Duration of the run for each way of enforcing the limit, in minutes.
     #[arg(long, default_value_t = 3.0)]
     minutes: f64,
-    /// What gossip costs by the fleet's size, simulated, up to so many routers.
+    /// Simulate the cost of gossip for fleets of several sizes, up to `--routers`.
     #[arg(long)]
     model: bool,
-    /// So many real processes, idle and under light load.
+    /// Start `--routers` router processes and measure them idle and under light load.
     #[arg(long)]
     crowd: bool,
-    /// Requests with the fleet on and off.
+    /// Measure the cost of a request with the fleet on and off.
     #[arg(long)]
     overhead: bool,
 }
 
-/// The limit: requests a second, and the burst.
+/// The limit: the rate in requests per second, and also the burst in requests.
 const LIMIT_PER_S: f64 = 1200.0;
-/// The comment of all statements, besides their ids.
+/// The parameters in the comment of each statement, except its id.
 const STATEMENT_COMMENT: &str = "c=report,t=acme,d=1400,cluster=2";
-/// Until routers that have just started know of each other and of the demand.
+/// Time after their start in which routers learn of each other and of the demand.
 const SETTLING_TIME: Duration = Duration::from_secs(8);
 
-/// How the limit is kept.
+/// How the limit is enforced.
 #[derive(Clone, Copy, PartialEq)]
 enum LimitMode {
-    /// By the fleet.
+    /// The fleet shares the limit.
     Fleet,
-    /// Each router admits up to the full limit by itself.
+    /// Each router admits up to the full limit, independently of the others.
     FullEach,
-    /// Each router admits a fixed fraction of it.
+    /// Each router admits a fixed fraction of the limit.
     StaticFractions,
-    /// Not at all.
+    /// The limit is not enforced.
     Unlimited,
 }
 
@@ -64,7 +67,7 @@
         }
     }
 
-    /// Nodes of routers' own settings (KDL), inside `fleet`.
+    /// Returns the nodes inside `fleet` of the routers' local settings (KDL).
     fn limits(self) -> Option<String> {
         let limit =
             |alone| format!("limit \"acme\" tenant=\"acme\" per-s={LIMIT_PER_S} alone-percent={alone}");
@@ -76,7 +79,8 @@
     }
 }
 
-/// So many routers that keep the limit in a mode, before hosts that answer at once.
+/// Returns the configuration of a harness whose routers enforce the limit in one mode and whose hosts respond
+/// without delay.
 fn harness_config(routers: usize, mode: LimitMode, seed: u64) -> HarnessConfig {
     HarnessConfig {
         routers,
@@ -98,12 +102,12 @@
     harness.routers.iter().map(|r| r.addr).collect()
 }
 
-/// Processor time that all routers have used.
+/// Returns the CPU time that all routers have used.
 fn cpu_time(harness: &FleetHarness) -> Duration {
     harness.routers.iter().filter_map(|r| r.cpu_time()).sum()
 }
 
-/// Runs the experiment that the options name.
+/// Runs the experiment that the options select.
 pub fn run(options: &Options, common: &CommonOptions) -> anyhow::Result<Outcome> {
     if options.model {
         gossip_cost::run(options.routers, common)
--- a/crates/lab/src/fleet_limits/gossip_cost.rs
+++ b/crates/lab/src/fleet_limits/gossip_cost.rs
@@ -1,4 +1,5 @@
-//! What gossip costs a router by the fleet's size, simulated: idle, and with requests at every router.
+//! Simulates fleets of several sizes and measures what gossip costs each router, idle and with requests at
+//! every router.
 
 use crate::results::{print_and_write_table, Table};
 use crate::{CommonOptions, Outcome};
@@ -7,27 +8,27 @@
 use basalthill_standin::simulated_fleet::{numbered_roster, SimulatedFleet};
 use std::time::Instant;
 
-/// Sizes of fleets; those above what the options name are left out, but for the first.
+/// Fleet sizes. Those above `--routers` are left out, except the first.
 const SIZES: [usize; 4] = [10, 100, 300, 1000];
-/// Until all routers know of all.
+/// Time after the start in which all routers learn of each other.
 const START_TIME: Time = Time::ms(20_000);
-/// Until routers have followed the demand.
+/// Time in which the routers' quotas adapt to a change of the demand.
 const DEMAND_SETTLING_TIME: Time = Time::ms(3000);
-/// How long is measured.
+/// Duration of a measurement.
 const MEASURED_S: f64 = 10.0;
 const MEASURED_TIME: Time = Time::ms(10_000);
-/// The limit for each router's part of it, in requests a second, and the demand at routers of even and of odd
-/// numbers.
+/// The limit divided by the number of routers, the demand at each router with an even number, and the demand
+/// at each router with an odd number, all in requests per second.
 const LIMIT_PER_ROUTER_PER_S: f64 = 4.0;
 const HIGH_DEMAND_PER_S: f64 = 7.0;
 const LOW_DEMAND_PER_S: f64 = 0.7;
 
-/// What gossip costs a router on average, a second.
+/// The cost of gossip per second: the mean over all routers, except where stated otherwise.
 struct GossipCost {
     datagrams: f64,
     bytes: f64,
     cpu_us: f64,
-    /// Datagrams of the router that sent most.
+    /// Datagrams sent by the router that sent the most.
     max_datagrams: f64,
 }
 
@@ -50,12 +51,13 @@
     }
 }
 
-/// Datagrams that each router has sent.
+/// Returns the number of datagrams that each router has sent.
 fn datagrams_by_router(fleet: &SimulatedFleet, routers: usize) -> Vec<u64> {
     (0..routers).map(|n| fleet.core(n).map_or(0, |core| core.counters().sent)).collect()
 }
 
-/// Lets time go on, and takes what gossip costs meanwhile. CPU is that of the simulation.
+/// Runs the simulation for [`MEASURED_TIME`] and returns the cost of gossip in it. The CPU time is that of
+/// the whole simulation, divided by the number of routers.
 fn measure(fleet: &mut SimulatedFleet, routers: usize) -> GossipCost {
     let datagrams = fleet.observations.datagrams;
     let bytes = fleet.observations.bytes;
@@ -74,7 +76,7 @@
     }
 }
 
-/// Runs the experiment for fleets of up to so many routers.
+/// Runs the experiment for fleets of up to `max_routers` routers. It checks no guarantee and always passes.
 pub fn run(max_routers: usize, common: &CommonOptions) -> anyhow::Result<Outcome> {
     let headers = vec![
         "routers",
--- a/crates/lab/src/fleet_limits/many_routers.rs
+++ b/crates/lab/src/fleet_limits/many_routers.rs
@@ -1,4 +1,5 @@
-//! Many real processes on one machine that reach each other without a proxy: idle, and under light load.
+//! Runs many router processes on one machine and measures them idle and under light load. The routers send
+//! datagrams to each other directly, without a proxy.
 
 use super::{cpu_time, harness_config, router_addrs, start_harness, LimitMode, STATEMENT_COMMENT};
 use crate::results::{write_table, Table};
@@ -7,17 +8,17 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Until all routers know of all.
+/// Time after the start in which all routers learn of each other.
 const START_TIME: Duration = Duration::from_secs(20);
-/// How long is measured.
+/// Duration of a measurement.
 const MEASURED_TIME: Duration = Duration::from_secs(20);
-/// Until routers have followed the demand.
+/// Time in which the routers' quotas adapt to a change of the demand.
 const DEMAND_SETTLING_TIME: Duration = Duration::from_secs(5);
-/// The light load: requests a second at each router.
+/// The light load, in requests per second at each router.
 const LIGHT_LOAD_PER_S: f64 = 2.0;
 const HOSTS: usize = 3;
 
-/// Processor time that each router uses while time goes on, in microseconds a second.
+/// Measures the mean CPU time of a router over [`MEASURED_TIME`], in microseconds per second.
 fn measure_cpu_us(harness: &FleetHarness) -> f64 {
     let before = cpu_time(harness);
     sleep(MEASURED_TIME);
@@ -25,12 +26,12 @@
     used.as_secs_f64() / MEASURED_TIME.as_secs_f64() / harness.routers.len() as f64 * 1e6
 }
 
-/// How many routers are alive by a router's status.
+/// Returns the number of routers that a router's status reports as alive.
 fn alive_count(status: &str) -> Option<usize> {
     status.lines().next()?.split("alive ").nth(1)?.split(' ').next()?.parse().ok()
 }
 
-/// Runs the experiment. It passes if a router knows all others to be alive.
+/// Runs the experiment. It passes if the first router reports all routers as alive.
 pub fn run(routers: usize, common: &CommonOptions) -> anyhow::Result<Outcome> {
     let config = harness_config(routers, LimitMode::Fleet, common.seed);
     let config = HarnessConfig { direct: true, hosts: HOSTS, ..config };
--- a/crates/lab/src/fleet_limits/request_overhead.rs
+++ b/crates/lab/src/fleet_limits/request_overhead.rs
@@ -1,5 +1,5 @@
-//! What a fleet costs a request: two pairs of routers, one with a fleet whose limit is never reached and one
-//! without, under load in turn.
+//! Measures what a fleet costs per request. Of two pairs of routers, one has a fleet with a limit that is
+//! never reached and the other has no fleet; the pairs are under load in turn.
 
 use super::{
     cpu_time, harness_config, router_addrs, start_harness, LimitMode, SETTLING_TIME, STATEMENT_COMMENT,
@@ -15,22 +15,22 @@
 const ROUTERS: usize = 2;
 /// A limit that is never reached.
 const LIMIT: &str = "limit \"acme\" tenant=\"acme\" per-s=100000 alone-percent=10";
-/// Connections to each router, and the requests a second that they send to it.
+/// Number of connections to each router, and the requests per second that they send to it together.
 const CONNECTIONS: usize = 4;
 const LOAD_PER_S: f64 = 1500.0;
 const ROUNDS: usize = 6;
 const ROUND_DURATION: Duration = Duration::from_secs(3);
-/// After a turn, until all is answered.
+/// Time after a round in which the last requests complete.
 const DRAIN_TIME: Duration = Duration::from_millis(200);
 
-/// A pair of routers with its clients, and what its turns have taken so far.
+/// A pair of routers with its clients, and the totals of its rounds so far.
 struct Pair {
     name: &'static str,
     harness: FleetHarness,
     clients: PacedClients,
-    /// Processor time that both routers take in a turn without load.
+    /// CPU time that both routers use without load in [`ROUND_DURATION`].
     idle_cpu: Duration,
-    /// Processor time that requests have taken beyond that.
+    /// CPU time that both routers have used under load, less what they use without load in the same time.
     request_cpu: Duration,
     served: u64,
 }
@@ -51,7 +51,8 @@
         self.idle_cpu = (cpu_time(&self.harness) - before) / 2;
     }
 
-    /// A turn under load. What a fleet takes without load is the same under any: it is taken off.
+    /// Runs one round under load. The CPU time that the routers use without load is subtracted, since a fleet
+    /// uses the same under any load.
     fn run_round(&mut self) {
         let cpu_before = cpu_time(&self.harness);
         let served_before = self.clients.totals().served;
@@ -68,7 +69,7 @@
         (0..ROUTERS).for_each(|router| self.clients.set_rate(router, per_s));
     }
 
-    /// Processor time of a request, in microseconds.
+    /// Returns the mean CPU time of a request, in microseconds.
     fn cpu_us_per_request(&self) -> f64 {
         self.request_cpu.as_secs_f64() * 1e6 / self.served.max(1) as f64
     }
@@ -96,7 +97,7 @@
     }
 }
 
-/// Runs the experiment.
+/// Runs the experiment. It checks no guarantee, but returns an error if any request failed.
 pub fn run(common: &CommonOptions) -> anyhow::Result<Outcome> {
     let mut with_fleet = Pair::start("fleet on", Some(LIMIT.to_string()), common)?;
     let mut without = Pair::start("fleet off", None, common)?;
--- a/crates/lab/src/fleet_limits/through_faults.rs
+++ b/crates/lab/src/fleet_limits/through_faults.rs
@@ -1,4 +1,4 @@
-//! The limit while links and routers fail at random, for each mode of keeping it.
+//! Measures the limit in each mode of enforcing it while links and routers fail at random.
 
 use super::{
     harness_config, router_addrs, start_harness, LimitMode, Options, LIMIT_PER_S, SETTLING_TIME,
@@ -13,42 +13,48 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Statements reach hosts at most so much later one than another after they were admitted, in seconds.
+/// The largest difference between the delays with which two statements reach hosts after their admission, in
+/// seconds.
 const ARRIVAL_SPREAD_S: f64 = 0.25;
-/// How much may arrive beyond rate times time: the burst, which is the rate, and the spread.
+/// The number of requests by which arrivals at hosts may exceed rate times time: the burst, which equals the
+/// rate, and what arrives in [`ARRIVAL_SPREAD_S`].
 const MAX_EXCESS: f64 = LIMIT_PER_S + LIMIT_PER_S * ARRIVAL_SPREAD_S;
-/// A fault and the time after it.
+/// Duration of a fault and of the fault-free time after it, which are equal.
 const FAULT_CYCLE: Duration = Duration::from_secs(8);
-/// Until routers have followed a change of the demand.
+/// Time in which the routers' quotas adapt to a change of the demand.
 const DEMAND_SETTLING_TIME: Duration = Duration::from_secs(3);
-/// The demand, as parts of the limit: more than it, and less.
+/// The demand at all routers together, as a fraction of the limit: above it, and below it.
 const HIGH_DEMAND: f64 = 1.5;
 const LOW_DEMAND: f64 = 0.7;
-/// Routers with high demand get so many times the requests of the others.
+/// Ratio of the demand at routers with an even number to the demand at the others.
 const DEMAND_RATIO: f64 = 10.0;
-/// Recovered: a second has this fraction of what the same demand used before.
+/// The fleet has recovered from a partition when it uses, within a second, this fraction of what it used
+/// without faults under the same demand.
 const RECOVERED_FRACTION: f64 = 0.95;
-/// Recovery is measured in steps of a tenth of a second.
+/// Resolution of the time to recovery: a tenth of a second.
 const RECOVERY_STEP: Duration = Duration::from_millis(100);
 const STEPS_PER_S: u32 = 10;
-/// How many routers are killed at a time.
+/// Number of routers that are drawn to be killed at the same time. A router may be drawn more than once.
 const ROUTERS_PER_KILL: usize = 3;
 
-/// What came of one mode.
+/// The results for one mode.
 struct ModeResult {
     admitted: usize,
-    /// By how much arrivals exceeded the rate.
+    /// The number of requests by which arrivals exceeded rate times time, the highest over all windows of
+    /// time.
     excess: f64,
-    /// The fractions of the limit used, without faults and with them.
+    /// The fractions of the limit used without faults and with faults.
     used_fraction: f64,
     used_fraction_with_faults: f64,
     /// The fraction of requests rejected while the demand was below the limit.
     rejected_below_limit: f64,
-    /// The longest time to recovery after a partition; `None` if it took too long.
+    /// The longest time to recovery after a partition, in milliseconds. `None` if there was no partition, or if
+    /// the fleet did not recover from each one before the next fault.
     recovery_ms: Option<u128>,
-    /// Bytes that each router sent to others, a second.
+    /// Bytes per second that a router sent to other routers without faults, the mean over all routers.
     bytes_per_s: f64,
-    /// The fraction of the limit used, by seconds.
+    /// For each second, its end in seconds since the measurement began and the fraction of the limit used in
+    /// it.
     curve: Vec<(f64, f64)>,
 }
 
@@ -85,17 +91,18 @@
     }
 }
 
-/// When statements arrived at hosts.
+/// The times at which statements arrived at hosts.
 struct Arrivals(Vec<Instant>);
 
 impl Arrivals {
-    /// The fraction of the limit that was used in a span of time.
+    /// Returns the fraction of the limit that was used in a range of time.
     fn used_fraction(&self, within: Range<Instant>) -> f64 {
         let count = self.0.iter().filter(|at| within.contains(at)).count();
         count as f64 / (within.end - within.start).as_secs_f64() / LIMIT_PER_S
     }
 
-    /// How long after a moment a second begins in which at least `wanted` of the limit is used.
+    /// Returns the time from `from` to the start of the first second in which the fraction of the limit used
+    /// is at least `threshold`, in milliseconds. Returns `None` if there is none before the next fault.
     fn recovery_ms(&self, from: Instant, threshold: f64) -> Option<u128> {
         let is_recovered = |step: &u32| {
             let begin = from + RECOVERY_STEP * *step;
@@ -107,8 +114,8 @@
     }
 }
 
-/// Sets the demand at all routers together to a part of the limit; half of them get ten times as much as the
-/// others.
+/// Sets the demand at all routers together to a fraction of the limit. Routers with an even number get
+/// [`DEMAND_RATIO`] times the demand of the others.
 fn set_demand(clients: &PacedClients, routers: usize, fraction_of_limit: f64) {
     let low_rate = fraction_of_limit * LIMIT_PER_S / (routers as f64 / 2.0 * (DEMAND_RATIO + 1.0));
     for n in 0..routers {
@@ -116,21 +123,22 @@
     }
 }
 
-/// Bytes that all routers have sent to each other.
+/// Returns the number of bytes that all routers have sent to each other.
 fn bytes_sent(harness: &FleetHarness) -> f64 {
     let bytes = |links: &basalthill_standin::udp_proxy::Links| links.sent.iter().map(|s| s.bytes).sum();
     let bytes: u64 = harness.proxy.as_ref().map_or(0, |proxy| bytes(&proxy.links()));
     bytes as f64
 }
 
-/// The fraction of requests that were rejected between two totals.
+/// Returns the fraction of requests that were rejected between two readings of the totals.
 fn rejected_fraction(before: ClientTotals, after: ClientTotals) -> f64 {
     let rejected = after.rejected - before.rejected;
     let served = after.served - before.served;
     rejected as f64 / (rejected + served).max(1) as f64
 }
 
-/// Runs one mode: high demand, low demand, then high demand with faults.
+/// Runs one mode: a sixth of the time with high demand, a sixth with low demand, the rest with high demand
+/// and faults.
 fn measure(options: &Options, common: &CommonOptions, mode: LimitMode) -> anyhow::Result<ModeResult> {
     let routers = options.routers;
     let mut harness = start_harness(&harness_config(routers, mode, common.seed), common)?;
@@ -176,15 +184,15 @@
     })
 }
 
-/// Something that goes wrong for half of a fault cycle.
+/// A fault, which lasts for half of [`FAULT_CYCLE`].
 enum Fault {
-    /// The fleet is split into groups.
+    /// The fleet is partitioned into these groups of routers.
     Partition(Vec<Vec<usize>>),
-    /// Routers are killed, and started again.
+    /// Routers are killed, and restarted at the end of the fault.
     Kill(Vec<usize>),
-    /// A router is paused.
+    /// A router is paused, and resumed at the end of the fault.
     Pause(usize),
-    /// All links lose and delay datagrams.
+    /// All links drop and delay datagrams.
     LossyLinks,
 }
 
@@ -206,7 +214,8 @@
     groups
 }
 
-/// One fault, and the time after it; when it was over, if it was a partition.
+/// Runs one fault and the fault-free time after it. Returns the time at which the fault ended if it was a
+/// partition.
 fn run_fault(
     harness: &mut FleetHarness,
     rng: &mut Rng,
@@ -268,8 +277,8 @@
     write_table_and_chart(common.out.as_deref(), "fleet-limits", &description, table, &chart)
 }
 
-/// Runs the experiment. It passes if the fleet's limit was never exceeded by more than its burst and the
-/// spread of arrivals.
+/// Runs the experiment. It passes if arrivals never exceeded the limit enforced by the fleet by more than
+/// [`MAX_EXCESS`].
 pub fn run(options: &Options, common: &CommonOptions) -> anyhow::Result<Outcome> {
     let headers = vec![
         "how",
@@ -293,6 +302,6 @@
     let table = Table { headers, rows };
     println!("{}", table.to_markdown());
     write_results(options, common, &table, &lines)?;
-    let fleet_result = fleet_result.context("the fleet's limit was not among the modes")?;
+    let fleet_result = fleet_result.context("no result for the mode in which the fleet shares the limit")?;
     Ok(Outcome { summary: fleet_result.summary(), passed: fleet_result.excess <= MAX_EXCESS })
 }
--- a/crates/lab/src/floor_table.rs
+++ b/crates/lab/src/floor_table.rs
@@ -1,5 +1,7 @@
-//! The bounded table of session floors against a plain ordered map, and what it loses when it overflows. All
-//! in this process, on a simulated clock.
+//! Compares the bounded table of session floors with an ordered map that grows without bound, and measures
+//! how many reads replicas can no longer serve when the table is too small for all sessions.
+//!
+//! Everything runs in this process, on a simulated clock.
 
 use crate::results::{write_table_and_chart, Axes, Chart, Line, Table};
 use crate::{CommonOptions, Outcome};
@@ -12,59 +14,60 @@
 
 #[derive(clap::Args)]
 pub struct Options {
-    /// Sessions that write.
+    /// Number of sessions that write.
     #[arg(long, default_value_t = 1_000_000)]
     sessions: u64,
-    /// Writes a second, by any of them alike.
+    /// Writes per second of all sessions together.
     #[arg(long, default_value_t = 2000)]
     writes_per_s: u64,
 }
 
-/// The simulated clock's start: the beginning of 2026, in Unix time.
+/// The time at which the simulated clock starts: the beginning of 2026, in Unix time.
 const START: Time = Time::ms(1_767_225_600_000);
 const GROUP: GroupId = GroupId(1);
-/// Sessions that a bucket has entries for.
+/// Number of entries of a bucket, one for each session.
 const ENTRIES_PER_BUCKET: usize = 7;
-/// Bytes of a page of memory.
+/// Size of a memory page, in bytes.
 const PAGE: u64 = 4096;
-/// Session keys have so many bits.
+/// Number of random bits of a session key.
 const KEY_BITS: u32 = 62;
-/// A prime by which keys are visited in an order other than that of their making.
+/// A prime number. Keys are visited at this stride, so that their order differs from the order of generation.
 const VISIT_STRIDE: u64 = 7919;
-/// The fraction of floors that a table for all sessions has to know exactly: it evicts few, since buckets
-/// fill unevenly.
+/// The fraction of sessions whose floors a table with entries for all sessions must hold exactly. It is below
+/// 1 because buckets fill unevenly, so that the table evicts a few floors.
 const MIN_EXACT_FRACTION: f64 = 0.97;
-/// How far replicas are behind.
+/// Replica lags that are compared.
 const LAGS: [Time; 3] = [Time::ms(12), Time::ms(5_000), Time::ms(60_000)];
-/// Sizes of tables, as fractions of one that has entries for all sessions.
+/// Sizes of the tables, as fractions of the size that has entries for all sessions.
 const SIZES: [f64; 6] = [1.0, 0.5, 0.25, 0.125, 1.0 / 32.0, 1.0 / 128.0];
 
 impl Options {
-    /// The moment of the write of this number.
+    /// Returns the commit time of the write with this number.
     fn commit_time(&self, write: u64) -> Time {
         START.plus(Time(write * 1_000_000_000 / self.writes_per_s))
     }
 
-    /// Bytes of a table with entries for all sessions, filled to two thirds.
+    /// Returns the size in bytes of a table whose entries all sessions fill to at most two thirds.
     fn full_size(&self) -> usize {
         (self.sessions as usize * 3 / 2 / ENTRIES_PER_BUCKET).next_power_of_two() * BUCKET_BYTES
     }
 }
 
-/// Resident memory of this process, in bytes.
+/// Returns the resident memory of this process, in bytes; 0 if it cannot be read.
 fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     text.split_whitespace().nth(1).and_then(|n| n.parse::<u64>().ok()).unwrap_or(0) * PAGE
 }
 
-/// Nanoseconds for each of `n` calls.
+/// Calls a function `n` times, with the number of the call, and returns the mean time of a call in
+/// nanoseconds.
 fn time_calls_ns(n: u64, mut call: impl FnMut(u64)) -> f64 {
     let started_at = Instant::now();
     (0..n).for_each(&mut call);
     started_at.elapsed().as_nanos() as f64 / n as f64
 }
 
-/// What a structure costs.
+/// Mean time of each operation of a structure, and its memory per session.
 struct Costs {
     add_ns: f64,
     raise_ns: f64,
@@ -79,7 +82,7 @@
     }
 }
 
-/// Keys of sessions, and the order in which they are visited.
+/// Session keys, in order of generation.
 struct Keys(Vec<SessionKey>);
 
 impl Keys {
@@ -115,7 +118,8 @@
     *current = floor.max(*current);
 }
 
-/// The costs of a table for all sessions, and the fraction of floors that it knows exactly.
+/// Measures a table with entries for all sessions. Returns its costs and the fraction of sessions whose
+/// floors it holds exactly.
 fn table_costs(options: &Options, keys: &Keys, seed: u64) -> (Costs, f64) {
     let sessions = options.sessions;
     let before = resident_bytes();
@@ -132,16 +136,16 @@
     (Costs { add_ns, raise_ns, get_ns, bytes_per_session }, exact as f64 / sessions as f64)
 }
 
-/// The fractions of reads that a replica may serve.
+/// The fractions of reads that a replica may serve, because it has applied the session's floor.
 struct ReplicaFractions {
-    /// By the table's floors.
+    /// With the floors that the bounded table returns.
     with_table: f64,
-    /// By exact floors of all sessions.
+    /// With the exact floors of all sessions.
     with_exact_map: f64,
 }
 
-/// Each write is followed by a read of some session, once all sessions may have written; a replica may serve
-/// it if it has applied the session's floor.
+/// Simulates writes of random sessions. After the first `sessions` writes, each write is followed by a read
+/// of a random session, which a replica may serve if it has applied the session's floor.
 fn replica_fractions(options: &Options, table_bytes: usize, lag: Time, seed: u64) -> ReplicaFractions {
     let mut table = FloorTable::new(START, table_bytes, seed);
     let mut exact_floors = BTreeMap::new();
@@ -166,7 +170,7 @@
     ReplicaFractions { with_table: fraction(by_table), with_exact_map: fraction(by_map) }
 }
 
-/// What tables of different sizes lose.
+/// The results for tables of different sizes.
 struct Overflow {
     table: Table,
     lines: Vec<Line>,
@@ -196,7 +200,8 @@
     overflow
 }
 
-/// Runs the experiment. It passes if a table for all sessions keeps nearly all of their floors.
+/// Runs the experiment. It passes if a table with entries for all sessions holds more than
+/// [`MIN_EXACT_FRACTION`] of their floors exactly.
 pub fn run(options: &Options, common: &CommonOptions) -> anyhow::Result<Outcome> {
     let sessions = options.sessions;
     let keys = Keys::random(sessions, common.seed);
--- a/crates/lab/src/host_records.rs
+++ b/crates/lab/src/host_records.rs
@@ -1,22 +1,22 @@
-//! What the hosts of a deployment have seen of a client load.
+//! Counts of the statements that the hosts of a deployment received from a client load.
 
 use basalthill_standin::deployment::Deployment;
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// What hosts have seen.
+/// Counts over all hosts of a deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct HostCounts {
-    /// Statements in all.
+    /// Statements received.
     pub statements: usize,
-    /// Writes that were committed more than once.
+    /// Written keys that were committed more than once.
     pub repeated_writes: usize,
-    /// Statements that arrived after the deadline that their key contains.
+    /// Statements received after the deadline that their key contains.
     pub late_statements: usize,
 }
 
-/// Counts what hosts have seen. The keys of statements end with `-` and their deadline, in microseconds from
-/// `zero`.
+/// Counts the statements in the records of all hosts. The key of each statement ends with `-` and the
+/// deadline of its request, in microseconds since `epoch`.
 pub fn count_at_hosts(deployment: &Deployment, epoch: Instant) -> HostCounts {
     let mut statements = 0;
     let mut late_statements = 0;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,6 +1,9 @@
-//! `basalthill-lab`: one experiment a sub-command. Each prints its figures, writes a table and a chart where
-//! `--out` names a folder, and ends with a line of `key=value`. The exit code is 0 if the promises that the
-//! experiment checks were kept, 1 if one was broken, 2 if it could not be run.
+//! `basalthill-lab`: load experiments against real router processes, stand-in hosts and the client library.
+//!
+//! Each sub-command runs one experiment. It prints its results as tables and, with `--out`, writes them to a
+//! folder as Markdown and, for some experiments, as an SVG chart. The last line of its output is a summary of
+//! `key=value` pairs. The exit code is 0 if all guarantees that the experiment checks were met, 1 if one was
+//! violated, and 2 if the experiment could not be run.
 
 mod client_load;
 mod cost;
@@ -18,16 +21,16 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Counts what the library allocates, for `overhead`.
+/// Counts allocations, for `overhead`.
 #[global_allocator]
 static ALLOCATOR: &stats_alloc::StatsAlloc<std::alloc::System> = &stats_alloc::INSTRUMENTED_SYSTEM;
 
-/// A promise that the experiment checks was broken.
+/// Exit code if a guarantee that the experiment checks was violated.
 const EXIT_CHECK_FAILED: u8 = 1;
-/// The experiment could not be run.
+/// Exit code if the experiment could not be run.
 const EXIT_NOT_RUN: u8 = 2;
 
-/// Experiments with basalthill.
+/// Runs load experiments against basalthill routers.
 #[derive(Parser)]
 #[command(name = "basalthill-lab", version)]
 struct Arguments {
@@ -37,45 +40,46 @@
     common: CommonOptions,
 }
 
-/// What all experiments take.
+/// Options of all experiments.
 #[derive(clap::Args)]
 struct CommonOptions {
-    /// The router's program; the one beside this program if not given.
+    /// Path of the router executable [default: `basalthill` in the directory of this executable].
     #[arg(long, global = true)]
     program: Option<PathBuf>,
-    /// A folder for the table and the chart.
+    /// Folder that the tables and charts are written to; nothing is written without it.
     #[arg(long, global = true)]
     out: Option<PathBuf>,
-    /// For random numbers.
+    /// Seed of the random number generators.
     #[arg(long, global = true, default_value_t = 16)]
     seed: u64,
 }
 
 #[derive(Subcommand)]
 enum Experiment {
-    /// Sessions through routers that are killed: is any read stale, and who serves them.
+    /// Runs sessions while routers are killed; counts stale reads and the fraction of reads served by
+    /// replicas.
     Sessions(sessions::Options),
-    /// The bounded table of session floors against a plain map.
+    /// Compares the bounded table of session floors with an unbounded ordered map.
     Book(floor_table::Options),
-    /// What tokens cost a request, on against off.
+    /// Measures the cost per request of session floors and session tokens.
     Cost(cost::Options),
-    /// Clients that lose their router, and get it back: the library against naive ones.
+    /// Kills and restarts a router; compares how clients of the library and naive clients reconnect.
     Reconnect(reconnect::Options),
-    /// More load than the hosts can take: the library's retry budget against naive retries and none.
+    /// Overloads the hosts; compares the library's retry budget with naive retries and with none.
     Overload(overload::Options),
-    /// What the library costs a request, against a bare loop over sockets.
+    /// Measures the cost per request of the client library against a plain socket loop.
     Overhead(overhead::Options),
-    /// A limit over all routers while links and routers fail: used, and never exceeded.
+    /// Measures a fleet-wide rate limit while links and routers fail: how much of it is used, and the excess.
     FleetLimits(fleet_limits::Options),
-    /// What a snapshot buys at a restart while replicas are behind.
+    /// Measures how a snapshot of session floors affects reads after a graceful restart while replicas lag.
     Restart(restart::Options),
 }
 
-/// An experiment's end.
+/// The outcome of an experiment.
 struct Outcome {
-    /// Its last line, of `key=value`.
+    /// The last line of output: `key=value` pairs.
     summary: String,
-    /// Whether the promises that it checks were kept.
+    /// Whether all guarantees that the experiment checks were met.
     passed: bool,
 }
 
--- a/crates/lab/src/overhead.rs
+++ b/crates/lab/src/overhead.rs
@@ -1,4 +1,5 @@
-//! What the library costs a request, against a bare loop over sockets, before a host that answers at once.
+//! Measures what the client library costs per request, compared with a plain loop over a socket. A stand-in
+//! host responds without delay.
 
 use crate::results::{print_and_write_table, Table};
 use crate::{CommonOptions, Outcome, ALLOCATOR};
@@ -11,24 +12,24 @@
 
 #[derive(clap::Args)]
 pub struct Options {
-    /// Requests for each measurement.
+    /// Number of requests of each measurement.
     #[arg(long, default_value_t = 40_000)]
     requests: usize,
 }
 
-/// Requests in flight at a time, for each pair of measurements.
+/// Numbers of concurrent requests; a socket loop and the library are measured with each of them.
 const IN_FLIGHT: [usize; 3] = [1, 64, 1024];
-/// The time that each request of the library has.
+/// Timeout of a request sent with the library.
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// What bare loops send.
+/// The statement that the socket loops send.
 const STATEMENT: &str = "SELECT v FROM records WHERE k = 'k' /* id=1,c=view,t=acme,d=900,cluster=2 */";
 
-/// What requests have taken.
+/// Latency, throughput and allocations of one measurement.
 struct RequestCost {
     p50_us: f64,
     p99_us: f64,
     per_s: f64,
-    /// Allocations a request.
+    /// Allocations per request.
     allocations: f64,
 }
 
@@ -60,7 +61,7 @@
     }
 }
 
-/// So many threads, each with a socket and a loop.
+/// Measures `in_flight` threads, each of which sends requests one after another over its own socket.
 fn measure_bare(host: &Host, in_flight: usize, requests: usize) -> RequestCost {
     let requests_each = requests / in_flight;
     let run_loop = || {
@@ -79,7 +80,7 @@
     RequestCost::new(latencies, started_at.elapsed(), 0)
 }
 
-/// One client of the library, with so many requests in flight.
+/// Measures one client of the library with `in_flight` concurrent requests.
 fn measure_library(host: &Host, in_flight: usize, requests: usize) -> anyhow::Result<RequestCost> {
     let config = Config { max_connections_per_router: in_flight, ..Config::new([host.addr]) };
     let client = Client::start(config)?;
@@ -99,7 +100,7 @@
     Ok(RequestCost::new(latencies, started_at.elapsed(), allocations.change().allocations))
 }
 
-/// So many requests, one after the other; how long those took that were served.
+/// Sends requests one after another and returns the latencies of those that were served.
 async fn run_requests(client: Client, requests: usize) -> Vec<Duration> {
     let mut latencies = Vec::with_capacity(requests);
     for _ in 0..requests {
@@ -112,7 +113,7 @@
     latencies
 }
 
-/// Runs the experiment.
+/// Runs the experiment. It checks no guarantee and always passes.
 pub fn run(options: &Options, common: &CommonOptions) -> anyhow::Result<Outcome> {
     let host = Host::start(|_| (Response::Row(b"v".to_vec()), Vec::new()))?;
     let clear_statements = || host.record.change(|seen| seen.statements.clear());
--- a/crates/lab/src/overload.rs
+++ b/crates/lab/src/overload.rs
@@ -1,4 +1,4 @@
-//! More load than the hosts can take: what retries add to it.
+//! Sends more load than the hosts can serve, and measures how many attempts retries add to it.
 
 use crate::client_load::{run_clients, ClientKind, ClientLoad};
 use crate::host_records::count_at_hosts;
@@ -11,32 +11,33 @@
 
 #[derive(clap::Args)]
 pub struct Options {
-    /// Clients.
+    /// Number of clients.
     #[arg(long, default_value_t = 400)]
     clients: usize,
-    /// Requests a second of each client.
+    /// Requests per second of each client.
     #[arg(long, default_value_t = 3.0)]
     per_s: f64,
-    /// Statements that each host works on at a time, each for 20 ms.
+    /// Number of statements that each host executes concurrently, each for 20 ms.
     #[arg(long, default_value_t = 4)]
     slots: usize,
-    /// The Retry-After of routers, in milliseconds.
+    /// The longest Retry-After that routers send, in milliseconds.
     #[arg(long, default_value_t = 100)]
     come_back_ms: u64,
-    /// Seconds that it goes on.
+    /// Duration of the load, in seconds.
     #[arg(long, default_value_t = 8)]
     seconds: u64,
 }
 
-/// How long a host works on a statement.
+/// Time that a host takes to execute a statement.
 const READ_DELAY: Duration = Duration::from_millis(20);
 const ROUTERS: usize = 2;
-/// The library's budget allows retries of a tenth of the requests.
+/// The library's retry budget allows one retry for every ten requests.
 const BUDGET_FRACTION: f64 = 0.1;
-/// Retries that each client of the library may send beyond that fraction: its budget is full at the start.
+/// Retries that each client of the library may send beyond that fraction, since its retry budget is full at
+/// the start.
 const INITIAL_RETRIES: f64 = 10.0;
 
-/// What one kind of client shows.
+/// The results for one kind of client.
 struct KindResult {
     attempts_per_request: f64,
     row: Vec<String>,
@@ -83,7 +84,7 @@
     Ok(KindResult { attempts_per_request, row })
 }
 
-/// Runs the experiment. It passes if the library's retries stay within its budget.
+/// Runs the experiment. It passes if the number of retries sent by the library stays within its retry budget.
 pub fn run(options: &Options, common: &CommonOptions) -> anyhow::Result<Outcome> {
     let kinds = [
         ("no retries", ClientKind::NoRetries),
@@ -114,7 +115,7 @@
     );
     print_and_write_table(common.out.as_deref(), "overload", &description, &table)?;
     let [no_retries, naive, library] = attempts[..] else {
-        bail!("{} kinds in place of three", attempts.len())
+        bail!("expected 3 kinds of clients, got {}", attempts.len())
     };
     let summary = format!("tries_once={no_retries:.3} tries_naive={naive:.3} tries_library={library:.3}");
     let requests_per_client = options.per_s * options.seconds as f64;
--- a/crates/lab/src/reconnect.rs
+++ b/crates/lab/src/reconnect.rs
@@ -1,4 +1,5 @@
-//! A router is killed under load and comes back: how its clients arrive at the others, and at it again.
+//! Kills a router under load and restarts it, and measures how fast its clients connect to the other routers
+//! and then to the restarted one.
 
 use crate::client_load::{peak_in_window, run_clients, ClientKind, ClientLoad, ClientRecord};
 use crate::host_records::count_at_hosts;
@@ -10,47 +11,47 @@
 
 #[derive(clap::Args)]
 pub struct Options {
-    /// Clients.
+    /// Number of clients.
     #[arg(long, default_value_t = 2000)]
     clients: usize,
-    /// Routers.
+    /// Number of routers.
     #[arg(long, default_value_t = 4)]
     routers: usize,
-    /// Requests a second of each client.
+    /// Requests per second of each client.
     #[arg(long, default_value_t = 3.0)]
     per_s: f64,
 }
 
-/// When the router is killed and started again, and when the load ends, from its start.
+/// The times at which the router is killed and restarted and at which the load ends, since the load's start.
 const KILL_AT: Duration = Duration::from_secs(4);
 const RESTART_AT: Duration = Duration::from_secs(7);
 const LOAD_DURATION: Duration = Duration::from_secs(11);
-/// Connects are counted for each of these spans of time, and served requests too.
+/// Connects and served requests are counted in buckets of this duration.
 const BUCKET: Duration = Duration::from_millis(100);
 const BUCKETS_PER_S: f64 = 10.0;
 const SECOND: Duration = Duration::from_secs(1);
-/// A bucket in which this fraction of the requests is served counts as undisturbed.
+/// In a bucket with less than this fraction of requests served, requests count as disturbed by the kill.
 const RECOVERED_FRACTION: f64 = 0.98;
-/// Routers' own settings (KDL): they send a farewell before they close a connection.
+/// The routers' local settings (KDL): routers send a close notice before they close a client's connection.
 const LOCAL_SETTINGS: &str = "clients {\n farewell #true\n}\n";
 
-/// What one kind of client shows.
+/// The results for one kind of client.
 struct KindResult {
-    /// The most connects within a second, before the router is killed.
+    /// The most connects within a second, in the two seconds before the kill.
     peak_before: usize,
-    /// While it is dead.
+    /// The most connects within a second, between the kill and the restart.
     peak_while_down: usize,
-    /// After its restart.
+    /// The most connects within a second, after the restart.
     peak_after_restart: usize,
-    /// The most connects within a bucket, while it is dead.
+    /// The most connects within the duration of a bucket, between the kill and the restart.
     peak_bucket: usize,
-    /// How long requests were disturbed; `None` if up to the router's restart.
+    /// Time from the kill until requests were no longer disturbed; `None` if they were up to the restart.
     recovered_after: Option<Duration>,
-    /// The fraction of requests served.
+    /// The fraction of requests served before their deadlines.
     served_fraction: f64,
     repeated_writes: usize,
     late_statements: usize,
-    /// Connects a second, by buckets: the end of the bucket in seconds, and the connects.
+    /// For each bucket, its end in seconds since the load's start and the connects per second in it.
     connects_per_s: Vec<(f64, f64)>,
 }
 
@@ -78,7 +79,7 @@
     }
 }
 
-/// Runs a load of one kind of client while a router is killed and restarted.
+/// Runs a load from one kind of client while a router is killed and restarted.
 fn measure(options: &Options, common: &CommonOptions, kind: ClientKind) -> anyhow::Result<KindResult> {
     let behavior = GroupBehavior { write_delays: [Duration::from_millis(1); 2], ..GroupBehavior::default() };
     let folder = std::env::temp_dir();
@@ -118,13 +119,13 @@
     })
 }
 
-/// The number of buckets in a span of time.
+/// Returns the number of buckets in a span of time.
 fn buckets(span: Duration) -> u32 {
     (span.as_millis() / BUCKET.as_millis()) as u32
 }
 
-/// How long after the kill the last bucket ends, up to the router's restart, in which too few requests were
-/// served. `None` if that is the bucket right before the restart.
+/// Returns the time from the kill to the end of the last bucket before the restart in which requests were
+/// disturbed; zero if there is none. Returns `None` if it is the bucket directly before the restart.
 fn recovered_after(record: &ClientRecord, epoch: Instant) -> Option<Duration> {
     let is_disturbed = |bucket: &u32| {
         let from = epoch + BUCKET * *bucket;
@@ -154,8 +155,8 @@
     (0..buckets(LOAD_DURATION)).map(point).collect()
 }
 
-/// Runs the experiment. It passes if no write of the library's clients ran twice, nothing reached a host
-/// after its deadline, and they were served again before the router's restart.
+/// Runs the experiment. It passes if, for the clients of the library, no write was committed twice, no
+/// statement reached a host after its deadline, and requests recovered before the router's restart.
 pub fn run(options: &Options, common: &CommonOptions) -> anyhow::Result<Outcome> {
     let library = measure(options, common, ClientKind::Library)?;
     let naive = measure(options, common, ClientKind::Naive)?;
--- a/crates/lab/src/restart.rs
+++ b/crates/lab/src/restart.rs
@@ -1,4 +1,8 @@
-//! What a snapshot buys: a router restarts gracefully while replicas are seconds behind.
+//! Restarts a router gracefully while replicas lag, without and with a snapshot of its session floors, and
+//! measures the fraction of reads that replicas serve after the restart.
+//!
+//! Without a snapshot the router has lost its session floors and uses its start time as the floor of each
+//! session, so replicas cannot serve reads until they have applied the log up to that time.
 
 use crate::results::{print_and_write_table, Table};
 use crate::{CommonOptions, Outcome};
@@ -12,18 +16,19 @@
 
 #[derive(clap::Args)]
 pub struct Options {
-    /// Sessions, each of which has written once.
+    /// Number of sessions; each writes once before the restart.
     #[arg(long, default_value_t = 400)]
     sessions: usize,
-    /// How far replicas are behind.
+    /// Lag of the replicas, in milliseconds.
     #[arg(long, default_value_t = 900)]
     lag_ms: u64,
 }
 
-/// How much longer than the lag the experiment waits for replicas, in milliseconds.
+/// Time that the experiment waits in addition to the lag for replicas to apply the first writes, in
+/// milliseconds.
 const LAG_MARGIN_MS: u64 = 20;
 
-/// Reads right after a restart.
+/// Counts of the reads directly after a restart.
 #[derive(Clone, Copy, Default)]
 struct ReadsAfterRestart {
     served: usize,
@@ -40,15 +45,17 @@
     }
 }
 
-/// A router's own settings (KDL): floors by its memory, with a snapshot or without.
+/// Returns the router's local settings (KDL): the router keeps session floors in memory and, if `snapshot` is
+/// set, stores them in a file when it stops.
 fn local_settings(snapshot: bool) -> String {
     let path = std::env::temp_dir().join(format!("basalthill-lab-{}", std::process::id()));
     let line = if snapshot { format!("snapshot {:?}", path.to_str().unwrap_or("")) } else { String::new() };
     format!("sessions floor=\"router\" {{\nsettle-ms 0\n{line}\n}}")
 }
 
-/// Writes of some sessions, restart, reads of all of them. Three in four have written longer ago than
-/// replicas are behind.
+/// Writes once in each session, restarts the router, and reads in each session. Three quarters of the
+/// sessions write early enough that replicas have applied their writes before the restart; the others write
+/// directly before it.
 fn measure(options: &Options, common: &CommonOptions, snapshot: bool) -> anyhow::Result<ReadsAfterRestart> {
     let behavior =
         GroupBehavior { lag_ms: options.lag_ms, stale_reads: StaleRead::Reject, ..GroupBehavior::default() };
@@ -75,7 +82,7 @@
     Ok(())
 }
 
-/// Reads of all sessions, each of which has to see its write.
+/// Reads in each session. Fails if a read that was served does not return the session's own write.
 fn read_all(client: &mut Client, sessions: usize) -> anyhow::Result<ReadsAfterRestart> {
     let mut reads = ReadsAfterRestart::default();
     for n in 0..sessions {
@@ -84,7 +91,7 @@
         let Reply::Row(value) = client.query(&text)? else { continue };
         let value = String::from_utf8_lossy(&value).into_owned();
         if !value.starts_with("1@") {
-            bail!("s{n} did not see its write: {value:?}");
+            bail!("the read of s{n} returned {value:?}, not the session's own write");
         }
         reads.served += 1;
         reads.by_replicas += usize::from(value.ends_with("@copy"));
@@ -92,7 +99,8 @@
     Ok(reads)
 }
 
-/// Runs the experiment. It passes if replicas serve no fewer reads with a snapshot than without.
+/// Runs the experiment. It passes if the fraction of reads served by replicas is at least as high with a
+/// snapshot as without.
 pub fn run(options: &Options, common: &CommonOptions) -> anyhow::Result<Outcome> {
     let without = measure(options, common, false)?;
     let with = measure(options, common, true)?;
--- a/crates/lab/src/results.rs
+++ b/crates/lab/src/results.rs
@@ -1,25 +1,25 @@
-//! Results as Markdown tables and SVG charts.
+//! Output of results as Markdown tables and SVG charts.
 
 use plotters::prelude::*;
 use std::fs;
 use std::ops::Range;
 use std::path::Path;
 
-/// A chart's width and height, in pixels.
+/// Width and height of a chart, in pixels.
 const CHART_SIZE: (u32, u32) = (760, 440);
-/// The least x of a chart: its axis is logarithmic.
+/// The lower bound of the x axis, which is logarithmic and cannot show 0.
 const MIN_X: f64 = 1e-3;
 
-/// A table of texts.
+/// A table of text cells.
 pub struct Table {
-    /// The heads of its columns.
+    /// The column headers.
     pub headers: Vec<&'static str>,
-    /// Its rows, with a cell for each head.
+    /// The rows, with one cell for each column.
     pub rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// The table as Markdown.
+    /// Formats the table as Markdown.
     pub fn to_markdown(&self) -> String {
         let line = |cells: Vec<&str>| format!("| {} |\n", cells.join(" | "));
         let mut out = line(self.headers.clone());
@@ -31,14 +31,14 @@
     }
 }
 
-/// Writes a table to `NAME.md` in a folder, below a description.
+/// Writes a description, followed by a table, to `NAME.md` in a folder. Creates the folder if necessary.
 pub fn write_table(folder: &Path, name: &str, description: &str, table: &Table) -> anyhow::Result<()> {
     fs::create_dir_all(folder)?;
     let text = format!("{description}\n\n{}", table.to_markdown());
     Ok(fs::write(folder.join(format!("{name}.md")), text)?)
 }
 
-/// Prints a table and, if a folder was named, writes it to `NAME.md` there, below a description.
+/// Prints a table and, if a folder is given, writes a description and the table to `NAME.md` there.
 pub fn print_and_write_table(
     folder: Option<&Path>,
     name: &str,
@@ -49,35 +49,35 @@
     folder.map_or(Ok(()), |folder| write_table(folder, name, description, table))
 }
 
-/// A line of a chart.
+/// One series of a chart.
 pub struct Line {
-    /// What it shows.
+    /// The name in the legend.
     pub name: String,
-    /// Its points, x and y.
+    /// The points, as pairs of x and y.
     pub points: Vec<(f64, f64)>,
 }
 
-/// What a chart's axes show.
+/// The title and the axes of a chart.
 pub struct Axes {
-    /// Above the chart.
+    /// The title, shown above the chart.
     pub title: &'static str,
-    /// Below it.
+    /// The label of the x axis.
     pub x: &'static str,
-    /// Beside it.
+    /// The label of the y axis.
     pub y: &'static str,
-    /// The span of y.
+    /// The range of the y axis.
     pub y_range: Range<f64>,
 }
 
-/// A chart of lines.
+/// A line chart.
 pub struct Chart<'a> {
-    /// What its axes show.
+    /// The title and the axes.
     pub axes: Axes,
-    /// Its lines.
+    /// The series.
     pub lines: &'a [Line],
 }
 
-/// Writes a table and a chart to `NAME.md` and `NAME.svg` in a folder, if one was named.
+/// Writes a description with a table to `NAME.md`, and a chart to `NAME.svg`, if a folder is given.
 pub fn write_table_and_chart(
     folder: Option<&Path>,
     name: &str,
@@ -90,7 +90,7 @@
     write_chart(folder, name, chart)
 }
 
-/// Draws lines over a logarithmic x, to `NAME.svg` in a folder.
+/// Draws a line chart with a logarithmic x axis to `NAME.svg` in a folder.
 fn write_chart(folder: &Path, name: &str, chart: &Chart<'_>) -> anyhow::Result<()> {
     let Chart { axes, lines } = chart;
     fs::create_dir_all(folder)?;
--- a/crates/lab/src/sessions.rs
+++ b/crates/lab/src/sessions.rs
@@ -1,5 +1,5 @@
-//! Sessions write and read through routers that are killed and restarted; an oracle knows what each read
-//! should have seen.
+//! Runs sessions that write and read through routers that are killed and restarted, and checks each read
+//! against the writes that it must return.
 
 use crate::results::{write_table_and_chart, Axes, Chart, Line, Table};
 use crate::{CommonOptions, Outcome};
@@ -10,29 +10,29 @@
 use hdrhistogram::Histogram;
 use std::time::Duration;
 
-/// How sessions connect, and how their reads get a floor.
+/// How sessions connect, and where the floors of their reads come from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Mode {
-    /// One connection at a time; the accept's moment stands in.
+    /// One connection at a time for each session; the floor is the time at which the connection was accepted.
     Connection,
-    /// Shared connections; the read's arrival stands in.
+    /// Shared connections; the floor is the time at which the read arrived.
     Arrival,
-    /// Shared connections; tokens are handed out with writes.
+    /// Shared connections; the floor comes from session tokens, which routers send with replies to writes.
     Tokens,
-    /// Shared connections; tokens are handed out with reads too.
+    /// As `tokens`, and routers send tokens with replies to reads too.
     TokensReads,
-    /// Each session at one router, over shared connections; the router's memory.
+    /// One router for each session, over shared connections; the floor comes from the router's memory.
     Router,
-    /// No settings of the routers' own: nothing is promised to clients that bring nothing.
+    /// No local settings: reads of clients that send neither a token nor a position may be stale.
     Off,
 }
 
 impl Mode {
-    /// All modes that promise something.
+    /// The modes in which no read may be stale.
     const WITH_FLOORS: [Mode; 5] =
         [Mode::Connection, Mode::Arrival, Mode::Tokens, Mode::TokensReads, Mode::Router];
 
-    /// Routers' own settings (KDL), with further lines of the node `sessions`.
+    /// Returns the routers' local settings (KDL), with additional lines inside the node `sessions`.
     pub fn local_settings(self, more: &str) -> Option<String> {
         let (floor, tokens) = match self {
             Mode::Connection => ("connection", ""),
@@ -47,7 +47,7 @@
         Some(format!("sessions floor=\"{floor}\" {{\n{tokens}{more}\n}}\n"))
     }
 
-    /// How sessions connect.
+    /// Returns how sessions connect.
     fn connection_mode(self) -> ConnectionMode {
         match self {
             Mode::Connection | Mode::Off => ConnectionMode::OneAtATime,
@@ -58,14 +58,14 @@
     }
 }
 
-/// What replicas do with reads that they are too far behind for.
+/// What replicas do with a read whose floor they have not applied yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum WhenBehind {
-    /// They wait for their log, 100 ms at most.
+    /// They wait up to 100 ms for the log position, then reject the read.
     Waits,
-    /// They reject them.
+    /// They reject the read at once.
     Refuses,
-    /// They answer from what they have.
+    /// They serve the read from what they have applied.
     Answers,
 }
 
@@ -81,43 +81,43 @@
 
 #[derive(clap::Args)]
 pub struct Options {
-    /// Reads in each mode.
+    /// Number of reads in each mode.
     #[arg(long, default_value_t = 50_000)]
     reads: usize,
-    /// Routers killed and restarted meanwhile.
+    /// Number of times that a router is killed and restarted during the load, in each mode.
     #[arg(long, default_value_t = 20)]
     kills: usize,
-    /// Routers.
+    /// Number of routers.
     #[arg(long, default_value_t = 3)]
     routers: usize,
-    /// Sessions at a time.
+    /// Number of concurrent sessions.
     #[arg(long, default_value_t = 48)]
     sessions: usize,
-    /// How long replicas take to apply what was written.
+    /// Time that replicas take to apply a write, in milliseconds.
     #[arg(long, default_value_t = 12)]
     lag_ms: u64,
-    /// What replicas do when they are behind.
+    /// What replicas do with a read whose floor they have not applied yet.
     #[arg(long, value_enum, default_value = "waits")]
     behind: WhenBehind,
-    /// Modes; all but `off` if none is named.
+    /// Modes to run [default: all but `off`].
     #[arg(long, value_enum)]
     mode: Vec<Mode>,
-    /// Further lines of the settings' node `sessions`.
+    /// Additional lines inside the node `sessions` of the routers' local settings.
     #[arg(long, default_value = "")]
     more: String,
-    /// The name of the results.
+    /// Base name of the files that results are written to.
     #[arg(long, default_value = "sessions")]
     name: String,
 }
 
-/// One in so many reads sees all writes.
+/// On average one read in this many is of the class `status`, whose reads must return all earlier writes.
 const STATUS_EVERY: u64 = 8;
-/// The longest pause before a read, in microseconds.
+/// The longest pause of a session before a read, in microseconds.
 const MAX_THINK_TIME_US: u64 = 8000;
-/// The longest latency that the histogram distinguishes, in microseconds.
+/// The highest latency that the histogram can record, in microseconds.
 const MAX_LATENCY_US: u64 = 10_000_000;
 
-/// The fraction of reads that were served within each time, in milliseconds.
+/// Returns pairs of a latency in milliseconds and the fraction of reads that were served within it.
 fn latency_curve(report: &SessionLoadReport) -> anyhow::Result<Vec<(f64, f64)>> {
     let mut histogram = Histogram::<u32>::new_with_bounds(1, MAX_LATENCY_US, 3)?;
     for us in &report.latencies_us {
@@ -127,7 +127,7 @@
     Ok(points.collect())
 }
 
-/// Runs the load in one mode.
+/// Runs the load in one mode while routers are killed.
 fn measure(options: &Options, common: &CommonOptions, mode: Mode) -> anyhow::Result<SessionLoadReport> {
     let behavior = GroupBehavior {
         lag_ms: options.lag_ms,
@@ -181,7 +181,7 @@
     write_table_and_chart(common.out.as_deref(), &options.name, &description, table, &chart)
 }
 
-/// Runs the experiment. It passes if no read was stale, but for the mode that promises nothing.
+/// Runs the experiment. It passes if no read was stale in any mode except [`Mode::Off`].
 pub fn run(options: &Options, common: &CommonOptions) -> anyhow::Result<Outcome> {
     let modes = if options.mode.is_empty() { Mode::WITH_FLOORS.to_vec() } else { options.mode.clone() };
     let mut total = SessionLoadReport::default();
