--- a/crates/lab/src/cost.rs
+++ b/crates/lab/src/cost.rs
@@ -189,9 +189,9 @@
     };
     let TokenCost { issue_us, verify_us } = token;
     let description = format!(
-        "Real router processes and sockets, stand-in groups, one client each: {} requests at each \
-         router, a quarter of them writes, in turns of {}. Alone, in one process: {issue_us:.2} us to \
-         make a token of one group, {verify_us:.2} us to read it.",
+        "Real router processes and sockets, stand-in groups, one client for each router: {} requests to \
+         each router, a quarter of them writes, in turns of {}. Measured separately in one process: \
+         {issue_us:.2} us to issue a token with the floor of one group, {verify_us:.2} us to verify it.",
         options.requests, options.turn
     );
     print_and_write_table(common.out.as_deref(), "cost", &description, &table)?;
--- a/crates/lab/src/fleet_limits/many_routers.rs
+++ b/crates/lab/src/fleet_limits/many_routers.rs
@@ -66,7 +66,8 @@
             max_kib.to_string(),
         ];
         let description =
-            "Real router processes on one machine, without a relay: one rate, idle and under light load.";
+            "Real router processes on one machine, without a proxy: one rate limit, idle and under light \
+             load.";
         write_table(out, "fleet-crowd", description, &Table { headers, rows: vec![row] })?;
     }
     let served_per_s = served as f64 / MEASURED_TIME.as_secs_f64();
--- a/crates/lab/src/fleet_limits/through_faults.rs
+++ b/crates/lab/src/fleet_limits/through_faults.rs
@@ -48,8 +48,8 @@
     used_fraction_with_faults: f64,
     /// The fraction of requests rejected while the demand was below the limit.
     rejected_below_limit: f64,
-    /// The longest time to recovery after a partition, in milliseconds. `None` if there was no partition, or if
-    /// the fleet did not recover from each one before the next fault.
+    /// The longest time to recovery after a partition, in milliseconds. `None` if there was no partition, or
+    /// if the fleet did not recover from each one before the next fault.
     recovery_ms: Option<u128>,
     /// Bytes per second that a router sent to other routers without faults, the mean over all routers.
     bytes_per_s: f64,
@@ -262,13 +262,13 @@
     lines: &[Line],
 ) -> anyhow::Result<()> {
     let description = format!(
-        "Real router processes and sockets, a relay between them, stand-in hosts whose record is \
-         judged: {} routers, a rate of {LIMIT_PER_S} requests a second with as many at once, seed {}, {} \
-         minutes each. Half of the routers are asked ten times as much as the others; a sixth of \
-         the time without faults, a sixth at 0.7 of the limit, the rest with random splits, kills, \
-         freezes and loss. Most over the rate: what came beyond rate times time, at worst over all \
-         windows; the bound is the burst and {ARRIVAL_SPREAD_S} s of the rate, by which arrivals at hosts \
-         spread.",
+        "Real router processes and sockets, a proxy between them, stand-in hosts whose records are \
+         evaluated: {} routers, a rate limit of {LIMIT_PER_S} requests per second with a burst of as many, \
+         seed {}, {} minutes for each row. Half of the routers get ten times the demand of the others; a \
+         sixth of the time is without faults, a sixth at 0.7 of the limit, the rest with random partitions, \
+         kills, pauses and datagram loss. Most over the rate: arrivals in excess of rate times time, the \
+         highest over all windows of time; the bound is the burst and {ARRIVAL_SPREAD_S} s of the rate, \
+         the spread of arrivals at hosts.",
         options.routers, common.seed, options.minutes
     );
     let title = "Admitted, as a share of the limit";
--- a/crates/lab/src/floor_table.rs
+++ b/crates/lab/src/floor_table.rs
@@ -215,8 +215,8 @@
     let overflow = measure_overflow(options, common.seed);
     println!("{}", overflow.table.to_markdown());
     let description = format!(
-        "One process, no sockets: {sessions} sessions, {} writes a second by any of them, reads by any \
-         of them.\n\n{}",
+        "One process, no sockets: {sessions} sessions, {} writes per second by random sessions, reads by \
+         random sessions.\n\n{}",
         options.writes_per_s,
         costs.to_markdown()
     );
--- a/crates/lab/src/overhead.rs
+++ b/crates/lab/src/overhead.rs
@@ -138,8 +138,8 @@
     ];
     let table = Table { headers, rows };
     let description = format!(
-        "Real sockets, one process: a stand-in that answers at once, a thread a connection, takes part \
-         of the same cores; {} requests for each row.",
+        "Real sockets, one process: a stand-in host that responds without delay, with a thread for each \
+         connection, shares the cores with the clients; {} requests for each row.",
         options.requests
     );
     print_and_write_table(common.out.as_deref(), "overhead", &description, &table)?;
--- a/crates/lab/src/overload.rs
+++ b/crates/lab/src/overload.rs
@@ -108,9 +108,9 @@
     ];
     let table = Table { headers, rows };
     let description = format!(
-        "Real router processes and sockets, stand-in group of three, each of which works on {} \
-         statements of 20 ms at a time: {} clients of {} reads a second, one at a time each, two \
-         routers that tell to come back after {} ms, {} s.",
+        "Real router processes and sockets, stand-in group of three hosts, each of which executes {} \
+         statements of 20 ms concurrently: {} clients with {} reads per second each, one at a time, two \
+         routers that send a Retry-After of at most {} ms, {} s.",
         options.slots, options.clients, options.per_s, options.come_back_ms, options.seconds
     );
     print_and_write_table(common.out.as_deref(), "overload", &description, &table)?;
--- a/crates/lab/src/reconnect.rs
+++ b/crates/lab/src/reconnect.rs
@@ -174,10 +174,10 @@
     let table = Table { headers, rows: vec![library.row("library"), naive.row("naive")] };
     println!("{}", table.to_markdown());
     let description = format!(
-        "Real router processes and sockets, stand-in group: {} clients of {} requests a second (a third \
-         are writes that must never run twice), {} routers, one killed after 4 s and back after 7 s. \
-         Naive clients have a standing connection each, open it anew at once, and try again at once, \
-         up to three times.",
+        "Real router processes and sockets, stand-in group: {} clients with {} requests per second each (a \
+         third are writes that must never run twice), {} routers, one killed after 4 s and restarted after \
+         7 s. Naive clients keep one connection each, replace it immediately when it closes, and retry a \
+         request immediately, up to three times.",
         options.clients, options.per_s, options.routers
     );
     let max_per_s =
--- a/crates/lab/src/restart.rs
+++ b/crates/lab/src/restart.rs
@@ -109,9 +109,10 @@
         rows: vec![without.row("none"), with.row("kept at the stop")],
     };
     let description = format!(
-        "Real router process and sockets, stand-in group: {} sessions have written through one router, \
-         which restarts in good order; replicas are {} ms behind and turn reads away. Reads right after \
-         the restart; a quarter of the sessions wrote just before it.",
+        "Real router process and sockets, stand-in group: {} sessions have each written once through one \
+         router, which then restarts gracefully. Replicas lag by {} ms and reject reads whose floor they \
+         have not applied. The table counts reads directly after the restart; a quarter of the sessions wrote \
+         directly before it.",
         options.sessions, options.lag_ms
     );
     print_and_write_table(common.out.as_deref(), "restart", &description, &table)?;
--- a/crates/lab/src/sessions.rs
+++ b/crates/lab/src/sessions.rs
@@ -172,8 +172,8 @@
     lines: &[Line],
 ) -> anyhow::Result<()> {
     let description = format!(
-        "Real router processes and sockets, stand-in group: {} routers, {} sessions, replicas {} ms \
-         behind (what they do with reads then: {:?}), seed {}. {}",
+        "Real router processes and sockets, stand-in group: {} routers, {} sessions, replicas with a lag of \
+         {} ms (mode for reads whose floor they have not applied: {:?}), seed {}. {}",
         options.routers, options.sessions, options.lag_ms, options.behind, common.seed, options.more
     );
     let axes = Axes { title: "Session reads served within", x: "ms", y: "share", y_range: 0.0..1.0 };
