--- a/crates/lab/src/cost.rs
+++ b/crates/lab/src/cost.rs
@@ -1,5 +1,7 @@
-//! What tokens cost a request: routers before the same kind of group, without their own settings, with floors
-//! alone and with tokens, under load in turn.
+//! Measures what session floors and session tokens cost per request.
+//!
+//! Three routers run with the same kind of group: one without local settings, one with floors that the router
+//! keeps in memory, and one with tokens. Each is under load in turn.
 
 use crate::results::{print_and_write_table, Table};
 use crate::sessions::Mode;
@@ -17,27 +19,27 @@
 
 #[derive(clap::Args)]
 pub struct Options {
-    /// Requests at each router.
+    /// Number of requests sent to each router.
     #[arg(long, default_value_t = 40_000)]
     requests: u32,
-    /// Requests in a turn.
+    /// Number of requests that a router receives before the next router's turn.
     #[arg(long, default_value_t = 500)]
     turn: u32,
 }
 
-/// One in so many requests is a write.
+/// Every fourth request is a write; the others are reads.
 const WRITE_EVERY: u32 = 4;
-/// Tokens made, and tokens read, to measure what that takes.
-const TOKENS: u32 = 50_000;
+/// Number of tokens that are issued, and verified, to measure the time of each operation.
+const TOKEN_ITERATIONS: u32 = 50_000;
 
-/// Under this name, and in this order, the modes are shown.
+/// The modes that are compared and their names, in the order of the table's rows.
 const CASES: [(Mode, &str); 3] = [
     (Mode::Off, "off, no floors"),
     (Mode::Router, "off, floors by the router's memory"),
     (Mode::Tokens, "on, early ones too"),
 ];
 
-/// A router in one of the modes, and what its requests have taken so far.
+/// A router in one of the modes, with the totals of its requests so far.
 struct Case {
     deployment: Deployment,
     token: Option<String>,
@@ -46,7 +48,7 @@
     bytes: u64,
 }
 
-/// What a request has taken on average.
+/// CPU time and bytes of a request, on average, and the median latency.
 #[derive(Clone, Copy)]
 struct RequestCost {
     cpu_us: f64,
@@ -69,9 +71,9 @@
             read_delay: Duration::ZERO,
             ..GroupBehavior::default()
         };
-        let own = mode.own_settings("");
+        let settings = mode.local_settings("");
         let folder = std::env::temp_dir();
-        let deployment = Deployment::start(&common.program()?, &folder, 1, behavior, own.as_deref())?;
+        let deployment = Deployment::start(&common.program()?, &folder, 1, behavior, settings.as_deref())?;
         Ok(Case { deployment, token: None, cpu_time: Duration::ZERO, latencies_us: Vec::new(), bytes: 0 })
     }
 
@@ -79,26 +81,27 @@
         &self.deployment.routers[0]
     }
 
-    /// Forgets what requests have taken.
+    /// Clears the totals, after the warm-up.
     fn reset(&mut self) {
         self.cpu_time = Duration::ZERO;
         self.latencies_us.clear();
         self.bytes = 0;
     }
 
-    /// Sends so many requests one after the other, a write and then three reads.
-    fn run_turn(&mut self, requests: u32) -> anyhow::Result<()> {
-        // A connection of this turn's own: a router closes connections that are idle for long.
+    /// Sends `requests` requests one after another: a write, then three reads, and so on.
+    fn run_round(&mut self, requests: u32) -> anyhow::Result<()> {
+        // Each round opens a new connection, since a router closes connections that are idle for long, as
+        // this one would be while the other routers are measured.
         let mut client = Client::connect(self.router().addr)?;
         let cpu_before = self.router().cpu_time().unwrap_or_default();
         let bytes_before = client.bytes_transferred;
         for n in 0..requests {
             let text = self.statement(n);
             let sent_at = Instant::now();
-            let answer = client.query(&text)?;
+            let reply = client.query(&text)?;
             self.latencies_us.push(sent_at.elapsed().as_micros() as u32);
-            if !matches!(answer, Reply::Row(_)) {
-                bail!("not served: {answer:?}");
+            if !matches!(reply, Reply::Row(_)) {
+                bail!("request not served: {reply:?}");
             }
             self.token = client.token.take().or(self.token.take());
         }
@@ -130,7 +133,7 @@
     }
 }
 
-/// How long it takes to make and to read a token of one group, in microseconds.
+/// Time that it takes to issue and to verify a token with the floor of one group, in microseconds.
 #[derive(Default)]
 struct TokenCost {
     issue_us: f64,
@@ -146,43 +149,49 @@
     floors.raise(GroupId(2), now);
     let token = issue(&keys, now, owner, &floors);
     let time_us = |call: &dyn Fn()| {
-        let begun = Instant::now();
-        (0..TOKENS).for_each(|_| call());
-        begun.elapsed().as_secs_f64() * 1e6 / f64::from(TOKENS)
+        let started_at = Instant::now();
+        (0..TOKEN_ITERATIONS).for_each(|_| call());
+        started_at.elapsed().as_secs_f64() * 1e6 / f64::from(TOKEN_ITERATIONS)
     };
     let issue_us = time_us(&|| drop(black_box(issue(&keys, now, owner, &floors))));
     let verify_us = time_us(&|| drop(black_box(verify(&keys, now, Time(0), owner, token.as_bytes()))));
     Some(TokenCost { issue_us, verify_us })
 }
 
-/// Runs the experiment.
+/// Runs the experiment. It checks no guarantee and always passes.
 pub fn run(options: &Options, common: &CommonOptions) -> anyhow::Result<Outcome> {
     let mut cases = Vec::new();
     for (mode, _) in CASES {
         cases.push(Case::start(mode, common)?);
     }
-    // Warm up, then in turn, so that the machine's drift meets all.
+    // The first round is a warm-up. After it the routers take turns, so that changes in the speed of the
+    // machine affect all of them alike.
     for case in &mut cases {
-        case.run_turn(options.turn)?;
+        case.run_round(options.turn)?;
         case.reset();
     }
     for _ in 0..options.requests / options.turn.max(1) {
         for case in &mut cases {
-            case.run_turn(options.turn)?;
+            case.run_round(options.turn)?;
         }
     }
     let costs: Vec<RequestCost> = cases.iter().map(Case::cost).collect();
-    let [_, off, on] = costs[..] else { bail!("{} cases in place of three", costs.len()) };
+    let [_, off, on] = costs[..] else { bail!("expected 3 cases, got {}", costs.len()) };
     let token = measure_token().unwrap_or_default();
     let table = Table {
-        heads: vec!["tokens", "CPU of the router, us a request", "median time, us", "bytes with the client"],
+        headers: vec![
+            "tokens",
+            "CPU of the router, us a request",
+            "median time, us",
+            "bytes with the client",
+        ],
         rows: CASES.iter().zip(&costs).map(|((_, name), cost)| cost.row(name)).collect(),
     };
     let TokenCost { issue_us, verify_us } = token;
     let description = format!(
-        "Real router processes and sockets, stand-in groups, one client each: {} requests at each \
-         router, a quarter of them writes, in turns of {}. Alone, in one process: {issue_us:.2} us to \
-         make a token of one group, {verify_us:.2} us to read it.",
+        "Real router processes and sockets, stand-in groups, one client for each router: {} requests to \
+         each router, a quarter of them writes, in turns of {}. Measured separately in one process: \
+         {issue_us:.2} us to issue a token with the floor of one group, {verify_us:.2} us to verify it.",
         options.requests, options.turn
     );
     print_and_write_table(common.out.as_deref(), "cost", &description, &table)?;
--- a/crates/lab/src/fleet_limits/gossip_cost.rs
+++ b/crates/lab/src/fleet_limits/gossip_cost.rs
@@ -1,4 +1,5 @@
-//! What gossip costs a router by the fleet's size, simulated: idle, and with requests at every router.
+//! Simulates fleets of several sizes and measures what gossip costs each router, idle and with requests at
+//! every router.
 
 use crate::results::{print_and_write_table, Table};
 use crate::{CommonOptions, Outcome};
@@ -7,32 +8,32 @@
 use basalthill_standin::simulated_fleet::{numbered_roster, SimulatedFleet};
 use std::time::Instant;
 
-/// Sizes of fleets; those above what the options name are left out, but for the first.
+/// Fleet sizes. Those above `--routers` are left out, except the first.
 const SIZES: [usize; 4] = [10, 100, 300, 1000];
-/// Until all routers know of all.
+/// Time after the start in which all routers learn of each other.
 const START_TIME: Time = Time::ms(20_000);
-/// Until routers have followed the demand.
+/// Time in which the routers' quotas adapt to a change of the demand.
 const DEMAND_SETTLING_TIME: Time = Time::ms(3000);
-/// How long is measured.
+/// Duration of a measurement.
 const MEASURED_S: f64 = 10.0;
 const MEASURED_TIME: Time = Time::ms(10_000);
-/// The limit for each router's part of it, in requests a second, and the demand at routers of even and of odd
-/// numbers.
-const LIMIT_PER_ROUTER: f64 = 4.0;
-const HIGH_DEMAND: f64 = 7.0;
-const LOW_DEMAND: f64 = 0.7;
+/// The limit divided by the number of routers, the demand at each router with an even number, and the demand
+/// at each router with an odd number, all in requests per second.
+const LIMIT_PER_ROUTER_PER_S: f64 = 4.0;
+const HIGH_DEMAND_PER_S: f64 = 7.0;
+const LOW_DEMAND_PER_S: f64 = 0.7;
 
-/// What gossip costs a router on average, a second.
+/// The cost of gossip per second: the mean over all routers, except where stated otherwise.
 struct GossipCost {
     datagrams: f64,
     bytes: f64,
     cpu_us: f64,
-    /// Datagrams of the router that sent most.
-    most_datagrams: f64,
+    /// Datagrams sent by the router that sent the most.
+    max_datagrams: f64,
 }
 
 fn fleet_config(routers: usize) -> FleetConfig {
-    let per_s = LIMIT_PER_ROUTER * routers as f64;
+    let per_s = LIMIT_PER_ROUTER_PER_S * routers as f64;
     let limit = Limit {
         name: "acme".into(),
         subject: Subject::Tenant("acme".into()),
@@ -50,33 +51,34 @@
     }
 }
 
-/// Datagrams that each router has sent.
+/// Returns the number of datagrams that each router has sent.
 fn datagrams_by_router(fleet: &SimulatedFleet, routers: usize) -> Vec<u64> {
     (0..routers).map(|n| fleet.core(n).map_or(0, |core| core.counters().sent)).collect()
 }
 
-/// Lets time go on, and takes what gossip costs meanwhile. CPU is that of the simulation.
+/// Runs the simulation for [`MEASURED_TIME`] and returns the cost of gossip in it. The CPU time is that of
+/// the whole simulation, divided by the number of routers.
 fn measure(fleet: &mut SimulatedFleet, routers: usize) -> GossipCost {
     let datagrams = fleet.observations.datagrams;
     let bytes = fleet.observations.bytes;
     let by_router = datagrams_by_router(fleet, routers);
-    let began = Instant::now();
+    let started_at = Instant::now();
     fleet.run_until(fleet.now.plus(MEASURED_TIME));
-    let cpu_us = began.elapsed().as_micros() as f64 / routers as f64 / MEASURED_S;
+    let cpu_us = started_at.elapsed().as_micros() as f64 / routers as f64 / MEASURED_S;
     let per_router_and_s = |now: u64, before: u64| (now - before) as f64 / routers as f64 / MEASURED_S;
     let sent = datagrams_by_router(fleet, routers);
-    let most = sent.iter().zip(&by_router).map(|(now, before)| now - before).max().unwrap_or(0);
+    let max_sent = sent.iter().zip(&by_router).map(|(now, before)| now - before).max().unwrap_or(0);
     GossipCost {
         datagrams: per_router_and_s(fleet.observations.datagrams, datagrams),
         bytes: per_router_and_s(fleet.observations.bytes, bytes),
         cpu_us,
-        most_datagrams: most as f64 / MEASURED_S,
+        max_datagrams: max_sent as f64 / MEASURED_S,
     }
 }
 
-/// Runs the experiment for fleets of up to so many routers.
+/// Runs the experiment for fleets of up to `max_routers` routers. It checks no guarantee and always passes.
 pub fn run(max_routers: usize, common: &CommonOptions) -> anyhow::Result<Outcome> {
-    let heads = vec![
+    let headers = vec![
         "routers",
         "datagrams a second and router, idle",
         "bytes",
@@ -95,29 +97,29 @@
         fleet.run_until(START_TIME);
         let idle = measure(&mut fleet, routers);
         for n in 0..routers {
-            fleet.set_demand(n, if n % 2 == 0 { HIGH_DEMAND } else { LOW_DEMAND }, 0.0);
+            fleet.set_demand(n, if n % 2 == 0 { HIGH_DEMAND_PER_S } else { LOW_DEMAND_PER_S }, 0.0);
         }
         fleet.run_until(fleet.now.plus(DEMAND_SETTLING_TIME));
-        let busy = measure(&mut fleet, routers);
+        let loaded = measure(&mut fleet, routers);
         rows.push(vec![
             routers.to_string(),
             format!("{:.1}", idle.datagrams),
             format!("{:.0}", idle.bytes),
             format!("{:.0}", idle.cpu_us),
-            format!("{:.1}", idle.most_datagrams),
-            format!("{:.1}", busy.datagrams),
-            format!("{:.0}", busy.bytes),
-            format!("{:.0}", busy.cpu_us),
+            format!("{:.1}", idle.max_datagrams),
+            format!("{:.1}", loaded.datagrams),
+            format!("{:.0}", loaded.bytes),
+            format!("{:.0}", loaded.cpu_us),
         ]);
         summary = format!(
             "routers={routers} datagrams_per_s={:.1} bytes_per_s={:.0} cpu_us={:.0}",
-            busy.datagrams, busy.bytes, busy.cpu_us
+            loaded.datagrams, loaded.bytes, loaded.cpu_us
         );
     }
-    let table = Table { heads, rows };
+    let table = Table { headers, rows };
     let description = format!(
-        "Simulated, one thread for all routers, seed {}: one rate, idle, and with requests at every \
-         router. CPU holds the simulation's own work and both ends of each datagram.",
+        "Simulated, one thread for all routers, seed {}: one rate limit, idle, and with requests at every \
+         router. The CPU time includes the simulation's own work and both ends of each datagram.",
         common.seed
     );
     print_and_write_table(common.out.as_deref(), "fleet-cost", &description, &table)?;
--- a/crates/lab/src/floor_table.rs
+++ b/crates/lab/src/floor_table.rs
@@ -1,5 +1,7 @@
-//! The bounded table of session floors against a plain ordered map, and what it loses when it overflows. All
-//! in this process, on a simulated clock.
+//! Compares the bounded table of session floors with an ordered map that grows without bound, and measures
+//! how many reads replicas can no longer serve when the table is too small for all sessions.
+//!
+//! Everything runs in this process, on a simulated clock.
 
 use crate::results::{write_table_and_chart, Axes, Chart, Line, Table};
 use crate::{CommonOptions, Outcome};
@@ -12,59 +14,60 @@
 
 #[derive(clap::Args)]
 pub struct Options {
-    /// Sessions that write.
+    /// Number of sessions that write.
     #[arg(long, default_value_t = 1_000_000)]
     sessions: u64,
-    /// Writes a second, by any of them alike.
+    /// Writes per second of all sessions together.
     #[arg(long, default_value_t = 2000)]
     writes_per_s: u64,
 }
 
-/// The simulated clock's start: the beginning of 2026, in Unix time.
+/// The time at which the simulated clock starts: the beginning of 2026, in Unix time.
 const START: Time = Time::ms(1_767_225_600_000);
 const GROUP: GroupId = GroupId(1);
-/// Sessions that a bucket has entries for.
+/// Number of entries of a bucket, one for each session.
 const ENTRIES_PER_BUCKET: usize = 7;
-/// Bytes of a page of memory.
+/// Size of a memory page, in bytes.
 const PAGE: u64 = 4096;
-/// Session keys have so many bits.
+/// Number of random bits of a session key.
 const KEY_BITS: u32 = 62;
-/// A prime by which keys are visited in an order other than that of their making.
+/// A prime number. Keys are visited at this stride, so that their order differs from the order of generation.
 const VISIT_STRIDE: u64 = 7919;
-/// The fraction of floors that a table for all sessions has to know exactly: it evicts few, since buckets
-/// fill unevenly.
+/// The fraction of sessions whose floors a table with entries for all sessions must hold exactly. It is below
+/// 1 because buckets fill unevenly, so that the table evicts a few floors.
 const MIN_EXACT_FRACTION: f64 = 0.97;
-/// How far replicas are behind.
+/// Replica lags that are compared.
 const LAGS: [Time; 3] = [Time::ms(12), Time::ms(5_000), Time::ms(60_000)];
-/// Sizes of tables, as fractions of one that has entries for all sessions.
+/// Sizes of the tables, as fractions of the size that has entries for all sessions.
 const SIZES: [f64; 6] = [1.0, 0.5, 0.25, 0.125, 1.0 / 32.0, 1.0 / 128.0];
 
 impl Options {
-    /// The moment of the write of this number.
+    /// Returns the commit time of the write with this number.
     fn commit_time(&self, write: u64) -> Time {
         START.plus(Time(write * 1_000_000_000 / self.writes_per_s))
     }
 
-    /// Bytes of a table with entries for all sessions, filled to two thirds.
+    /// Returns the size in bytes of a table whose entries all sessions fill to at most two thirds.
     fn full_size(&self) -> usize {
         (self.sessions as usize * 3 / 2 / ENTRIES_PER_BUCKET).next_power_of_two() * BUCKET_BYTES
     }
 }
 
-/// Resident memory of this process, in bytes.
+/// Returns the resident memory of this process, in bytes; 0 if it cannot be read.
 fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     text.split_whitespace().nth(1).and_then(|n| n.parse::<u64>().ok()).unwrap_or(0) * PAGE
 }
 
-/// Nanoseconds for each of `n` calls.
+/// Calls a function `n` times, with the number of the call, and returns the mean time of a call in
+/// nanoseconds.
 fn time_calls_ns(n: u64, mut call: impl FnMut(u64)) -> f64 {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     (0..n).for_each(&mut call);
-    begun.elapsed().as_nanos() as f64 / n as f64
+    started_at.elapsed().as_nanos() as f64 / n as f64
 }
 
-/// What a structure costs.
+/// Mean time of each operation of a structure, and its memory per session.
 struct Costs {
     add_ns: f64,
     raise_ns: f64,
@@ -79,7 +82,7 @@
     }
 }
 
-/// Keys of sessions, and the order in which they are visited.
+/// Session keys, in order of generation.
 struct Keys(Vec<SessionKey>);
 
 impl Keys {
@@ -88,7 +91,7 @@
         Keys((0..count).map(|_| SessionKey(rng.u64(..1 << KEY_BITS))).collect())
     }
 
-    fn visit(&self, n: u64) -> SessionKey {
+    fn key_at(&self, n: u64) -> SessionKey {
         self.0[(n.wrapping_mul(VISIT_STRIDE) % self.0.len() as u64) as usize]
     }
 }
@@ -98,50 +101,51 @@
     let before = resident_bytes();
     let mut map = BTreeMap::new();
     let add_ns = time_calls_ns(sessions, |n| {
-        raise_in_map(&mut map, keys.visit(n), options.commit_time(n));
+        raise_in_map(&mut map, keys.key_at(n), options.commit_time(n));
     });
     let bytes_per_session = resident_bytes().saturating_sub(before) as f64 / sessions as f64;
     let get_ns = time_calls_ns(sessions, |n| {
-        black_box(map.get(&(GROUP, keys.visit(n * 31))));
+        black_box(map.get(&(GROUP, keys.key_at(n * 31))));
     });
     let raise_ns = time_calls_ns(sessions, |n| {
-        raise_in_map(&mut map, keys.visit(n), options.commit_time(sessions + n));
+        raise_in_map(&mut map, keys.key_at(n), options.commit_time(sessions + n));
     });
     Costs { add_ns, raise_ns, get_ns, bytes_per_session }
 }
 
 fn raise_in_map(map: &mut BTreeMap<(GroupId, SessionKey), Time>, session: SessionKey, floor: Time) {
-    let known = map.entry((GROUP, session)).or_insert(Time(0));
-    *known = floor.max(*known);
+    let current = map.entry((GROUP, session)).or_insert(Time(0));
+    *current = floor.max(*current);
 }
 
-/// The costs of a table for all sessions, and the fraction of floors that it knows exactly.
+/// Measures a table with entries for all sessions. Returns its costs and the fraction of sessions whose
+/// floors it holds exactly.
 fn table_costs(options: &Options, keys: &Keys, seed: u64) -> (Costs, f64) {
     let sessions = options.sessions;
     let before = resident_bytes();
     let mut table = FloorTable::new(START, options.full_size(), seed);
-    let add_ns = time_calls_ns(sessions, |n| table.raise(GROUP, keys.visit(n), options.commit_time(n)));
+    let add_ns = time_calls_ns(sessions, |n| table.raise(GROUP, keys.key_at(n), options.commit_time(n)));
     let bytes_per_session = resident_bytes().saturating_sub(before) as f64 / sessions as f64;
     let get_ns = time_calls_ns(sessions, |n| {
-        black_box(table.get(GROUP, keys.visit(n * 31)));
+        black_box(table.get(GROUP, keys.key_at(n * 31)));
     });
     let raise_ns = time_calls_ns(sessions, |n| {
-        table.raise(GROUP, keys.visit(n), options.commit_time(sessions + n));
+        table.raise(GROUP, keys.key_at(n), options.commit_time(sessions + n));
     });
-    let exact = (0..sessions).filter(|n| table.get(GROUP, keys.visit(*n)).exact.is_some()).count();
+    let exact = (0..sessions).filter(|n| table.get(GROUP, keys.key_at(*n)).exact.is_some()).count();
     (Costs { add_ns, raise_ns, get_ns, bytes_per_session }, exact as f64 / sessions as f64)
 }
 
-/// The fractions of reads that a replica may serve.
+/// The fractions of reads that a replica may serve, because it has applied the session's floor.
 struct ReplicaFractions {
-    /// By the table's floors.
+    /// With the floors that the bounded table returns.
     with_table: f64,
-    /// By exact floors of all sessions.
+    /// With the exact floors of all sessions.
     with_exact_map: f64,
 }
 
-/// Each write is followed by a read of some session, once all sessions may have written; a replica may serve
-/// it if it has applied the session's floor.
+/// Simulates writes of random sessions. After the first `sessions` writes, each write is followed by a read
+/// of a random session, which a replica may serve if it has applied the session's floor.
 fn replica_fractions(options: &Options, table_bytes: usize, lag: Time, seed: u64) -> ReplicaFractions {
     let mut table = FloorTable::new(START, table_bytes, seed);
     let mut exact_floors = BTreeMap::new();
@@ -166,16 +170,16 @@
     ReplicaFractions { with_table: fraction(by_table), with_exact_map: fraction(by_map) }
 }
 
-/// What tables of different sizes lose.
+/// The results for tables of different sizes.
 struct Overflow {
     table: Table,
     lines: Vec<Line>,
 }
 
 fn measure_overflow(options: &Options, seed: u64) -> Overflow {
-    let heads =
+    let headers =
         vec!["replicas behind", "bytes a session", "reads that replicas may serve", "with an exact map"];
-    let mut overflow = Overflow { table: Table { heads, rows: Vec::new() }, lines: Vec::new() };
+    let mut overflow = Overflow { table: Table { headers, rows: Vec::new() }, lines: Vec::new() };
     for lag in LAGS {
         let mut points = Vec::new();
         for size in SIZES {
@@ -196,27 +200,28 @@
     overflow
 }
 
-/// Runs the experiment. It passes if a table for all sessions keeps nearly all of their floors.
+/// Runs the experiment. It passes if a table with entries for all sessions holds more than
+/// [`MIN_EXACT_FRACTION`] of their floors exactly.
 pub fn run(options: &Options, common: &CommonOptions) -> anyhow::Result<Outcome> {
     let sessions = options.sessions;
     let keys = Keys::random(sessions, common.seed);
     let map = map_costs(options, &keys);
     let (table, exact_fraction) = table_costs(options, &keys, common.seed);
     let costs = Table {
-        heads: vec!["structure", "add, ns", "raise, ns", "look up, ns", "bytes a session"],
+        headers: vec!["structure", "add, ns", "raise, ns", "look up, ns", "bytes a session"],
         rows: vec![map.row("ordered map, grows for ever"), table.row("book, room for all")],
     };
     println!("{}", costs.to_markdown());
     let overflow = measure_overflow(options, common.seed);
     println!("{}", overflow.table.to_markdown());
     let description = format!(
-        "One process, no sockets: {sessions} sessions, {} writes a second by any of them, reads by any \
-         of them.\n\n{}",
+        "One process, no sockets: {sessions} sessions, {} writes per second by random sessions, reads by \
+         random sessions.\n\n{}",
         options.writes_per_s,
         costs.to_markdown()
     );
     let title = "Reads that replicas may serve as the book overflows";
-    let axes = Axes { title, x: "bytes a session", y: "share", range: 0.0..1.0 };
+    let axes = Axes { title, x: "bytes a session", y: "share", y_range: 0.0..1.0 };
     let chart = Chart { axes, lines: &overflow.lines };
     write_table_and_chart(common.out.as_deref(), "book", &description, &overflow.table, &chart)?;
     let Costs { add_ns, raise_ns, get_ns, bytes_per_session } = table;
--- a/crates/lab/src/overhead.rs
+++ b/crates/lab/src/overhead.rs
@@ -1,4 +1,5 @@
-//! What the library costs a request, against a bare loop over sockets, before a host that answers at once.
+//! Measures what the client library costs per request, compared with a plain loop over a socket. A stand-in
+//! host responds without delay.
 
 use crate::results::{print_and_write_table, Table};
 use crate::{CommonOptions, Outcome, ALLOCATOR};
@@ -11,24 +12,24 @@
 
 #[derive(clap::Args)]
 pub struct Options {
-    /// Requests for each measurement.
+    /// Number of requests of each measurement.
     #[arg(long, default_value_t = 40_000)]
     requests: usize,
 }
 
-/// Requests in flight at a time, for each pair of measurements.
+/// Numbers of concurrent requests; a socket loop and the library are measured with each of them.
 const IN_FLIGHT: [usize; 3] = [1, 64, 1024];
-/// The time that each request of the library has.
+/// Timeout of a request sent with the library.
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// What bare loops send.
+/// The statement that the socket loops send.
 const STATEMENT: &str = "SELECT v FROM records WHERE k = 'k' /* id=1,c=view,t=acme,d=900,cluster=2 */";
 
-/// What requests have taken.
+/// Latency, throughput and allocations of one measurement.
 struct RequestCost {
     p50_us: f64,
     p99_us: f64,
     per_s: f64,
-    /// Allocations a request.
+    /// Allocations per request.
     allocations: f64,
 }
 
@@ -60,7 +61,7 @@
     }
 }
 
-/// So many threads, each with a socket and a loop.
+/// Measures `in_flight` threads, each of which sends requests one after another over its own socket.
 fn measure_bare(host: &Host, in_flight: usize, requests: usize) -> RequestCost {
     let requests_each = requests / in_flight;
     let run_loop = || {
@@ -71,15 +72,15 @@
         };
         (0..requests_each).filter_map(request).collect()
     };
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let latencies: Vec<Duration> = std::thread::scope(|scope| {
         let threads: Vec<_> = (0..in_flight).map(|_| scope.spawn(run_loop)).collect();
         threads.into_iter().flat_map(|t| t.join().unwrap_or_default()).collect()
     });
-    RequestCost::new(latencies, begun.elapsed(), 0)
+    RequestCost::new(latencies, started_at.elapsed(), 0)
 }
 
-/// One client of the library, with so many requests in flight.
+/// Measures one client of the library with `in_flight` concurrent requests.
 fn measure_library(host: &Host, in_flight: usize, requests: usize) -> anyhow::Result<RequestCost> {
     let config = Config { max_connections_per_router: in_flight, ..Config::new([host.addr]) };
     let client = Client::start(config)?;
@@ -88,7 +89,7 @@
     let tasks: Vec<_> =
         (0..in_flight).map(|_| executor.spawn(run_requests(client.clone(), requests_each))).collect();
     let allocations = stats_alloc::Region::new(ALLOCATOR);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let latencies = block_on(executor.run(async {
         let mut all = Vec::new();
         for task in tasks {
@@ -96,10 +97,10 @@
         }
         all
     }));
-    Ok(RequestCost::new(latencies, begun.elapsed(), allocations.change().allocations))
+    Ok(RequestCost::new(latencies, started_at.elapsed(), allocations.change().allocations))
 }
 
-/// So many requests, one after the other; how long those took that were served.
+/// Sends requests one after another and returns the latencies of those that were served.
 async fn run_requests(client: Client, requests: usize) -> Vec<Duration> {
     let mut latencies = Vec::with_capacity(requests);
     for _ in 0..requests {
@@ -112,22 +113,22 @@
     latencies
 }
 
-/// Runs the experiment.
+/// Runs the experiment. It checks no guarantee and always passes.
 pub fn run(options: &Options, common: &CommonOptions) -> anyhow::Result<Outcome> {
     let host = Host::start(|_| (Response::Row(b"v".to_vec()), Vec::new()))?;
-    let forget_statements = || host.record.change(|seen| seen.statements.clear());
+    let clear_statements = || host.record.change(|seen| seen.statements.clear());
     let (mut rows, mut summaries) = (Vec::new(), Vec::new());
     for in_flight in IN_FLIGHT {
-        forget_statements();
+        clear_statements();
         let bare = measure_bare(&host, in_flight, options.requests);
-        forget_statements();
+        clear_statements();
         let library = measure_library(&host, in_flight, options.requests)?;
         rows.push(bare.row(in_flight, "bare loop, a thread each", "-".into()));
         rows.push(library.row(in_flight, "library", format!("{:.1}", library.allocations)));
         summaries
             .push(format!("bare_{in_flight}={:.0} library_{in_flight}={:.0}", bare.per_s, library.per_s));
     }
-    let heads = vec![
+    let headers = vec![
         "in flight",
         "client",
         "p50, us",
@@ -135,10 +136,10 @@
         "requests/s",
         "allocations a request, stand-in's too",
     ];
-    let table = Table { heads, rows };
+    let table = Table { headers, rows };
     let description = format!(
-        "Real sockets, one process: a stand-in that answers at once, a thread a connection, takes part \
-         of the same cores; {} requests for each row.",
+        "Real sockets, one process: a stand-in host that responds without delay, with a thread for each \
+         connection, shares the cores with the clients; {} requests for each row.",
         options.requests
     );
     print_and_write_table(common.out.as_deref(), "overhead", &description, &table)?;
--- a/crates/lab/src/overload.rs
+++ b/crates/lab/src/overload.rs
@@ -1,4 +1,4 @@
-//! More load than the hosts can take: what retries add to it.
+//! Sends more load than the hosts can serve, and measures how many attempts retries add to it.
 
 use crate::client_load::{run_clients, ClientKind, ClientLoad};
 use crate::host_records::count_at_hosts;
@@ -11,32 +11,33 @@
 
 #[derive(clap::Args)]
 pub struct Options {
-    /// Clients.
+    /// Number of clients.
     #[arg(long, default_value_t = 400)]
     clients: usize,
-    /// Requests a second of each client.
+    /// Requests per second of each client.
     #[arg(long, default_value_t = 3.0)]
     per_s: f64,
-    /// Statements that each host works on at a time, each for 20 ms.
+    /// Number of statements that each host executes concurrently, each for 20 ms.
     #[arg(long, default_value_t = 4)]
     slots: usize,
-    /// The Retry-After of routers, in milliseconds.
+    /// The longest Retry-After that routers send, in milliseconds.
     #[arg(long, default_value_t = 100)]
     come_back_ms: u64,
-    /// Seconds that it goes on.
+    /// Duration of the load, in seconds.
     #[arg(long, default_value_t = 8)]
     seconds: u64,
 }
 
-/// How long a host works on a statement.
+/// Time that a host takes to execute a statement.
 const READ_DELAY: Duration = Duration::from_millis(20);
 const ROUTERS: usize = 2;
-/// The library's budget allows retries of a tenth of the requests.
+/// The library's retry budget allows one retry for every ten requests.
 const BUDGET_FRACTION: f64 = 0.1;
-/// Retries that each client of the library may send beyond that fraction: its budget is full at the start.
-const INITIAL_BUDGET: f64 = 10.0;
+/// Retries that each client of the library may send beyond that fraction, since its retry budget is full at
+/// the start.
+const INITIAL_RETRIES: f64 = 10.0;
 
-/// What one kind of client shows.
+/// The results for one kind of client.
 struct KindResult {
     attempts_per_request: f64,
     row: Vec<String>,
@@ -65,35 +66,38 @@
         timeout: Duration::from_millis(900),
         seed: common.seed,
     };
-    let zero = Instant::now();
+    let epoch = Instant::now();
     let addrs: Vec<_> = deployment.routers.iter().map(|r| r.addr).collect();
-    let record = run_clients(&addrs, &load, zero, || {})?;
-    let took_s = zero.elapsed().as_secs_f64();
-    let at_hosts = count_at_hosts(&deployment, zero);
+    let record = run_clients(&addrs, &load, epoch, || {})?;
+    let elapsed_s = epoch.elapsed().as_secs_f64();
+    let host_counts = count_at_hosts(&deployment, epoch);
     let attempts_per_request = record.attempts_per_request();
     let row = vec![
         name.to_string(),
-        format!("{:.0}", record.ended.len() as f64 / took_s),
-        format!("{:.0}", record.served() as f64 / took_s),
+        format!("{:.0}", record.completed.len() as f64 / elapsed_s),
+        format!("{:.0}", record.served() as f64 / elapsed_s),
         format!("{attempts_per_request:.3}"),
-        format!("{:.0}", record.attempts as f64 / took_s),
-        format!("{:.0}", at_hosts.statements as f64 / took_s),
-        at_hosts.late_statements.to_string(),
+        format!("{:.0}", record.attempts as f64 / elapsed_s),
+        format!("{:.0}", host_counts.statements as f64 / elapsed_s),
+        host_counts.late_statements.to_string(),
     ];
     Ok(KindResult { attempts_per_request, row })
 }
 
-/// Runs the experiment. It passes if the library's retries stay within its budget.
+/// Runs the experiment. It passes if the number of retries sent by the library stays within its retry budget.
 pub fn run(options: &Options, common: &CommonOptions) -> anyhow::Result<Outcome> {
-    let kinds =
-        [("no retries", ClientKind::Once), ("naive", ClientKind::Naive), ("library", ClientKind::Library)];
+    let kinds = [
+        ("no retries", ClientKind::NoRetries),
+        ("naive", ClientKind::Naive),
+        ("library", ClientKind::Library),
+    ];
     let (mut rows, mut attempts) = (Vec::new(), Vec::new());
     for (name, kind) in kinds {
         let result = measure(options, common, name, kind)?;
         rows.push(result.row);
         attempts.push(result.attempts_per_request);
     }
-    let heads = vec![
+    let headers = vec![
         "clients",
         "requests/s",
         "served in time/s",
@@ -102,17 +106,19 @@
         "statements/s at the hosts",
         "late at the hosts",
     ];
-    let table = Table { heads, rows };
+    let table = Table { headers, rows };
     let description = format!(
-        "Real router processes and sockets, stand-in group of three, each of which works on {} \
-         statements of 20 ms at a time: {} clients of {} reads a second, one at a time each, two \
-         routers that tell to come back after {} ms, {} s.",
+        "Real router processes and sockets, stand-in group of three hosts, each of which executes {} \
+         statements of 20 ms concurrently: {} clients with {} reads per second each, one at a time, two \
+         routers that send a Retry-After of at most {} ms, {} s.",
         options.slots, options.clients, options.per_s, options.come_back_ms, options.seconds
     );
     print_and_write_table(common.out.as_deref(), "overload", &description, &table)?;
-    let [once, naive, library] = attempts[..] else { bail!("{} kinds in place of three", attempts.len()) };
-    let summary = format!("tries_once={once:.3} tries_naive={naive:.3} tries_library={library:.3}");
+    let [no_retries, naive, library] = attempts[..] else {
+        bail!("expected 3 kinds of clients, got {}", attempts.len())
+    };
+    let summary = format!("tries_once={no_retries:.3} tries_naive={naive:.3} tries_library={library:.3}");
     let requests_per_client = options.per_s * options.seconds as f64;
-    let most = 1.0 + BUDGET_FRACTION + INITIAL_BUDGET / requests_per_client;
-    Ok(Outcome { summary, passed: library <= most })
+    let max_attempts = 1.0 + BUDGET_FRACTION + INITIAL_RETRIES / requests_per_client;
+    Ok(Outcome { summary, passed: library <= max_attempts })
 }
