--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -26,9 +26,9 @@
 static ALLOCATOR: &stats_alloc::StatsAlloc<std::alloc::System> = &stats_alloc::INSTRUMENTED_SYSTEM;
 
 /// Exit code if a guarantee that the experiment checks was violated.
-const EXIT_CHECK_FAILED: u8 = 1;
+const EXIT_BROKEN: u8 = 1;
 /// Exit code if the experiment could not be run.
-const EXIT_NOT_RUN: u8 = 2;
+const EXIT_FAILED: u8 = 2;
 
 /// Runs load experiments against basalthill routers.
 #[derive(Parser)]
@@ -113,12 +113,12 @@
             if passed {
                 ExitCode::SUCCESS
             } else {
-                ExitCode::from(EXIT_CHECK_FAILED)
+                ExitCode::from(EXIT_BROKEN)
             }
         }
         Err(e) => {
             eprintln!("basalthill-lab: {e:#}");
-            ExitCode::from(EXIT_NOT_RUN)
+            ExitCode::from(EXIT_FAILED)
         }
     }
 }
--- a/crates/lab/src/restart.rs
+++ b/crates/lab/src/restart.rs
@@ -111,8 +111,8 @@
     let description = format!(
         "Real router process and sockets, stand-in group: {} sessions have each written once through one \
          router, which then restarts gracefully. Replicas lag by {} ms and reject reads whose floor they \
-         have not applied. The table counts reads directly after the restart; a quarter of the sessions wrote \
-         directly before it.",
+         have not applied. The table counts reads directly after the restart; a quarter of the sessions \
+         wrote directly before it.",
         options.sessions, options.lag_ms
     );
     print_and_write_table(common.out.as_deref(), "restart", &description, &table)?;
