--- a/crates/lab/src/client_load.rs
+++ b/crates/lab/src/client_load.rs
@@ -185,12 +185,12 @@
 
 /// Returns the largest number of `times` in any window of length `window` inside the range `within`.
 pub fn peak_in_window(times: &[Instant], within: Range<Instant>, window: Duration) -> usize {
-    let mut sorted: Vec<Instant> = times.iter().copied().filter(|m| within.contains(m)).collect();
+    let mut sorted: Vec<Instant> = times.iter().copied().filter(|time| within.contains(time)).collect();
     sorted.sort();
     let mut first = 0;
     let mut max = 0;
-    for (n, moment) in sorted.iter().enumerate() {
-        while *moment - sorted[first] > window {
+    for (n, time) in sorted.iter().enumerate() {
+        while *time - sorted[first] > window {
             first += 1;
         }
         max = max.max(n + 1 - first);
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -69,7 +69,7 @@
     Overload(overload::Options),
     /// Measures the cost per request of the client library against a plain socket loop.
     Overhead(overhead::Options),
-    /// Measures a fleet-wide rate limit while links and routers fail: how much of it is used, and the excess.
+    /// Measures a fleet-wide rate limit while links and routers fail: the fraction used and any excess.
     FleetLimits(fleet_limits::Options),
     /// Measures how a snapshot of session floors affects reads after a graceful restart while replicas lag.
     Restart(restart::Options),
--- a/crates/lab/src/overhead.rs
+++ b/crates/lab/src/overhead.rs
@@ -116,7 +116,7 @@
 /// Runs the experiment. It checks no guarantee and always passes.
 pub fn run(options: &Options, common: &CommonOptions) -> anyhow::Result<Outcome> {
     let host = Host::start(|_| (Response::Row(b"v".to_vec()), Vec::new()))?;
-    let clear_statements = || host.record.change(|seen| seen.statements.clear());
+    let clear_statements = || host.record.change(|record| record.statements.clear());
     let (mut rows, mut summaries) = (Vec::new(), Vec::new());
     for in_flight in IN_FLIGHT {
         clear_statements();
--- a/crates/lab/src/reconnect.rs
+++ b/crates/lab/src/reconnect.rs
@@ -120,7 +120,7 @@
 }
 
 /// Returns the number of buckets in a span of time.
-fn buckets(span: Duration) -> u32 {
+fn bucket_count(span: Duration) -> u32 {
     (span.as_millis() / BUCKET.as_millis()) as u32
 }
 
@@ -137,7 +137,7 @@
         }
         completed > 0 && (served as f64) < RECOVERED_FRACTION * completed as f64
     };
-    let mut down_buckets = buckets(KILL_AT)..buckets(RESTART_AT);
+    let mut down_buckets = bucket_count(KILL_AT)..bucket_count(RESTART_AT);
     let end = down_buckets.end;
     match down_buckets.rfind(is_disturbed) {
         None => Some(Duration::ZERO),
@@ -152,7 +152,7 @@
         let count = record.connects.iter().filter(|c| **c >= from && **c < from + BUCKET).count();
         (f64::from(bucket) / BUCKETS_PER_S + 1.0 / BUCKETS_PER_S, count as f64 * BUCKETS_PER_S)
     };
-    (0..buckets(LOAD_DURATION)).map(point).collect()
+    (0..bucket_count(LOAD_DURATION)).map(point).collect()
 }
 
 /// Runs the experiment. It passes if, for the clients of the library, no write was committed twice, no
--- a/crates/lab/src/sessions.rs
+++ b/crates/lab/src/sessions.rs
@@ -61,11 +61,11 @@
 /// What replicas do with a read whose floor they have not applied yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum WhenBehind {
-    /// They wait up to 100 ms for the log position, then reject the read.
+    /// Replicas wait up to 100 ms for the log position, then reject the read.
     Waits,
-    /// They reject the read at once.
+    /// Replicas reject the read at once.
     Refuses,
-    /// They serve the read from what they have applied.
+    /// Replicas serve the read from the log position that they have applied.
     Answers,
 }
 
