--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -36,8 +36,8 @@
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Site settings (JSON) of a deployment with five classes: `view` reads with bounded lag, `own` with causal and
-/// `status` with strong consistency, `report` with eventual consistency; `write` writes.
+/// Site settings (JSON) of a deployment with five classes: reads with bounded lag (`view`), causal (`own`),
+/// strong (`status`) and eventual consistency (`report`), and writes (`write`).
 pub const SETTINGS: &str = r#"{"balancers": 2, "me": 1, "zone": 0, "zones": ["a"], "quantum": 5000000,
  "discovery": "automatic", "weights": "rough", "overShareWorth": 0.2,
  "profiles": [
--- a/crates/standin/src/simulated_fleet.rs
+++ b/crates/standin/src/simulated_fleet.rs
@@ -24,8 +24,8 @@
 const MAX_DATAGRAM_AGE: Time = Time::ms(1000);
 /// The key with which all routers sign datagrams.
 const KEY_BYTES: [u8; 16] = [7; 16];
-/// Intervals between requests are random multiples of a millionth of the mean interval, below this number of
-/// steps: twice the mean.
+/// An interval between requests is a random number of steps below this. A step is a millionth of the mean
+/// interval, so intervals are below twice the mean.
 const INTERVAL_STEPS: u64 = 2_000_000;
 /// Nanoseconds in a step of the interval at one request per second.
 const INTERVAL_STEP_NS: f64 = 1e3;
