--- a/crates/router/tests/client.rs
+++ b/crates/router/tests/client.rs
@@ -72,7 +72,7 @@
         let seen = client.execute_blocking(read("k").session(&session));
         assert_eq!(value(&seen.outcome), n.to_string());
     }
-    // A second client continues the session, as another process would.
+    // A second client imports the session, as another process would.
     let imported = Session::import(&session.export()).unwrap();
     let other = Client::start(Config::new(router_addresses(&deployment))).unwrap();
     let seen = other.execute_blocking(read("k").session(&imported));
@@ -134,7 +134,7 @@
             }
         }
     });
-    // Gives the hosts the time to complete writes that are still in progress.
+    // The hosts complete writes that are still in progress.
     std::thread::sleep(100 * MS);
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
     for result in results.into_inner().unwrap() {
--- a/crates/router/tests/client_edge_cases.rs
+++ b/crates/router/tests/client_edge_cases.rs
@@ -274,7 +274,7 @@
     host.wait_for_statement("id=1").unwrap();
     router.stop();
     assert_eq!(error_code(&client.read_reply().unwrap()), "58000");
-    // The router has read the write together with the read. It rejects it at once and never forwards it.
+    // The router has already received the write, so it rejects the write at once and never forwards it.
     assert_eq!(error_code(&client.read_reply().unwrap()), "53300");
     assert!(client.wait_for_close());
     assert_eq!(host.statement_count("id=2"), 0);
@@ -287,7 +287,7 @@
 fn a_command_that_expired_in_the_pipeline_is_rejected_in_order() {
     let host = primary_host(|text| {
         if text.contains("id=1") {
-            std::thread::sleep(Duration::from_millis(700)); // processing time
+            std::thread::sleep(Duration::from_millis(700)); // the host's processing time
         }
         Response::Row(b"x".to_vec())
     });
--- a/crates/router/tests/common/shim.rs
+++ b/crates/router/tests/common/shim.rs
@@ -26,8 +26,8 @@
     library
 }
 
-/// Returns the path of a script that runs the program with failing system calls, given as name, errno and
-/// interval: every n-th call fails.
+/// Writes a script that runs the program with failing system calls, and returns its path. A call is given as
+/// name, errno and interval n: every n-th call fails.
 pub fn program_with_failing_calls(calls: &[(&str, i32, u32)]) -> PathBuf {
     let calls: String =
         calls.iter().map(|(name, error, interval)| format!(" {name}={error}/{interval}")).collect();
--- a/crates/router/tests/discovery_faults.rs
+++ b/crates/router/tests/discovery_faults.rs
@@ -111,8 +111,8 @@
     assert_drain_takes_effect_after(&[ResponseMode::Close, ResponseMode::Close, ResponseMode::NoResponse]);
 }
 
-/// Discovery is unreachable until the router's requests are far apart. When discovery recovers, its list has
-/// the drain.
+/// Discovery is unreachable until the intervals between the router's requests are long. When discovery
+/// recovers, its list has the drain.
 #[test]
 fn a_drain_takes_effect_promptly_once_discovery_recovers() {
     let (one, two) = primary_and_successor();
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -149,8 +149,8 @@
     let _ = p99();
     sleep_ms(2000);
     let p99_before = p99();
-    // Some look like datagrams of the fleet up to their signature, the others do not. A batch of 100 every
-    // 0.8 ms.
+    // Some look like datagrams of the fleet up to their signature, the others do not. They are sent as fast
+    // as possible, with a pause of 0.8 ms after each batch of 100.
     let to = harness.fleet_addr(0).expect("the router has no fleet address");
     let socket = std::net::UdpSocket::bind("127.0.0.1:0").expect("failed to bind a UDP socket");
     let until = Instant::now() + Duration::from_secs(2);
@@ -240,7 +240,7 @@
     assert!(stderr.contains("fleet.router: \"n9\", this one, is not on the list"), "{stderr}");
 }
 
-/// Returns when statements arrived whose id had already arrived.
+/// Returns the arrival times of statements whose id had already arrived.
 fn retry_arrivals(harness: &FleetHarness) -> Vec<Instant> {
     let mut all = Vec::new();
     for host in &harness.hosts {
--- a/crates/router/tests/pipelines.rs
+++ b/crates/router/tests/pipelines.rs
@@ -29,14 +29,14 @@
 /// Starts a primary whose rows contain the id of their request; a row of a read has `bytes` bytes.
 fn primary(bytes: usize) -> Host {
     let report = || vec![("rank", "source".into()), ("as_of", basalthill_standin::unix_ms().to_string())];
-    let answer = move |text: &str| match text {
+    let respond = move |text: &str| match text {
         "SHOW vitals" => {
             Response::Row(format!("x0={}.0,x1=1", basalthill_standin::unix_ms() / 1000).into_bytes())
         }
         text if text.contains("INSERT") => Response::Row(id_of(text).as_bytes().to_vec()),
         text => Response::Row(value(id_of(text), bytes)),
     };
-    Host::start(move |text| (answer(text), report())).unwrap()
+    Host::start(move |text| (respond(text), report())).unwrap()
 }
 
 /// Returns a statement with a unique id and a timeout of one minute.
@@ -192,7 +192,7 @@
     let host = Host::start(|text| match text {
         "SHOW vitals" => (Response::Row(b"x1=1".to_vec()), Vec::new()),
         text => {
-            std::thread::sleep(Duration::from_millis(4)); // processing time
+            std::thread::sleep(Duration::from_millis(4)); // the host's processing time
             (Response::Row(id_of(text).as_bytes().to_vec()), vec![("rank", "source".into())])
         }
     })
@@ -246,7 +246,7 @@
     });
 }
 
-/// How many requests that a client wrote completely on accepted connections had each outcome.
+/// The number of requests with each outcome, of those that a client wrote completely on accepted connections.
 #[derive(Default)]
 struct PipelineCounts {
     answered: usize,
--- a/crates/router/tests/platform.rs
+++ b/crates/router/tests/platform.rs
@@ -137,7 +137,7 @@
         assert!(deployment.routers[0].wait_for_log("stopped").is_some());
         send_read(&deployment, 2);
     };
-    // The filter stays with the thread that installs it, and with all that this thread starts.
+    // The filter can't be removed from the thread that installs it, nor from what this thread starts.
     std::thread::spawn(serve_reload_and_stop).join().unwrap();
 }
 
--- a/crates/router/tests/program.rs
+++ b/crates/router/tests/program.rs
@@ -210,10 +210,10 @@
     let mut child = spawn_router(&host, &occupied.local_addr().unwrap().to_string());
     let mut lines = BufReader::new(child.stderr.take().unwrap()).lines();
     assert!(lines.any(|line| line.unwrap().contains("is in use")));
-    let began = Instant::now();
+    let started_at = Instant::now();
     signal(&child, "TERM");
     assert_eq!(child.wait().unwrap().code(), Some(0));
-    assert!(began.elapsed() < Duration::from_secs(2), "{:?}", began.elapsed());
+    assert!(started_at.elapsed() < Duration::from_secs(2), "{:?}", started_at.elapsed());
 }
 
 /// Some requests are in flight to a host that hangs, and others are queued. After SIGTERM each client gets a
@@ -233,7 +233,7 @@
         client.send(&write.replace("d=480", deadline)).unwrap();
     }
     host.wait_for_statement("INSERT").unwrap();
-    let began = Instant::now();
+    let started_at = Instant::now();
     signal(&child, "TERM");
     signal(&child, "HUP");
     signal(&child, "TERM");
@@ -242,8 +242,9 @@
         assert!(client.wait_for_close(), "client {n}");
     }
     assert_eq!(child.wait().unwrap().code(), Some(0));
-    // The longest deadline, three seconds at most, and the 0.7 s that the operators allow beyond it.
-    assert!(began.elapsed() < Duration::from_millis(3700), "{:?}", began.elapsed());
+    // The longest deadline, which counts as three seconds at most, and the 0.7 s that the operators allow
+    // after it.
+    assert!(started_at.elapsed() < Duration::from_millis(3700), "{:?}", started_at.elapsed());
 }
 
 /// A router is ready when it answers an empty query. Without an endpoint list it rejects requests.
@@ -275,13 +276,13 @@
         let addr = address_after(child.0.stderr.take().unwrap(), "listens on ");
         (child, addr)
     };
-    let began = Instant::now();
+    let started_at = Instant::now();
     let started: Vec<_> = cases.iter().enumerate().map(|(n, c)| start(n, c.0, c.1)).collect();
     for ((known, discovery, served), (_child, addr)) in cases.iter().zip(&started) {
         let case = format!("known {known:.40}, discovery {discovery}");
         let mut client = Client::connect(*addr).unwrap();
         assert_eq!(client.query("").unwrap(), Reply::Empty, "{case}");
-        assert!(began.elapsed() < Duration::from_secs(8), "{case}: {:?}", began.elapsed());
+        assert!(started_at.elapsed() < Duration::from_secs(8), "{case}: {:?}", started_at.elapsed());
         let reply = client.query(&statement_text("write", "")).unwrap();
         match served {
             true => assert_eq!(reply, Reply::Row(b"x1=1".to_vec()), "{case}, host {host_addr}"),
--- a/crates/router/tests/sessions.rs
+++ b/crates/router/tests/sessions.rs
@@ -53,7 +53,8 @@
     format!("SELECT v FROM records WHERE k = '{key}' /* id=r{id},c=own,t=acme,d=900,cluster=2{extra} */")
 }
 
-/// Returns the last token that a client received as a parameter of a statement's comment, or an empty string.
+/// Returns the token that a client received last, as a parameter for a statement's comment. Returns an empty
+/// string if the client received none.
 fn token_of(client: &Client) -> String {
     client.token.as_ref().map(|token| format!(",token={token}")).unwrap_or_default()
 }
@@ -210,7 +211,7 @@
         "7",
         "the session sees its write, whichever member serves the read"
     );
-    std::thread::sleep(Duration::from_millis(950)); // the replicas have applied the write now
+    std::thread::sleep(Duration::from_millis(950)); // longer than the replicas' lag
     deployment.routers[0].stop_and_restart().unwrap();
     assert!(deployment.routers[0].wait_for_log("taken over").is_some());
     assert!(!path.exists(), "a snapshot is valid once");
@@ -291,7 +292,7 @@
     assert_eq!(query(&mut client, &read(2, "anne", &new)).value, "8", "an invalid file changes nothing");
     reload(&deployment, &settings(&key(2, "signs=#true")), "read again");
     assert_eq!(query(&mut client, &read(3, "anne", &new)).value, "8");
-    // The old token is no longer valid. The read may have to wait for that, but it is not stale.
+    // The old token is no longer valid. The only consequence is that the read may have to wait.
     assert_eq!(query(&mut client, &read(4, "anne", &old)), served_by_replica("8"));
     let counts = logged_counts(router);
     assert!(counts.contains("1 tokens of an unknown key") && counts.contains("3 by token"), "{counts}");
@@ -313,11 +314,11 @@
     deployment.group.reconfigure(|behavior| behavior.write_delays[1] = Duration::ZERO);
     deployment.publish_members(2);
     let mut other = Client::connect(deployment.routers[1].addr).unwrap();
-    // The read is served whichever member the router takes for the primary now.
+    // The router may still take the old primary or already its successor for the primary.
     assert_eq!(query(&mut other, &read(1, "anne", &before)).value, "7");
     let after = token_of(&other);
-    // The successor serves the next write, if need be after the old primary has rejected it, and its replicas
-    // follow.
+    // The successor serves the next write, after a rejection by the old primary if the router tries that one
+    // first, and the write is replicated from the successor.
     assert_eq!(query(&mut other, &write(3, "anne", "8", &after)).value, "8");
     let newest = token_of(&other);
     for (n, router) in deployment.routers.iter().enumerate() {
--- a/crates/router/tests/shim/system_calls.c
+++ b/crates/router/tests/shim/system_calls.c
@@ -1,6 +1,6 @@
 /* Wrappers of system calls, to be preloaded.
-   Failures: FAILING_CALLS lists calls by name, errno and interval. " recv=4/3 send=105/7" makes each third
-   recv fail with errno 4 and each seventh send with errno 105.
+   Failures: FAILING_CALLS lists calls by name, errno and interval. " recv=4/3 send=105/7" makes every third
+   recv fail with errno 4 and every seventh send with errno 105.
    Clock: the file named by CLOCK_AHEAD_FILE contains the number of milliseconds by which the wall clock is
    ahead, as a signed integer of eight bytes in native byte order. It is read at each call. */
 #define _GNU_SOURCE
@@ -40,8 +40,8 @@
     return 1;
 }
 
-/* The signal handler writes to a Unix socket pair, and nothing repeats a write that fails there: send never
-   fails on Unix sockets. */
+/* The signal handler writes to a Unix socket pair, and nothing repeats a write that fails there. So send is
+   exempt on Unix sockets. */
 static int is_unix(int fd)
 {
     int domain = 0;
--- a/crates/router/tests/shutdown_soak.rs
+++ b/crates/router/tests/shutdown_soak.rs
@@ -1,7 +1,7 @@
 //! Soak test of the graceful shutdown: clients use their connections up to the earliest kill, a series of
 //! signals arrives, and hosts hang. Some runs have many idle clients, some have system calls that fail
-//! transiently. Every request must get a complete reply in time, or its connection must be closed without a
-//! reply and no host have received the request.
+//! transiently. Every request must get a complete reply in time. Otherwise its connection must be closed
+//! without a reply, and no host may have received the request.
 //!
 //! SOAK_SEEDS sets the number of runs, SOAK_FIRST the seed of the first one.
 
--- a/crates/router/tests/system_call_faults.rs
+++ b/crates/router/tests/system_call_faults.rs
@@ -89,7 +89,7 @@
     assert!(waiting.query("").is_ok());
     // More connections than the limit: the router closes idle connections to members to accept them.
     let idle_clients: Vec<_> = (0..80).map(|_| TcpStream::connect(router.addr).unwrap()).collect();
-    // The router continues to serve other clients, here for as long as several attempts and health checks
+    // The router continues to serve other clients, for as long as several attempts and health checks would
     // take.
     let mut serve_others = || {
         let started_at = Instant::now();
@@ -103,13 +103,13 @@
     waiting.send(&format!("{write} /* id=a1,c=write,t=acme,d=1500,cluster=2 */")).unwrap();
     serve_others();
     drop(idle_clients);
-    let answer = waiting.read_reply();
-    assert!(matches!(answer, Ok(Reply::Row(_))), "{answer:?}");
+    let reply = waiting.read_reply();
+    assert!(matches!(reply, Ok(Reply::Row(_))), "{reply:?}");
 }
 
-/// Starts a router while the system clock is ahead by `ahead_ms`, and then corrects the clock. Asserts that
-/// reads with a staleness bound of 0.5 s skip a replica that lags by 0.8 s until it has caught up. (The
-/// replica is not ejected, which would take a lag of 1 s.)
+/// Starts a router while the system clock is ahead by `ahead_ms` (behind if negative), and then corrects the
+/// clock. Asserts that reads with a staleness bound of 0.5 s skip a replica that lags by 0.8 s until the
+/// replica has caught up. (The replica is not ejected, which would take a lag of 1 s.)
 fn assert_reads_stay_fresh_after_clock_set(ahead_ms: i64) {
     let clock_offset = write_unique_file(Path::new(TEST_DIR), "clock-ahead", "").unwrap();
     std::fs::write(&clock_offset, ahead_ms.to_ne_bytes()).unwrap();
@@ -120,13 +120,13 @@
     );
     let lag = Arc::new(AtomicU64::new(800));
     let host = |name: &'static str, rank: &'static str, lag: Arc<AtomicU64>| {
-        let answer = move |text: &str| {
+        let respond = move |text: &str| {
             let as_of = unix_ms() - lag.load(Ordering::SeqCst);
             let vitals = format!("x0={},x1={}", as_of as f64 / 1000.0, u8::from(rank == "source"));
             let value = if text == "SHOW vitals" { vitals } else { name.into() };
             (Response::Row(value.into_bytes()), vec![("rank", rank.into()), ("as_of", as_of.to_string())])
         };
-        Host::start(answer).unwrap()
+        Host::start(respond).unwrap()
     };
     let (first, second) = (host("first", "source", Arc::default()), host("second", "copy", Arc::clone(&lag)));
     let known = endpoint_list(
--- a/crates/router/tests/transport.rs
+++ b/crates/router/tests/transport.rs
@@ -194,7 +194,7 @@
 fn clients_beyond_the_descriptor_budget_are_rejected_cleanly() {
     let host = primary_host(|_| Response::RowOnRelease(b"x".to_vec()));
     let router = RouterThread::with_descriptors(&host, 48);
-    // Of the 48 descriptors 24 are reserved. Clients get half of the other 24, connections to members the
+    // 24 of the 48 descriptors are reserved. Clients may use 12 of the others, and connections to members the
     // rest.
     let mut clients: Vec<Client> = (0..12).map(|_| router.client()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
@@ -223,8 +223,7 @@
 fn idle_clients_are_evicted_for_new_connections() {
     let host = primary_with_row(b"x");
     let router = RouterThread::with_descriptors(&host, 64);
-    // Clients may use 21 of the 64 descriptors, so a router that evicted no client could not accept 60 of
-    // them.
+    // Clients may use 21 of the 64 descriptors, so a router that evicted no client would run out of them.
     let mut clients: Vec<Client> = (0..60)
         .map(|_| {
             let mut client = router.client();
