--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -178,7 +178,7 @@
     pub tenants: Vec<Tenant>,
     /// The fraction of its value that a request over its tenant's quota keeps.
     pub over_quota_weight: f64,
-    /// Whether the endpoint list has to be polled because it is not pushed.
+    /// Whether the endpoint list has to be polled because service discovery does not push it.
     pub poll_endpoint_list: bool,
     /// How reliably the endpoint list names the primary.
     pub list_role: ListRole,
@@ -206,14 +206,15 @@
     pub retry_after: bool,
     /// The longest Retry-After that clients comply with.
     pub max_retry_after: Time,
-    /// How long attempts may still be sent to a member after it was notified to drain, or was removed.
+    /// How long attempts may still be sent to a member after the router was notified that the member is
+    /// draining or removed.
     pub drain_grace: Time,
-    /// Whether a member's removal from the endpoint list is ignored, so that only a notification to drain
-    /// ends attempts to it.
+    /// Whether a member's removal from the endpoint list is ignored, so that attempts to it end only once the
+    /// router was notified that it is draining.
     pub ignore_removal: bool,
     /// The least fraction of its capacity that a member has right after its start.
     pub slow_start_capacity: f64,
-    /// How long after its start a member has its full capacity at the latest.
+    /// The longest time that a member needs to warm up: from its start until it has its full capacity.
     pub slow_start_window: Time,
     /// A warming member is overloaded and fails if it is sent more than this multiple of its current capacity
     /// for the [`overload_window`](Self::overload_window).
@@ -395,11 +396,12 @@
     MemberCapacity {
         /// The member.
         member: MemberId,
-        /// Further attempts that may be in flight there.
+        /// The number of attempts that may still be sent there before the next such event. The end of an
+        /// attempt does not raise it.
         attempts: u32,
     },
-    /// The first part of an attempt's response was sent to the client: no other attempt can serve the request
-    /// any more.
+    /// The first part of an attempt's response was sent to the client: from now on, no other attempt can
+    /// serve the request.
     ResponseStarted(RequestId, Attempt),
     /// An attempt ended.
     Outcome(Outcome),
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -216,7 +216,7 @@
         self.reject_expired(out);
         if self.stalled_for == Time(0) {
             // After a stall, responses that have already arrived may follow later in the same round of
-            // events.
+            // events, so a missing response is no evidence against its member.
             self.detect_unresponsive_members();
         }
         self.send_due_probes(out);
@@ -233,7 +233,8 @@
     }
 
     /// Returns the fraction of shared work (such as health checks) that this router performs: 1 for up to
-    /// [`SMALL_FLEET_ROUTERS`] routers, and less in a larger fleet, so that the total stays the same.
+    /// [`SMALL_FLEET_ROUTERS`] routers, and less in a larger fleet, so that the total of all routers does not
+    /// grow with the fleet.
     fn shared_work_fraction(&self) -> f64 {
         (SMALL_FLEET_ROUTERS / f64::from(self.settings.routers)).min(1.0)
     }
--- a/crates/policy/src/policy/admission.rs
+++ b/crates/policy/src/policy/admission.rs
@@ -13,8 +13,9 @@
 /// the client can still use another router.
 const UNSENT_WAIT_FRACTION: f64 = 0.5;
 
-/// The fraction of a limit's tokens of which requests of lower value leave a part to those of higher value:
-/// the lower the value per second of work, the larger the part.
+/// The largest fraction of a limit's tokens that a class leaves to classes of higher value per second of
+/// work. The class of the highest value may use all tokens; the lower the value of another class, the more it
+/// leaves.
 const RESERVED_LIMIT_FRACTION: f64 = 0.5;
 
 /// Two client timeouts are considered equal if they differ by less than this many ticks.
@@ -28,9 +29,10 @@
 pub(super) enum Placement {
     /// An attempt was sent.
     Sent,
-    /// It was queued.
+    /// The request was queued.
     Queued,
-    /// It was neither sent nor queued: it has ended, or ends with its attempts in flight.
+    /// The request was neither sent nor queued: it was rejected or failed, or its attempts in flight decide
+    /// how it ends.
     NotPlaced,
 }
 
@@ -80,7 +82,7 @@
         self.add_probe_tokens_for_request();
         let pending = PendingRequest {
             class: class_index,
-            arrived_at: self.now.minus(waited),
+            client_sent_at: self.now.minus(waited),
             first_attempt_by: self.now.plus(time_left.times(UNSENT_WAIT_FRACTION)),
             min_position,
             weight,
@@ -100,7 +102,8 @@
         let target = if too_late || self.awaits_first_probes(request) {
             None
         } else {
-            // The generator is cloned because `choose_member` borrows the rest of the state immutably.
+            // Choosing a member changes no state but the generator. `choose_member` borrows the policy
+            // immutably, so it draws from a clone, which then replaces the generator.
             let mut rng = self.rng.clone();
             let target = self.choose_member(request, &mut rng);
             self.rng = rng;
@@ -130,11 +133,11 @@
     pub(super) fn useful_until(&self, request: &PendingRequest) -> Time {
         let class = &self.settings.classes[request.class];
         let tick = self.settings.tick;
-        let last = request.request.deadline.minus(tick.times(DEADLINE_MARGIN_TICKS));
+        let latest = request.request.deadline.minus(tick.times(DEADLINE_MARGIN_TICKS));
         if class.late_weight > 0.0 {
-            return last;
+            return latest;
         }
-        last.min(request.arrived_at.plus(class.latency_objective).minus(tick))
+        latest.min(request.client_sent_at.plus(class.latency_objective).minus(tick))
     }
 
     /// Returns whether a request may wait in the queue: only while a further attempt is allowed and its
@@ -153,7 +156,7 @@
         let repeatable = class.effect == Effect::Idempotent
             || request.first_possible_execution().is_none()
             || self.window_allows_repeat(request);
-        // A router that has just started has not received its first endpoint list yet.
+        // A router that has just started may not have received its first endpoint list yet.
         let awaits_first_list = self.members.is_empty() && self.is_starting_up();
         let has_members = awaits_first_list || self.members.has_group(request.request.group);
         !self.is_exhausted(request) && repeatable && has_members
@@ -187,17 +190,17 @@
     /// execute it again.
     fn attempt_timeout(&self, request: &PendingRequest) -> Time {
         let tick = self.settings.tick;
-        let soon = self.now.plus(tick);
-        let until_deadline = request.request.deadline.since(soon).max(tick);
+        let next_tick = self.now.plus(tick);
+        let until_deadline = request.request.deadline.since(next_tick).max(tick);
         let class = &self.settings.classes[request.class];
         match class.effect {
-            Effect::IdempotentByKey => until_deadline.min(request.window_left(soon, class.window)),
+            Effect::IdempotentByKey => until_deadline.min(request.window_left(next_tick, class.window)),
             Effect::Idempotent | Effect::NonIdempotent => until_deadline,
         }
     }
 
-    /// Ends a request that has no attempt in flight: rejects it if the client may safely retry, otherwise
-    /// fails it.
+    /// Rejects a request if the client may safely retry it, otherwise fails it. Does nothing while an attempt
+    /// of the request is in flight.
     pub(super) fn reject_or_fail(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.attempts_in_flight() > 0 {
@@ -223,8 +226,8 @@
         class.effect == Effect::Idempotent || (deduplicated && within_window)
     }
 
-    /// Removes a request that has ended. Its attempts in flight are cancelled if cancelling is allowed and
-    /// the request is idempotent.
+    /// Removes a request that has completed or was abandoned. Its attempts in flight are cancelled if
+    /// cancelling is allowed and the request is idempotent.
     pub(super) fn remove_request(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.remove(&id) else { return };
         self.queue.remove(request.request.group, id);
--- a/crates/policy/src/policy/breaker.rs
+++ b/crates/policy/src/policy/breaker.rs
@@ -53,7 +53,7 @@
         *self = Breaker::Closed;
     }
 
-    /// Returns whether the member is in a cooldown, whatever the reason.
+    /// Returns whether the member is in a cooldown for any reason.
     pub(super) fn is_open(&self) -> bool {
         matches!(self, Breaker::Open { .. })
     }
--- a/crates/policy/src/policy/client_timeouts.rs
+++ b/crates/policy/src/policy/client_timeouts.rs
@@ -1,8 +1,9 @@
 //! Estimation of how long a request has waited before it arrived, from the frequent client timeouts of its
 //! class.
 //!
-//! Most clients of a class use one of a few timeouts. A request that arrives with less time left than these
-//! has waited before: while a router was stalled, or during an earlier attempt at another router.
+//! Most clients of a class use one of a few timeouts. A request that arrives with less time left than any of
+//! these has waited before its arrival: while a router was stalled, or during an earlier attempt at another
+//! router.
 
 use crate::api::Time;
 
@@ -25,9 +26,9 @@
 }
 
 impl FrequentTimeouts {
-    /// Counts a request that arrived with `time_left` until its deadline, and returns how long it has waited
-    /// before: zero if `time_left` is within `tolerance` of a recorded timeout, otherwise the difference to
-    /// the most frequent timeout.
+    /// Counts a request that arrived with `time_left` until its deadline, and returns how long it had waited
+    /// before its arrival: zero if `time_left` is within `tolerance` of a recorded timeout, otherwise the
+    /// time by which the most frequent timeout exceeds `time_left`.
     pub(super) fn elapsed_before_arrival(&mut self, time_left: Time, tolerance: Time) -> Time {
         let matches = |candidate: &Candidate| {
             let distance = time_left.since(candidate.timeout).max(candidate.timeout.since(time_left));
--- a/crates/policy/src/policy/connections.rs
+++ b/crates/policy/src/policy/connections.rs
@@ -9,7 +9,8 @@
 /// A member that responds within this time after it rejected a connection is up, but at its connection limit.
 const SHORTAGE_DETECTION_WINDOW: Time = Time::ms(1000);
 
-/// How long after the detection of a shortage the router closes connections as soon as they are idle.
+/// The time after the detection of a shortage during which the router closes each connection as soon as it is
+/// idle.
 const SHORTAGE_DURATION: Time = Time::ms(10_000);
 
 /// The fraction of the hosts' idle timeout for which a connection is assumed to stay open after the last
@@ -23,10 +24,10 @@
 impl Policy {
     /// Returns the cost of a missing connection to the member, in requests in flight; zero in a small fleet.
     ///
-    /// A router that seldom sends to a group would open a connection to each of its members, which would then
-    /// reach the idle timeout. In a large fleet, each router therefore prefers a random subset of the group,
-    /// so that the subsets of all routers cover it evenly. It uses other members when more requests are in
-    /// flight at the preferred ones or their latency rises.
+    /// A router that rarely sends to a group would open a connection to each member of the group, hardly
+    /// use it, and lose it to the idle timeout. In a large fleet, each router therefore prefers a random
+    /// subset of the members; the subsets of all routers cover the group evenly. A router uses other members
+    /// when more requests are in flight at the preferred ones or the latency of these rises.
     pub(super) fn connection_cost(&self, member: &Member) -> f64 {
         let open_for = self.settings.conn_idle.times(OPEN_CONNECTION_FRACTION);
         let likely_open = self.now.since(member.responded_at) < open_for;
--- a/crates/policy/src/policy/eligibility.rs
+++ b/crates/policy/src/policy/eligibility.rs
@@ -42,8 +42,8 @@
 
     /// Returns whether the member's drain grace period is over, or will be within a tick.
     fn has_drained(&self, member: &Member) -> bool {
-        let soon = self.now.plus(self.settings.tick);
-        member.draining_since.is_some_and(|since| since.plus(self.settings.drain_grace) <= soon)
+        let next_tick = self.now.plus(self.settings.tick);
+        member.draining_since.is_some_and(|since| since.plus(self.settings.drain_grace) <= next_tick)
     }
 
     /// Returns whether the request may be sent to the member given that it may already have been executed.
--- a/crates/policy/src/policy/health_checks.rs
+++ b/crates/policy/src/policy/health_checks.rs
@@ -5,7 +5,8 @@
 use super::Policy;
 use crate::api::*;
 
-/// A member is probed after this long without a response or a health check.
+/// A member is probed after this long without a response or a health check; in a fleet of more than
+/// [`SMALL_FLEET_ROUTERS`](super::SMALL_FLEET_ROUTERS) routers, after a proportionally longer time.
 pub(super) const PROBE_INTERVAL: Time = Time::ms(2000);
 
 /// The interval at which a suspect or half-open member is probed.
@@ -20,8 +21,9 @@
 /// The tokens for health checks that each request adds.
 const PROBE_TOKENS_PER_REQUEST: f64 = 0.1;
 
-/// An attempt is not overdue, and its member not considered unresponsive, before it has been in flight for
-/// this long.
+/// An attempt is overdue, and evidence that its member is unresponsive, only if it has been in flight for
+/// longer than this. For the same time after a response of a member, connection resets and failed health
+/// checks don't count as failures of the member.
 pub(super) const MIN_OVERDUE_TIME: Time = Time::ms(250);
 
 /// An attempt that has been in flight for more than this many service times of its class is overdue.
@@ -30,8 +32,9 @@
 impl Policy {
     /// Adds tokens for health checks, up to one per member.
     ///
-    /// All routers together get one token per member and probe interval, multiplied by the size of the fleet
-    /// up to [`SMALL_FLEET_ROUTERS`](super::SMALL_FLEET_ROUTERS), and some more for their requests.
+    /// For each member and probe interval, a router of a small fleet gets one token. The routers of a fleet
+    /// of more than [`SMALL_FLEET_ROUTERS`](super::SMALL_FLEET_ROUTERS) routers together get that many.
+    /// Requests add some more.
     pub(super) fn add_probe_tokens(&mut self, probes: f64) {
         self.probe_tokens = (self.probe_tokens + probes).min(self.members.len() as f64);
     }
@@ -91,8 +94,8 @@
         self.observe_replication(id, position_only, self.now.minus(REPORTED_POSITION_AGE));
     }
 
-    /// Ends cooldowns that have passed and probes the members that are due: suspect and half-open ones, then
-    /// the one that has been without contact for longest.
+    /// Half-opens the breakers whose cooldown is over, and probes the members that are due: suspect and
+    /// half-open ones, then the one that has been without contact for longest.
     pub(super) fn send_due_probes(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
         // In a large fleet, lagging members are probed less often: they still serve reads that need no
@@ -131,8 +134,8 @@
     }
 
     /// Checks for overdue attempts. A member that has not responded to any attempt since the overdue one was
-    /// sent is ejected as unresponsive. If it has responded, the overdue attempt is presumed lost and does
-    /// not count as in flight any more.
+    /// sent is ejected as unresponsive. If it has responded, the overdue attempt is presumed lost and no
+    /// longer counts as in flight.
     pub(super) fn detect_unresponsive_members(&mut self) {
         let now = self.now;
         for request in self.requests.values_mut() {
--- a/crates/policy/src/policy/load.rs
+++ b/crates/policy/src/policy/load.rs
@@ -143,9 +143,10 @@
     /// average, which decays to the mean of all members of its role.
     pub(super) fn excess_latency(&self, member: &Member) -> f64 {
         let own = &member.excess_latency;
-        let known = own.retained_fraction(self.now, EXCESS_LATENCY_DECAY_S);
+        let own_fraction = own.retained_fraction(self.now, EXCESS_LATENCY_DECAY_S);
         let of_role = &self.excess_latency_by_role[member.role_index()];
-        own.undecayed() * known + of_role.at(self.now, ROLE_EXCESS_LATENCY_DECAY_S) * (1.0 - known)
+        own.undecayed() * own_fraction
+            + of_role.at(self.now, ROLE_EXCESS_LATENCY_DECAY_S) * (1.0 - own_fraction)
     }
 
     /// Returns whether the member is not in backoff and is below this fraction of its concurrency limit.
@@ -157,8 +158,9 @@
     /// member never counts as overloaded.
     pub(super) fn is_overloaded_for(&self, request: &PendingRequest, member: &Member) -> bool {
         let idle = member.in_flight == 0;
-        // A router sends to an idle member regardless of its excess latency; in a large fleet, it does so
-        // only for a fraction of the requests.
+        // A router of a small fleet sends to an idle member regardless of its excess latency. In a large
+        // fleet, each router does so only for a fraction of its requests: the requests of all routers that
+        // have none in flight at the member would overload it together.
         if idle && request_draw(request.request.id) < self.shared_work_fraction() {
             return false;
         }
@@ -197,7 +199,7 @@
     /// multiplied by `scale`.
     pub(super) fn relative_value(&self, class: usize, scale: f64) -> f64 {
         let values = self.service_times.zip(&self.settings.classes);
-        let best = values.map(|(class, time)| class.priority_weight / time).fold(MIN_VALUE, f64::max);
-        scale * self.settings.classes[class].priority_weight / self.service_times.get(class) / best
+        let highest = values.map(|(class, time)| class.priority_weight / time).fold(MIN_VALUE, f64::max);
+        scale * self.settings.classes[class].priority_weight / self.service_times.get(class) / highest
     }
 }
--- a/crates/policy/src/policy/member.rs
+++ b/crates/policy/src/policy/member.rs
@@ -33,7 +33,7 @@
     pub(super) zone: ZoneId,
     /// Its weight in the endpoint list; 1 if weights are not used.
     pub(super) weight: f64,
-    /// When it was notified to drain, or was removed; `None` while it is in service.
+    /// When the router was notified that the member is draining or removed; `None` while it is in service.
     pub(super) draining_since: Option<Time>,
     /// When it last started, if known.
     pub(super) started_at: Option<Time>,
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Records that the member is up. `recovers` is the reason of an ejection that this evidence ends: a
-    /// response ends an ejection for unresponsiveness, a health check one for transport failures.
+    /// Records that the member is up. This ends an ejection for the reason `recovers`: a response to an
+    /// attempt ends one for unresponsiveness, a successful health check one for transport failures.
     pub(super) fn record_contact(&mut self, now: Time, recovers: EjectReason) {
         if self.has_likely_restarted() {
             self.restart(Some(self.probe_failed_at), now);
--- a/crates/policy/src/policy/members.rs
+++ b/crates/policy/src/policy/members.rs
@@ -4,15 +4,16 @@
 use crate::api::{GroupId, MemberId, Time};
 use std::collections::BTreeMap;
 
-/// How long after it began to drain a member without attempts in flight is removed from its group. Members
-/// are added and removed for weeks: if a group listed them all, the cost of each request would grow without
-/// bound.
+/// The time after the start of draining at which a member without attempts in flight is removed from its
+/// group. Members are added and removed for weeks: if a group listed them all, the cost of each request would
+/// grow without bound.
 const GROUP_REMOVAL_DELAY: Time = Time::ms(30_000);
 
 /// All known members and the groups that they form.
 pub(super) struct Members {
     by_id: BTreeMap<MemberId, Member>,
-    /// The members of each group that are in service or may have attempts in flight, ordered by id.
+    /// The members of each group, ordered by id, without those that began to drain more than
+    /// [`GROUP_REMOVAL_DELAY`] ago and have no attempts in flight.
     groups: BTreeMap<GroupId, Vec<MemberId>>,
     /// The total weight of all members that are not draining, at least 1.
     total_weight: f64,
@@ -78,8 +79,8 @@
     pub(super) fn regroup(&mut self, now: Time) {
         self.groups.clear();
         for (id, member) in &self.by_id {
-            let left = member.draining_since.is_some_and(|since| now.since(since) > GROUP_REMOVAL_DELAY);
-            if member.in_flight > 0 || !left {
+            let drained = member.draining_since.is_some_and(|since| now.since(since) > GROUP_REMOVAL_DELAY);
+            if member.in_flight > 0 || !drained {
                 self.groups.entry(member.group).or_default().push(*id);
             }
         }
--- a/crates/policy/src/policy/outcomes.rs
+++ b/crates/policy/src/policy/outcomes.rs
@@ -35,7 +35,7 @@
     }
 
     /// Records the status of an attempt that was in flight and returns the class of its request. Returns
-    /// `None` if the request or the attempt had already ended.
+    /// `None` if the request has already completed or the attempt already has an outcome.
     fn record_attempt_status(&mut self, outcome: &Outcome) -> Option<usize> {
         let request = self.requests.get_mut(&outcome.request)?;
         let attempt = request.attempts.get_mut(usize::from(outcome.attempt.0))?;
@@ -90,7 +90,8 @@
     }
 
     /// Starts a backoff, corrects the member's role or records its latency, by the attempt's status. `class`
-    /// is the request's class, `None` if the request or the attempt had already ended.
+    /// is the request's class, or `None` if the request has already completed or the attempt already has an
+    /// outcome.
     fn apply_status(&mut self, outcome: &Outcome, class: Option<usize>) {
         let now = self.now;
         let is_write =
--- a/crates/policy/src/policy/pending_request.rs
+++ b/crates/policy/src/policy/pending_request.rs
@@ -9,7 +9,7 @@
     /// How it ended; `None` while it is in flight.
     pub(super) status: Option<Status>,
     /// Whether it is overdue although its member has responded since: its response was probably lost, so it
-    /// does not count as in flight at the member any more.
+    /// no longer counts as in flight at the member.
     pub(super) presumed_lost: bool,
 }
 
@@ -82,7 +82,7 @@
     /// The index of its class in [`Settings::classes`].
     pub(super) class: usize,
     /// The estimated time at which its client first sent it, from which its latency objective is counted.
-    pub(super) arrived_at: Time,
+    pub(super) client_sent_at: Time,
     /// If the request has reached no member by this time, it is rejected, so that its client can still use
     /// another router.
     pub(super) first_attempt_by: Time,
@@ -114,7 +114,8 @@
         }
     }
 
-    /// Returns whether it has had an attempt that did not fail to connect, or has one in flight.
+    /// Returns whether an attempt is in flight, or one ended with another status than
+    /// [`Status::ConnectFailed`].
     pub(super) fn has_reached_member(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.status != Some(Status::ConnectFailed))
     }
--- a/crates/policy/src/policy/queue.rs
+++ b/crates/policy/src/policy/queue.rs
@@ -7,7 +7,8 @@
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
-/// After this many requests of a class could not be placed in one round, the rest of the class is skipped.
+/// Once this many requests of a class could not be placed in one round, the other requests of the class are
+/// skipped in this round.
 const MAX_UNPLACED_PER_CLASS: u32 = 4;
 
 /// The factor by which a request's value per second of work is multiplied before it is rounded down to an
@@ -55,19 +56,19 @@
     id: RequestId,
     class: usize,
     value: u64,
-    arrived_at: Time,
+    client_sent_at: Time,
 }
 
 impl Policy {
     /// Tries to place the queued requests of a group: those of the highest value per second of work first,
-    /// and of equal ones the newest, which can still be served in time.
+    /// and among equal ones the newest first, since they have the most time left to be served in.
     pub(super) fn place_queued(&mut self, group: GroupId, out: &mut Vec<Action>) {
         let queued = self.queue.in_group(group).filter_map(|id| self.queued_request(id));
         let mut waiting: Vec<QueuedRequest> = queued.collect();
         if waiting.is_empty() {
             return;
         }
-        waiting.sort_by_key(|queued| (Reverse(queued.value), Reverse(queued.arrived_at), queued.id));
+        waiting.sort_by_key(|queued| (Reverse(queued.value), Reverse(queued.client_sent_at), queued.id));
         let mut unplaced = vec![0; self.settings.classes.len()];
         for queued in waiting {
             if unplaced[queued.class] < MAX_UNPLACED_PER_CLASS
@@ -81,7 +82,12 @@
     fn queued_request(&self, id: RequestId) -> Option<QueuedRequest> {
         let request = self.requests.get(&id)?;
         let class = request.class;
-        Some(QueuedRequest { id, class, value: self.queue_value(request), arrived_at: request.arrived_at })
+        Some(QueuedRequest {
+            id,
+            class,
+            value: self.queue_value(request),
+            client_sent_at: request.client_sent_at,
+        })
     }
 
     /// Returns the request's weight per second of work, multiplied by [`VALUE_SCALE`].
@@ -89,7 +95,7 @@
         (request.weight / self.service_times.get(request.class) * VALUE_SCALE) as u64
     }
 
-    /// Rejects or fails the queued requests that can't be served in time any more.
+    /// Rejects or fails the queued requests that can no longer be served in time.
     pub(super) fn reject_expired(&mut self, out: &mut Vec<Action>) {
         let expired = self
             .queue
--- a/crates/policy/src/policy/replication.rs
+++ b/crates/policy/src/policy/replication.rs
@@ -33,19 +33,19 @@
         let is_primary = member.is_primary();
         let positions = self.members.in_group(member.group).filter_map(|(_, m)| m.position);
         let most_advanced = positions.map(|known| known.position).max().unwrap_or(position);
-        let behind = !is_primary && most_advanced.since(position) > self.lag_margin;
+        let lags_too_far = !is_primary && most_advanced.since(position) > self.lag_margin;
         let now = self.now;
         let Some(member) = self.members.get_mut(id) else { return };
-        if behind && !member.breaker.is_open() {
+        if lags_too_far && !member.breaker.is_open() {
             member.breaker.open(EjectReason::Lag, now);
-        } else if !behind && member.breaker == Breaker::HalfOpen(EjectReason::Lag) {
+        } else if !lags_too_far && member.breaker == Breaker::HalfOpen(EjectReason::Lag) {
             member.breaker.close();
         }
     }
 
     /// Discards all log positions after the system clock was set. Positions are Unix times, so those reported
-    /// earlier may be wrong by any amount. A pending read that requires a position now has to see all that
-    /// was written until now.
+    /// earlier may be wrong by any amount. From now on, a pending read that requires a position requires all
+    /// writes up to this time.
     pub(super) fn discard_positions(&mut self) {
         for (_, member) in self.members.iter_mut() {
             member.position = None;
--- a/crates/policy/src/policy/selection.rs
+++ b/crates/policy/src/policy/selection.rs
@@ -12,7 +12,9 @@
 use fastrand::Rng;
 
 /// A known log position older than this is outdated; a read may be sent to the member to learn a newer one,
-/// even if it is likely to be rejected.
+/// even if the read is likely to be rejected. In a fleet of more than
+/// [`SMALL_FLEET_ROUTERS`](super::SMALL_FLEET_ROUTERS) routers the limit is proportionally longer, so that
+/// all routers together don't send more such reads than those of a small fleet.
 const POSITION_FRESHNESS: Time = Time::ms(100);
 
 /// Time constant, in seconds, of the decay of a member's failure rate between outcomes of attempts.
@@ -55,7 +57,7 @@
     best: Option<MemberId>,
     /// Whether some replica is fresh enough, even if it has no capacity now.
     any_fresh: bool,
-    /// Whether some replica is expected to be fresh enough within the time that the request may wait.
+    /// Whether some replica is expected to be fresh enough within the request's [`lead`](Request::lead).
     any_catching_up: bool,
 }
 
@@ -131,8 +133,8 @@
         member.draining_since.is_none() && behind > Time(0) && behind <= request.request.lead
     }
 
-    /// Returns whether the replica is not draining, has capacity, and has not had an attempt of the request
-    /// that excludes another one.
+    /// Returns whether the replica is not draining, has capacity for the read, and has had no attempt of the
+    /// request, except for attempts that it rejected for lack of capacity.
     fn has_capacity_for_read(&self, request: &PendingRequest, id: MemberId, member: &Member) -> bool {
         let excluded =
             request.attempts.iter().any(|attempt| attempt.member == id && !attempt.allows_same_member());
--- a/crates/policy/src/policy/slow_start.rs
+++ b/crates/policy/src/policy/slow_start.rs
@@ -13,7 +13,8 @@
 /// The fraction of [`Settings::overload_multiple`] up to which a warming member is used.
 const OVERLOAD_SAFETY_FRACTION: f64 = 0.75;
 
-/// The least work per second that a warm member is assumed to do, used while no work has been served yet.
+/// The least work that a warm member is assumed to do for all routers together, in seconds of work per
+/// second. It applies until more work has been measured, for example right after the start of the routers.
 const MIN_WARM_RATE: f64 = 0.8;
 
 /// Time constant, in seconds, of the decay of the work served. It is long, so that members keep receiving the
@@ -32,8 +33,8 @@
 pub(super) struct Demand {
     by_group: BTreeMap<GroupId, WorkByWorkload>,
     total: WorkByWorkload,
-    /// The total with [`Settings::overload_window`] as the time constant of its decay: within this time more
-    /// requests could overload a warming member.
+    /// The total with [`Settings::overload_window`] as the time constant of its decay, since a rise of the
+    /// demand can overload a warming member within this time.
     recent_total: WorkByWorkload,
 }
 
@@ -119,7 +120,8 @@
         fraction * (1.0 - self.shared_work_fraction())
     }
 
-    /// Returns the work requested per second, of one workload or of both.
+    /// Returns the requested work of the workload `only`, or of both workloads, in seconds of work per
+    /// second.
     fn demand_rate(&self, work: &WorkByWorkload, only: Option<Workload>, time_constant_s: f64) -> f64 {
         let counted = work
             .iter()
@@ -157,8 +159,8 @@
         let rate = self.slow_start_rate(member);
         let credit = &member.slow_start;
         let earned = rate * self.now.since(credit.counted_at).secs();
-        let most = credit.initial_debt.max(rate * self.settings.overload_window.secs());
-        (credit.balance + earned).min(most)
+        let max_balance = credit.initial_debt.max(rate * self.settings.overload_window.secs());
+        (credit.balance + earned).min(max_balance)
     }
 
     /// Adds to the work that members have served.
