--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -164,7 +164,7 @@
     /// The names of two routers hash to the same id.
     #[error("the names {first:?} and {second:?} hash to the same router id; rename one of the routers")]
     NameCollision {
-        /// The name that comes first in the file.
+        /// The name that is listed first in the file.
         first: String,
         /// The other name.
         second: String,
@@ -187,7 +187,7 @@
     /// A flag that may only be `#true` is `#false`.
     #[error("must be #true or left out, found #false")]
     OnlyTrue,
-    /// A limit has neither a rate nor a concurrency bound, or has both, or a burst without a rate.
+    /// A limit has no bound, both a rate and a concurrency bound, or a burst without a rate.
     #[error("takes either per-s, optionally with burst, or at-once")]
     NotOneBound,
     /// A limit on members has a rate, or a limit on another subject has a concurrency bound.
@@ -224,12 +224,12 @@
         ConfigError::invalid("BALANCER_CONFIG", Problem::NoConfigFile)
     }
 
-    /// Whether a file can't be opened or read, which may happen while it is being replaced.
+    /// Returns whether a file can't be opened or read, which may happen while it is being replaced.
     pub fn is_unreadable(&self) -> bool {
         matches!(self, ConfigError::Unreadable { .. })
     }
 
-    /// The key with the problem, or the path of a file that can't be read.
+    /// Returns the key with the problem, or the path of the file that can't be read.
     pub fn key(&self) -> &str {
         match self {
             ConfigError::Unreadable { path, .. } => path,
@@ -237,7 +237,7 @@
         }
     }
 
-    /// Replaces the key by what `change` makes of it.
+    /// Replaces the key by the result of `change`. An error without a key stays as it is.
     pub(crate) fn map_key(self, change: impl FnOnce(String) -> String) -> ConfigError {
         match self {
             ConfigError::Invalid { key, problem } => ConfigError::Invalid { key: change(key), problem },
--- a/crates/config/src/local_settings/fleet.rs
+++ b/crates/config/src/local_settings/fleet.rs
@@ -30,10 +30,10 @@
 const DEFAULT_DRIFT_PERCENT: f64 = 1.0;
 /// The default of `alone-percent` of a limit.
 const DEFAULT_ALONE_PERCENT: f64 = 10.0;
-/// The maximum age in the fleet's key ring. It applies to session tokens only; datagrams do not expire by
-/// age.
+/// The maximum age in the fleet's key ring. It has no effect: only session tokens expire by their age,
+/// datagrams don't.
 const NO_MAX_AGE: Time = Time(0);
-/// The key that errors in a limit name.
+/// The key in the errors of a limit as a whole.
 const LIMIT: &str = "fleet.limit";
 /// The properties that select what a limit counts. Each limit has exactly one of them.
 const SUBJECTS: [&str; 5] = ["tenant", "class", "group", "each-member", "budget"];
@@ -59,7 +59,7 @@
                 let percent = reader.number(child, &key, 0, 0.01..=10.0)?;
                 drift_percent = percent.unwrap_or(DEFAULT_DRIFT_PERCENT);
             }
-            // All keys are read together below.
+            // `keys::read` below reads all keys together.
             "key" => {}
             "router" => peers.push(read_peer(reader, child, &key, &peers)?),
             "limit" => limits.push(LimitNode { node: child, limit: read_limit(reader, child)? }),
@@ -99,14 +99,14 @@
     }
 }
 
-/// A limit and its node, whose position errors name.
+/// A limit and the node that it was read from, whose line and column are part of errors.
 struct LimitNode<'n> {
     node: &'n KdlNode,
     limit: Limit,
 }
 
-/// Checks each limit against the number of routers and against the other limits, and sorts them by name:
-/// their order in the file has no meaning.
+/// Checks each limit against the number of routers and against the other limits, and sets the default burst.
+/// Returns the limits sorted by name, since their order in the file has no meaning.
 fn check_limits(
     reader: &KdlReader,
     limit_nodes: Vec<LimitNode>,
@@ -136,9 +136,9 @@
     Ok(limits)
 }
 
-/// Whether the limits exclude each other. Only one limit may count each member's attempts, and only one may
-/// count a given budget. Several may count the same tenant, class or group: a request has to pass all of
-/// them.
+/// Returns whether the limits exclude each other. Only one limit may count each member's attempts, and only
+/// one may count a given budget. Several may count the same tenant, class or group: a request has to pass all
+/// of them.
 fn excludes(one: &Limit, other: &Limit) -> bool {
     match one.subject {
         Subject::EachMember | Subject::Budget(_) => one.subject == other.subject,
@@ -146,7 +146,8 @@
     }
 }
 
-/// Placeholder for a burst that the file does not give, until the number of routers is known.
+/// Placeholder for a burst that the file does not give. [`check_limits`] replaces it, since the default
+/// depends on the number of routers.
 const NO_BURST: f64 = 0.0;
 
 fn read_limit(reader: &KdlReader, node: &KdlNode) -> Result<Limit, ConfigError> {
--- a/crates/config/src/local_settings/kdl_reader.rs
+++ b/crates/config/src/local_settings/kdl_reader.rs
@@ -10,7 +10,8 @@
 /// The largest value of a setting in milliseconds.
 const MAX_MS: i128 = 60_000;
 
-/// Reads the nodes of a file. It has the text of the file to turn the offset of a node into line and column.
+/// Reads the nodes of a file. It needs the text of the file to convert the offset of a node to line and
+/// column.
 pub(super) struct KdlReader<'a> {
     text: &'a str,
 }
@@ -54,7 +55,8 @@
         error_at(self.text, start + whitespace, key, problem)
     }
 
-    /// Rejects a node that has another number of arguments, or a property that is not listed.
+    /// Rejects a node whose number of arguments is not `arguments`, or that has a property not listed in
+    /// `properties`.
     pub(super) fn check_entries(
         &self,
         node: &KdlNode,
--- a/crates/config/src/local_settings/mod.rs
+++ b/crates/config/src/local_settings/mod.rs
@@ -19,8 +19,8 @@
 pub struct LocalSettings {
     /// The settings of session consistency; `None` if only the platform's rules apply.
     pub sessions: Option<SessionSettings>,
-    /// Whether a client gets an error 57P01 before the router closes its connection between two requests. The
-    /// error says that the router has not read what the client has sent since its last reply.
+    /// Whether the router sends an error with SQLSTATE 57P01 before it closes a client's connection between
+    /// two requests. The error tells the client that the router has read nothing since its last reply.
     pub close_notice: bool,
     /// The fleet of routers and its limits; `None` if this router has no peers.
     pub fleet: Option<FleetSettings>,
--- a/crates/config/src/router/resource_limits.rs
+++ b/crates/config/src/router/resource_limits.rs
@@ -27,16 +27,17 @@
         self.sockets.saturating_sub(RESERVED_SOCKETS)
     }
 
-    /// Returns the number of descriptors that connections to clients may use. The other half remains for
-    /// connections to hosts, however many clients connect.
+    /// Returns the number of descriptors that connections to clients may use: half of
+    /// [`descriptors`](Self::descriptors). The other half remains for connections to hosts, however many
+    /// clients connect.
     pub fn client_descriptors(&self) -> usize {
         self.descriptors() / 2
     }
 
     /// Returns the number of clients at which each new client causes the eviction of the client that has been
-    /// idle for longest. Client programs have a third of the descriptors for all their connections. Many send
-    /// one request and then leave their connection open; these idle connections would use up that third, and
-    /// clients with a request could not connect.
+    /// idle for longest. All client programs together can open no more connections than a third of
+    /// `sockets`. Many send one request and then leave their connection open: without evictions below that
+    /// number, idle connections would use up the third, and clients with a request could not connect.
     pub fn client_eviction_threshold(&self) -> usize {
         self.sockets / 4
     }
--- a/crates/config/src/router/timeouts.rs
+++ b/crates/config/src/router/timeouts.rs
@@ -34,9 +34,9 @@
 /// its first byte to its last.
 pub const CLIENT_MESSAGE_TIMEOUT: Time = Time::ms(2000);
 
-/// The longest time for which a router may be suspended between reading its clock and writing to a host. The
-/// grace period of a draining host has to include that time, so the router's own grace period is shorter by
-/// it.
+/// The longest time for which a router may be suspended between reading its clock and writing to a host. What
+/// it writes still has to arrive within the grace period of a draining host, so the router uses a grace
+/// period that is shorter by this time.
 pub const MAX_SCHEDULING_DELAY: Time = Time::ms(150);
 
 /// The time within which a client must accept a reply; after it, the router closes the connection.
@@ -55,7 +55,7 @@
 /// The longest client timeout that a shutdown waits for.
 const MAX_SHUTDOWN_DEADLINE: Time = Time::ms(3000);
 
-/// The time that the shutdown continues after the longest client timeout.
+/// The time for which the shutdown continues after the longest client timeout.
 const SHUTDOWN_MARGIN: Time = Time::ms(500);
 
 /// Returns the time after the signal to stop at which the remaining requests are failed and the process
--- a/crates/config/src/settings/json.rs
+++ b/crates/config/src/settings/json.rs
@@ -132,7 +132,7 @@
     pub soft_removal: bool,
 }
 
-/// The load reports of members: their columns, and which responses carry them.
+/// The load reports of members: their columns, and which responses contain them.
 #[derive(Deserialize)]
 pub(super) struct ReportingJson {
     #[serde(default)]
--- a/crates/config/src/settings/mod.rs
+++ b/crates/config/src/settings/mod.rs
@@ -15,7 +15,7 @@
 /// The column of a load report with the member's role.
 const ROLE_COLUMN: &str = "x1";
 
-/// Which responses of members carry load reports.
+/// Which responses of members contain load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReportSource {
     /// Responses to requests and to health checks.
@@ -31,14 +31,14 @@
 pub struct Deployment {
     /// The settings of the routing policy.
     pub settings: Settings,
-    /// Where session floors come from by the platform's rules.
+    /// Where session floors come from according to the platform's rules.
     pub platform_floors: PlatformFloors,
     /// The time from which log positions count in the simulator's frames. On sockets, positions are Unix
     /// times.
     pub position_epoch: Time,
     /// The columns of a load report.
     pub report_columns: Vec<String>,
-    /// Which responses carry load reports.
+    /// Which responses contain load reports.
     pub load_reports: LoadReportSource,
     /// The names of the classes, in the order of their ids.
     pub classes: Vec<String>,
@@ -220,7 +220,7 @@
     one_of("familyInfo.tokenMode", word, &choices)
 }
 
-/// Returns the value that a string stands for among these choices.
+/// Returns the value of the choice with this word, or an error that lists all choices.
 fn one_of<T: Copy>(key: impl Into<String>, word: &str, choices: &[(&str, T)]) -> Result<T, ConfigError> {
     match choices.iter().find(|(choice, _)| *choice == word) {
         Some((_, value)) => Ok(*value),
--- a/crates/sim/src/adapter.rs
+++ b/crates/sim/src/adapter.rs
@@ -1,5 +1,5 @@
-//! The loop that answers frames. One process has several router instances, which share no state except the
-//! numbered endpoint lists.
+//! The main loop, which replies to each frame. One process has several router instances, which share no state
+//! except the numbered endpoint lists.
 
 use crate::router::Router;
 use crate::wire::{encode_reply, Decoder, FrameError, Incoming, InstanceAction, InstanceEvent};
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 
-/// Why the adapter stops before the end of its input. The `Display` form is one line; it names the frame if
-/// the frame is at fault.
+/// Why the adapter stops before the end of its input. The `Display` form is one line. It has the index of the
+/// frame, unless writing the reply failed.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
     /// A frame can't be read or decoded.
@@ -32,8 +32,8 @@
     Write(io::Error),
 }
 
-/// Answers each frame of the input with one reply, until the input ends. The end of the input is an error if
-/// it is inside a frame.
+/// Writes one reply to each frame of the input, until the input ends. It is an error if the input ends inside
+/// a frame.
 pub fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), AdapterError> {
     let mut adapter = Adapter::default();
     for number in 0u64.. {
--- a/crates/sim/src/lib.rs
+++ b/crates/sim/src/lib.rs
@@ -1,5 +1,5 @@
-//! Adapter that runs basalthill's routing policy in a simulator. It reads binary frames of events and answers
-//! each with a frame of actions.
+//! Adapter that runs basalthill's routing policy in a simulator. It reads binary frames of events and replies
+//! to each with the resulting actions.
 
 pub mod adapter;
 mod router;
--- a/crates/sim/src/router.rs
+++ b/crates/sim/src/router.rs
@@ -15,7 +15,8 @@
     policy: Policy,
     sessions: Sessions,
     deployment: Deployment,
-    /// The writes of sessions that are in flight. Empty unless the platform lets the router remember writes.
+    /// The writes of sessions that are in flight. Empty unless the router remembers the writes of sessions
+    /// under the platform's rules.
     writes: BTreeMap<RequestId, SessionWrite>,
 }
 
@@ -108,7 +109,8 @@
         }
     }
 
-    /// Raises the floor of a write's session to the position of the write if it was executed.
+    /// Raises the floor of a write's session to the position of the write if the write was served. Removes
+    /// the write if it has completed.
     fn record_outcome(&mut self, now: Time, outcome: &Outcome) {
         let position = outcome.replication.position;
         if outcome.status == Status::Ok && position.is_some() {
--- a/crates/sim/src/wire/decoder.rs
+++ b/crates/sim/src/wire/decoder.rs
@@ -20,7 +20,7 @@
     pub const PROBE_FINISHED: u8 = 8;
     pub const MESSAGE: u8 = 9;
     pub const STOP: u8 = 10;
-    /// An endpoint list. It is no event: later events refer to it by its number.
+    /// An endpoint list. It is not an event: later events refer to it by its number.
     pub const LIST: u8 = 11;
 }
 
@@ -160,7 +160,7 @@
             1 => EndpointUpdate::Full,
             2 => EndpointUpdate::Cached,
             3 => EndpointUpdate::Failed,
-            other => return Err(RecordError::UnknownListForm(other)),
+            other => return Err(RecordError::UnknownListKind(other)),
         };
         let _generation = cursor.u32()?;
         let number = cursor.u8()?;
--- a/crates/sim/src/wire/error.rs
+++ b/crates/sim/src/wire/error.rs
@@ -75,7 +75,7 @@
     UnknownEvent(u8),
     /// The kind of an endpoint list is unknown.
     #[error("unknown kind of endpoint list {0}")]
-    UnknownListForm(u8),
+    UnknownListKind(u8),
     /// An event refers to an endpoint list that has not been received.
     #[error("endpoint list {0} has not been received")]
     UnknownList(u8),
--- a/crates/wire/src/buffer.rs
+++ b/crates/wire/src/buffer.rs
@@ -6,8 +6,8 @@
 pub const HEADER_LEN: usize = 5;
 /// Length of the length field, in bytes. Its value counts itself and the body.
 const LENGTH_FIELD_LEN: usize = 4;
-/// Upper limit of the memory that an empty buffer keeps allocated, in bytes. Also the number of consumed
-/// bytes from which on they are removed from a buffer that is not empty.
+/// Upper limit of the memory that an empty buffer keeps allocated, in bytes. A buffer that is not empty frees
+/// consumed bytes only once there are this many, since the bytes after them have to be moved.
 const RETAINED_CAPACITY: usize = 4096;
 
 /// The header of a message that was received completely.
@@ -28,7 +28,7 @@
 }
 
 impl MessageBuffer {
-    /// Appends received bytes.
+    /// Appends received bytes. Consumed bytes are removed first if there are enough of them.
     pub fn extend(&mut self, bytes: &[u8]) {
         let all_consumed = self.consumed == self.bytes.len();
         if self.consumed > 0 && (all_consumed || self.consumed >= RETAINED_CAPACITY) {
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,5 +1,5 @@
 //! Version 3 of PostgreSQL's protocol, as far as the router and the client library share it: framing of the
-//! byte stream, encoding of a few messages, and names of SQLSTATEs. It serves both ends of a connection.
+//! byte stream, encoding of a few messages, and names of SQLSTATEs. Both ends of a connection use it.
 
 mod buffer;
 mod error;
--- a/crates/wire/src/sqlstate.rs
+++ b/crates/wire/src/sqlstate.rs
@@ -11,15 +11,16 @@
 pub const READ_ONLY_SQL_TRANSACTION: &str = "25006";
 /// `syntax_error`: the statement can't be parsed.
 pub const SYNTAX_ERROR: &str = "42601";
-/// `too_many_connections`: the server is at its limit and has run nothing.
+/// `too_many_connections`: the server rejected a connection or a request for lack of capacity and has
+/// executed nothing.
 pub const TOO_MANY_CONNECTIONS: &str = "53300";
-/// `query_canceled`: the client has cancelled the request.
+/// `query_canceled`: the client cancelled the request.
 pub const QUERY_CANCELED: &str = "57014";
 /// `admin_shutdown`: the server closes the connection between two requests.
 pub const ADMIN_SHUTDOWN: &str = "57P01";
 /// `cannot_connect_now`: the server is not ready yet.
 pub const CANNOT_CONNECT_NOW: &str = "57P03";
-/// `idle_session_timeout`: the client has not sent a complete message in time.
+/// `idle_session_timeout`: the client did not send a complete message in time.
 pub const IDLE_SESSION_TIMEOUT: &str = "57P05";
 /// `system_error`: no response could be obtained from a host.
 pub const SYSTEM_ERROR: &str = "58000";
