--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -81,8 +81,9 @@
 
 #[test]
 fn requests_with_a_common_short_timeout_are_not_rejected_as_delayed() {
-    // Guards against mistaking a short client timeout for time spent waiting: on join+mass, one in five
-    // clients had a seventh of the usual timeout, and all of their requests were rejected at once.
+    // Guards against mistaking a short client timeout for time spent waiting: in the simulated scenario
+    // join+mass, one in five clients had a seventh of the usual timeout, and all of their requests were
+    // rejected at once.
     let mut router = TestRouter::new(test_settings());
     let served = |router: &mut TestRouter, ms| {
         router.advance(100);
@@ -143,7 +144,7 @@
         let id = request_under_limits(&mut router, class, 0.0);
         assert!(
             router.action_log.contains(&(router.now, Action::Reject(id, Some(Time::ms(120))))),
-            "{:?}",
+            "expected a rejection of {id:?} with a Retry-After of 120 ms, last action: {:?}",
             router.action_log.last()
         );
         assert!(!router.attempts.contains_key(&id));
@@ -173,7 +174,11 @@
     }
     let ids: Vec<RequestId> = (0..12).map(|_| router.request(EVENTUAL, 0)).collect();
     let at = |router: &TestRouter, m: u32| router.attempts.values().flatten().filter(|t| t.0 == m).count();
-    assert!((1..=3).all(|m| at(&router, m) <= 2), "{:?}", router.attempts);
+    assert!(
+        (1..=3).all(|m| at(&router, m) <= 2),
+        "more than two attempts at a member: {:?}",
+        router.attempts
+    );
     assert_eq!(at(&router, 2) + at(&router, 3), 4);
     // One attempt ends: another is allowed only after the next capacity event.
     let first = *ids.iter().find(|id| router.is_in_flight(**id)).expect("a request in flight");
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -256,8 +256,8 @@
         self.action_log.iter().any(|(_, a)| matches!(a, Action::Fail(r) if *r == id))
     }
 
-    /// Ends the last attempt of a request. If the status implies a response, it reports the member's lag and
-    /// its role.
+    /// Ends the last attempt of a request. If the status implies a response, the response reports the
+    /// member's lag and role.
     pub fn finish_attempt(
         &mut self,
         id: RequestId,
@@ -295,13 +295,14 @@
         self.respond_with_lag(3, lag_ms[1]);
     }
 
-    /// Reports a response of a replica, with its lag, to a request that had already ended.
+    /// Reports a response of a replica, with its lag, to a request that the router no longer has.
     pub fn respond_with_lag(&mut self, member: u32, lag_ms: u64) {
         let position = Time(self.now.0 - Time::ms(lag_ms).0);
         self.respond(member, Status::Misdirected, position, Role::Replica);
     }
 
-    /// Reports a response of a member, with its log position and role, to a request that had already ended.
+    /// Reports a response of a member, with its log position and role, to a request that the router no longer
+    /// has.
     pub fn respond(&mut self, member: u32, status: Status, position: Time, role: Role) {
         self.handle_event(Event::Outcome(Outcome {
             request: RequestId(u64::MAX),
@@ -315,7 +316,8 @@
         }));
     }
 
-    /// Reports successful health checks of primary 1 and replicas 2 and 3, none of which lags.
+    /// Reports successful health checks of primary 1 and replicas 2 and 3 with the current time as log
+    /// position.
     pub fn all_probes_succeed(&mut self) {
         for member in 1..=3 {
             let role = if member == 1 { Role::Primary } else { Role::Replica };
--- a/crates/policy/tests/connections.rs
+++ b/crates/policy/tests/connections.rs
@@ -7,8 +7,9 @@
 
 #[test]
 fn idle_connections_are_closed_when_a_responding_member_rejects_connections() {
-    // Guards against members at their connection limit: they rejected connections but served health checks,
-    // while other routers kept idle connections open.
+    // Guards against a connection shortage that lasts because of idle connections: members at their
+    // connection limit rejected new connections but served health checks, while other routers kept idle
+    // connections open.
     let mut router = TestRouter::new(test_settings());
     let closed = |router: &TestRouter, m| router.actions.contains(&Action::CloseIdle(MemberId(m)));
     router.replicas_respond_with_lag([10, 10]);
@@ -40,8 +41,8 @@
 #[test]
 fn a_member_that_is_down_closes_no_connections_to_other_members() {
     // Guards against mistaking a member that is down for a connection shortage: with 300 routers and one zone
-    // down, each rejected connection made the router close all idle connections for ten seconds, so that more
-    // connections than requests were started.
+    // down, each rejected connection made its router close all idle connections for ten seconds, so that the
+    // routers opened more connections than they sent requests.
     let mut router = TestRouter::new(test_settings());
     for n in 0..60 {
         router.advance(100);
@@ -63,5 +64,5 @@
     }
     let closed =
         router.action_log.iter().filter(|(_, a)| matches!(a, Action::CloseIdle(m) if m.0 != 2)).count();
-    assert_eq!(closed, 0);
+    assert_eq!(closed, 0, "idle connections to other members were closed");
 }
--- a/crates/policy/tests/ejection.rs
+++ b/crates/policy/tests/ejection.rs
@@ -25,7 +25,7 @@
     }
     assert!(
         attempts_since(&router, from, unresponsive) * 8 < sent,
-        "the unresponsive member still gets attempts"
+        "the unresponsive member got more than an eighth of {sent} attempts"
     );
 }
 
@@ -44,7 +44,7 @@
         router.probe_fails(1, Status::Reset, 1);
         router.probe_fails(1, Status::Error, 1);
     }
-    // Once the primary has stopped responding, one reset is enough.
+    // Once the primary has stopped responding, one reset is enough to stop writes.
     router.advance(300);
     let id = router.request(NON_IDEMPOTENT, 0);
     router.finish_attempt(id, Status::Reset, 15, 0, Role::Primary);
@@ -85,7 +85,7 @@
         );
     }
     let (readmitted, other) = (attempts_since(&router, from, 2), attempts_since(&router, from, 3));
-    assert!(readmitted > 0, "readmitted");
+    assert!(readmitted > 0, "no attempts at the member after a successful health check");
     assert!(
         other > readmitted,
         "the readmitted member has likely restarted and warms up: {readmitted} attempts, {other} at the other"
@@ -108,7 +108,8 @@
 
 #[test]
 fn fast_errors_raise_the_cost_of_a_replica_but_do_not_eject_the_primary() {
-    // Guards against ejections by fast errors: on jb-ffb-trips, they ejected members including the primary.
+    // Guards against ejections by fast errors: in simulated runs of the deployment jb-ffb-trips, they ejected
+    // members, including the primary.
     let mut router = TestRouter::new(test_settings());
     for _ in 0..12 {
         let id = router.request(NON_IDEMPOTENT, 0);
--- a/crates/policy/tests/freshness.rs
+++ b/crates/policy/tests/freshness.rs
@@ -81,7 +81,7 @@
 #[test]
 fn an_outdated_replica_gets_one_read_before_the_read_is_rejected() {
     // Guards against a replica that gets no reads although it has caught up, because its recorded position is
-    // outdated, as found on jb-ffb-trips and kk-harvest.
+    // outdated, as in simulated runs of the deployments jb-ffb-trips and kk-harvest.
     let mut settings = test_settings();
     settings.probe_positions = false;
     let mut router = TestRouter::new(settings);
@@ -117,7 +117,7 @@
 #[test]
 fn a_wrong_position_ahead_of_the_true_one_costs_one_misdirected_read() {
     // Documents behaviour that is not required: recorded positions never decrease, so a wrong one is used
-    // until a read is misdirected.
+    // until it leads to a misdirected read.
     let mut router = TestRouter::new(test_settings());
     router.replicas_respond_with_lag([3000, 3000]);
     router.advance(900);
--- a/crates/policy/tests/large_fleets.rs
+++ b/crates/policy/tests/large_fleets.rs
@@ -7,8 +7,8 @@
 
 #[test]
 fn few_routers_of_a_large_fleet_send_to_an_overloaded_idle_member() {
-    // Guards against each router sending one read to a member that it sees as idle: with 86 and with 763
-    // routers, these reads together overloaded every member.
+    // Guards against each router sending one read to a member at which it has no attempt in flight: in runs
+    // with 86 and with 763 routers, these reads together overloaded every member.
     let attempts = |routers: u32| {
         let mut settings = test_settings();
         settings.routers = routers;
@@ -40,8 +40,9 @@
 
 #[test]
 fn few_routers_of_a_large_fleet_probe_lagging_or_unused_members() {
-    // Guards against a large fleet sending one health check per three attempts, as found on calm+mass: nearly
-    // all went to members that lagged throughout, or that the router sent no requests to.
+    // Guards against a large fleet sending one health check per three attempts, as in runs of the simulated
+    // scenario calm+mass: nearly all of these went to members that lagged throughout, or to which the router
+    // sent no requests.
     let probes = |routers: u32, others: u32| {
         let settings = Settings { routers, ..test_settings() };
         let mut list = primary_and_replicas();
@@ -72,8 +73,8 @@
 
 #[test]
 fn each_router_of_a_large_fleet_prefers_members_that_it_is_connected_to() {
-    // Guards against connections that are hardly used: with 300 routers and 120 hosts, nearly every router
-    // had one to every host.
+    // Guards against connections that are rarely used: in a run with 300 routers and 120 hosts, nearly every
+    // router had one to every host.
     let used = |routers: u32, seed: u64, interval_ms: u64| {
         let settings = Settings { routers, ..test_settings() };
         let mut router = TestRouter::with_seed(settings, seed);
@@ -103,7 +104,7 @@
     router.replicas_respond_with_lag([10, 10]);
     let ids: Vec<_> = (0..4).map(|_| router.request(EVENTUAL, 0)).collect();
     let targets: std::collections::BTreeSet<_> = ids.into_iter().map(|id| router.last_target(id)).collect();
-    assert_eq!(targets.len(), 2, "{targets:?}");
+    assert_eq!(targets.len(), 2, "four concurrent reads used only {targets:?}");
 }
 
 #[test]
--- a/crates/policy/tests/load.rs
+++ b/crates/policy/tests/load.rs
@@ -81,8 +81,8 @@
 
 #[test]
 fn client_retries_are_not_sent_to_overloaded_members() {
-    // Guards against an overload that outlasts its cause, as found on jb-ffb-trips: the capacity went to
-    // retries instead of first requests.
+    // Guards against an overload that outlasts its cause, as in simulated runs of the deployment
+    // jb-ffb-trips: the capacity went to retries instead of first requests.
     let sent = |client_retry: bool| {
         let mut router = TestRouter::new(test_settings());
         for _ in 0..40 {
--- a/crates/policy/tests/retries.rs
+++ b/crates/policy/tests/retries.rs
@@ -83,7 +83,7 @@
     assert_eq!(timeouts.len(), 2, "the deduplication window leaves time for a retry");
     // The connection or the member may be slow: a retry that the member starts after the window would be
     // executed again.
-    assert!(timeouts[1] <= Time::ms(200), "{timeouts:?}");
+    assert!(timeouts[1] <= Time::ms(200), "the retry may outlast the window: timeouts {timeouts:?}");
 }
 
 #[test]
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -161,7 +161,7 @@
             Action::Send(id, member, timeout) => self.check_send(id, member, timeout),
             Action::Reject(id, after) => {
                 let Some(request) = self.requests.get_mut(&id) else {
-                    return self.add_violation(format!("{id:?} unknown"));
+                    return self.add_violation(format!("action for the unknown request {id:?}"));
                 };
                 let (completed, may_have_executed) = (
                     request.completed,
@@ -186,7 +186,7 @@
             }
             Action::Fail(id) => {
                 let Some(request) = self.requests.get_mut(&id) else {
-                    return self.add_violation(format!("{id:?} unknown"));
+                    return self.add_violation(format!("action for the unknown request {id:?}"));
                 };
                 let (completed, late) = (request.completed, self.now > request.deadline.plus(Time::ms(20)));
                 request.completed = true;
@@ -210,7 +210,7 @@
     fn check_send(&mut self, id: RequestId, member: MemberId, timeout: Option<Time>) {
         let now = self.now;
         let Some(request) = self.requests.get_mut(&id) else {
-            return self.add_violation(format!("{id:?} unknown"));
+            return self.add_violation(format!("action for the unknown request {id:?}"));
         };
         let mut broken_rules = Vec::new();
         if request.completed {
@@ -275,8 +275,9 @@
                 .iter()
                 .filter(|s| **s >= *start && now.since(**s) < self.settings.overload_window)
                 .count();
-            // From accumulated credit and what it gets within the window, a router that has served nothing
-            // may send 0.6 s of work to the member: eight requests with an assumed service time of 80 ms.
+            // A router that has served nothing may send 0.6 s of work to the member, from its accumulated
+            // credit and the credit that it gets within the window: eight requests with an assumed service
+            // time of 80 ms.
             if recent > 8 + 3 * self.served_by_warm {
                 broken_rules.push(format!(
                     "the member is warming up and got {recent} attempts in the overload window"
--- a/crates/policy/tests/selection.rs
+++ b/crates/policy/tests/selection.rs
@@ -46,8 +46,8 @@
 
 #[test]
 fn long_eventual_reads_go_to_the_replica_with_the_largest_lag() {
-    // Guards against long reads that are spread over all replicas: on kk-harvest, they blocked the replay of
-    // the replication log on each of them.
+    // Guards against long reads that are spread over all replicas: in simulated runs of the deployment
+    // kk-harvest, they blocked the replay of the replication log on each replica.
     let mut router = TestRouter::new(test_settings());
     for _ in 0..120 {
         router.replicas_respond_with_lag([1500, 10]);
@@ -84,5 +84,5 @@
         same_zone += usize::from(router.last_target(id) == Some(2));
         router.finish_attempt(id, Status::Ok, 80, 10, Role::Replica);
     }
-    assert!(same_zone >= 32, "{same_zone} of 40 reads stayed in the zone");
+    assert!(same_zone >= 32, "only {same_zone} of 40 reads stayed in the zone");
 }
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -72,8 +72,8 @@
             }
         }
     }
-    // Two replicas shared the load before: half of their attempts per second is the rate that a warm member
-    // has shown to handle.
+    // Before the change, two warm replicas shared the load: each has shown that it can handle half of their
+    // attempts per second.
     let warm_rate = sent_before as f64 / 2.0 / ((change - start) as f64 / 1000.0);
     for at in &sent_to_warming {
         let attempts =
--- a/crates/policy/tests/slow_start_fleets.rs
+++ b/crates/policy/tests/slow_start_fleets.rs
@@ -104,7 +104,7 @@
 enum FleetState {
     /// All routers have been running for a while.
     Settled,
-    /// Two in three routers start at the same time as the member, without any measurements.
+    /// Two in three routers start at the same time as the member, so they have measured nothing yet.
     Restarted,
     /// All routers have been running for a while. Half of their requests are writes, and the member's group
     /// has lost its primary as well as its replicas, so that writes search for a new primary.
@@ -242,7 +242,7 @@
                             sent_to_warming.extend((member == WARMING_MEMBER).then_some(now));
                         }
                         Action::Probe(member) => {
-                            // Health checks succeed at once here instead of in the next round.
+                            // Simplified: health checks succeed at once instead of in the next round.
                             let report = ReplicationState { position: Some(now), role: role(member) };
                             let probed = Event::ProbeFinished {
                                 member,
@@ -264,8 +264,9 @@
     (sent_to_warming, fleet.usual_warm_rate().unwrap_or(measured_rate))
 }
 
-/// Returns the largest excess of any overload window over its budget, in units of the tolerance for random
-/// variation.
+/// Returns the largest number of attempts by which an overload window exceeds its budget, as a multiple of
+/// the tolerance for random variation. It is not positive if all windows are within
+/// their budgets.
 fn largest_excess(sent_to_warming: &[Time], warm_rate: f64, settings: &Settings) -> f64 {
     let excesses = sent_to_warming.iter().map(|at| {
         let attempts =
--- a/crates/policy/tests/startup.rs
+++ b/crates/policy/tests/startup.rs
@@ -21,7 +21,7 @@
     router.probe_succeeds(1, router.now, Role::Primary);
     router.probe_succeeds(2, router.now, Role::Replica);
     router.advance(200);
-    assert_eq!(early.map(|id| router.last_target(id).is_some()), [true, true]);
+    assert_eq!(early.map(|id| router.last_target(id).is_some()), [true, true], "sent after the list arrived");
     let mut router = TestRouter::with_cached_list(test_settings(), Vec::new());
     let queued = router.request(EVENTUAL, 0);
     router.advance(270);
@@ -40,5 +40,5 @@
     let id = router.request(BOUNDED, 0);
     assert_eq!(router.last_target(id), None);
     router.all_probes_succeed();
-    assert!(router.last_target(id).is_some(), "placed after the last health check");
+    assert!(router.last_target(id).is_some(), "not sent after the last health check has succeeded");
 }
--- a/crates/sim/tests/golden.rs
+++ b/crates/sim/tests/golden.rs
@@ -247,6 +247,6 @@
     assert_eq!(
         codes,
         [5],
-        "the actions of the killed instance are dropped; the new instance requests its first timer"
+        "expected only the first timer of the new instance: the actions of the killed one have no effect"
     );
 }
