--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -216,7 +216,7 @@
         self.reject_expired(out);
         if self.stalled_for == Time(0) {
             // After a stall, responses that have already arrived may follow later in the same round of
-            // events, so a missing response is no evidence against its member.
+            // events, so a missing response does not show that its member is unresponsive.
             self.detect_unresponsive_members();
         }
         self.send_due_probes(out);
--- a/crates/policy/src/policy/health_checks.rs
+++ b/crates/policy/src/policy/health_checks.rs
@@ -32,9 +32,9 @@
 impl Policy {
     /// Adds tokens for health checks, up to one per member.
     ///
-    /// For each member and probe interval, a router of a small fleet gets one token. The routers of a fleet
-    /// of more than [`SMALL_FLEET_ROUTERS`](super::SMALL_FLEET_ROUTERS) routers together get that many.
-    /// Requests add some more.
+    /// For each member and probe interval, a router gets one token in a fleet of up to
+    /// [`SMALL_FLEET_ROUTERS`](super::SMALL_FLEET_ROUTERS) routers. In a larger fleet, all routers together
+    /// get [`SMALL_FLEET_ROUTERS`](super::SMALL_FLEET_ROUTERS) tokens. Requests add some more.
     pub(super) fn add_probe_tokens(&mut self, probes: f64) {
         self.probe_tokens = (self.probe_tokens + probes).min(self.members.len() as f64);
     }
--- a/crates/policy/src/policy/load.rs
+++ b/crates/policy/src/policy/load.rs
@@ -159,8 +159,8 @@
     pub(super) fn is_overloaded_for(&self, request: &PendingRequest, member: &Member) -> bool {
         let idle = member.in_flight == 0;
         // A router of a small fleet sends to an idle member regardless of its excess latency. In a large
-        // fleet, each router does so only for a fraction of its requests: the requests of all routers that
-        // have none in flight at the member would overload it together.
+        // fleet, each router does so only for a fraction of its requests, since one request from every router
+        // would overload the member.
         if idle && request_draw(request.request.id) < self.shared_work_fraction() {
             return false;
         }
