--- a/crates/router/tests/at_most_once.rs
+++ b/crates/router/tests/at_most_once.rs
@@ -21,9 +21,9 @@
 const WRITE_TIMEOUT: Duration = Duration::from_millis(2900);
 /// AuthenticationOk and ReadyForQuery: a host's response to the startup message.
 const STARTUP_RESPONSE: &[u8] = b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I";
-/// ReadyForQuery.
+/// The ReadyForQuery message, which ends a host's response.
 const READY_FOR_QUERY: &[u8] = b"Z\0\0\0\x05I";
-/// The number of bytes that [`DisconnectingHost`] reads of each statement at least, to recognize health
+/// The least number of bytes that [`DisconnectingHost`] reads of a longer statement, to recognize health
 /// checks.
 const STATEMENT_PREFIX_LEN: usize = 64;
 
@@ -67,7 +67,8 @@
     }
 }
 
-/// Serves one connection of a [`DisconnectingHost`] until it has read `close_after` bytes of a statement.
+/// Serves one connection of a [`DisconnectingHost`] until it has read `close_after` bytes of a statement, or
+/// the whole statement if `None`.
 fn serve_connection(
     mut stream: TcpStream,
     close_after: Option<usize>,
@@ -107,10 +108,16 @@
             let statement = write(&format!("cut{n}")).replace("9f03", &"9f".repeat(size));
             let reply = router.client().query(&statement).unwrap();
             let arrived = host.count(&format!("id=cut{n}"));
-            assert!(arrived <= 1, "closed after {close_after:?} of {size}: arrived {arrived} times");
+            assert!(
+                arrived <= 1,
+                "closed after {close_after:?} bytes, value of {size} bytes: arrived {arrived} times"
+            );
             // Only a write that can't have run may get an error code that allows a retry.
             let failed = || error_code(&reply) == "58000";
-            assert!(arrived == 0 || failed(), "closed after {close_after:?} of {size}: {reply:?}");
+            assert!(
+                arrived == 0 || failed(),
+                "closed after {close_after:?} bytes, value of {size} bytes: {reply:?}"
+            );
         }
     }
 }
@@ -145,7 +152,11 @@
     let seen = host.record.lock();
     let attempts: Vec<_> = seen.statements.iter().filter(|s| s.text.contains("id=short")).collect();
     let span = attempts.last().unwrap().received_at - attempts[0].received_at;
-    assert!(span < window, "{} attempts, the last {span:?} after the first", attempts.len());
+    assert!(
+        span < window,
+        "{} attempts, the last {span:?} after the first, window {window:?}",
+        attempts.len()
+    );
 }
 
 #[test]
--- a/crates/router/tests/client.rs
+++ b/crates/router/tests/client.rs
@@ -134,7 +134,7 @@
             }
         }
     });
-    // The hosts complete writes that are still in progress.
+    // Gives the hosts time to complete the writes in progress.
     std::thread::sleep(100 * MS);
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
     for result in results.into_inner().unwrap() {
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn outcome_arrives_by_the_deadline_whatever_the_routers_do() {
+fn outcome_arrives_by_the_deadline_if_the_router_is_slow_hangs_or_is_unreachable() {
     let deployment = deployment(1, GroupBehavior { read_delay: 2000 * MS, ..GroupBehavior::default() });
     let router_of_slow_members = deployment.routers[0].addr;
     let never_accepting = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/router/tests/client_edge_cases.rs
+++ b/crates/router/tests/client_edge_cases.rs
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_write_is_not_sent_after_its_client_closed_behind_unread_bytes() {
+fn a_write_is_not_sent_after_its_client_sent_more_bytes_and_closed() {
     assert_write_is_never_sent(|mut client| {
         // More bytes than the router reads while a request is in flight.
         let rest = query(&format!("SELECT {}", "7".repeat(100_000)));
@@ -183,7 +183,11 @@
         let left = s.text.split("id=left").nth(1).and_then(|t| t[..2].parse::<usize>().ok());
         left.is_some_and(|n| s.received_at > disconnected_at.lock()[n] + Duration::from_millis(100))
     });
-    assert_eq!(late.count(), 0, "{before} writes were sent before the clients disconnected");
+    assert_eq!(
+        late.count(),
+        0,
+        "writes were sent over 100 ms after their clients disconnected; {before} were sent before"
+    );
 }
 
 /// Reads until the connection is closed. Returns the bytes received and whether the connection was reset.
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -19,8 +19,8 @@
 }
 
 /// Returns the deployment settings that the stand-ins use.
-pub fn site() -> Deployment {
-    read(SETTINGS.as_bytes()).expect("sound settings")
+pub fn deployment_settings() -> Deployment {
+    read(SETTINGS.as_bytes()).expect("invalid settings of the stand-ins")
 }
 
 /// Returns the text of a statement of this class for group 2: an INSERT for the class `write`, a SELECT for
@@ -38,7 +38,7 @@
     static NEXT_ID: AtomicU64 = AtomicU64::new(0);
     let id = format!("id={:016x}", NEXT_ID.fetch_add(1, Ordering::Relaxed));
     let text = statement_text(class, extra).replace("id=9b1f03aa5c7e2d41", &id);
-    Box::new(Statement::parse(text.into_bytes()).expect("a sound statement"))
+    Box::new(Statement::parse(text.into_bytes()).expect("invalid statement"))
 }
 
 /// Returns an endpoint list of members given as (id, address, state, rank), all in group 2.
@@ -48,8 +48,8 @@
     members: &[(&'static str, &str, &'static str, &'static str)],
 ) -> HostList {
     let member = |m: &(&'static str, &str, &'static str, &'static str)| {
-        Endpoint::new(m.0, m.1.parse().expect("an address"), 2, m.2, m.3)
+        Endpoint::new(m.0, m.1.parse().expect("invalid address"), 2, m.2, m.3)
     };
     let members: Vec<_> = members.iter().map(member).collect();
-    HostList::parse(endpoint_list(version, full, &members).as_bytes()).expect("a sound list")
+    HostList::parse(endpoint_list(version, full, &members).as_bytes()).expect("invalid endpoint list")
 }
--- a/crates/router/tests/common/router_thread.rs
+++ b/crates/router/tests/common/router_thread.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 
-/// The memory limit in MB, so low that the router reads only one large statement at a time.
+/// The memory limit in MiB, so low that the router reads only one large statement at a time.
 const MEMORY_MB: u64 = 1;
 
 /// The descriptor limit of a router in tests that do not depend on the limit.
@@ -128,7 +128,8 @@
     vec![("rank", "source".into()), ("as_of", unix_ms().to_string())]
 }
 
-/// Starts a primary that responds to health checks as a healthy member, and to statements by `respond`.
+/// Starts a primary that responds to health checks as a healthy member, and to statements with the result of
+/// `respond`.
 pub fn primary_host(respond: impl Fn(&str) -> Response + Send + Sync + 'static) -> Host {
     Host::start(move |text| match text {
         "SHOW vitals" => (Response::Row(format!("x0={}.0,x1=1", unix_ms() / 1000).into_bytes()), Vec::new()),
@@ -152,7 +153,7 @@
     (Ipv4Addr::LOCALHOST, 1).into()
 }
 
-/// Returns the reply with a row of one value.
+/// Returns a reply that is a row with this value.
 pub fn row(value: &[u8]) -> Reply {
     Reply::Row(value.to_vec())
 }
--- a/crates/router/tests/discovery_faults.rs
+++ b/crates/router/tests/discovery_faults.rs
@@ -12,9 +12,10 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// A list counts as received this long after the moment from which discovery could be reached.
+/// The time after which a list counts as received, from the point at which discovery could be reached.
 const LIST_TIMEOUT: Duration = Duration::from_secs(6);
-/// The drain grace period of the settings, which follows [`LIST_TIMEOUT`], and the tolerance of the rules.
+/// The drain grace period of the settings (1 s), which follows [`LIST_TIMEOUT`], and the tolerance of the
+/// rules (50 ms).
 const DRAIN_GRACE: Duration = Duration::from_millis(1050);
 
 /// Returns an endpoint list in which `one` is draining and `two` is the new primary.
@@ -111,8 +112,8 @@
     assert_drain_takes_effect_after(&[ResponseMode::Close, ResponseMode::Close, ResponseMode::NoResponse]);
 }
 
-/// Discovery is unreachable until the intervals between the router's requests are long. When discovery
-/// recovers, its list has the drain.
+/// Discovery is unreachable for 2.5 s, after which the intervals between the router's requests are long. When
+/// discovery recovers, its list has the drain.
 #[test]
 fn a_drain_takes_effect_promptly_once_discovery_recovers() {
     let (one, two) = primary_and_successor();
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Limits that all routers of a fleet keep together: router processes, faulty links between them, and hosts
-//! that record what they receive.
+//! Limits that the routers of a fleet keep together, tested with router processes, faulty links between them,
+//! and hosts that record what they receive.
 
 use basalthill_standin::harness::{
     rate_excess, ClientTotals, FleetHarness, HarnessConfig, HostBehavior, PacedClients,
@@ -44,7 +44,7 @@
     harness.routers.iter().map(|r| r.addr).collect()
 }
 
-/// Starts `per_router` clients of each router. Each request has a timeout of `timeout_ms`, and router `n`
+/// Starts `per_router` clients for each router. Each request has a timeout of `timeout_ms`, and router `n`
 /// receives `per_s(n)` requests per second.
 fn start_clients(
     harness: &FleetHarness,
@@ -95,11 +95,17 @@
     let ClientTotals { served, rejected, failed } = clients.totals();
     println!("before {before:.0}/s after {after:.0}/s excess {excess:.1} {served} {rejected} {failed}");
     println!("{}", harness.status(Path::new(PROGRAM), 1).expect("failed to read the status"));
-    assert!(excess <= 0.0, "{excess} over the limit");
+    assert!(excess <= 0.0, "{excess} requests over the limit");
     // `basalthill-lab` measures how much of the limit is used; the bounds here allow for a machine that is
     // busy with other tests.
-    assert!(before >= 0.8 * RATE_PER_S, "{before} requests per second before the partition");
-    assert!(after >= 0.8 * RATE_PER_S, "{after} requests per second from 2 s after it healed");
+    assert!(
+        before >= 0.8 * RATE_PER_S,
+        "{before} requests per second before the partition, expected 240 or more"
+    );
+    assert!(
+        after >= 0.8 * RATE_PER_S,
+        "{after} requests per second from 2 s after it healed, expected 240 or more"
+    );
     assert!(rejected > 500);
 }
 
@@ -127,9 +133,12 @@
         harness.hosts.iter().map(|h| h.max_concurrent.load(Ordering::Relaxed)).collect();
     println!("{before:.0}/s, at most {max_concurrent:?} concurrent, totals {:?}", clients.totals());
     println!("{}", harness.status(Path::new(PROGRAM), 2).expect("failed to read the status"));
-    assert!(max_concurrent.iter().all(|m| *m <= 6), "{max_concurrent:?} concurrent statements");
+    assert!(
+        max_concurrent.iter().all(|m| *m <= 6),
+        "{max_concurrent:?} concurrent statements by host, limit 6"
+    );
     // 3 hosts, each with 6 concurrent statements of 40 ms, serve at most 450 requests per second.
-    assert!(before >= 100.0, "{before} requests per second");
+    assert!(before >= 100.0, "{before} requests per second, expected 100 or more");
 }
 
 #[test]
@@ -137,6 +146,7 @@
     let harness = start_routers(3, RATE_LIMIT, 0);
     let clients = start_clients(&harness, 2, 1400, 3, |_| 60.0);
     sleep_ms(6000);
+    // Each call takes the latencies recorded since the previous one.
     let p99 = || {
         let mut all: Vec<u32> = clients
             .counts
@@ -206,19 +216,19 @@
         harness.arrivals("t=acme").into_iter().filter(|at| *at > lowered_at).collect();
     let excess = rate_excess(&arrivals, 100.0, 100.0 + 100.0 * ARRIVAL_JITTER_S);
     let rate_after = rate(&arrivals, lowered_at, lowered_at + Duration::from_secs(5));
-    assert!(excess <= 0.0, "{excess} over the limit");
-    assert!(rate_after >= 70.0, "{rate_after} requests per second");
+    assert!(excess <= 0.0, "{excess} requests over the limit");
+    assert!(rate_after >= 70.0, "{rate_after} requests per second, expected 70 or more");
 }
 
 #[test]
 fn the_status_requires_the_key_and_a_router_must_be_on_its_own_roster() {
     let harness = start_routers(2, RATE_LIMIT, 0);
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
+    let test_dir = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let settings = harness.settings[0].clone().expect("the router has no local settings");
     let text = std::fs::read_to_string(&settings).expect("failed to read the settings");
     let other_key = text.replace("51e0a8c97b3d2f66", "61e0a8c97b3d2f66");
     let other_settings =
-        basalthill_standin::router_process::write_unique_file(folder, "other.kdl", &other_key)
+        basalthill_standin::router_process::write_unique_file(test_dir, "other.kdl", &other_key)
             .expect("failed to write the settings");
     let at = harness.fleet_addr(0).expect("the router has no fleet address").to_string();
     let request_status = |settings: &Path| {
@@ -278,7 +288,7 @@
     assert!(excess <= 0.0, "{excess} probes over the limit");
     // A third of the 180 requests per second fails. The retry budget is used up; the remaining requests are
     // rejected or fail at once.
-    assert!(retries.len() > 60, "{} retries", retries.len());
+    assert!(retries.len() > 60, "{} retries, expected more than 60", retries.len());
     assert!(rejected + failed > 200, "{rejected} rejected, {failed} failed");
 }
 
--- a/crates/router/tests/pipelines.rs
+++ b/crates/router/tests/pipelines.rs
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Returns a value of `bytes` bytes that repeats the id of its request.
+/// Returns a value that repeats the id of its request, up to `bytes` bytes but at least once.
 fn value(id: &str, bytes: usize) -> Vec<u8> {
     id.bytes().cycle().take(bytes.max(id.len())).collect()
 }
@@ -141,7 +141,7 @@
             read_in_order(&mut client, class, client_number, 500)
         })
     });
-    // A client that reads one byte at a time.
+    // This client reads one byte at a time.
     let slow_reader = std::thread::spawn(move || {
         let mut client = Client::connect(addr).unwrap();
         let commands: Vec<u8> = (0..20).flat_map(|n| query(&statement("write", 3, n))).collect();
@@ -164,7 +164,7 @@
     assert!(max_latency < Duration::from_secs(1), "a request of another client took {max_latency:?}");
     wait_until("descriptors are released", || router.descriptors().unwrap() <= descriptors + 24);
     let grown = router.resident_kib().unwrap().saturating_sub(memory);
-    assert!(grown < 16 * 1024, "{grown} KiB are not released");
+    assert!(grown < 16 * 1024, "{grown} KiB are not released, limit 16384 KiB");
 }
 
 #[test]
@@ -228,7 +228,8 @@
         client.stream.write_all(&commands).unwrap();
     };
     send(&mut client, 0, 200);
-    // Twenty clients may be connected; all but the one with the pipeline are evicted.
+    // Clients may use 20 of the 64 descriptors. The router evicts idle clients, but not the one with the
+    // pipeline.
     let idle_clients: Vec<Client> =
         (0..60).filter_map(|_| Client::connect_without_startup(router.addr).ok()).collect();
     let path = write_config(&known, new.addr, 64, SETTINGS);
@@ -246,11 +247,14 @@
     });
 }
 
-/// The number of requests with each outcome, of those that a client wrote completely on accepted connections.
+/// What became of the requests that a client wrote completely on accepted connections.
 #[derive(Default)]
 struct PipelineCounts {
+    /// The number of replies, whether in time or late.
     answered: usize,
+    /// The number of connections that were closed before their last reply.
     closed: usize,
+    /// The number of replies that arrived more than 1.5 s after the deadline.
     late: usize,
 }
 
@@ -377,7 +381,7 @@
     discovery.state.change(|t| t.withhold_responses = true);
     routers.iter_mut().for_each(|r| r.kill().unwrap());
     routers.iter_mut().for_each(|r| r.restart().unwrap());
-    all_serve(&routers, "after a restart without a response of discovery");
+    all_serve(&routers, "after a restart without a response from discovery");
     discovery.state.change(|t| t.withhold_responses = false);
     let moved = Discovery::start(just_started(endpoint_list(
         9,
@@ -394,8 +398,8 @@
     all_serve(&routers, "with the full list");
 }
 
-/// The number of hosts and routers has no fixed bound: a list of 1024 hosts, indented over many lines, and as
-/// many routers.
+/// The numbers of hosts and routers have no fixed bound. The list has 1024 hosts and is indented over many
+/// lines, and the settings give the number of routers as 1024.
 #[test]
 fn a_list_of_1024_hosts_is_accepted_and_uses_little_memory_when_idle() {
     let host = primary(100);
--- a/crates/router/tests/platform.rs
+++ b/crates/router/tests/platform.rs
@@ -54,8 +54,8 @@
     seccompiler::apply_filter(&program).unwrap();
 }
 
-/// Returns a rule that matches if an argument under a mask equals a value or, if `equal` is false, if the
-/// whole argument differs from it.
+/// Returns a rule that matches if the argument, masked with `mask`, equals `value`. If `equal` is false, the
+/// rule ignores the mask and matches if the argument differs from `value`.
 fn argument_rule(argument: u8, mask: u64, equal: bool, value: u64) -> Vec<SeccompRule> {
     let op = if equal { SeccompCmpOp::MaskedEq(mask) } else { SeccompCmpOp::Ne };
     let condition = SeccompCondition::new(argument, SeccompCmpArgLen::Dword, op, value).unwrap();
@@ -85,8 +85,8 @@
 }
 
 /// Returns the id and the state of each thread of a process.
-fn thread_states(id: u32) -> Vec<(String, char)> {
-    let tasks = fs::read_dir(format!("/proc/{id}/task")).unwrap().flatten();
+fn thread_states(pid: u32) -> Vec<(String, char)> {
+    let tasks = fs::read_dir(format!("/proc/{pid}/task")).unwrap().flatten();
     let state = |task: &Path| {
         let stat = fs::read_to_string(task.join("stat")).ok()?;
         stat.rsplit_once(") ")?.1.chars().next()
@@ -94,11 +94,11 @@
     tasks.filter_map(|t| Some((t.file_name().into_string().ok()?, state(&t.path())?))).collect()
 }
 
-/// Returns the `/proc` status lines of the child processes of a process.
-fn children(id: u32) -> Vec<String> {
+/// Returns the `/proc/PID/stat` lines of the child processes of a process.
+fn children(pid: u32) -> Vec<String> {
     let stats = fs::read_dir("/proc").unwrap().flatten().map(|d| d.path().join("stat"));
     let parent = |stat: &str| stat.rsplit_once(") ")?.1.split(' ').nth(1)?.parse::<u32>().ok();
-    stats.filter_map(|s| fs::read_to_string(s).ok()).filter(|s| parent(s) == Some(id)).collect()
+    stats.filter_map(|s| fs::read_to_string(s).ok()).filter(|s| parent(s) == Some(pid)).collect()
 }
 
 fn send_read(deployment: &Deployment, n: usize) {
@@ -126,13 +126,13 @@
             seed: 24,
         };
         assert!(deployment.run_load(&load, 0, &[]).reads >= 600);
-        let id = deployment.routers[0].pid();
-        assert!(children(id).is_empty(), "{:?}", children(id));
-        assert!(thread_states(id).len() <= 8, "{:?}", thread_states(id));
+        let pid = deployment.routers[0].pid();
+        assert!(children(pid).is_empty(), "child processes: {:?}", children(pid));
+        assert!(thread_states(pid).len() <= 8, "expected at most 8 threads: {:?}", thread_states(pid));
         deployment.routers[0].signal("HUP").unwrap();
         assert!(deployment.routers[0].wait_for_log("configuration: read again").is_some());
         send_read(&deployment, 1);
-        assert!(children(id).is_empty(), "{:?}", children(id));
+        assert!(children(pid).is_empty(), "child processes: {:?}", children(pid));
         deployment.routers[0].stop_and_restart().unwrap();
         assert!(deployment.routers[0].wait_for_log("stopped").is_some());
         send_read(&deployment, 2);
@@ -147,11 +147,11 @@
     let deployment =
         Deployment::start(Path::new(PROGRAM), test_dir, 1, GroupBehavior::default(), None).unwrap();
     send_read(&deployment, 0);
-    let (id, until) = (deployment.routers[0].pid(), Instant::now() + TIMEOUT);
+    let (pid, until) = (deployment.routers[0].pid(), Instant::now() + TIMEOUT);
     let mut has_slept = BTreeMap::new();
     while has_slept.values().any(|slept| !slept) || has_slept.is_empty() {
         assert!(Instant::now() < until, "threads that did not sleep within {TIMEOUT:?}: {has_slept:?}");
-        for (thread, state) in thread_states(id) {
+        for (thread, state) in thread_states(pid) {
             *has_slept.entry(thread).or_insert(false) |= state == 'S';
         }
         std::thread::sleep(Duration::from_millis(1));
@@ -175,7 +175,10 @@
     let before = deployment.routers[0].resident_kib().unwrap();
     (2..5).for_each(|seed| drop(deployment.run_load(&load(seed), 0, &[])));
     let after = deployment.routers[0].resident_kib().unwrap();
-    assert!(after < before + 1024, "{before} KiB after 3,000 reads, {after} KiB after 12,000");
+    assert!(
+        after < before + 1024,
+        "{before} KiB after 3,000 reads, {after} KiB after 12,000; limit 1,024 KiB more"
+    );
 }
 
 /// Connects 24 clients: 8 send without reading, 8 send part of a large statement, and 8 send nothing.
@@ -215,7 +218,12 @@
         let until = Instant::now() + TIMEOUT;
         // The clients have disconnected; idle connections to hosts may stay open.
         while round > 0 && open_descriptors() > before.0 + 8 {
-            assert!(Instant::now() < until, "{} descriptors, {} before", open_descriptors(), before.0);
+            assert!(
+                Instant::now() < until,
+                "{} descriptors, {} before; limit 8 more",
+                open_descriptors(),
+                before.0
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
         if round == 0 {
@@ -223,5 +231,9 @@
         }
     }
     let after = router.resident_kib().unwrap();
-    assert!(after < before.1 + 2048, "{} KiB, then {after} KiB", before.1);
+    assert!(
+        after < before.1 + 2048,
+        "{} KiB after the first round, {after} KiB after the last; limit 2,048 KiB more",
+        before.1
+    );
 }
--- a/crates/router/tests/program.rs
+++ b/crates/router/tests/program.rs
@@ -31,7 +31,8 @@
     String::from_utf8_lossy(&output.stderr).into_owned() + &String::from_utf8_lossy(&output.stdout)
 }
 
-/// Starts a router as in service, with environment variables. Returns its process and its address.
+/// Starts a router that is configured by environment variables, as in production. Returns its process and
+/// its address.
 fn start_router(host: &Host) -> (Child, SocketAddr) {
     let mut child = spawn_router(host, "127.0.0.1:0");
     let addr = address_after(child.stderr.take().unwrap(), "listens on ");
@@ -217,7 +218,7 @@
 }
 
 /// Some requests are in flight to a host that hangs, and others are queued. After SIGTERM each client gets a
-/// reply, and the program exits in time, whatever further signals arrive.
+/// reply, and the program exits in time, even if further signals arrive.
 #[test]
 fn sigterm_with_a_hanging_host_answers_every_client_and_exits_in_time() {
     let host = Host::start(|text| match text {
@@ -242,8 +243,8 @@
         assert!(client.wait_for_close(), "client {n}");
     }
     assert_eq!(child.wait().unwrap().code(), Some(0));
-    // The longest deadline, which counts as three seconds at most, and the 0.7 s that the operators allow
-    // after it.
+    // The earliest kill follows SIGTERM by the longest deadline, which counts as three seconds at most, and
+    // 0.7 s.
     assert!(started_at.elapsed() < Duration::from_millis(3700), "{:?}", started_at.elapsed());
 }
 
--- a/crates/router/tests/reconnect.rs
+++ b/crates/router/tests/reconnect.rs
@@ -74,15 +74,27 @@
         "{} served, {unknown} unknown",
         served(&outcomes)
     );
-    assert!(unknown < 16, "{unknown} unknown outcomes");
-    assert!(connects.len() > 40, "only {} clients reconnected; expected about half", connects.len());
+    assert!(unknown < 16, "{unknown} unknown outcomes, expected fewer than 16");
+    assert!(
+        connects.len() > 40,
+        "{} connects, expected more than 40 as about half the clients reconnect",
+        connects.len()
+    );
     let max_in_50_ms = (0..60).map(|n| within(n * 10, n * 10 + 50)).max().unwrap();
-    assert!(max_in_50_ms * 3 < connects.len(), "{max_in_50_ms} of {} within 50 ms", connects.len());
+    assert!(
+        max_in_50_ms * 3 < connects.len(),
+        "{max_in_50_ms} of {} connects within 50 ms, expected less than a third",
+        connects.len()
+    );
     // The router recovers. The clients must not all reconnect to it at once.
     deployment.routers[0].restart().unwrap();
     let restarted_at = Instant::now();
     assert_eq!(served(&round(2, 300 * MS)), CLIENTS as usize);
-    assert!(connects_since(restarted_at).len() < 20, "{:?}", connects_since(restarted_at));
+    assert!(
+        connects_since(restarted_at).len() < 20,
+        "20 or more connects after the restart: {:?}",
+        connects_since(restarted_at)
+    );
     for host in &deployment.group.hosts {
         let seen = host.record.lock();
         for statement in &seen.statements {
--- a/crates/router/tests/routing/endpoints.rs
+++ b/crates/router/tests/routing/endpoints.rs
@@ -4,7 +4,7 @@
 use basalthill_policy::api::{MemberId, Time};
 use basalthill_router::routing::{Effect, ExchangeId};
 
-/// The address to which members move.
+/// The address to which the primary moves.
 const NEW_ADDRESS: &str = "127.0.0.1:7009";
 
 #[test]
@@ -47,8 +47,8 @@
     assert!(!may_write(&harness, 0), "a member that a complete list lacks is removed");
 }
 
-/// Returns the connections that effects close because their process has exited: the address, and the time
-/// before which they were last used.
+/// Returns the connections that effects close because their host has restarted or moved: the host's address,
+/// and the time before which the closed connections were last used.
 fn closed_connections(effects: &[Effect]) -> Vec<(String, Time)> {
     let closed = |effect: &Effect| match effect {
         Effect::CloseConnectionsIdleSince { addr, before } => Some((addr.to_string(), *before)),
@@ -62,13 +62,13 @@
     let mut harness = RouterHarness::ready();
     let mut restarted = list(2, false, &[member("s-2", REPLICA, "active", "copy")]);
     restarted.servers[0].started_ms = START.0 / 1_000_000;
-    // The list arrives 3 s after the start: connections that have been used since the start stay open.
+    // The list arrives 3 s after the replica's restart. Connections used since the restart stay open.
     harness.advance_ms(3000);
     assert_eq!(closed_connections(&harness.apply_list(restarted.clone())), [(REPLICA.to_string(), START)]);
     assert_eq!(
         closed_connections(&harness.apply_list(restarted)),
         [],
-        "connections are closed once for each start"
+        "connections are closed once for each restart of a host"
     );
     let moved = list(3, false, &[member("s-1", NEW_ADDRESS, "active", "source")]);
     assert_eq!(closed_connections(&harness.apply_list(moved)), [(PRIMARY.to_string(), Time(u64::MAX))]);
--- a/crates/router/tests/routing/harness.rs
+++ b/crates/router/tests/routing/harness.rs
@@ -1,6 +1,6 @@
 //! A router under a simulated clock, and helpers to examine its effects.
 
-use crate::common::{sessions, site, statement};
+use crate::common::{deployment_settings, sessions, statement};
 use basalthill_policy::api::Time;
 use basalthill_router::protocol::discovery::HostList;
 use basalthill_router::protocol::host::{QueryOutcome, ReportedState, Row};
@@ -58,10 +58,10 @@
 }
 
 impl RouterHarness {
-    /// Starts a router with an endpoint list or without one. Returns its first effects too.
+    /// Starts a router with an endpoint list or without one. Also returns its first effects.
     pub fn start(list: Option<HostList>) -> (RouterHarness, Vec<Effect>) {
         let mut effects = Vec::new();
-        let router = Router::new(START, site(), sessions(), SEED, list, &mut effects);
+        let router = Router::new(START, deployment_settings(), sessions(), SEED, list, &mut effects);
         (RouterHarness { router, now: START }, effects)
     }
 
@@ -140,8 +140,8 @@
         self.input(Input::ExchangeFinished(id, result))
     }
 
-    /// Asserts that no request is open, and that no timers are set except those of health checks and the
-    /// policy's own.
+    /// Asserts that no request is open, and that no timer is set except those of health checks and the
+    /// policy's periodic one.
     pub fn assert_drained(&self) {
         let outstanding = self.router.outstanding();
         let Outstanding { requests, probes, timers } = outstanding;
@@ -151,7 +151,7 @@
 
 /// Parses an address.
 pub fn address(text: &str) -> SocketAddr {
-    text.parse().expect("an address")
+    text.parse().expect("invalid address")
 }
 
 /// Returns the entry of a member of [`GROUP`] in an endpoint list.
@@ -166,7 +166,7 @@
 
 /// Returns an endpoint list as service discovery sends it.
 pub fn list(version: u64, full: bool, members: &[Endpoint]) -> HostList {
-    HostList::parse(endpoint_list(version, full, members).as_bytes()).expect("a valid list")
+    HostList::parse(endpoint_list(version, full, members).as_bytes()).expect("invalid endpoint list")
 }
 
 /// Returns a client's request, which is the only open command of its connection.
@@ -174,7 +174,7 @@
     Input::Request(ClientRequest { client: ClientId(client), command: CommandId(0), statement, arrived_at })
 }
 
-/// Returns a host's row with a value.
+/// Returns a row with this value, as a host sends it.
 pub fn row(value: &[u8]) -> Row {
     let end = value.len();
     Row { bytes: value.to_vec(), parts: vec![0..end, end..end, end..end], value: Some(0..end), binary: true }
--- a/crates/router/tests/routing/invariants.rs
+++ b/crates/router/tests/routing/invariants.rs
@@ -1,4 +1,4 @@
-//! Invariants of the router that hold whatever hosts, clients and service discovery do.
+//! Invariants of the router that hold for any behavior of hosts, clients and service discovery.
 
 use crate::harness::*;
 use basalthill_policy::api::RequestId;
@@ -46,7 +46,7 @@
     assert_eq!(harness.router.unanswered(), 0);
 }
 
-/// Generates the result of an exchange; none if the host never responds.
+/// Generates the result of an exchange, which is `None` if the host never responds.
 fn exchange_result() -> impl Strategy<Value = Option<ExchangeResult>> {
     prop_oneof![
         6 => Just(Some(row_response(b"x"))),
@@ -96,13 +96,13 @@
 /// A router, and a model that checks each of its effects.
 struct CheckedRouter {
     harness: RouterHarness,
-    /// The clients by number. As all requests are valid, the router gives them the same numbers.
+    /// The clients by number. Each sends one valid request, so the router's request ids equal these numbers.
     clients: BTreeMap<u64, Client>,
     /// The requests that may have run at a host.
     may_have_run: BTreeSet<RequestId>,
 }
 
-/// Returns whether a query may have run, given the result of its exchange.
+/// Returns whether a query may have run, given the result of its exchange (`None`: no response).
 fn may_run(result: Option<&ExchangeResult>) -> bool {
     match result {
         None | Some(ExchangeResult::ConnectionLost) => true,
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Checks effects, and ends each exchange that they start with `result`. Returns the effects of these
-    /// results.
+    /// Checks effects. Each exchange that they start ends with `result`, or stays open if it is `None`.
+    /// Returns the effects of ending the exchanges.
     fn check_effects(
         &mut self,
         effects: Vec<Effect>,
@@ -192,7 +192,7 @@
     }
 
     /// Checks that every request has been replied to or abandoned, and that the tables hold no request.
-    /// Called after enough time for all of them has passed.
+    /// Called once the longest deadline of a request has passed.
     fn check_completed(&self) -> Result<(), TestCaseError> {
         for (number, client) in &self.clients {
             let settled = client.reply.is_some() || client.disconnected;
@@ -205,9 +205,9 @@
 }
 
 proptest! {
-    /// Whatever hosts, clients and discovery do: each request whose client stays connected gets one reply, a
-    /// request whose client has disconnected gets none, no attempt is started after the reply, no write that
-    /// may have run is sent again or rejected, and the tables are empty at the end.
+    /// For any behavior of hosts, clients and discovery: each request whose client stays connected gets one
+    /// reply, a request whose client has disconnected gets none, no attempt is started after the reply, no
+    /// write that may have run is sent again or rejected, and the tables are empty at the end.
     #[test]
     fn every_request_gets_one_reply_and_writes_are_never_duplicated(
         steps in proptest::collection::vec((step(), exchange_result()), 1..120)
--- a/crates/router/tests/routing/proxies.rs
+++ b/crates/router/tests/routing/proxies.rs
@@ -16,7 +16,7 @@
     send_within: Time::ms(200),
 };
 
-/// A lease that a proxy has been given.
+/// A lease that was granted to a proxy.
 struct GrantedLease {
     lease: LeaseId,
     addr: SocketAddr,
@@ -40,10 +40,10 @@
         self.input(Input::Proxy(StreamId(stream), ProxyMessage::Request(request)))
     }
 
-    /// Sends a proxy's request for a member, and returns the lease that it is given.
+    /// Sends a proxy's request for a member, and returns the lease that it is granted.
     fn proxy_is_granted(&mut self, stream: u64) -> GrantedLease {
         let effects = self.proxy_requests(stream);
-        granted(&effects).expect("a lease")
+        granted(&effects).expect("no lease was granted")
     }
 
     /// Sends a proxy's report of how the attempt under a lease ended and of the member's role. Returns the
--- a/crates/router/tests/routing/requests.rs
+++ b/crates/router/tests/routing/requests.rs
@@ -41,7 +41,7 @@
     let left_ms = harness.ms_until(attempt.deadline());
     assert!(
         (160..180).contains(&left_ms),
-        "the attempt's deadline is {left_ms} ms away, the client's 180 ms"
+        "the attempt's deadline is {left_ms} ms away, expected just less than the client's 180 ms"
     );
     let replies = client_replies(&harness.advance_ms(180));
     assert_eq!(replies, [(1, Reply::Failed)], "the write may have run, and its deadline has passed");
@@ -57,7 +57,10 @@
     let effects = harness.input(request(3, statement("write", ""), arrived_at));
     let [attempt] = &started_exchanges(&effects)[..] else { panic!("{effects:?}") };
     let left_ms = harness.ms_until(attempt.deadline());
-    assert!((460..480).contains(&left_ms), "{left_ms} ms");
+    assert!(
+        (460..480).contains(&left_ms),
+        "the attempt's deadline is {left_ms} ms away, expected 460 to 480"
+    );
 }
 
 #[test]
@@ -161,7 +164,7 @@
 #[test]
 fn requests_before_the_first_endpoint_list_are_rejected_and_never_invalid() {
     let (mut harness, _) = RouterHarness::start(None);
-    // Just after the start, a request waits for the endpoint list for a short time.
+    // Just after the start, a request waits for the endpoint list, for at most 300 ms.
     let effects = harness.send_request(3, "write", "");
     assert!(client_replies(&effects).is_empty(), "{effects:?}");
     let effects = harness.advance_ms(300);
--- a/crates/router/tests/sessions.rs
+++ b/crates/router/tests/sessions.rs
@@ -15,10 +15,11 @@
     Path::new(env!("CARGO_TARGET_TMPDIR"))
 }
 
-/// Starts a group of three members and this many routers, with local settings if given. The latency objective
+/// Starts a group of three members and `routers` routers, with local settings if given. The latency objective
 /// is two seconds, so that members that respond late on a busy machine do not count as overloaded.
 fn start(routers: usize, behavior: GroupBehavior, settings: Option<&str>) -> Deployment {
-    // Replicas wait 600 ms, so that none rejects a read only because it was scheduled late.
+    // Replicas wait up to 600 ms until they reach the floor of a read, so that none rejects the read only
+    // because it was scheduled late.
     let stale_reads = match behavior.stale_reads {
         StaleRead::Wait(_) => StaleRead::Wait(Duration::from_millis(600)),
         other => other,
@@ -93,17 +94,17 @@
 
 /// Asserts that replicas serve most reads although the reads have floors. The fraction counts only reads that
 /// were sent while the machine did not stall, which are nearly all reads unless the machine is overloaded: a
-/// member that does not respond for 250 ms is ejected for a second, whatever the floors.
+/// member that does not respond for 250 ms is ejected for a second, regardless of floors.
 fn assert_served_by_replicas(report: &SessionLoadReport, case: &str) {
     let ReplicaFraction { reads, fraction } = report.replica_fraction_without_stalls();
     let all = report.replica_fraction();
     println!("{case}: {fraction} of {reads} reads without stalls, {all} of all");
     assert!(
         fraction > 0.8 || reads < 100,
-        "{case}: {fraction} of {reads} reads without stalls, {all} of all"
+        "{case}: replicas served {fraction} of {reads} reads without stalls (expected over 0.8), {all} of all"
     );
     // Replicas serve some reads even on an overloaded machine.
-    assert!(all > 0.2, "{case}: {all} of all");
+    assert!(all > 0.2, "{case}: replicas served {all} of all reads, expected over 0.2");
 }
 
 #[test]
@@ -218,7 +219,7 @@
     let anne = query_once(&deployment, &read(2, "anne", ""));
     assert_eq!(anne, served_by_replica("7"), "the floor is the one in the snapshot");
     let bert = query_once(&deployment, &read(3, "bert", ""));
-    assert_eq!(bert.by, ServedBy::Replica, "a session that has written nothing");
+    assert_eq!(bert.by, ServedBy::Replica, "a replica serves a session that has written nothing");
     // The router crashes after this write. No snapshot that lacks the write may be left.
     assert_eq!(query_once(&deployment, &write(2, "anne", "8", "")).value, "8");
     deployment.routers[0].kill_and_restart().unwrap();
@@ -262,7 +263,7 @@
     }
 }
 
-/// Replaces a router's local settings, and asserts that its next log line on the configuration has
+/// Replaces a router's local settings, and asserts that its next log line on the configuration contains
 /// `expected`.
 fn reload(deployment: &Deployment, settings: &str, expected: &str) {
     let router = &deployment.routers[0];
@@ -314,11 +315,11 @@
     deployment.group.reconfigure(|behavior| behavior.write_delays[1] = Duration::ZERO);
     deployment.publish_members(2);
     let mut other = Client::connect(deployment.routers[1].addr).unwrap();
-    // The router may still take the old primary or already its successor for the primary.
+    // The router may or may not have learned yet that the successor is the primary.
     assert_eq!(query(&mut other, &read(1, "anne", &before)).value, "7");
     let after = token_of(&other);
-    // The successor serves the next write, after a rejection by the old primary if the router tries that one
-    // first, and the write is replicated from the successor.
+    // The successor serves the next write and replicates it. If the router tries the old primary first, that
+    // one rejects the write.
     assert_eq!(query(&mut other, &write(3, "anne", "8", &after)).value, "8");
     let newest = token_of(&other);
     for (n, router) in deployment.routers.iter().enumerate() {
@@ -364,7 +365,7 @@
         query(&mut client, &read(2, "anne", ",after=12345"));
         let extra = format!(",after=12345{}", token_of(&client));
         query(&mut client, &read(3, "anne", &extra));
-        // The second statement carries no token, the third one carries the token received.
+        // Statement r2 carries no token; r3 carries the token that the client has received, if any.
         for (id, is_replaced) in [("id=r2", replaces_after), ("id=r3", has_tokens)] {
             let text = received_statement(&deployment, id);
             assert_eq!(
--- a/crates/router/tests/shutdown_soak.rs
+++ b/crates/router/tests/shutdown_soak.rs
@@ -266,6 +266,11 @@
         let runs: Vec<_> = batch.iter().copied().map(|s| std::thread::spawn(move || run_soak(s))).collect();
         let violations: Vec<String> = runs.into_iter().flat_map(|run| run.join().unwrap()).collect();
         let shown = violations.len().min(MAX_SHOWN_VIOLATIONS);
-        assert!(violations.is_empty(), "{}:\n{}", violations.len(), violations[..shown].join("\n"));
+        assert!(
+            violations.is_empty(),
+            "{} violations:\n{}",
+            violations.len(),
+            violations[..shown].join("\n")
+        );
     }
 }
--- a/crates/router/tests/system_call_faults.rs
+++ b/crates/router/tests/system_call_faults.rs
@@ -89,8 +89,8 @@
     assert!(waiting.query("").is_ok());
     // More connections than the limit: the router closes idle connections to members to accept them.
     let idle_clients: Vec<_> = (0..80).map(|_| TcpStream::connect(router.addr).unwrap()).collect();
-    // The router continues to serve other clients, for as long as several attempts and health checks would
-    // take.
+    // The router serves other clients for 300 ms, which is as long as several attempts and health checks
+    // would take.
     let mut serve_others = || {
         let started_at = Instant::now();
         while started_at.elapsed() < Duration::from_millis(300) {
@@ -154,7 +154,7 @@
         assert_eq!(
             client.query(&read_statement(n)).unwrap(),
             Reply::Row(b"first".to_vec()),
-            "read {n}, {ahead_ms} ms"
+            "read {n}, clock ahead by {ahead_ms} ms before"
         );
     }
     // The replica has caught up, which a health check detects.
@@ -169,11 +169,11 @@
 }
 
 #[test]
-fn after_a_slow_system_clock_is_set_reads_keep_their_staleness_bound() {
+fn reads_keep_their_staleness_bound_after_a_clock_that_was_behind_is_corrected() {
     assert_reads_stay_fresh_after_clock_set(-10_000);
 }
 
 #[test]
-fn after_a_fast_system_clock_is_set_replicas_serve_again() {
+fn replicas_serve_again_after_a_clock_that_was_ahead_is_corrected() {
     assert_reads_stay_fresh_after_clock_set(10_000);
 }
--- a/crates/router/tests/transport.rs
+++ b/crates/router/tests/transport.rs
@@ -57,9 +57,9 @@
     let router = RouterThread::with_primary(&host);
     let mut client = Client::connect_without_startup(router.addr).unwrap();
     client.stream.write_all(&[0, 0, 0, 8, 4, 210, 22, 47]).unwrap();
-    let mut response = [0];
-    client.stream.read_exact(&mut response).unwrap();
-    assert_eq!(&response, b"N");
+    let mut reply = [0];
+    client.stream.read_exact(&mut reply).unwrap();
+    assert_eq!(&reply, b"N");
     client.stream.write_all(&startup()).unwrap();
     client.read_until_ready().unwrap();
     assert_eq!(client.query("").unwrap(), Reply::Empty);
@@ -223,7 +223,8 @@
 fn idle_clients_are_evicted_for_new_connections() {
     let host = primary_with_row(b"x");
     let router = RouterThread::with_descriptors(&host, 64);
-    // Clients may use 21 of the 64 descriptors, so a router that evicted no client would run out of them.
+    // Clients may use 20 of the 64 descriptors, so 60 clients can connect only if the router evicts idle
+    // ones.
     let mut clients: Vec<Client> = (0..60)
         .map(|_| {
             let mut client = router.client();
@@ -431,8 +432,8 @@
     let settings = settings.replace("\"rules\": {", "\"rules\": {\"askEvery\": 20000000, ");
     let (router, discovery) =
         RouterThread::with_discovery(&primary_list(1, host.addr), DEFAULT_DESCRIPTORS, &settings);
-    // The stand-in sends nothing until the watch times out. By then a router that polled every 10 ms would
-    // have sent two hundred requests.
+    // The stand-in sends nothing until the watch times out. A router that polled every 10 ms would have sent
+    // two hundred requests in this time.
     let again = discovery.state.wait(|t| t.requests.get(1).cloned()).unwrap();
     assert!(again.contains("watch=1") && again.contains("from=1"), "{again}");
     assert_eq!(router.client().query(&statement_text("write", "")).unwrap(), row(b"x"));
@@ -444,7 +445,8 @@
     let router = RouterThread::with_primary(&host);
     let large =
         |id: &str| statement_text("write", "").replace("9f03", &"9f".repeat(65_536)).replace("id=9", id);
-    // The first client has the only permit: it has sent most of its statement and pauses.
+    // The first client has the only permit for a large statement: it has sent most of the
+    // statement and pauses.
     let (mut first, mut second, mut third) = (router.client(), router.client(), router.client());
     let part = query(&large("id=1"));
     first.stream.write_all(&part[..100_000]).unwrap();
@@ -492,8 +494,8 @@
     ];
     let count = malformed.len();
     let host = primary_host(move |text| {
-        let reply = malformed.iter().enumerate().find(|(n, _)| text.contains(&format!("id=bad{n}")));
-        reply.map_or(Response::Row(b"x".to_vec()), |(_, bytes)| Response::Raw(bytes.clone()))
+        let response = malformed.iter().enumerate().find(|(n, _)| text.contains(&format!("id=bad{n}")));
+        response.map_or(Response::Row(b"x".to_vec()), |(_, bytes)| Response::Raw(bytes.clone()))
     });
     let router = RouterThread::with_primary(&host);
     let mut client = router.client();
@@ -501,10 +503,18 @@
         let started_at = Instant::now();
         let bad =
             statement_text("write", "").replace("id=9", &format!("id=bad{n}")).replace("d=480", "d=9000");
-        assert_eq!(error_code(&client.query(&bad).unwrap()), "58000", "reply {n}");
-        assert!(started_at.elapsed() < Duration::from_secs(3), "reply {n}: {:?}", started_at.elapsed());
+        assert_eq!(error_code(&client.query(&bad).unwrap()), "58000", "malformed response {n}");
+        assert!(
+            started_at.elapsed() < Duration::from_secs(3),
+            "malformed response {n}: reply after {:?}",
+            started_at.elapsed()
+        );
         // The member still serves requests, and no client gets the malformed response.
-        assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"x"), "after reply {n}");
+        assert_eq!(
+            client.query(&statement_text("write", "")).unwrap(),
+            row(b"x"),
+            "after malformed response {n}"
+        );
     }
 }
 
