--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -74,7 +74,7 @@
 }
 
 impl Client {
-    /// Creates a client with a thread of its own.
+    /// Creates a client and starts a thread that drives only this client.
     ///
     /// # Errors
     ///
--- a/crates/client/src/config.rs
+++ b/crates/client/src/config.rs
@@ -27,15 +27,16 @@
 pub struct Config {
     /// The addresses of the routers. Any router can serve any request.
     pub routers: Vec<SocketAddr>,
-    /// Upper limit of the number of connections to each router.
+    /// Maximum number of connections to each router.
     pub max_connections_per_router: usize,
     /// The fraction of a retry that each request adds to the retry budget.
     pub retry_ratio: f64,
-    /// Upper limit of the retry budget, in retries.
+    /// Capacity of the retry budget, in retries.
     pub retry_budget_capacity: f64,
-    /// Upper limit of the random delay before the next connection is opened after one was lost. The delay is
-    /// also at most half of the time that the first waiting request has left. While routers reject
-    /// connections because they are full, the limit is doubled up to three times.
+    /// Maximum random delay before the next connection is opened after one was lost. The delay is also at
+    /// most half of the time that the first waiting request has left. Each time that a router rejects a
+    /// connection because it is full, the maximum is doubled, up to three times, until a connection completes
+    /// its startup.
     pub reconnect_spread: Duration,
     /// A connection that was idle for this long is closed. Routers close idle connections after two seconds,
     /// so this should be shorter.
@@ -45,9 +46,9 @@
     pub connection_lifetime: Duration,
     /// A connection that has not completed its startup within this time is closed and counts as failed.
     pub connect_timeout: Duration,
-    /// How long a router is ejected when its circuit breaker opens, multiplied by a random factor between 0.5
-    /// and 1.5. Doubled with each further ejection, up to four times, until a connection completes its
-    /// startup.
+    /// How long a router is ejected when its circuit breaker opens, before a random factor between 0.5 and
+    /// 1.5 is applied. Doubled with each further ejection, up to four times, until a connection to the router
+    /// completes its startup.
     pub ejection_cooldown: Duration,
     /// Seed of the client's random numbers. Clients with the same seed generate the same sequence.
     pub seed: u64,
--- a/crates/client/src/core/attempts.rs
+++ b/crates/client/src/core/attempts.rs
@@ -12,13 +12,13 @@
 /// Shortest delay before a retry after a rejection, even if its Retry-After time is shorter. Also the base of
 /// the exponential backoff after other failures, which doubles with each attempt.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Upper limit of the jitter that is added to a Retry-After time, as a fraction of that time.
+/// Maximum jitter that is added to a Retry-After time, as a fraction of that time.
 const RETRY_AFTER_JITTER: f64 = 0.5;
-/// Upper limit of the number of times that the backoff is doubled.
+/// Maximum number of times that the backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 /// Jitter of the backoff: it is multiplied by a random factor between this value and this value plus one.
 const MIN_BACKOFF_FACTOR: f64 = 0.5;
-/// Upper limit of the delay before a retry. It is far longer than any timeout of a request; without a limit,
+/// Maximum delay before a retry. It is far longer than any timeout of a request; without a limit,
 /// adding a Retry-After time from the network to an [`Instant`] could overflow.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(86_400);
 /// Number of random bits in an attempt's id. They are its high bits.
@@ -189,7 +189,7 @@
 }
 
 /// Returns the delay before the retry of an attempt that was not served. Takes exactly one random number
-/// whatever the outcome, so that the sequence of random numbers does not depend on outcomes.
+/// for any outcome, so that the sequence of random numbers does not depend on outcomes.
 fn retry_delay(outcome: &AttemptOutcome, attempts: usize, rng: &mut fastrand::Rng) -> Duration {
     let jitter = rng.f64();
     match outcome {
--- a/crates/client/src/core/exchange.rs
+++ b/crates/client/src/core/exchange.rs
@@ -41,7 +41,7 @@
     Malformed,
 }
 
-/// The result of an exchange that has ended.
+/// The result of an exchange, whether its response is complete or its connection was lost or closed.
 #[derive(Debug)]
 pub(super) struct ExchangeResult {
     /// The request that the statement belongs to.
--- a/crates/client/src/core/reconnect_gate.rs
+++ b/crates/client/src/core/reconnect_gate.rs
@@ -4,9 +4,9 @@
 
 use std::time::{Duration, Instant};
 
-/// Upper limit of the delay as a fraction of a waiting request's remaining time.
+/// Maximum delay, as a fraction of a waiting request's remaining time.
 const SLACK_FRACTION: f64 = 0.5;
-/// Upper limit of the number of times that the spread is doubled while routers reject connections.
+/// Maximum number of times that the spread is doubled while routers reject connections.
 const MAX_DOUBLINGS: u32 = 3;
 
 /// Decides whether a new connection may be opened.
@@ -42,8 +42,9 @@
         self.doublings = 0;
     }
 
-    /// Handles a connection that a router has rejected because it is full: doubles the spread and requires a
-    /// delay. Returns the time for which no new connection to that router may be opened.
+    /// Handles a connection that a router has rejected because the router is full: doubles the spread, up to
+    /// [`MAX_DOUBLINGS`] times, and requires a delay. Returns the time for which no new connection to that
+    /// router may be opened.
     pub(super) fn on_router_full(&mut self, rng: &mut fastrand::Rng) -> Duration {
         self.was_connection_lost = true;
         self.doublings = (self.doublings + 1).min(MAX_DOUBLINGS);
--- a/crates/client/src/core/response_times.rs
+++ b/crates/client/src/core/response_times.rs
@@ -4,14 +4,15 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Lower limit of the time that an attempt is assumed to need.
+/// Minimum time that an attempt is assumed to need.
 const MIN_REMAINING: Duration = Duration::from_millis(2);
 /// Weight of a response time below the estimate in the moving average.
 const WEIGHT_BELOW_ESTIMATE: f64 = 0.2;
 /// Weight of a response time above the estimate in the moving average: a tenth of the weight of one below it,
 /// so that the estimate stays close to the times of fast responses.
 const WEIGHT_ABOVE_ESTIMATE: f64 = 0.02;
-/// Upper limit of the number of classes with an estimate, which bounds memory.
+/// Maximum number of classes with an estimate, which bounds memory. Further classes are assumed to need
+/// [`MIN_REMAINING`].
 const MAX_CLASSES: usize = 64;
 
 /// The estimate of each class: an exponentially weighted moving average (EWMA) of its response times, in
--- a/crates/client/src/core/retry_budget.rs
+++ b/crates/client/src/core/retry_budget.rs
@@ -13,7 +13,7 @@
 pub(super) struct RetryBudget {
     /// Number of retries that each request adds; a fraction of one.
     deposit: f64,
-    /// Upper limit of `balance`, in retries.
+    /// Maximum of `balance`, in retries.
     capacity: f64,
     /// Number of retries in the bucket.
     balance: f64,
--- a/crates/client/src/core/routers.rs
+++ b/crates/client/src/core/routers.rs
@@ -7,7 +7,7 @@
 
 /// Number of consecutive transport failures that opens a router's circuit breaker.
 const FAILURES_TO_EJECT: u32 = 3;
-/// Upper limit of the number of times that the cooldown is doubled.
+/// Maximum number of times that the cooldown is doubled.
 const MAX_COOLDOWN_DOUBLINGS: u32 = 4;
 /// Jitter of the cooldown: it is multiplied by a random factor between this value and this value plus one.
 const MIN_COOLDOWN_FACTOR: f64 = 0.5;
@@ -31,7 +31,7 @@
     /// The router is in service.
     Closed,
     /// The router is ejected until this time. After it, one connection at a time is opened as a probe, and
-    /// the breaker closes when one completes its startup.
+    /// the breaker closes when a probe completes its startup.
     Open { until: Instant },
 }
 
@@ -73,7 +73,9 @@
     }
 
     /// Returns the end of the time for which no new connection may be opened because the router is ejected or
-    /// full; it may have passed. `None` if there is no such time.
+    /// full; it may have passed. `None` if there is no such time. The end of an ejection is left out while
+    /// the router has a connection, since no other may be opened before that one completes its startup or is
+    /// removed.
     fn available_at(&self) -> Option<Instant> {
         match self.breaker {
             CircuitBreaker::Open { until } if self.connections == 0 => {
--- a/crates/client/src/driver/connection.rs
+++ b/crates/client/src/driver/connection.rs
@@ -41,9 +41,9 @@
         self.stream.borrow().is_some()
     }
 
-    /// Returns whether the socket has nothing to read: no bytes, no end of the stream and no error. Also
-    /// returns true if the socket is not open.
-    pub(super) fn has_no_pending_input(&self) -> bool {
+    /// Returns whether a read of the socket would block: there are no bytes, no end of the stream and no
+    /// error. Also returns true if the socket is not open.
+    pub(super) fn is_input_empty(&self) -> bool {
         let stream = self.stream.borrow();
         let Some(stream) = stream.as_ref() else { return true };
         matches!(stream.get_ref().peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock)
@@ -118,7 +118,7 @@
 
 /// An event that a connection's task waits for.
 enum SocketEvent {
-    /// The number of bytes read, 0 at the end of the stream.
+    /// A read has returned this number of bytes, which is 0 at the end of the stream, or an error.
     Read(io::Result<usize>),
     /// There are unwritten messages and the socket is writable, or the connection was closed.
     Writable,
--- a/crates/client/src/driver/mod.rs
+++ b/crates/client/src/driver/mod.rs
@@ -113,7 +113,8 @@
     reply: Sender<RequestReport>,
 }
 
-/// The driver of one client, shared by the client's tasks. No borrow of a cell may be held across an `await`.
+/// The driver of one client, shared by the client's tasks. No borrow of a cell may be held across an `await`,
+/// since another task that borrows the cell would panic.
 struct ClientDriver {
     core: RefCell<Core>,
     executor: Rc<LocalExecutor<'static>>,
@@ -197,7 +198,7 @@
         // Before a statement is written, the socket is checked for the end of the stream and for unexpected
         // input. If the connection is closed here, the statement is known not to have run and can be retried.
         let is_statement = deadline.is_some();
-        if is_statement && !connection.has_no_pending_input() {
+        if is_statement && !connection.is_input_empty() {
             self.close(id);
             let mut core = self.core.borrow_mut();
             return core.handle_disconnected(Instant::now(), id, DisconnectReason::Other);
@@ -236,7 +237,7 @@
         if is_due {
             driver.core.borrow_mut().handle_timeout(Instant::now());
             driver.perform_actions();
-            // Lets other tasks run, should the core's next timeout be in the past, too.
+            // Lets other tasks run even if the core's next timeout is already due.
             future::yield_now().await;
         }
     }
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -4,14 +4,18 @@
 //! twice, honours Retry-After times, keeps retries within a budget, and delays reconnects randomly.
 //!
 //! ```no_run
-//! use basalthill_client::{Client, Config, Request, RequestOutcome}; use std::time::Duration;
+//! use basalthill_client::{Client, Config, Request, RequestOutcome};
+//! use std::time::Duration;
 //!
-//! let client = Client::start(Config::new(["127.0.0.1:6432".parse()?]))?; let timeout =
-//! Duration::from_millis(900); let write = Request::write("log-write", 1, "s1",
-//! b"hello").tenant("demo").timeout(timeout); match client.execute_blocking(write).outcome {
-//! RequestOutcome::Served(value) => println!("stored {value:?}"), RequestOutcome::Rejected(retry_after) =>
-//! println!("not run; retry after {retry_after:?}"), RequestOutcome::MayHaveRun => println!("may have run;
-//! read the key before writing again"), other => println!("not run: {other:?}"), }
+//! let client = Client::start(Config::new(["127.0.0.1:6432".parse()?]))?;
+//! let timeout = Duration::from_millis(900);
+//! let write = Request::write("log-write", 1, "s1", b"hello").tenant("demo").timeout(timeout);
+//! match client.execute_blocking(write).outcome {
+//!     RequestOutcome::Served(value) => println!("stored {value:?}"),
+//!     RequestOutcome::Rejected(retry_after) => println!("not run; retry after {retry_after:?}"),
+//!     RequestOutcome::MayHaveRun => println!("may have run; read the key before writing again"),
+//!     other => println!("not run: {other:?}"),
+//! }
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 //!
--- a/crates/client/src/protocol.rs
+++ b/crates/client/src/protocol.rs
@@ -7,7 +7,7 @@
     error_fields, put_message, read_cstring, MessageBuffer, MessageHeader, ProtocolError, HEADER_LEN,
 };
 
-/// Upper limit of the length of a message's body, in bytes. A value of 64 KiB takes 128 KiB in text form, as
+/// Maximum length of a message's body, in bytes. A value of 64 KiB takes 128 KiB in text form, as
 /// hexadecimal digits; the rest is for the fields before it.
 const MAX_MESSAGE_BYTES: usize = 160 * 1024;
 /// Body of the AuthenticationOk message, with which the router requires no authentication.
--- a/crates/client/src/request.rs
+++ b/crates/client/src/request.rs
@@ -3,7 +3,7 @@
 use crate::session::Session;
 use std::time::{Duration, Instant};
 
-/// Upper limit of a value's length, in bytes.
+/// Maximum length of a value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 64 * 1024;
 
 /// Time from the creation of a request to its deadline, unless the caller sets a deadline.
@@ -17,8 +17,8 @@
 pub enum Idempotency {
     /// Running the request twice has the same effect as running it once.
     Idempotent,
-    /// The request's key is an idempotency key: the group drops repeats for this long, counted from the start
-    /// of the first attempt that may have run.
+    /// The request's key is an idempotency key: the group drops repeats of the request for this duration
+    /// after the start of the first attempt that may have run.
     Keyed(Duration),
     /// The request must never run twice.
     NonIdempotent,
@@ -59,7 +59,7 @@
     pub key: String,
     /// Whether the key is read or written, and the value to write.
     pub operation: Operation,
-    /// The time by which the caller gets an outcome in any case.
+    /// The time by which the caller gets an outcome, even if the request has not been served.
     pub deadline: Instant,
     /// Whether the request may be sent again after an attempt that may have run.
     pub idempotency: Idempotency,
@@ -149,7 +149,7 @@
     text.bytes().all(|byte| byte.is_ascii_graphic() && !matches!(byte, b',' | b'=' | b'*' | b'/'))
 }
 
-/// Why a request is invalid: no router or host can serve it. It has not run.
+/// Why a request is invalid, which means that no router or host can serve it. An invalid request has not run.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidRequest {
     /// The class is empty or has characters that can't be encoded in the statement's comment.
--- a/crates/client/src/session.rs
+++ b/crates/client/src/session.rs
@@ -3,8 +3,8 @@
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Upper limit of a session's requests in flight. The token of a response replaces the tokens that were sent
-/// with its request, so this also limits the number of stored tokens.
+/// Maximum number of a session's requests in flight. The token of a response replaces the tokens that were
+/// sent with its request, so this also limits the number of stored tokens.
 pub(crate) const MAX_IN_FLIGHT: usize = 8;
 
 /// First byte of an exported session: the version of the format.
@@ -33,29 +33,29 @@
 /// Why a session name or an exported session is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidSession {
-    /// The name has characters other than letters, digits and `-_.:@`.
-    #[error("session name {0:?} has characters other than letters, digits and any of -_.:@")]
+    /// The name has characters other than ASCII letters, digits and `-_.:@`.
+    #[error("session name {0:?} has characters other than ASCII letters, digits and -_.:@")]
     Name(String),
-    /// A token has characters other than letters, digits and `-_.:@`.
-    #[error("session token {0:?} has characters other than letters, digits and any of -_.:@")]
+    /// A token has characters other than ASCII letters, digits and `-_.:@`.
+    #[error("session token {0:?} has characters other than ASCII letters, digits and -_.:@")]
     Token(String),
     /// There are more tokens than the eight that a session can have. Carries their number.
-    #[error("a session of {0} tokens; {max} at most", max = MAX_IN_FLIGHT)]
+    #[error("exported session has {0} tokens, but a session can have at most {max}", max = MAX_IN_FLIGHT)]
     TooManyTokens(usize),
     /// The bytes are empty or begin with an unsupported version of the format.
-    #[error("not an exported session of version {version}", version = EXPORT_VERSION)]
+    #[error("exported session is empty or not of format version {version}", version = EXPORT_VERSION)]
     Version,
     /// The bytes end within a string or before the name.
-    #[error("an exported session that is cut off")]
+    #[error("exported session is truncated within a string or before the session name")]
     Truncated,
-    /// A string is not UTF-8.
-    #[error("an exported session with a text that is not UTF-8")]
+    /// The name or a token is not UTF-8.
+    #[error("exported session has a name or token that is not UTF-8")]
     Encoding(#[from] std::string::FromUtf8Error),
 }
 
 impl Session {
-    /// Creates a session without tokens. The name may have letters, digits and any of `-_.:@`; if it is
-    /// empty, the key of each request is the session's name.
+    /// Creates a session without tokens. The name may have ASCII letters, digits and any of `-_.:@`; if
+    /// it is empty, the key of each request is the session's name.
     ///
     /// # Errors
     ///
--- a/crates/client/tests/core/reconnects.rs
+++ b/crates/client/tests/core/reconnects.rs
@@ -26,7 +26,7 @@
         harness.submit_write(Idempotency::Idempotent, 9000);
     }
     let probes = harness.connections.values().filter(|router| **router == down_router).count();
-    assert_eq!(probes, 1, "{:?}", harness.connections);
+    assert_eq!(probes, 1, "connections to {down_router}, of {:?}", harness.connections);
 }
 
 #[test]
@@ -65,7 +65,11 @@
     }
     third_waits.sort();
     let median = third_waits[100];
-    assert!(median > 2000 * MS && third_waits[199] < 16_000 * MS, "median {median:?}");
+    assert!(
+        median > 2000 * MS && third_waits[199] < 16_000 * MS,
+        "median {median:?} of the third waits, longest {:?}",
+        third_waits[199]
+    );
 }
 
 #[test]
--- a/crates/client/tests/core/retries.rs
+++ b/crates/client/tests/core/retries.rs
@@ -14,7 +14,8 @@
 #[test]
 fn retry_waits_for_retry_after_and_never_past_the_deadline() {
     let window = |earliest_ms, latest_ms| Some(RetryWindow { earliest_ms, latest_ms });
-    // The rejection's detail and the window of the retry; `None` if the request is completed at once.
+    // The rejection's detail and the window of the retry; `None` if the request is completed
+    // immediately.
     let cases = [
         (Some("100"), window(100, 151)),
         (Some("0"), window(20, 31)),
@@ -38,18 +39,18 @@
                 assert_eq!(
                     outcome,
                     Some(&RequestOutcome::Rejected(retry_after)),
-                    "{detail:?}: completed at once"
+                    "{detail:?}: must be completed immediately"
                 );
                 continue;
             };
             harness.advance(earliest_ms - 1);
-            assert_eq!(harness.sent.len(), 1, "{detail:?}: no retry before the Retry-After time");
+            assert_eq!(harness.sent.len(), 1, "{detail:?}: must not be retried before {earliest_ms} ms");
             harness.advance(latest_ms - earliest_ms + 1);
-            assert_eq!(harness.sent.len(), 2, "{detail:?}: retried once");
+            assert_eq!(harness.sent.len(), 2, "{detail:?}: must be retried once within {latest_ms} ms");
             let waited = harness.sent[1].sent_at - rejected_at;
             assert!(
                 waited >= earliest_ms * MS && waited <= latest_ms * MS,
-                "{detail:?}: retried after {waited:?}"
+                "{detail:?}: retried after {waited:?}, not within {earliest_ms} to {latest_ms} ms"
             );
         }
     }
@@ -87,7 +88,10 @@
 fn retries_use_the_budget_without_exceeding_it() {
     for priority in [Priority::Low, Priority::Normal, Priority::High] {
         let counts = send_to_overloaded_router(priority);
-        assert!(counts.retries as f64 <= 0.1 * counts.first as f64 + 10.0, "{priority:?}: {counts:?}");
+        assert!(
+            counts.retries as f64 <= 0.1 * counts.first as f64 + 10.0,
+            "{priority:?}: more retries than the budget allows: {counts:?}"
+        );
         assert!(counts.retries >= 50, "{priority:?}: fewer retries than the budget allows: {counts:?}");
     }
 }
@@ -118,6 +122,6 @@
     let high = count_retried_requests(&mut harness, Priority::High);
     assert!(
         low >= 2 && normal >= 2 && high >= 4,
-        "retried requests: low {low}, normal {normal}, high {high}"
+        "too few retried requests: low {low}, normal {normal}, high {high}"
     );
 }
--- a/crates/client/tests/core/sessions.rs
+++ b/crates/client/tests/core/sessions.rs
@@ -52,7 +52,7 @@
         let connection = harness.sent[1 + responses].connection;
         responses += 1;
         harness.receive(connection, &[session_token(&format!("x{responses}")), row(b"v")].concat());
-        assert!(session.tokens().len() <= 8, "{:?}", session.tokens());
+        assert!(session.tokens().len() <= 8, "more than eight tokens: {:?}", session.tokens());
         if responses == 2 {
             assert_eq!(session.tokens(), ["x1", "x2"], "neither request was sent with the other's token");
         }
--- a/crates/client/tests/core/simulation.rs
+++ b/crates/client/tests/core/simulation.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// Number of simulations, each with a seed of its own.
+/// Number of simulations, each with a different seed.
 const SIMULATIONS: u64 = 300;
 /// Time span in which each simulation submits requests.
 const SUBMISSION_TIME: Duration = Duration::from_secs(4);
@@ -43,7 +43,7 @@
 /// The simulation's record of a request.
 struct SimulatedRequest {
     idempotency: Idempotency,
-    /// Moved to the end of a pause of the clock that includes it.
+    /// The deadline. If the clock is paused past it, it is moved to the end of the pause.
     deadline: Instant,
     received: Vec<ReceivedAttempt>,
     /// The end of the latest Retry-After time, before which no retry is allowed.
@@ -53,7 +53,7 @@
 }
 
 impl SimulatedRequest {
-    /// Returns the first attempt that may have run as far as the client can tell.
+    /// Returns the first attempt that the client must assume may have run.
     fn first_uncertain(&self) -> Option<&ReceivedAttempt> {
         self.received.iter().find(|attempt| !attempt.is_proved_not_run)
     }
@@ -81,7 +81,7 @@
     event_count: u64,
     /// Connections that are being opened or are open.
     open: BTreeSet<ConnectionId>,
-    /// All requests by key; each request has a key of its own.
+    /// All requests by key; each request has a unique key.
     requests: BTreeMap<String, SimulatedRequest>,
     keys: BTreeMap<RequestId, String>,
     attempt_ids: BTreeSet<String>,
@@ -147,7 +147,11 @@
             assert!(!is_stuck, "seed {seed}: a due timeout was not handled");
         }
         let submitted = self.keys.len() as u64;
-        assert_eq!(self.completed + self.cancelled, submitted, "seed {seed}: requests have not ended");
+        assert_eq!(
+            self.completed + self.cancelled,
+            submitted,
+            "seed {seed}: some submitted requests were neither completed nor cancelled"
+        );
         assert_eq!(
             self.core.table_sizes(),
             TableSizes::default(),
@@ -157,8 +161,8 @@
         self.counts
     }
 
-    /// Simulates a pause of the process of up to one second: events and timeouts of that time are handled
-    /// after the pause, and requests whose deadline is in the pause may be completed at its end.
+    /// Simulates that the process is paused for up to one second: events and timeouts that are due during the
+    /// pause are handled after it, and requests whose deadline is in the pause may be completed at its end.
     fn pause_clock(&mut self, next: Instant) {
         self.now = self.now.max(next) + Duration::from_millis(self.rng.u64(..1000));
         for request in self.requests.values_mut().filter(|request| !request.has_ended) {
@@ -243,7 +247,7 @@
                     self.write_statement(connection, bytes, deadline);
                 }
                 Action::Close { connection } => {
-                    assert!(self.open.remove(&connection), "a connection that is not open was closed");
+                    assert!(self.open.remove(&connection), "the core closed a connection that is not open");
                 }
                 Action::Complete { request, report } => self.complete(request, &report),
             }
@@ -264,7 +268,11 @@
     }
 
     fn receive_startup(&mut self, connection: ConnectionId, bytes: &[u8]) {
-        assert_eq!(usize::from(bytes[3]), bytes.len(), "the length field of the startup message");
+        assert_eq!(
+            usize::from(bytes[3]),
+            bytes.len(),
+            "the startup message must have the length in its length field"
+        );
         let response = match self.rng.u64(..12) {
             0 => fatal_error("53300", None),
             1 => b"what?".to_vec(),
@@ -410,9 +418,12 @@
     for seed in 0..SIMULATIONS {
         let counts = Simulation::new(seed).run(seed);
         let budget = 0.1 * (counts.first as f64 + 300.0) + 10.0;
-        assert!(counts.retries as f64 <= budget, "seed {seed}: {counts:?}");
+        assert!(
+            counts.retries as f64 <= budget,
+            "seed {seed}: {counts:?} exceed a budget of {budget} retries"
+        );
         total.first += counts.first;
         total.retries += counts.retries;
     }
-    assert!(total.first > 10_000 && total.retries > 1000, "{total:?}");
+    assert!(total.first > 10_000 && total.retries > 1000, "too few attempts to check invariants: {total:?}");
 }
