--- a/crates/lab/src/client_load.rs
+++ b/crates/lab/src/client_load.rs
@@ -9,7 +9,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// A prime number by which the random seeds of consecutive clients of a load differ.
+/// The number of a client is multiplied by this prime number to derive the client's random seed.
 const SEED_STRIDE: u64 = 7919;
 /// Stack size of a naive client's thread, in bytes. Each naive client has its own thread.
 const NAIVE_STACK_BYTES: usize = 128 * 1024;
@@ -19,8 +19,8 @@
 pub enum ClientKind {
     /// The client library retries the request within its retry budget.
     Library,
-    /// Clients retry the request immediately, up to three times, whatever the error was. If their connection
-    /// closes, they connect to the next router immediately.
+    /// Clients retry the request immediately after any error, up to three times. If their connection closes,
+    /// they connect to the next router immediately.
     Naive,
     /// Clients do not retry the request. They replace closed connections as [`ClientKind::Naive`] does.
     NoRetries,
@@ -35,7 +35,7 @@
     pub clients: usize,
     /// Requests per second of each client, on average, at random times.
     pub per_s: f64,
-    /// Each `write_every`-th request of a client is a write; none is if this is 0.
+    /// One in this many requests of each client is a write; if it is 0, all requests are reads.
     pub write_every: u64,
     /// The duration of the load.
     pub duration: Duration,
@@ -106,7 +106,8 @@
     }
 }
 
-/// Runs a load. `side_task` runs at the same time, on its own thread.
+/// Runs a load. `side_task` runs concurrently on a separate thread. `epoch` is the time from which the
+/// deadlines in keys are counted.
 pub fn run_clients(
     routers: &[SocketAddr],
     load: &ClientLoad,
@@ -166,8 +167,8 @@
         schedule
     }
 
-    /// Advances to the time of the next request. The intervals are distributed exponentially, as those
-    /// between independent requests are.
+    /// Advances to the time of the next request. The intervals are exponentially distributed, like those
+    /// between independent requests.
     fn advance(&mut self) {
         // `uniform` is in (0, 1], so that its logarithm is finite.
         let uniform = 1.0 - self.rng.f64();
@@ -183,7 +184,7 @@
     }
 }
 
-/// Returns the largest number of `times` in any window of length `window` inside the range `within`.
+/// Returns the maximum number of `times` in any window of length `window` in the range `within`.
 pub fn peak_in_window(times: &[Instant], within: Range<Instant>, window: Duration) -> usize {
     let mut sorted: Vec<Instant> = times.iter().copied().filter(|time| within.contains(time)).collect();
     sorted.sort();
--- a/crates/lab/src/client_load/naive.rs
+++ b/crates/lab/src/client_load/naive.rs
@@ -1,12 +1,12 @@
-//! Naive clients, such as small teams write: one connection, one request at a time, and retries without
-//! backoff.
+//! Naive clients, like those that small teams write: one connection, one request at a time, and retries
+//! without backoff.
 
 use super::{ClientKind, ClientRecord, CompletedRequest, LoadRun, NextRequest, RequestSchedule};
 use basalthill_standin::client::{Client, Reply};
 use std::io::ErrorKind;
 use std::time::{Duration, Instant};
 
-/// The highest number of attempts of a naive client for one request.
+/// Maximum number of attempts of a naive client for one request: the first attempt and three retries.
 const NAIVE_ATTEMPTS: usize = 4;
 /// Time that a client waits for a reply.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
@@ -33,7 +33,7 @@
 struct NaiveClient<'a> {
     load_run: &'a LoadRun<'a>,
     client_index: usize,
-    /// The index of the router that it uses.
+    /// The index of the router that the client uses.
     router: usize,
     connection: Option<Client>,
     record: ClientRecord,
@@ -98,7 +98,8 @@
     }
 }
 
-/// Returns whether an idle connection is closed within `span`.
+/// Returns whether an idle connection is closed within `span`. Returns early if it is, or if the connection
+/// receives data.
 fn closes_within(connection: &Client, span: Duration) -> bool {
     let _ = connection.stream.set_read_timeout(Some(span));
     let closed = match connection.stream.peek(&mut [0]) {
--- a/crates/lab/src/cost.rs
+++ b/crates/lab/src/cost.rs
@@ -48,7 +48,7 @@
     bytes: u64,
 }
 
-/// CPU time and bytes of a request, on average, and the median latency.
+/// Average CPU time and bytes per request, and the median latency.
 #[derive(Clone, Copy)]
 struct RequestCost {
     cpu_us: f64,
@@ -88,10 +88,11 @@
         self.bytes = 0;
     }
 
-    /// Sends `requests` requests one after another: a write, then three reads, and so on.
+    /// Sends `requests` requests sequentially; every fourth one is a write, starting with the first.
+    /// Returns an error if a request is not served.
     fn run_round(&mut self, requests: u32) -> anyhow::Result<()> {
-        // Each round opens a new connection, since a router closes connections that are idle for long, as
-        // this one would be while the other routers are measured.
+        // Each round opens a new connection, since the router may close an idle one while the other
+        // routers are measured.
         let mut client = Client::connect(self.router().addr)?;
         let cpu_before = self.router().cpu_time().unwrap_or_default();
         let bytes_before = client.bytes_transferred;
@@ -133,7 +134,7 @@
     }
 }
 
-/// Time that it takes to issue and to verify a token with the floor of one group, in microseconds.
+/// Time to issue and to verify a token with the floor of one group, in microseconds.
 #[derive(Default)]
 struct TokenCost {
     issue_us: f64,
@@ -165,7 +166,7 @@
         cases.push(Case::start(mode, common)?);
     }
     // The first round is a warm-up. After it the routers take turns, so that changes in the speed of the
-    // machine affect all of them alike.
+    // machine affect all of them equally.
     for case in &mut cases {
         case.run_round(options.turn)?;
         case.reset();
--- a/crates/lab/src/fleet_limits.rs
+++ b/crates/lab/src/fleet_limits.rs
@@ -38,7 +38,7 @@
 const LIMIT_PER_S: f64 = 1200.0;
 /// The parameters in the comment of each statement, except its id.
 const STATEMENT_COMMENT: &str = "c=report,t=acme,d=1400,cluster=2";
-/// Time after their start in which routers learn of each other and of the demand.
+/// Time after the start in which the routers learn of each other and of the demand.
 const SETTLING_TIME: Duration = Duration::from_secs(8);
 
 /// How the limit is enforced.
--- a/crates/lab/src/fleet_limits/gossip_cost.rs
+++ b/crates/lab/src/fleet_limits/gossip_cost.rs
@@ -8,7 +8,7 @@
 use basalthill_standin::simulated_fleet::{numbered_roster, SimulatedFleet};
 use std::time::Instant;
 
-/// Fleet sizes. Those above `--routers` are left out, except the first.
+/// Sizes of the simulated fleets. Sizes above `--routers` are skipped, except the first.
 const SIZES: [usize; 4] = [10, 100, 300, 1000];
 /// Time after the start in which all routers learn of each other.
 const START_TIME: Time = Time::ms(20_000);
--- a/crates/lab/src/fleet_limits/request_overhead.rs
+++ b/crates/lab/src/fleet_limits/request_overhead.rs
@@ -110,7 +110,7 @@
     }
     for pair in [&with_fleet, &without] {
         let failed = pair.clients.totals().failed;
-        ensure!(failed == 0, "{failed} requests failed");
+        ensure!(failed == 0, "{failed} requests failed with {}, expected none", pair.name);
     }
     let headers =
         vec!["", "served", "p50, us", "p99, us", "CPU a request, us", "CPU a second and router at rest, us"];
--- a/crates/lab/src/fleet_limits/through_faults.rs
+++ b/crates/lab/src/fleet_limits/through_faults.rs
@@ -16,14 +16,14 @@
 /// The largest difference between the delays with which two statements reach hosts after their admission, in
 /// seconds.
 const ARRIVAL_SPREAD_S: f64 = 0.25;
-/// The number of requests by which arrivals at hosts may exceed rate times time: the burst, which equals the
-/// rate, and what arrives in [`ARRIVAL_SPREAD_S`].
+/// The maximum number of requests by which arrivals at hosts may exceed rate times time: the burst, which is
+/// the requests of one second, and the requests of [`ARRIVAL_SPREAD_S`].
 const MAX_EXCESS: f64 = LIMIT_PER_S + LIMIT_PER_S * ARRIVAL_SPREAD_S;
-/// Duration of a fault and of the fault-free time after it, which are equal.
+/// Duration of a fault together with the fault-free time after it. Each takes half of it.
 const FAULT_CYCLE: Duration = Duration::from_secs(8);
 /// Time in which the routers' quotas adapt to a change of the demand.
 const DEMAND_SETTLING_TIME: Duration = Duration::from_secs(3);
-/// The demand at all routers together, as a fraction of the limit: above it, and below it.
+/// The total demand at all routers, as a fraction of the limit: one above the limit and one below it.
 const HIGH_DEMAND: f64 = 1.5;
 const LOW_DEMAND: f64 = 0.7;
 /// Ratio of the demand at routers with an even number to the demand at the others.
@@ -31,7 +31,8 @@
 /// The fleet has recovered from a partition when it uses, within a second, this fraction of what it used
 /// without faults under the same demand.
 const RECOVERED_FRACTION: f64 = 0.95;
-/// Resolution of the time to recovery: a tenth of a second.
+/// Resolution of the time to recovery: a tenth of a second, so that there are [`STEPS_PER_S`] steps in a
+/// second.
 const RECOVERY_STEP: Duration = Duration::from_millis(100);
 const STEPS_PER_S: u32 = 10;
 /// Number of routers that are drawn to be killed at the same time. A router may be drawn more than once.
@@ -40,8 +41,7 @@
 /// The results for one mode.
 struct ModeResult {
     admitted: usize,
-    /// The number of requests by which arrivals exceeded rate times time, the highest over all windows of
-    /// time.
+    /// The number of requests by which arrivals exceeded rate times time, in the worst time window.
     excess: f64,
     /// The fractions of the limit used without faults and with faults.
     used_fraction: f64,
@@ -214,8 +214,8 @@
     groups
 }
 
-/// Runs one fault and the fault-free time after it. Returns the time at which the fault ended if it was a
-/// partition.
+/// Runs one fault and the fault-free time after it. If the fault was a partition, returns the time at which
+/// it was healed.
 fn run_fault(
     harness: &mut FleetHarness,
     rng: &mut Rng,
--- a/crates/lab/src/floor_table.rs
+++ b/crates/lab/src/floor_table.rs
@@ -25,13 +25,14 @@
 /// The time at which the simulated clock starts: the beginning of 2026, in Unix time.
 const START: Time = Time::ms(1_767_225_600_000);
 const GROUP: GroupId = GroupId(1);
-/// Number of entries of a bucket, one for each session.
+/// Number of entries of a bucket. Each entry holds the floor of one session.
 const ENTRIES_PER_BUCKET: usize = 7;
 /// Size of a memory page, in bytes.
 const PAGE: u64 = 4096;
 /// Number of random bits of a session key.
 const KEY_BITS: u32 = 62;
-/// A prime number. Keys are visited at this stride, so that their order differs from the order of generation.
+/// Keys are visited at this stride, so that their order differs from the order of generation. It is a prime
+/// number, so that all keys are visited unless their number is a multiple of it.
 const VISIT_STRIDE: u64 = 7919;
 /// The fraction of sessions whose floors a table with entries for all sessions must hold exactly. It is below
 /// 1 because buckets fill unevenly, so that the table evicts a few floors.
@@ -47,7 +48,7 @@
         START.plus(Time(write * 1_000_000_000 / self.writes_per_s))
     }
 
-    /// Returns the size in bytes of a table whose entries all sessions fill to at most two thirds.
+    /// Returns the size in bytes of a table that is at most two thirds full when it holds all sessions.
     fn full_size(&self) -> usize {
         (self.sessions as usize * 3 / 2 / ENTRIES_PER_BUCKET).next_power_of_two() * BUCKET_BYTES
     }
@@ -118,8 +119,8 @@
     *current = floor.max(*current);
 }
 
-/// Measures a table with entries for all sessions. Returns its costs and the fraction of sessions whose
-/// floors it holds exactly.
+/// Measures a table with entries for all sessions. Returns its costs and the fraction of the sessions for
+/// which it holds the exact floor.
 fn table_costs(options: &Options, keys: &Keys, seed: u64) -> (Costs, f64) {
     let sessions = options.sessions;
     let before = resident_bytes();
--- a/crates/lab/src/host_records.rs
+++ b/crates/lab/src/host_records.rs
@@ -11,7 +11,7 @@
     pub statements: usize,
     /// Written keys that were committed more than once.
     pub repeated_writes: usize,
-    /// Statements received after the deadline that their key contains.
+    /// Statements received after the deadline in their key.
     pub late_statements: usize,
 }
 
--- a/crates/lab/src/overhead.rs
+++ b/crates/lab/src/overhead.rs
@@ -61,7 +61,8 @@
     }
 }
 
-/// Measures `in_flight` threads, each of which sends requests one after another over its own socket.
+/// Measures `in_flight` threads, each of which sends requests sequentially over its own socket. Allocations
+/// are not counted.
 fn measure_bare(host: &Host, in_flight: usize, requests: usize) -> RequestCost {
     let requests_each = requests / in_flight;
     let run_loop = || {
@@ -100,7 +101,7 @@
     Ok(RequestCost::new(latencies, started_at.elapsed(), allocations.change().allocations))
 }
 
-/// Sends requests one after another and returns the latencies of those that were served.
+/// Sends requests sequentially and returns the latencies of those that were served.
 async fn run_requests(client: Client, requests: usize) -> Vec<Duration> {
     let mut latencies = Vec::with_capacity(requests);
     for _ in 0..requests {
--- a/crates/lab/src/overload.rs
+++ b/crates/lab/src/overload.rs
@@ -17,7 +17,7 @@
     /// Requests per second of each client.
     #[arg(long, default_value_t = 3.0)]
     per_s: f64,
-    /// Number of statements that each host executes concurrently, each for 20 ms.
+    /// Maximum number of statements that each host executes concurrently; each takes 20 ms.
     #[arg(long, default_value_t = 4)]
     slots: usize,
     /// The longest Retry-After that routers send, in milliseconds.
@@ -33,8 +33,8 @@
 const ROUTERS: usize = 2;
 /// The library's retry budget allows one retry for every ten requests.
 const BUDGET_FRACTION: f64 = 0.1;
-/// Retries that each client of the library may send beyond that fraction, since its retry budget is full at
-/// the start.
+/// Number of retries that each client of the library may send beyond [`BUDGET_FRACTION`], since its retry
+/// budget is full at the start.
 const INITIAL_RETRIES: f64 = 10.0;
 
 /// The results for one kind of client.
--- a/crates/lab/src/reconnect.rs
+++ b/crates/lab/src/reconnect.rs
@@ -30,22 +30,24 @@
 const BUCKET: Duration = Duration::from_millis(100);
 const BUCKETS_PER_S: f64 = 10.0;
 const SECOND: Duration = Duration::from_secs(1);
-/// In a bucket with less than this fraction of requests served, requests count as disturbed by the kill.
+/// If less than this fraction of the requests completed in a bucket was served, requests count as disturbed
+/// by the kill during that bucket.
 const RECOVERED_FRACTION: f64 = 0.98;
 /// The routers' local settings (KDL): routers send a close notice before they close a client's connection.
 const LOCAL_SETTINGS: &str = "clients {\n farewell #true\n}\n";
 
 /// The results for one kind of client.
 struct KindResult {
-    /// The most connects within a second, in the two seconds before the kill.
+    /// Maximum number of connects within one second, in the two seconds before the kill.
     peak_before: usize,
-    /// The most connects within a second, between the kill and the restart.
+    /// Maximum number of connects within one second, between the kill and the restart.
     peak_while_down: usize,
-    /// The most connects within a second, after the restart.
+    /// Maximum number of connects within one second, after the restart.
     peak_after_restart: usize,
-    /// The most connects within the duration of a bucket, between the kill and the restart.
+    /// Maximum number of connects within the duration of one bucket, between the kill and the restart.
     peak_bucket: usize,
-    /// Time from the kill until requests were no longer disturbed; `None` if they were up to the restart.
+    /// Time from the kill until requests were no longer disturbed; `None` if they were still disturbed
+    /// directly before the restart.
     recovered_after: Option<Duration>,
     /// The fraction of requests served before their deadlines.
     served_fraction: f64,
@@ -125,7 +127,8 @@
 }
 
 /// Returns the time from the kill to the end of the last bucket before the restart in which requests were
-/// disturbed; zero if there is none. Returns `None` if it is the bucket directly before the restart.
+/// disturbed; zero if there is no such bucket. Returns `None` if it is the bucket directly before the
+/// restart.
 fn recovered_after(record: &ClientRecord, epoch: Instant) -> Option<Duration> {
     let is_disturbed = |bucket: &u32| {
         let from = epoch + BUCKET * *bucket;
--- a/crates/lab/src/restart.rs
+++ b/crates/lab/src/restart.rs
@@ -1,8 +1,8 @@
 //! Restarts a router gracefully while replicas lag, without and with a snapshot of its session floors, and
 //! measures the fraction of reads that replicas serve after the restart.
 //!
-//! Without a snapshot the router has lost its session floors and uses its start time as the floor of each
-//! session, so replicas cannot serve reads until they have applied the log up to that time.
+//! Without a snapshot, a restart loses the router's session floors. The router then uses its start time as
+//! the floor of each session, so replicas cannot serve reads until they have applied the log up to that time.
 
 use crate::results::{print_and_write_table, Table};
 use crate::{CommonOptions, Outcome};
@@ -24,8 +24,8 @@
     lag_ms: u64,
 }
 
-/// Time that the experiment waits in addition to the lag for replicas to apply the first writes, in
-/// milliseconds.
+/// Time in milliseconds that the experiment waits in addition to the lag, so that replicas have applied the
+/// early writes.
 const LAG_MARGIN_MS: u64 = 20;
 
 /// Counts of the reads directly after a restart.
--- a/crates/lab/src/sessions.rs
+++ b/crates/lab/src/sessions.rs
@@ -19,7 +19,7 @@
     Arrival,
     /// Shared connections; the floor comes from session tokens, which routers send with replies to writes.
     Tokens,
-    /// As `tokens`, and routers send tokens with replies to reads too.
+    /// Like `tokens`, but routers also send tokens with replies to reads.
     TokensReads,
     /// One router for each session, over shared connections; the floor comes from the router's memory.
     Router,
@@ -63,7 +63,7 @@
 pub enum WhenBehind {
     /// Replicas wait up to 100 ms for the log position, then reject the read.
     Waits,
-    /// Replicas reject the read at once.
+    /// Replicas reject the read immediately.
     Refuses,
     /// Replicas serve the read from the log position that they have applied.
     Answers,
@@ -110,11 +110,11 @@
     name: String,
 }
 
-/// On average one read in this many is of the class `status`, whose reads must return all earlier writes.
+/// On average one read in this many is of the class `status`, whose reads must reflect all earlier writes.
 const STATUS_EVERY: u64 = 8;
 /// The longest pause of a session before a read, in microseconds.
 const MAX_THINK_TIME_US: u64 = 8000;
-/// The highest latency that the histogram can record, in microseconds.
+/// Maximum latency that the histogram can record, in microseconds.
 const MAX_LATENCY_US: u64 = 10_000_000;
 
 /// Returns pairs of a latency in milliseconds and the fraction of reads that were served within it.
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -22,7 +22,7 @@
 pub enum Reply {
     /// A row of one column, with its value.
     Row(Vec<u8>),
-    /// An error, with its SQLSTATE and its detail, if it has one.
+    /// An error, with its SQLSTATE and, if it has one, its detail.
     Error(String, Option<String>),
     /// EmptyQueryResponse.
     Empty,
@@ -39,15 +39,15 @@
 /// A message from a router.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// Its type byte.
+    /// The type byte.
     pub kind: u8,
-    /// What follows its type and length.
+    /// The bytes after the type and the length.
     pub body: Vec<u8>,
 }
 
 /// A connection of a client to a router. It is closed when dropped.
 pub struct Client {
-    /// Its socket.
+    /// The socket.
     pub stream: TcpStream,
     /// Bytes of all queries sent and of all messages received.
     pub bytes_transferred: u64,
--- a/crates/standin/src/connect_recorder.rs
+++ b/crates/standin/src/connect_recorder.rs
@@ -1,7 +1,7 @@
 //! Records the time of each connect that the client library counts in its metrics.
 //!
 //! Both the metrics recorder and the recorded connects are global to the process, so a test that uses them
-//! needs a process of its own.
+//! must run in a separate process.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
@@ -19,7 +19,7 @@
 /// Installs the recorder and clears the recorded connects. If the process already has another metrics
 /// recorder, no connects are recorded.
 pub fn start() {
-    // This fails if a recorder is installed already. If it is the one of an earlier call, it stays in use.
+    // This fails if a recorder is already installed. A recorder installed by an earlier call stays in use.
     let _ = metrics::set_global_recorder(ConnectRecorder);
     connects().clear();
 }
--- a/crates/standin/src/deployment.rs
+++ b/crates/standin/src/deployment.rs
@@ -58,8 +58,11 @@
         self.discovery.publish(endpoint_list(version, true, &self.group.members()));
     }
 
-    /// Runs a load during which routers are killed and restarted `kills` times in turn, at equal intervals of
-    /// the load. The lag of the group takes each value of `lags_ms`, in order, for an equal part of the load.
+    /// Runs a load. While it runs, a router is killed and restarted `kills` times, at equal intervals of the
+    /// load; the routers take turns. The lag of the group takes each value of `lags_ms`, in order, for an
+    /// equal part of the load.
+    ///
+    /// # Panics
     ///
     /// Panics if a router does not restart.
     pub fn run_load(&mut self, load: &SessionLoad, kills: usize, lags_ms: &[u64]) -> SessionLoadReport {
@@ -71,7 +74,7 @@
             if killed < kills && fraction_done > killed as f64 / kills as f64 {
                 let router = killed % routers.len();
                 killed += 1;
-                routers[router].kill_and_restart().expect("a killed router restarts");
+                routers[router].kill_and_restart().expect("a killed router did not restart");
             }
             let part = (fraction_done * lags_ms.len() as f64) as usize;
             if let Some(lag_ms) = lags_ms.get(part) {
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -18,13 +18,13 @@
 const WATCH_PARAMETER: &str = "watch=1";
 /// The time between two bytes of [`ResponseMode::EndlessLine`].
 const ENDLESS_LINE_INTERVAL: Duration = Duration::from_millis(50);
-/// The time between two events of a watch, so that each of them is sent as a TCP segment of its own.
+/// The time between two events of a watch, so that each of them is sent as a separate TCP segment.
 const EVENT_INTERVAL: Duration = Duration::from_millis(1);
 
-/// A response to a request other than the usual one.
+/// An unusual response to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseMode {
-    /// No response; the connection is closed at once.
+    /// No response; the connection is closed immediately.
     Close,
     /// No response; the connection stays open until the router closes it.
     NoResponse,
@@ -32,7 +32,7 @@
     Unavailable,
     /// The head without a body; the connection stays open until the router closes it.
     HeadOnly,
-    /// The list on one line, then the start of a second line that goes on byte by byte without end.
+    /// The list on one line, then a second line that never ends, sent byte by byte.
     EndlessLine,
     /// The list as indented JSON, over many lines.
     Indented,
@@ -52,7 +52,7 @@
     pub next_responses: VecDeque<ResponseMode>,
     /// Number of watches opened so far.
     watches: usize,
-    /// Watches up to this number are to be closed.
+    /// Number of the last watch that must be closed; all watches before it must be closed, too.
     closed_watches: usize,
 }
 
@@ -93,7 +93,7 @@
 }
 
 impl Discovery {
-    /// Starts discovery on a port of its own. `list` is the complete endpoint list, a JSON object on one
+    /// Starts discovery on a free loopback port. `list` is the complete endpoint list, a JSON object on one
     /// line.
     pub fn start(list: String) -> io::Result<Discovery> {
         Discovery::start_at((Ipv4Addr::LOCALHOST, 0).into(), list)
@@ -120,7 +120,7 @@
         self.state.change(|s| s.lines.push(line));
     }
 
-    /// Closes all open watches. Later watches start with `list`, a complete endpoint list.
+    /// Closes all open watches. Later watches start with `list`, which must be a complete endpoint list.
     pub fn restart_watches(&self, list: String) {
         self.state.change(|s| {
             s.lines = vec![list];
@@ -219,7 +219,7 @@
     pub id: String,
     /// Address that it listens on.
     pub addr: SocketAddr,
-    /// Its group; `cell` in JSON.
+    /// Number of its group; `cell` in JSON.
     pub group: u32,
     /// `active`, `leaving` or `left`.
     pub state: &'static str,
--- a/crates/standin/src/group.rs
+++ b/crates/standin/src/group.rs
@@ -17,12 +17,12 @@
 /// The rank of a replica, as discovery and hosts report it.
 pub(crate) const REPLICA_RANK: &str = "copy";
 
-/// How a replica responds to a read when it has not applied the log up to the floor of the read.
+/// How a replica responds to a read when it has not applied the log up to the read's floor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StaleRead {
     /// Serves it from what it has applied.
     Serve,
-    /// Rejects it at once.
+    /// Rejects it immediately.
     Reject,
     /// Waits up to this long until the floor is applied, then rejects it.
     Wait(Duration),
@@ -39,7 +39,7 @@
     pub stale_reads: StaleRead,
     /// Time from the receipt of a write to its commit, and from its commit to its response.
     pub write_delays: [Duration; 2],
-    /// Time that a read takes.
+    /// Time that a member takes to execute a read, in addition to any wait for the read's floor.
     pub read_delay: Duration,
     /// The longest Retry-After that routers are configured to send, in milliseconds.
     pub retry_after_ms: u64,
@@ -73,9 +73,9 @@
 /// A committed write.
 #[derive(Clone, Debug)]
 struct Commit {
-    /// Its number among all commits of the group, counted from 1.
+    /// Number of the commit among all commits of the group, counted from 1.
     serial: u64,
-    /// Its position in the log, in milliseconds of Unix time by the clock of the members.
+    /// Position of the commit in the log, in milliseconds of Unix time by the clock of the members.
     position: u64,
     /// When it was committed.
     committed_at: Instant,
@@ -137,7 +137,8 @@
     }
 }
 
-/// A replicated group whose members listen on loopback ports of their own. It runs until the process exits.
+/// A replicated group, each of whose members listens on its own loopback port. The group runs until the
+/// process exits.
 #[derive(Clone)]
 pub struct Group {
     /// The hosts of the members.
@@ -163,7 +164,7 @@
         self.state.change(|s| f(&mut s.behavior));
     }
 
-    /// Makes another member the primary. It has all acknowledged writes; writes that the old primary had
+    /// Makes member `to` the primary. It has all acknowledged writes; writes that the old primary had
     /// committed but not acknowledged are lost.
     pub fn fail_over(&self, to: usize) {
         self.state.change(|s| {
--- a/crates/standin/src/group/member.rs
+++ b/crates/standin/src/group/member.rs
@@ -22,7 +22,7 @@
 
 /// One member of a group.
 pub(super) struct Member {
-    /// Its index in the group.
+    /// Index of the member in the group.
     pub index: usize,
     /// The state that all members share.
     pub state: Arc<Watched<GroupState>>,
@@ -139,8 +139,9 @@
         })
     }
 
-    /// Returns the newest value of a key that the member has applied: an empty value with serial number 0 if
-    /// there is none.
+    /// Returns the newest value of a key that the member has applied, or an empty value with serial number 0
+    /// if there is none. Returns an error if the member has not applied the log up to `floor`, unless
+    /// [`GroupBehavior::stale_reads`] allows it to serve the read.
     fn read(&self, key: &str, floor: u64, behavior: &GroupBehavior) -> Response {
         let deadline = match behavior.stale_reads {
             StaleRead::Wait(timeout) => Instant::now() + timeout,
--- a/crates/standin/src/harness.rs
+++ b/crates/standin/src/harness.rs
@@ -43,7 +43,7 @@
     pub host_behavior: HostBehavior,
     /// KDL nodes inside `fleet`, in addition to the routers and keys. If `None`, the routers have no fleet.
     pub limits: Option<String>,
-    /// Whether the list of routers in each router's settings has only the router itself.
+    /// Whether the list of routers in each router's settings contains only that router.
     pub isolated: bool,
     /// Whether the routers send datagrams to each other directly instead of through the proxy.
     pub direct: bool,
@@ -63,12 +63,12 @@
     ServeThenClose,
 }
 
-/// A host that counts the statements that it executes concurrently.
+/// A host that counts the requests that it executes concurrently.
 #[derive(Clone)]
 pub struct CountingHost {
     /// The host.
     pub host: Host,
-    /// The largest number of requests that it has executed concurrently.
+    /// Maximum number of requests that the host has executed concurrently so far.
     pub max_concurrent: Arc<AtomicUsize>,
 }
 
@@ -268,7 +268,7 @@
 }
 
 /// Returns the site settings (JSON). The longest deadlines are shortened to 1.5 s, so that the units of a
-/// limit that a killed router held are free again soon after.
+/// limit that a router held when it was killed soon become available again.
 fn platform_settings(config: &HarnessConfig) -> String {
     let probes = config.host_behavior != HostBehavior::ServeThenClose;
     SETTINGS
@@ -294,8 +294,8 @@
     sockets.iter().map(UdpSocket::local_addr).collect()
 }
 
-/// Returns by how many requests `arrivals` exceed a rate with a burst, in the worst of all time windows. The
-/// result is negative if they never exceed it.
+/// Returns by how many requests `arrivals` exceed a rate with a burst, in the worst time window. The result
+/// is negative if they never exceed it.
 pub fn rate_excess(arrivals: &[Instant], per_s: f64, burst: f64) -> f64 {
     let Some(first) = arrivals.first() else { return -burst };
     let times = arrivals.iter().map(|at| Time((*at - *first).as_nanos() as u64));
--- a/crates/standin/src/host.rs
+++ b/crates/standin/src/host.rs
@@ -22,7 +22,7 @@
 pub enum Response {
     /// One row of one binary value.
     Row(Vec<u8>),
-    /// As [`Self::Row`]; the host then closes the connection.
+    /// Like [`Self::Row`], but the host then closes the connection.
     RowThenClose(Vec<u8>),
     /// An error with this SQLSTATE. The connection stays open.
     Error(&'static str),
@@ -30,11 +30,11 @@
     Fatal(&'static str),
     /// Nothing. The host keeps the connection open until the router closes it or sends more data.
     NoResponse,
-    /// Nothing. The host closes the connection at once.
+    /// Nothing. The host closes the connection immediately.
     Close,
     /// These bytes, sent unchanged.
     Raw(Vec<u8>),
-    /// As [`Self::Row`], sent once [`Host::release`] has been called, or after [`crate::TIMEOUT`].
+    /// Like [`Self::Row`], but sent once [`Host::release`] has been called, or after [`crate::TIMEOUT`].
     RowOnRelease(Vec<u8>),
 }
 
@@ -44,11 +44,11 @@
 /// A statement that a host has received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedStatement {
-    /// The number of the connection that it was received on, counted from 1.
+    /// Number of the connection that the statement was received on, counted from 1.
     pub connection: usize,
-    /// Its text.
+    /// Text of the statement.
     pub text: String,
-    /// When its last byte had been received.
+    /// When the last byte of the statement was received.
     pub received_at: Instant,
 }
 
@@ -72,7 +72,7 @@
 /// Returns the response to a statement.
 type Responder = dyn Fn(&str) -> (Response, ParameterStatuses) + Send + Sync;
 
-/// A database host on a loopback port of its own. It runs until the process exits.
+/// A database host that listens on its own loopback port. It runs until the process exits.
 #[derive(Clone)]
 pub struct Host {
     /// The address that it listens on.
@@ -83,7 +83,7 @@
 
 impl Host {
     /// Starts a host that responds to each statement with what `respond` returns. Each connection is served
-    /// by a thread of its own.
+    /// by a separate thread.
     pub fn start(
         respond: impl Fn(&str) -> (Response, ParameterStatuses) + Send + Sync + 'static,
     ) -> io::Result<Host> {
@@ -102,7 +102,8 @@
         Ok(host)
     }
 
-    /// Allows the rows of [`Response::RowOnRelease`] to be sent, those of later statements too.
+    /// Allows the rows of [`Response::RowOnRelease`] to be sent, for statements received so far and later
+    /// ones.
     pub fn release(&self) {
         self.record.change(|record| record.released = true);
     }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -12,6 +12,7 @@
 //!   them
 //! - [`link_faults`]: loss, duplication, delay and partitions, for [`udp_proxy`] and [`simulated_fleet`]
 //! - [`simulated_fleet`]: a fleet in simulated time, without processes and sockets
+
 pub mod client;
 pub mod connect_recorder;
 pub mod deployment;
--- a/crates/standin/src/link_faults.rs
+++ b/crates/standin/src/link_faults.rs
@@ -11,7 +11,8 @@
     pub loss_per_mille: u64,
     /// Datagrams delivered twice, per thousand.
     pub duplicates_per_mille: u64,
-    /// Delay of a datagram in microseconds, uniformly distributed; if the range is empty, always its start.
+    /// Delay of a datagram in microseconds, uniformly distributed over the range; if the range is empty, the
+    /// delay is always its start.
     pub delay_us: Range<u64>,
     /// Links that are cut, as pairs of a sending and a receiving router. All datagrams on them are lost.
     pub cut: BTreeSet<(usize, usize)>,
--- a/crates/standin/src/paced_clients.rs
+++ b/crates/standin/src/paced_clients.rs
@@ -10,12 +10,12 @@
 
 /// How long a client waits for a reply before it opens a new connection.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(1800);
-/// The longest time between two checks of a client's rate, and its pause after a connection has failed.
+/// Maximum time between two checks of a client's rate, and the pause of a client whose connection has failed.
 const IDLE_INTERVAL: Duration = Duration::from_millis(20);
 /// After a slow reply, a client sends only the overdue requests that were due within this time, to avoid a
 /// burst.
 const MAX_CATCH_UP: Duration = Duration::from_millis(100);
-/// Units of a shared rate per request per second.
+/// Number of units of a stored rate that are equal to one request per second. Rates are stored as integers.
 const RATE_UNITS_PER_REQUEST: f64 = 1000.0;
 /// Intervals between requests are random multiples of a millionth of the mean interval, up to twice the mean.
 const INTERVAL_STEPS_PER_MEAN: u64 = 1_000_000;
@@ -46,13 +46,13 @@
     pub latencies_us: Mutex<Vec<u32>>,
 }
 
-/// Clients that send reads at given rates, each to one router over one connection, on a thread of its own.
-/// Dropping this stops them.
+/// Clients that send reads at given rates, each to one router over one connection and on its own thread.
+/// Dropping a `PacedClients` stops its clients.
 pub struct PacedClients {
     /// Numbers of replies, by router.
     pub counts: Vec<Arc<ClientCounts>>,
-    /// Rate of all clients of each router together, in units of 1 / [`RATE_UNITS_PER_REQUEST`] requests per
-    /// second.
+    /// Rate of all clients of each router together. [`RATE_UNITS_PER_REQUEST`] units are equal to one request
+    /// per second.
     rates: Vec<Arc<AtomicU64>>,
     stopped: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
--- a/crates/standin/src/router_process.rs
+++ b/crates/standin/src/router_process.rs
@@ -35,12 +35,12 @@
 pub struct RouterProcess {
     options: RouterOptions,
     name: String,
-    /// Address that it listens on, which stays the same after a restart.
+    /// Address that the router listens on, which stays the same after a restart.
     pub addr: SocketAddr,
     /// Number of restarts.
     restarts: usize,
     child: Child,
-    /// Lines of its log, including those from before a restart.
+    /// Lines that the router has logged, including those from before a restart.
     pub log: Arc<Watched<Vec<String>>>,
 }
 
@@ -172,7 +172,7 @@
     }
 }
 
-/// Appends the lines that a process writes to `stderr` to its log, on a thread of its own. Returns the
+/// Appends the lines that a process writes to `stderr` to its log, on a separate thread. Returns the
 /// address that the process listens on, or `None` if it has not logged one within [`crate::TIMEOUT`].
 fn follow_log(stderr: impl Read + Send + 'static, log: &Arc<Watched<Vec<String>>>) -> Option<SocketAddr> {
     let earlier_line_count = log.lock().len();
--- a/crates/standin/src/session_load.rs
+++ b/crates/standin/src/session_load.rs
@@ -25,8 +25,8 @@
     OneAtATime,
     /// Sessions share pooled connections to all routers.
     Pooled,
-    /// As [`Self::Pooled`], and each session sends the last session token that it has received with its next
-    /// request.
+    /// Like [`Self::Pooled`], but each session also sends the last session token that it has received with
+    /// its next request.
     PooledTokens,
     /// Each session uses one router, over pooled connections.
     OneRouter,
@@ -37,7 +37,7 @@
 pub struct SessionLoad {
     /// How sessions connect to routers.
     pub mode: ConnectionMode,
-    /// Number of concurrent sessions, each on a thread of its own.
+    /// Number of concurrent sessions, each of which runs on its own thread.
     pub sessions: usize,
     /// Number of served reads, over all sessions, after which the load stops.
     pub reads: usize,
--- a/crates/standin/src/session_load/report.rs
+++ b/crates/standin/src/session_load/report.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// Number of stale reads that are described.
+/// Maximum number of stale reads that are described.
 const STALE_EXAMPLES: usize = 5;
 /// A wait for a reply that is longer than this counts as a stall of the machine. Routers take a member that
 /// has sent nothing for 250 ms out of service for a second, so a stall may change which members serve reads.
@@ -30,7 +30,7 @@
 pub struct ReplicaFraction {
     /// Number of session reads that were counted.
     pub reads: usize,
-    /// Fraction of them that replicas served; 0 if there were none.
+    /// Fraction of the counted reads that replicas served; 0 if no read was counted.
     pub fraction: f64,
 }
 
@@ -39,13 +39,13 @@
 pub struct SessionLoadReport {
     /// Served reads of the classes `own` (session reads) and `status`.
     pub reads: usize,
-    /// Number of them that returned an older value than the last one committed before the read was sent.
+    /// Served reads that returned an older value than the last one committed before the read was sent.
     pub stale: usize,
     /// Served session reads.
     pub session_reads: usize,
-    /// Number of them that replicas served.
+    /// Served session reads that replicas served.
     pub replica_reads: usize,
-    /// Writes with a row as the reply.
+    /// Writes whose reply was a row.
     pub writes: usize,
     /// Writes that may or may not have been executed: there was no reply, or an error other than a rejection.
     pub unknown: usize,
@@ -53,7 +53,7 @@
     pub not_served: usize,
     /// Latencies of the session reads, in microseconds.
     pub latencies_us: Vec<u32>,
-    /// Descriptions of some of the stale reads.
+    /// Descriptions of the first stale reads, at most five.
     pub first_stale: Vec<String>,
     served_reads: Vec<ServedRead>,
     stalls: Vec<Stall>,
@@ -110,7 +110,7 @@
 
     /// Returns how many session reads were sent neither during a stall nor shortly after it, and the fraction
     /// of them that replicas served. When the machine stalls, responses of members are late and routers take
-    /// these members out of service for some time, as intended.
+    /// these members out of service for some time, which is the intended behavior.
     pub fn replica_fraction_without_stalls(&self) -> ReplicaFraction {
         let is_counted = |read: &&ServedRead| !self.is_near_stall(read.sent_at);
         let (mut reads, mut by_replicas) = (0, 0);
--- a/crates/standin/src/session_load/session.rs
+++ b/crates/standin/src/session_load/session.rs
@@ -18,18 +18,18 @@
 /// Number of bits in a request id.
 const ID_BITS: u32 = 60;
 
-/// A session. The key of its writes is its own name.
+/// A session. Its writes have its name as their key.
 pub(super) struct Session<'a> {
     name: String,
     routers: &'a [SocketAddr],
     /// Idle connections by router, shared by all sessions.
     pools: &'a [Pool],
     load: &'a SessionLoad,
-    /// Index of the router that it currently uses.
+    /// Index of the router that the session currently uses.
     router: usize,
-    /// Its own connection, in [`ConnectionMode::OneAtATime`].
+    /// Connection that only this session uses, in [`ConnectionMode::OneAtATime`]; `None` in other modes.
     connection: Option<Client>,
-    /// The last session token that it has received.
+    /// The last session token that the session has received.
     token: Option<String>,
     /// Number of writes so far, which is also the value of the last one.
     sequence: u64,
@@ -84,7 +84,8 @@
         self.pools[self.router].lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// With a probability of 50%, closes its own connection and picks a router at random.
+    /// With a probability of 50%, closes the session's own connection and picks a router at random. Does
+    /// nothing in [`ConnectionMode::OneRouter`].
     fn maybe_switch_router(&mut self) {
         if self.load.mode != ConnectionMode::OneRouter && self.rng.bool() {
             self.connection = None;
--- a/crates/standin/src/simulated_fleet.rs
+++ b/crates/standin/src/simulated_fleet.rs
@@ -20,16 +20,16 @@
 
 /// Delay of a datagram without faults, in microseconds.
 const DELAY_US: std::ops::Range<u64> = 100..1000;
-/// Largest age at which a datagram is accepted.
+/// Maximum age at which a datagram is accepted.
 const MAX_DATAGRAM_AGE: Time = Time::ms(1000);
 /// The key with which all routers sign datagrams.
 const KEY_BYTES: [u8; 16] = [7; 16];
 /// An interval between requests is a random number of steps below this. A step is a millionth of the mean
 /// interval, so intervals are below twice the mean.
 const INTERVAL_STEPS: u64 = 2_000_000;
-/// Nanoseconds in a step of the interval at one request per second.
+/// Length of a step in nanoseconds at a mean rate of one request per second.
 const INTERVAL_STEP_NS: f64 = 1e3;
-/// The longest use of a permit, divided by this, is the shortest one.
+/// The shortest use of a permit is the longest use divided by this.
 const SHORTEST_USE_DIVISOR: u64 = 20;
 
 /// A scheduled event.
--- a/crates/standin/src/simulated_fleet/node.rs
+++ b/crates/standin/src/simulated_fleet/node.rs
@@ -14,13 +14,13 @@
 
 /// A simulated router.
 pub(super) struct Node {
-    /// Its core; `None` while the router is not running.
+    /// Core of the router; `None` while the router is not running.
     pub core: Option<Fleet>,
-    /// Rate of its clock relative to true time.
+    /// Rate of the router's clock relative to true time.
     clock_rate: f64,
-    /// Value of its clock at true time zero, in nanoseconds.
+    /// Value of the router's clock at true time zero, in nanoseconds.
     clock_offset_ns: u64,
-    /// Offset of its system clock, in milliseconds.
+    /// Offset of the router's system clock, in milliseconds.
     pub system_clock_offset_ms: i64,
     pub paused: bool,
     /// Datagrams received while the router is paused.
@@ -67,18 +67,18 @@
         self.incarnations += 1;
     }
 
-    /// Returns the value of its clock at a true time.
+    /// Returns the value of the router's clock at a true time.
     pub fn local_time(&self, true_time: Time) -> Time {
         Time(self.clock_offset_ns + (true_time.0 as f64 * self.clock_rate) as u64)
     }
 
-    /// Returns a true time at which the value of its clock is at least `local_time`.
+    /// Returns a true time at which the value of the router's clock is at least `local_time`.
     pub fn true_time(&self, local_time: Time) -> Time {
         let elapsed_ns = local_time.0.saturating_sub(self.clock_offset_ns) as f64 / self.clock_rate;
         Time(elapsed_ns.ceil() as u64 + 1)
     }
 
-    /// Returns the value of its system clock at a true time, in milliseconds.
+    /// Returns the value of the router's system clock at a true time, in milliseconds.
     pub fn system_clock_ms(&self, true_time: Time) -> u64 {
         let true_ms = true_time.0 as i64 / NS_PER_MS;
         (true_ms + SYSTEM_CLOCK_START_MS + self.system_clock_offset_ms) as u64
--- a/crates/standin/src/simulated_fleet/observations.rs
+++ b/crates/standin/src/simulated_fleet/observations.rs
@@ -44,7 +44,7 @@
     pub permits: Vec<Permit>,
     /// Number of datagrams sent.
     pub datagrams: u64,
-    /// Number of bytes in these datagrams.
+    /// Total size of the datagrams sent, in bytes.
     pub bytes: u64,
     /// The largest sum, at any time, of the units of a limit that all routers were allowed to use.
     pub peak_allocated_units: u64,
@@ -52,8 +52,8 @@
     pub log_lines: Vec<LogLine>,
 }
 
-/// Returns by how many requests the admissions exceed a rate with a burst, in the worst of all time windows.
-/// The result is negative if they never exceed it.
+/// Returns by how many requests the admissions exceed a rate with a burst, in the worst time window. The
+/// result is negative if they never exceed it.
 pub fn rate_excess(mut admitted: Vec<Time>, per_s: f64, burst: f64) -> f64 {
     admitted.sort_unstable();
     // Tokens of a token bucket with this rate and burst. Unlike in a rate limiter, they go below zero by the
--- a/crates/standin/src/udp_proxy.rs
+++ b/crates/standin/src/udp_proxy.rs
@@ -11,9 +11,9 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Longest datagram that is forwarded, in bytes; longer ones are cut off there.
+/// Maximum length of a forwarded datagram, in bytes; longer datagrams are truncated to it.
 const MAX_DATAGRAM_LEN: usize = 2048;
-/// Datagrams with a shorter delay are sent at once, because a timer can't measure it.
+/// Datagrams with a shorter delay are sent immediately, because a timer would take at least as long.
 const MIN_TIMER_DELAY: Duration = Duration::from_micros(50);
 
 /// Datagrams that a router has sent.
@@ -21,7 +21,7 @@
 pub struct Traffic {
     /// Number of datagrams.
     pub datagrams: u64,
-    /// Number of bytes in these datagrams.
+    /// Total size of the datagrams, in bytes.
     pub bytes: u64,
 }
 
--- a/crates/standin/src/watched.rs
+++ b/crates/standin/src/watched.rs
@@ -31,7 +31,8 @@
         result
     }
 
-    /// Calls `f` at once and after each change until it returns a value. Returns `None` after [`TIMEOUT`].
+    /// Calls `f` immediately and after each change until it returns a value. Returns `None` after
+    /// [`TIMEOUT`].
     pub fn wait<R>(&self, mut f: impl FnMut(&mut T) -> Option<R>) -> Option<R> {
         let deadline = Instant::now() + TIMEOUT;
         let mut value = self.lock();
--- a/crates/standin/tests/simulated_network.rs
+++ b/crates/standin/tests/simulated_network.rs
@@ -32,8 +32,8 @@
     let all = deliveries(&faults, 0, 1);
     let lost = all.iter().filter(|copies| copies.is_empty()).count();
     let twice = all.iter().filter(|copies| copies.len() == 2).count();
-    assert!((250..350).contains(&lost), "{lost} lost");
-    assert!((100..180).contains(&twice), "{twice} delivered twice");
+    assert!((250..350).contains(&lost), "{lost} of 1000 datagrams lost, not about 300");
+    assert!((100..180).contains(&twice), "{twice} of 1000 datagrams delivered twice, not about 140");
 }
 
 #[test]
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -17,10 +17,11 @@
 const GROUP: u32 = 1;
 /// Number of members: the primary and its replicas.
 const MEMBERS: usize = 3;
-/// Default time from a commit at the primary until a replica applies it, in milliseconds.
+/// Default lag of the replicas: the time from a commit at the primary until a replica applies it, in
+/// milliseconds.
 const DEFAULT_LAG_MS: u64 = 5;
 
-/// The reason why the deployment did not start.
+/// An error that prevented the deployment from starting.
 #[derive(Debug, thiserror::Error)]
 enum ToyError {
     #[error("usage: toy serve [DISCOVERY [LAG]]")]
@@ -33,7 +34,7 @@
     Io(#[from] std::io::Error),
 }
 
-/// Arguments of the command line, with defaults for those not given.
+/// The command-line arguments, with defaults for those that were not given.
 struct Arguments {
     discovery: SocketAddr,
     lag_ms: u64,
