--- a/crates/client/src/core/requests.rs
+++ b/crates/client/src/core/requests.rs
@@ -130,7 +130,7 @@
         self.ready.insert(id);
     }
 
-    /// Removes a request and frees its session slot.
+    /// Removes a request from all tables and frees its session slot.
     pub(super) fn remove(&mut self, id: RequestId) -> Option<PendingRequest> {
         let mut pending = self.by_id.remove(&id)?;
         self.ready.remove(&id);
@@ -218,7 +218,7 @@
         }
     }
 
-    /// Makes the requests whose delay has ended ready.
+    /// Moves the requests whose delay has ended to the ready ones.
     pub(super) fn release_delayed(&mut self, now: Instant) {
         while let Some(delayed) = self.delayed.first().copied().filter(|delayed| delayed.at <= now) {
             self.delayed.remove(&delayed);
@@ -257,8 +257,8 @@
         self.by_id.keys().copied().collect()
     }
 
-    /// Returns the number of requests. It is the largest of the tables' sizes, so that a test finds an entry
-    /// that was removed from one table only.
+    /// Returns the number of requests. It is the largest of the tables' sizes, so that tests detect an entry
+    /// that was not removed from all tables.
     pub(super) fn len(&self) -> usize {
         let waiting = self.ready.len() + self.delayed.len();
         self.by_id.len().max(waiting).max(self.deadlines.len())
--- a/crates/client/tests/core/deadlines.rs
+++ b/crates/client/tests/core/deadlines.rs
@@ -36,7 +36,7 @@
             // A response that is received after the connection was closed belongs to no request.
             let next = harness.submit_write(Idempotency::Idempotent, 900);
             harness.receive(connection, &row(b"v"));
-            assert_eq!(harness.outcome(next), None);
+            assert_eq!(harness.outcome(next), None, "the late response must not serve the next request");
         }
     }
 }
@@ -72,7 +72,7 @@
     harness.now += 1000 * MS;
     harness.core.handle_connected(harness.now, connection);
     harness.receive(connection, READY_FOR_QUERY);
-    assert!(harness.sent.is_empty());
+    assert!(harness.sent.is_empty(), "a statement was written after the deadline");
     assert!(ids.iter().all(|id| harness.outcome(*id) == Some(&RequestOutcome::DeadlineExceeded)));
 }
 
@@ -91,7 +91,7 @@
     let too_short = harness.submit_write(Idempotency::Idempotent, 60);
     let outcome = harness.outcome(too_short);
     assert_eq!(outcome, Some(&RequestOutcome::DeadlineExceeded), "60 ms are left, and responses take 100 ms");
-    assert_eq!(harness.sent.len(), sent);
+    assert_eq!(harness.sent.len(), sent, "no attempt may be started with 60 ms left");
     let long_enough = harness.submit_write(Idempotency::Idempotent, 150);
-    assert_eq!(harness.outcome(long_enough), None);
+    assert_eq!(harness.outcome(long_enough), None, "150 ms must be enough for an attempt");
 }
--- a/crates/client/tests/core/reconnects.rs
+++ b/crates/client/tests/core/reconnects.rs
@@ -80,7 +80,7 @@
         let id = harness.submit_write(Idempotency::Idempotent, 5000);
         let connection = harness.accept_connection();
         harness.receive(connection, &row(b"v"));
-        assert!(harness.outcome(id).is_some());
+        assert!(harness.outcome(id).is_some(), "the first request must be completed");
         harness.disconnect(connection, DisconnectReason::Other);
         let lost_at = harness.now;
         harness.submit_write(Idempotency::Idempotent, 900);
@@ -89,7 +89,7 @@
         }
         waits.push(harness.now - lost_at);
     }
-    let longest = *waits.iter().max().expect("400 waits");
+    let longest = *waits.iter().max().expect("no wait was measured");
     assert!(longest <= 451 * MS, "the longest wait exceeds half of the remaining 900 ms: {longest:?}");
     let shorter_than = |ms: u32| waits.iter().filter(|wait| **wait < ms * MS).count();
     for n in 0..9 {
--- a/crates/client/tests/core/retries.rs
+++ b/crates/client/tests/core/retries.rs
@@ -63,8 +63,7 @@
     retries: u64,
 }
 
-/// Sends 500 requests, one after the other, to a router that rejects every attempt. Returns the numbers of
-/// attempts.
+/// Sends 500 requests sequentially to a router that rejects every attempt. Returns the numbers of attempts.
 fn send_to_overloaded_router(priority: Priority) -> AttemptCounts {
     let mut harness = Harness::new(Config { max_connections_per_router: 1, ..config(1) });
     let mut first = 0;
--- a/crates/client/tests/core/simulation.rs
+++ b/crates/client/tests/core/simulation.rs
@@ -137,7 +137,7 @@
                     self.cancel_any();
                 }
             } else if next_event == Some(next) {
-                let (_, event) = self.events.pop_first().expect("no event");
+                let (_, event) = self.events.pop_first().expect("no event is scheduled");
                 self.handle(event);
             } else {
                 self.core.handle_timeout(self.now);
@@ -282,8 +282,8 @@
         self.schedule(1, Event::Received(connection, response));
     }
 
-    /// Simulates the write of a statement: the operating system accepts all bytes at once, the rest of them
-    /// later, or never because the connection is lost.
+    /// Simulates the write of a statement: the operating system accepts all bytes immediately, or only a
+    /// part of them. It accepts the rest later, or never because the connection is lost.
     fn write_statement(&mut self, connection: ConnectionId, statement: Vec<u8>, deadline: Instant) {
         assert!(self.now < deadline, "a statement was written at or after its deadline");
         let text = String::from_utf8_lossy(&statement);
@@ -409,7 +409,7 @@
 /// Returns the key in a statement.
 fn key_of(statement: &[u8]) -> String {
     let text = String::from_utf8_lossy(statement);
-    text.split('\'').nth(1).expect("a statement without a key").to_string()
+    text.split('\'').nth(1).expect("the statement has no key").to_string()
 }
 
 #[test]
--- a/crates/client/tests/core/validation.rs
+++ b/crates/client/tests/core/validation.rs
@@ -18,9 +18,13 @@
     ];
     for request in invalid {
         let id = harness.submit(request);
-        assert!(matches!(harness.outcome(id), Some(RequestOutcome::Invalid(_))));
+        assert!(
+            matches!(harness.outcome(id), Some(RequestOutcome::Invalid(_))),
+            "expected Invalid, got {:?}",
+            harness.outcome(id)
+        );
     }
-    assert!(harness.connections.is_empty());
+    assert!(harness.connections.is_empty(), "a connection was opened for an invalid request");
     assert_eq!(harness.core.table_sizes(), TableSizes::default());
 }
 
--- a/crates/standin/tests/simulated_network.rs
+++ b/crates/standin/tests/simulated_network.rs
@@ -43,8 +43,11 @@
     faults.partition(&[vec![0, 1], vec![2], vec![3]]);
     let cut = [(0, 2), (0, 3), (1, 2), (1, 3), (2, 0), (2, 1), (2, 3), (3, 0), (3, 1), (3, 2)];
     assert_eq!(faults.cut, cut.into_iter().collect());
-    assert!(deliveries(&faults, 0, 2).iter().all(Vec::is_empty));
-    assert!(deliveries(&faults, 0, 1).iter().all(|copies| copies.len() == 1));
+    assert!(deliveries(&faults, 0, 2).iter().all(Vec::is_empty), "the link from 0 to 2 must be cut");
+    assert!(
+        deliveries(&faults, 0, 1).iter().all(|copies| copies.len() == 1),
+        "the link from 0 to 1 must be repaired"
+    );
 }
 
 #[test]
