--- a/crates/client/tests/core/reconnects.rs
+++ b/crates/client/tests/core/reconnects.rs
@@ -26,7 +26,7 @@
         harness.submit_write(Idempotency::Idempotent, 9000);
     }
     let probes = harness.connections.values().filter(|router| **router == down_router).count();
-    assert_eq!(probes, 1, "{:?}", harness.connections);
+    assert_eq!(probes, 1, "connections to {down_router}, of {:?}", harness.connections);
 }
 
 #[test]
@@ -65,7 +65,11 @@
     }
     third_waits.sort();
     let median = third_waits[100];
-    assert!(median > 2000 * MS && third_waits[199] < 16_000 * MS, "median {median:?}");
+    assert!(
+        median > 2000 * MS && third_waits[199] < 16_000 * MS,
+        "median {median:?} of the third waits, longest {:?}",
+        third_waits[199]
+    );
 }
 
 #[test]
@@ -76,7 +80,7 @@
         let id = harness.submit_write(Idempotency::Idempotent, 5000);
         let connection = harness.accept_connection();
         harness.receive(connection, &row(b"v"));
-        assert!(harness.outcome(id).is_some());
+        assert!(harness.outcome(id).is_some(), "the first request must be completed");
         harness.disconnect(connection, DisconnectReason::Other);
         let lost_at = harness.now;
         harness.submit_write(Idempotency::Idempotent, 900);
@@ -85,7 +89,7 @@
         }
         waits.push(harness.now - lost_at);
     }
-    let longest = *waits.iter().max().expect("400 waits");
+    let longest = *waits.iter().max().expect("no wait was measured");
     assert!(longest <= 451 * MS, "the longest wait exceeds half of the remaining 900 ms: {longest:?}");
     let shorter_than = |ms: u32| waits.iter().filter(|wait| **wait < ms * MS).count();
     for n in 0..9 {
--- a/crates/standin/tests/simulated_network.rs
+++ b/crates/standin/tests/simulated_network.rs
@@ -32,8 +32,8 @@
     let all = deliveries(&faults, 0, 1);
     let lost = all.iter().filter(|copies| copies.is_empty()).count();
     let twice = all.iter().filter(|copies| copies.len() == 2).count();
-    assert!((250..350).contains(&lost), "{lost} lost");
-    assert!((100..180).contains(&twice), "{twice} delivered twice");
+    assert!((250..350).contains(&lost), "{lost} of 1000 datagrams lost, not about 300");
+    assert!((100..180).contains(&twice), "{twice} of 1000 datagrams delivered twice, not about 140");
 }
 
 #[test]
@@ -43,8 +43,11 @@
     faults.partition(&[vec![0, 1], vec![2], vec![3]]);
     let cut = [(0, 2), (0, 3), (1, 2), (1, 3), (2, 0), (2, 1), (2, 3), (3, 0), (3, 1), (3, 2)];
     assert_eq!(faults.cut, cut.into_iter().collect());
-    assert!(deliveries(&faults, 0, 2).iter().all(Vec::is_empty));
-    assert!(deliveries(&faults, 0, 1).iter().all(|copies| copies.len() == 1));
+    assert!(deliveries(&faults, 0, 2).iter().all(Vec::is_empty), "the link from 0 to 2 must be cut");
+    assert!(
+        deliveries(&faults, 0, 1).iter().all(|copies| copies.len() == 1),
+        "the link from 0 to 1 must be repaired"
+    );
 }
 
 #[test]
