--- a/crates/extproc/src/coordinator.rs
+++ b/crates/extproc/src/coordinator.rs
@@ -17,7 +17,7 @@
 /// The stream of a lease whose attempt was not assigned to any stream.
 const NO_STREAM: StreamId = StreamId(0);
 
-/// A request, for which one or more streams have called.
+/// An open request. One or more streams have called for it.
 #[derive(Debug)]
 struct Call {
     /// The streams that wait for a member, in order of arrival.
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Returns whether a request is that of a proxy, not that of a client.
+    /// Returns whether a request is that of a proxy. All other requests are those of clients.
     pub fn owns(id: RequestId) -> bool {
         id.0 & PROXY_REQUEST_BIT != 0
     }
@@ -301,7 +301,7 @@
             expires_at: now,
         };
         let is_last = !self.calls.contains_key(&request);
-        self.attempt_ended(now, EndedLease::unanswered(lease, Status::NotSent), is_last, out);
+        self.attempt_ended(now, EndedLease::without_response(lease, Status::NotSent), is_last, out);
     }
 
     /// Cancels an attempt of a request. The attempt may execute nevertheless.
@@ -344,7 +344,8 @@
         out.extend(streams.into_iter().map(|stream| Output::Reply(stream, reply)));
     }
 
-    /// Removes a request. `not_executed` says whether a write is proved not to have executed.
+    /// Removes a request. If it is a non-idempotent write, `not_executed` determines whether the write is
+    /// registered as proved not to have executed, or as possibly executed.
     fn remove_call(&mut self, id: RequestId, not_executed: bool) {
         let Some(call) = self.calls.remove(&id) else { return };
         let leased = call.leased.map(|leased| leased.stream);
--- a/crates/extproc/src/lease_table.rs
+++ b/crates/extproc/src/lease_table.rs
@@ -74,7 +74,7 @@
 
 impl EndedLease {
     /// Creates an ended lease without a response from its member.
-    pub fn unanswered(lease: Lease, status: Status) -> EndedLease {
+    pub fn without_response(lease: Lease, status: Status) -> EndedLease {
         EndedLease { lease, status, replication: ReplicationState::default() }
     }
 }
@@ -111,7 +111,7 @@
     }
 
     /// Ends the lease whose outcome a proxy reports on a stream. Returns `None` if the lease belongs to
-    /// another stream, has ended or has expired. Such reports have no effect on leases.
+    /// another stream, has ended or has expired. Such a report does not end any lease.
     pub fn report(
         &mut self,
         now: Time,
@@ -139,7 +139,7 @@
     /// Ends a lease whose attempt the decision module has cancelled. The attempt may execute nevertheless.
     pub fn cancel(&mut self, id: LeaseId) -> Option<EndedLease> {
         let lease = self.remove(id)?;
-        Some(EndedLease::unanswered(lease, Status::Cancelled))
+        Some(EndedLease::without_response(lease, Status::Cancelled))
     }
 
     /// Ends the leases of a closed stream. Their requests may have been sent to the members.
@@ -147,7 +147,7 @@
         let of_stream = (stream, LeaseId(0))..=(stream, LeaseId(u64::MAX));
         let ids: Vec<LeaseId> = self.by_stream.range(of_stream).map(|(_, id)| *id).collect();
         let leases = ids.into_iter().filter_map(|id| self.remove(id));
-        leases.map(|lease| EndedLease::unanswered(lease, Status::Reset)).collect()
+        leases.map(|lease| EndedLease::without_response(lease, Status::Reset)).collect()
     }
 
     /// Ends the leases that have expired, and returns them in the order of their expiry.
@@ -158,7 +158,7 @@
                 break;
             }
             let lease = self.remove(id);
-            expired.extend(lease.map(|lease| EndedLease::unanswered(lease, Status::Timeout)));
+            expired.extend(lease.map(|lease| EndedLease::without_response(lease, Status::Timeout)));
         }
         expired
     }
--- a/crates/extproc/tests/coordinator.rs
+++ b/crates/extproc/tests/coordinator.rs
@@ -196,7 +196,7 @@
     fn lease(&self, stream: u64) -> LeaseId {
         match self.last_reply(stream) {
             Some(ProxyReply::Member { lease, .. }) => lease,
-            other => panic!("stream {stream}: {other:?}"),
+            other => panic!("stream {stream}: expected a member, got {other:?}"),
         }
     }
 }
@@ -307,7 +307,7 @@
     ];
     for (n, (class, id, timeout_ms, reason)) in cases.into_iter().enumerate() {
         router.request(n as u64, class, id, timeout_ms);
-        assert_eq!(router.last_reply(n as u64), Some(ProxyReply::Invalid(reason)));
+        assert_eq!(router.last_reply(n as u64), Some(ProxyReply::Invalid(reason)), "case {n}");
     }
     router.request(50, READ, None, 900);
     router.lease(50);
@@ -321,7 +321,7 @@
     let rejection = Some(ProxyReply::Rejected { retry_after: None });
     let rejected = (100..200).filter(|stream| router.last_reply(*stream) == rejection).count();
     let in_use = router.coordinator.usage();
-    assert!(rejected >= 40 && in_use.open_calls <= LIMITS.max_open_calls, "{rejected}, {in_use:?}");
+    assert!(rejected >= 40 && in_use.open_calls <= LIMITS.max_open_calls, "{rejected} rejected, {in_use:?}");
     router.advance(3000);
     assert_eq!(router.coordinator.usage(), usage(0, 0, 0));
 }
@@ -375,8 +375,8 @@
         }
         self.check_replies(step);
         let in_use = self.router.coordinator.usage();
-        assert!(in_use.open_calls <= LIMITS.max_open_calls);
-        assert!(in_use.remembered_writes <= LIMITS.max_remembered_writes);
+        assert!(in_use.open_calls <= LIMITS.max_open_calls, "step {step}: {in_use:?}");
+        assert!(in_use.remembered_writes <= LIMITS.max_remembered_writes, "step {step}: {in_use:?}");
     }
 
     /// Calls for a read, a new write or one of the last thirty writes, on a new stream.
@@ -448,7 +448,7 @@
                 self.leases.remove(&stream);
                 continue;
             };
-            assert!(send_by <= self.router.now.plus(LIMITS.send_within));
+            assert!(send_by <= self.router.now.plus(LIMITS.send_within), "step {step}: {send_by:?}");
             self.members_assigned += 1;
             if let Some(write) = self.calls[&stream] {
                 let executions = self.possible_executions.entry(write).or_default();
--- a/crates/extproc/tests/lease_table.rs
+++ b/crates/extproc/tests/lease_table.rs
@@ -95,7 +95,7 @@
         for end in just_ended {
             assert!(ended.insert(end.lease.request), "the lease ended twice: {end:?}");
             let may_end_at_expiry = end.status == Status::Timeout || end.status == Status::Reset;
-            assert!(may_end_at_expiry || now < end.lease.expires_at);
+            assert!(may_end_at_expiry || now < end.lease.expires_at, "an outcome after the expiry: {end:?}");
         }
         assert_eq!(leases.len() + ended.len(), granted.len());
     }
--- a/crates/extproc/tests/write_id.rs
+++ b/crates/extproc/tests/write_id.rs
@@ -11,7 +11,7 @@
     assert_eq!(id.created_at(), Time::ms(0x0194_38fa_2a7b));
     assert_eq!(WriteId::parse(&text.to_ascii_uppercase()), Some(id));
     for n in 0..text.len() {
-        assert_eq!(WriteId::parse(&text[..n]), None);
+        assert_eq!(WriteId::parse(&text[..n]), None, "cut at {n}");
         let mut other = *text;
         other[n] = b'g';
         assert_eq!(WriteId::parse(&other), None, "byte {n}");
--- a/crates/extproc/tests/write_registry.rs
+++ b/crates/extproc/tests/write_registry.rs
@@ -79,7 +79,7 @@
         registry.assigned(*write);
     }
     let Verdict::Full { retry_after } = registry.admit(at(2000), write_id(at(1990), 99)) else {
-        panic!("the registry is full")
+        panic!("a full registry accepted a write")
     };
     assert!(writes.iter().all(|write| registry.admit(at(2000), *write) == Verdict::Decided));
     let then = at(2000).plus(retry_after);
@@ -216,8 +216,8 @@
     fn restart(&mut self) {
         self.process += 1;
         self.registry = WriteRegistry::new(self.now, WINDOW, SKEW, MODEL_ENTRIES);
-        // A write that waited for a member in the last process never got one. A write with an assigned member
-        // may execute.
+        // A write that waited for a member in the previous process never got one. A write with an assigned
+        // member may execute.
         for (_, actual) in self.writes.values_mut() {
             *actual = match *actual {
                 ActualState::Assigned(_) => ActualState::PossiblyExecuted,
@@ -244,5 +244,5 @@
         Ok(())
     });
     assert_eq!(result.map_err(|error| error.to_string()), Ok(()));
-    assert!(decisions.get() > 500, "{}", decisions.get());
+    assert!(decisions.get() > 500, "only {} writes were accepted", decisions.get());
 }
--- a/crates/session/src/floor_table.rs
+++ b/crates/session/src/floor_table.rs
@@ -25,8 +25,8 @@
 
 /// Nanoseconds per tick: floors are stored in milliseconds.
 const TICK_NANOS: u64 = 1_000_000;
-/// The tick of the table's creation. Floors up to 12 days older have ticks of their own; all older floors get
-/// the first tick.
+/// The tick of the table's creation. Floors up to 12 days older have distinct ticks; all older floors get the
+/// first tick.
 const INITIAL_TICK: u32 = 1 << 30;
 /// A floor at or above this tick moves the epoch forward, and all stored ticks are reduced by
 /// [`INITIAL_TICK`].
@@ -79,7 +79,7 @@
     /// Creates an empty table of at most `bytes` of memory, but of at least one bucket.
     pub fn new(now: Time, bytes: usize, seed: u64) -> FloorTable {
         let max_buckets = (bytes / BUCKET_BYTES).max(1);
-        // The largest power of two that is not above the maximum.
+        // The largest power of two that is at most the maximum.
         let buckets = 1usize << (usize::BITS - 1 - max_buckets.leading_zeros());
         let now_in_ticks = Time(now.0 / TICK_NANOS * TICK_NANOS);
         let epoch = now_in_ticks.minus(Time(u64::from(INITIAL_TICK) * TICK_NANOS));
@@ -88,7 +88,7 @@
 
     /// Returns the bucket and the fingerprint of a session.
     fn locate(&self, group: GroupId, session: SessionKey) -> Location {
-        // The finalizer of splitmix64: every bit of the key affects every bit of the hash.
+        // The finalizer of SplitMix64: every bit of the key affects every bit of the hash.
         let mut hash = session.0 ^ self.seed ^ u64::from(group.0).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Returns the memory of the table, in bytes.
+    /// Returns the size of the table, in bytes. Pages of it that were never written take no memory.
     pub fn bytes(&self) -> usize {
         self.buckets.len() * BUCKET_BYTES
     }
@@ -212,7 +212,7 @@
 fn insert(bucket: &mut Bucket, fingerprint: u32, tick: u32) -> bool {
     let lowest = (0..SLOTS).min_by_key(|slot| bucket[FLOORS + slot]).unwrap_or(0);
     let evicted = bucket[FLOORS + lowest].min(tick);
-    // A floor at or below the shared floor adds nothing to it, so its slot is as good as free.
+    // The eviction of a floor at or below the shared floor affects no session, so it is not counted.
     let raised = evicted > bucket[EVICTED_FLOOR];
     bucket[EVICTED_FLOOR] = bucket[EVICTED_FLOOR].max(evicted);
     if tick > evicted {
--- a/crates/session/src/group_floors.rs
+++ b/crates/session/src/group_floors.rs
@@ -2,11 +2,11 @@
 
 use basalthill_policy::api::{GroupId, Time};
 
-/// Maximum number of groups with a floor of their own in one session. All other groups share one floor.
+/// Maximum number of groups with a separate floor in one session. All other groups share one floor.
 pub const MAX_GROUPS: usize = 8;
 
 /// The read floors of one session, by group. When there are more than [`MAX_GROUPS`], the lowest ones are
-/// merged into one floor that is shared by all groups without a floor of their own. The shared floor is never
+/// merged into one floor that is shared by all groups without a separate floor. The shared floor is never
 /// lower than any floor that was merged into it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GroupFloors {
@@ -76,7 +76,7 @@
         self.raise_other_groups(other.other_groups);
     }
 
-    /// Returns the groups with a floor of their own, sorted by group.
+    /// Returns the groups with a separate floor, sorted by group.
     pub fn by_group(&self) -> &[GroupFloor] {
         &self.by_group
     }
--- a/crates/session/src/key.rs
+++ b/crates/session/src/key.rs
@@ -1,4 +1,5 @@
-//! Secret keys that sign and verify session tokens. All routers of an installation have the same keys.
+//! Secret keys that sign and verify session tokens and the datagrams between routers. All routers of an
+//! installation have the same keys.
 
 use basalthill_policy::api::Time;
 use hmac::{Hmac, KeyInit, Mac};
@@ -8,7 +9,7 @@
 /// Minimum length of a secret, in bytes.
 pub const MIN_SECRET_LEN: usize = 16;
 
-/// The number of a key, which tokens carry.
+/// The number of a key, which tokens and datagrams carry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct KeyId(pub u8);
 
@@ -53,14 +54,14 @@
     }
 }
 
-/// The keys in force. One of them signs tokens, and all of them verify tokens.
+/// The keys in force. One of them signs, and all of them verify.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyRing {
-    /// The key that signs tokens, and verifies them too.
+    /// The key that signs and verifies.
     pub signing: Key,
-    /// Further keys that only verify tokens.
+    /// Further keys that only verify.
     pub verifying: Vec<Key>,
-    /// Time for which a token is valid after it was issued.
+    /// Time for which a session token is valid after it was issued. Datagrams have no such limit.
     pub max_age: Time,
 }
 
--- a/crates/session/src/sessions.rs
+++ b/crates/session/src/sessions.rs
@@ -58,7 +58,7 @@
     }
 
     /// Applies reloaded settings. The table is kept, unless there was no [`SessionConfig`] before: the table
-    /// did not cover all writes then, so it is created anew as at a start of the router.
+    /// did not cover all writes then, so it is replaced by an empty table, as at a start of the router.
     pub fn reconfigure(&mut self, now: Time, config: Option<SessionConfig>, bytes: usize, seed: u64) {
         if self.config.is_none() && config.is_some() {
             self.table = FloorTable::new(now, bytes, seed);
@@ -68,7 +68,7 @@
         self.clock_lead = Time(0);
     }
 
-    /// Returns whether this router computes floors itself, by a [`SessionConfig`], and sends them to hosts.
+    /// Returns whether this router computes floors according to a [`SessionConfig`] and sends them to hosts.
     pub fn manages_floors(&self) -> bool {
         self.config.is_some()
     }
@@ -119,13 +119,14 @@
         if config.default_floor == DefaultFloor::Platform && request.tokens.is_empty() {
             return as_by_platform(after.min(now));
         }
-        // A read with an `after` position or a token names its own floor, and does not need the shared floor
-        // of the sessions evicted from its bucket.
+        // A read with an `after` position or a token names its floor, so the shared floor of the sessions
+        // evicted from its bucket is not needed.
         let remembered = self.table.get(request.group, tracked.key);
         let names_floor = request.after.is_some() || !request.tokens.is_empty();
         let evicted = if names_floor { None } else { Some(remembered.evicted) };
         let remembered = remembered.exact.max(evicted).unwrap_or_default();
         let mut position = tracked.floors.get(request.group).max(after).max(remembered);
+        // An unsettled write may have committed at any position up to `limit`.
         if self.unsettled.contains_key(&(request.group, tracked.key)) {
             position = Time(u64::MAX);
         }
@@ -224,7 +225,7 @@
         self.unsettled.len()
     }
 
-    /// Returns the memory of the table, in bytes.
+    /// Returns the size of the floor table, in bytes.
     pub fn table_bytes(&self) -> usize {
         self.table.bytes()
     }
--- a/crates/session/src/snapshot.rs
+++ b/crates/session/src/snapshot.rs
@@ -12,7 +12,7 @@
 //! | magic number | 8 |
 //! | format | 2 |
 //! | length of the router's name | 2 |
-//! | the router's name | as given |
+//! | the router's name | the preceding length |
 //! | time of writing, Unix time in nanoseconds | 8 |
 //! | floor that covers all writes from before the table's creation, Unix time in nanoseconds | 8 |
 //! | seed of the table's hash | 8 |
@@ -51,11 +51,11 @@
     OtherRouter(String),
     /// The snapshot is older than allowed, or its time of writing is in the future; with its age, which is
     /// zero in the latter case.
-    #[error("snapshot is {:.0} s old", .0.secs())]
+    #[error("snapshot is too old or from the future: its age is {:.0} s", .0.secs())]
     Expired(Time),
-    /// The table of the snapshot needs more memory than this router's table may take; with the memory it
-    /// needs, in bytes.
-    #[error("snapshot needs {0} bytes of memory")]
+    /// The table of the snapshot needs more memory than this router's table may take; with the memory needed,
+    /// in bytes.
+    #[error("snapshot needs {0} bytes of memory, more than this router's table may take")]
     TooLarge(usize),
 }
 
@@ -70,7 +70,7 @@
     used_buckets: u32,
 }
 
-/// Encodes the floors of all sessions when the process exits. The outcome of writes that have not completed
+/// Encodes the floors of all sessions before the process exits. The outcome of writes that have not completed
 /// counts as unknown, because they may commit after the exit.
 pub fn write(sessions: &mut Sessions, now: Time, router: &str) -> Vec<u8> {
     sessions.settle_all(now);
@@ -112,7 +112,7 @@
 /// # Errors
 ///
 /// Returns an error if the snapshot is incomplete or corrupt, was written by another router or more than
-/// `max_age` ago, or is larger than this router's table may be. `sessions` is not changed then.
+/// `max_age` ago, or is larger than this router's table may be. In that case `sessions` is unchanged.
 pub fn restore(
     sessions: &mut Sessions,
     now: Time,
--- a/crates/session/tests/floor_table.rs
+++ b/crates/session/tests/floor_table.rs
@@ -36,12 +36,12 @@
     }
     assert!(evictions > 1000, "only {evictions} evictions raised a shared floor");
     assert_eq!(table.bytes(), 16 * BUCKET_BYTES);
-    // The newest session has a slot of its own, and the shared floor of evicted sessions is older.
+    // The newest session has a slot, and the shared floor of evicted sessions is older.
     let newest = written.values().max().unwrap();
     let ((group, session), _) = written.iter().find(|(_, commit)| *commit == newest).unwrap();
     let entry = table.get(*group, *session);
     assert_eq!(entry.exact, Some(*newest));
-    assert!(entry.evicted < newest.minus(Time::ms(50)), "the lowest floors are evicted first");
+    assert!(entry.evicted < newest.minus(Time::ms(50)), "the lowest floors are evicted first: {entry:?}");
 }
 
 #[test]
--- a/crates/session/tests/model.rs
+++ b/crates/session/tests/model.rs
@@ -233,11 +233,17 @@
             router.read_floor(now, request, &tracked).position
         });
         let latest = self.now.plus(SKEW);
-        prop_assert!(floor <= latest, "the floor is later than the read's arrival: {floor:?}");
+        prop_assert!(
+            floor <= latest,
+            "the floor {floor:?} is later than the arrival plus the skew, {latest:?}"
+        );
         // The commits up to now, by the host's clock.
         let commits = self.commits.get(&(session, group)).into_iter().flatten();
         let last = commits.filter(|commit| **commit <= latest).max().copied().unwrap_or_default();
-        prop_assert!(floor >= last, "session {session}, group {group}: floor {floor:?}, wrote {last:?}");
+        prop_assert!(
+            floor >= last,
+            "session {session}, group {group}: floor {floor:?} is below the write at {last:?}"
+        );
         Ok(())
     }
 
@@ -331,6 +337,6 @@
     ];
     for (what, pattern, config) in unsound {
         let result = run_model(pattern, config, TABLE_SIZES[0]);
-        assert!(result.is_err(), "{what}");
+        assert!(result.is_err(), "the model found no violation with {what}");
     }
 }
--- a/crates/session/tests/sessions.rs
+++ b/crates/session/tests/sessions.rs
@@ -48,7 +48,7 @@
     assert_eq!(
         read_floor(&mut sessions, now, GROUP, 4999),
         at(4999),
-        "the newest session has a floor of its own"
+        "the newest session has a separate floor"
     );
     assert!(
         read_floor(&mut sessions, now, GROUP, 0) < at(4999),
--- a/crates/session/tests/token.rs
+++ b/crates/session/tests/token.rs
@@ -66,7 +66,7 @@
     for (group, written) in all {
         assert!(read.get(GroupId(group)) >= written, "group {group}");
     }
-    assert_eq!(read.get(GroupId(0)), floor(0), "the group with the highest floor has a floor of its own");
+    assert_eq!(read.get(GroupId(0)), floor(0), "the group with the highest floor has a separate floor");
     assert!(read.get(GroupId(99)) < floor(0), "the shared floor is not the highest one");
 }
 
