--- a/crates/extproc/src/coordinator.rs
+++ b/crates/extproc/src/coordinator.rs
@@ -11,7 +11,7 @@
 };
 use std::collections::BTreeMap;
 
-/// The bit that is set in the ids of proxies' requests. It tells them apart from clients' requests, so that
+/// The bit that is set in the ids of proxies' requests. It distinguishes them from clients' requests, so that
 /// one decision module can serve both.
 const PROXY_REQUEST_BIT: u64 = 1 << 63;
 /// The stream of a lease whose attempt was not assigned to any stream.
@@ -137,7 +137,7 @@
     }
 
     /// Handles the closing of a stream. If the stream has a lease, the request may have been sent. If it
-    /// waits for a member, it stops waiting, and a request that no stream waits for any more is abandoned.
+    /// waits for a member, it stops waiting. A request for which no other stream waits is abandoned.
     pub fn stream_closed(&mut self, now: Time, stream: StreamId, out: &mut Vec<Output>) {
         let Some(id) = self.by_stream.remove(&stream) else { return };
         let ended = self.leases.close_stream(stream);
@@ -304,7 +304,7 @@
         self.attempt_ended(now, EndedLease::without_response(lease, Status::NotSent), is_last, out);
     }
 
-    /// Cancels an attempt of a request. The attempt may execute nevertheless.
+    /// Cancels an attempt of a request. The attempt may still execute.
     fn cancel(&mut self, now: Time, id: RequestId, attempt: Attempt, out: &mut Vec<Output>) {
         let leased = self.calls.get(&id).and_then(|call| call.leased);
         let ended = leased.and_then(|leased| self.leases.cancel(leased.lease));
@@ -339,7 +339,7 @@
         let Some(call) = self.calls.get(&id) else { return };
         let leased = call.leased.map(|leased| leased.stream);
         let streams: Vec<StreamId> = call.waiting.iter().copied().chain(leased).collect();
-        // While a lease is in use, the write may execute whatever the reply is.
+        // While a lease is in use, the write may execute regardless of the reply.
         self.remove_call(id, not_executed && leased.is_none());
         out.extend(streams.into_iter().map(|stream| Output::Reply(stream, reply)));
     }
--- a/crates/extproc/src/lease_table.rs
+++ b/crates/extproc/src/lease_table.rs
@@ -136,7 +136,7 @@
         Some(EndedLease { lease, status: outcome.status(), replication })
     }
 
-    /// Ends a lease whose attempt the decision module has cancelled. The attempt may execute nevertheless.
+    /// Ends a lease whose attempt the decision module has cancelled. The attempt may still execute.
     pub fn cancel(&mut self, id: LeaseId) -> Option<EndedLease> {
         let lease = self.remove(id)?;
         Some(EndedLease::without_response(lease, Status::Cancelled))
--- a/crates/extproc/src/messages.rs
+++ b/crates/extproc/src/messages.rs
@@ -47,8 +47,7 @@
     pub deadline: Time,
     /// The read floor: the log position that a member must have applied to serve a session read.
     pub floor: Time,
-    /// Maximum distance of a replica's expected position behind the floor at which the read waits for that
-    /// replica.
+    /// The read waits for a replica whose expected position is below the floor by at most this time.
     pub lead: Time,
     /// Whether the proxy's client has marked the request as a retry.
     pub client_retry: bool,
--- a/crates/extproc/tests/coordinator.rs
+++ b/crates/extproc/tests/coordinator.rs
@@ -211,7 +211,8 @@
     let write = write_id(router.now, 1);
     router.request(1, WRITE, Some(write), 900);
     let lease = router.lease(1);
-    assert!(matches!(router.last_reply(1), Some(ProxyReply::Member { member: PRIMARY, .. })));
+    let reply = router.last_reply(1);
+    assert!(matches!(reply, Some(ProxyReply::Member { member: PRIMARY, .. })), "{reply:?}");
     router.request(2, WRITE, Some(write), 900);
     assert_eq!(router.last_reply(2), Some(ProxyReply::AlreadyDecided));
     // After the write is served, later calls get no member, and a second report under the same lease has no
@@ -417,8 +418,8 @@
         let outcome = outcomes[self.random.below(7) as usize];
         let reported_on = if self.random.below(8) == 0 { stream + 1 } else { stream };
         if reported_on == stream {
-            // The lease has not ended, so the report is accepted. If it proves that the write has not
-            // executed, the execution is not possible any more.
+            // The lease has not ended, so the report is accepted. If the outcome proves that the write has
+            // not executed, that execution is no longer possible.
             if let Some(write) = self.calls[&stream].filter(|_| outcome.status().proves_not_executed()) {
                 *self.possible_executions.entry(write).or_default() -= 1;
             }
@@ -470,7 +471,10 @@
     }
     let RandomProxies { members_assigned, retries, restarts, .. } = proxies;
     println!("{members_assigned} members assigned, {retries} of them to earlier writes; {restarts} restarts");
-    assert!(members_assigned > 5000 && retries > 100 && restarts > 5);
+    assert!(
+        members_assigned > 5000 && retries > 100 && restarts > 5,
+        "too few members assigned, retries or restarts"
+    );
     proxies.router.advance(3000);
     let in_use = proxies.router.coordinator.usage();
     assert_eq!((in_use.open_calls, in_use.leases), (0, 0));
--- a/crates/extproc/tests/lease_table.rs
+++ b/crates/extproc/tests/lease_table.rs
@@ -63,7 +63,7 @@
     leases.grant(lease(3, START, 900));
     leases.grant(lease(4, START, 700));
     let closed = leases.close_stream(StreamId(3));
-    assert!(closed.len() == 2 && closed.iter().all(|ended| ended.status == Status::Reset));
+    assert!(closed.len() == 2 && closed.iter().all(|ended| ended.status == Status::Reset), "{closed:?}");
     assert_eq!((leases.len(), leases.next_expiry()), (1, Some(START.plus(Time::ms(700)))));
 }
 
@@ -100,5 +100,5 @@
         assert_eq!(leases.len() + ended.len(), granted.len());
     }
     leases.expire(now.plus(Time::ms(301)));
-    assert!(leases.is_empty() && leases.next_expiry().is_none());
+    assert!(leases.is_empty() && leases.next_expiry().is_none(), "{} leases have not ended", leases.len());
 }
--- a/crates/extproc/tests/write_registry.rs
+++ b/crates/extproc/tests/write_registry.rs
@@ -81,7 +81,10 @@
     let Verdict::Full { retry_after } = registry.admit(at(2000), write_id(at(1990), 99)) else {
         panic!("a full registry accepted a write")
     };
-    assert!(writes.iter().all(|write| registry.admit(at(2000), *write) == Verdict::Decided));
+    assert!(
+        writes.iter().all(|write| registry.admit(at(2000), *write) == Verdict::Decided),
+        "an entry was removed"
+    );
     let then = at(2000).plus(retry_after);
     assert_eq!(
         registry.admit(then, write_id(then, 100)),
@@ -201,7 +204,7 @@
             Verdict::Pending => prop_assert_eq!(*actual, ActualState::Pending(self.process)),
             _ => {}
         }
-        prop_assert!(self.registry.len() <= MODEL_ENTRIES);
+        prop_assert!(self.registry.len() <= MODEL_ENTRIES, "{} entries", self.registry.len());
         Ok(())
     }
 
--- a/crates/fleet/src/fleet/quota_leases.rs
+++ b/crates/fleet/src/fleet/quota_leases.rs
@@ -64,7 +64,7 @@
 pub struct QuotaLeases {
     me: NodeId,
     voter: Voter,
-    /// Whether this router is a voter on the quotas of each owner that a vote was requested for.
+    /// For each owner that a vote was requested for, whether this router is a voter on its quotas.
     is_voter_for: BTreeMap<NodeId, bool>,
     claims: BTreeMap<NodeId, LeaseClaim>,
     rounds: u64,
@@ -110,7 +110,7 @@
         self.claims = BTreeMap::from([(self.me, LeaseClaim::new(roster.voters(self.me)))]);
     }
 
-    /// Discards the cached information for which owners this router is a voter, because the roster may have
+    /// Discards what is cached about the owners for which this router is a voter, because the roster may have
     /// changed.
     pub fn forget_voters(&mut self) {
         self.is_voter_for.clear();
--- a/crates/fleet/src/fleet/receive.rs
+++ b/crates/fleet/src/fleet/receive.rs
@@ -58,7 +58,7 @@
         }
         let knows_receiver_incarnation = packet.to_incarnation != 0;
         if knows_receiver_incarnation && packet.to_incarnation != self.swim.incarnation() {
-            // Every packet carries the sender's incarnation, so the message itself has no meaning.
+            // Every packet carries the sender's incarnation, so the content of the message does not matter.
             self.correct(now, packet, Message::Ack { number: 0 }, effects);
             return Err(DropReason::OtherIncarnation);
         }
--- a/crates/fleet/src/loan/tests.rs
+++ b/crates/fleet/src/loan/tests.rs
@@ -20,7 +20,7 @@
     assert_eq!(schedule.units_at(Time(17)), 3);
     assert_eq!(schedule.units_at(Time(20)), 0);
     schedule.cap(0);
-    assert!(schedule.steps.is_empty());
+    assert!(schedule.steps.is_empty(), "{:?}", schedule.steps);
 }
 
 #[test]
--- a/crates/fleet/src/roster/tests.rs
+++ b/crates/fleet/src/roster/tests.rs
@@ -44,7 +44,8 @@
     let new = roster_of(25);
     for owner in old.ids() {
         let voters = new.voters(owner);
-        assert!(old.voters(owner).iter().filter(|voter| !voters.contains(voter)).count() <= 1);
+        let replaced = old.voters(owner).iter().filter(|voter| !voters.contains(voter)).count();
+        assert!(replaced <= 1, "{replaced} voters of {owner:?} are replaced");
     }
 }
 
--- a/crates/fleet/src/swim/detector.rs
+++ b/crates/fleet/src/swim/detector.rs
@@ -6,7 +6,8 @@
 use crate::roster::NodeId;
 use basalthill_policy::api::Time;
 
-/// Shortest suspicion timeout in protocol periods, per decimal logarithm of the fleet's size.
+/// Shortest suspicion timeout in protocol periods, per decimal logarithm of the fleet's size. Fleets of fewer
+/// than ten routers have the timeout of ten.
 const MIN_SUSPICION_PERIODS: f64 = 3.0;
 /// Ratio of the longest suspicion timeout to the shortest.
 const MAX_SUSPICION_FACTOR: f64 = 3.0;
--- a/crates/fleet/src/swim/gossip.rs
+++ b/crates/fleet/src/swim/gossip.rs
@@ -52,9 +52,10 @@
         if self.updates.is_empty() {
             return Vec::new();
         }
-        let fleet_size = (peers + 2) as f64;
+        // One more than the fleet's size: the logarithm of a fleet of one router would be zero.
+        let scaled_size = (peers + 2) as f64;
         let max_transmissions =
-            (TRANSMISSION_FACTOR * fleet_size.log10()).ceil() as u32 + EXTRA_TRANSMISSIONS;
+            (TRANSMISSION_FACTOR * scaled_size.log10()).ceil() as u32 + EXTRA_TRANSMISSIONS;
         self.updates.sort_by_key(|queued| queued.transmissions);
         let mut batch = Vec::new();
         for queued in self.updates.iter_mut().take(MAX_UPDATES_PER_PACKET) {
--- a/crates/fleet/src/swim/peer_view.rs
+++ b/crates/fleet/src/swim/peer_view.rs
@@ -32,7 +32,8 @@
     pub incarnation: u64,
     /// How often it has refuted a suspicion in this incarnation.
     pub refutations: u32,
-    /// When it entered this state, by this router's clock.
+    /// When it entered this state, by this router's clock. For a suspect, the time for which this router's
+    /// process was suspended is added.
     pub since: Time,
     /// The router that reported the state first.
     pub reporter: NodeId,
--- a/crates/fleet/src/token_bucket/tests.rs
+++ b/crates/fleet/src/token_bucket/tests.rs
@@ -69,5 +69,5 @@
     }
     assert!(retry_times.windows(2).all(|pair| pair[1].since(pair[0]) >= Time::ms(90)), "{retry_times:?}");
     tokens.refill(Time::ms(5000), 0, &ledger, None, &timing());
-    assert!(tokens.retry_after(0, RATE_UNITS as i64) < retry_times[0]);
+    assert!(tokens.retry_after(0, RATE_UNITS as i64) < retry_times[0], "{retry_times:?}");
 }
--- a/crates/fleet/tests/limits.rs
+++ b/crates/fleet/tests/limits.rs
@@ -113,8 +113,8 @@
 fn demand_below_the_limit_is_almost_never_rejected() {
     for (routers, load, max_rejected) in [(24, 0.7, 0.02), (100, 0.5, 0.05)] {
         let mut fleet = start_fleet(routers, 20);
-        let unit = load * RATE_PER_S / (routers as f64 / 2.0 * 11.0);
-        (0..routers).for_each(|n| fleet.set_demand(n, if n % 2 == 0 { 10.0 * unit } else { unit }, 0.0));
+        let low = load * RATE_PER_S / (routers as f64 / 2.0 * 11.0);
+        (0..routers).for_each(|n| fleet.set_demand(n, if n % 2 == 0 { 10.0 * low } else { low }, 0.0));
         fleet.run_until(seconds(9.0));
         let (requests, admitted) = (fleet.observations.requests, fleet.observations.admitted.len());
         fleet.run_until(seconds(19.0));
--- a/crates/session/src/config.rs
+++ b/crates/session/src/config.rs
@@ -54,8 +54,7 @@
     /// Time within which a write of unknown outcome commits, if ever, counted from when the router stopped
     /// waiting for its response.
     pub settle_time: Time,
-    /// Maximum distance of a replica's expected position behind a read's floor at which the read waits for
-    /// that replica.
+    /// A read waits for a replica whose expected position is below the read's floor by at most this time.
     pub lead: Time,
     /// The kinds of reply that carry tokens.
     pub token_delivery: TokenDelivery,
--- a/crates/session/src/request.rs
+++ b/crates/session/src/request.rs
@@ -24,8 +24,7 @@
 pub struct ReadFloor {
     /// The log position that a member must have applied to serve the read; zero if the read has no floor.
     pub position: Time,
-    /// Maximum distance of a replica's expected position behind the floor at which the read waits for that
-    /// replica.
+    /// The read waits for a replica whose expected position is below the floor by at most this time.
     pub lead: Time,
     /// Whether the floor is sent to the host, because it may differ from the floor in the client's statement.
     pub send_to_hosts: bool,
--- a/crates/session/src/sessions.rs
+++ b/crates/session/src/sessions.rs
@@ -136,8 +136,8 @@
         ReadFloor { position: position.min(limit), lead: config.lead, send_to_hosts: position > Time(0) }
     }
 
-    /// Issues a token that covers a write about to be sent, whatever its outcome and even if this router
-    /// exits first. The host responds by `deadline`, if at all.
+    /// Issues a token that covers a write about to be sent, for any outcome of the write and even if this
+    /// router exits first. The host responds by `deadline`, if at all.
     pub fn early_token(
         &mut self,
         now: Time,
@@ -189,8 +189,8 @@
         self.issue_token(now, session, &tracked.floors, TokenDelivery::WritesOnly)
     }
 
-    /// Stops tracking a request that has no attempt in flight any more. If the outcome of a write is unknown,
-    /// the session's floor is raised to the highest position at which it can still commit.
+    /// Stops tracking a request that has no attempt in flight. If the outcome of a write is unknown, the
+    /// session's floor is raised to the highest position at which the write can still commit.
     pub fn end_request(&mut self, now: Time, group: GroupId, tracked: &TrackedRequest) {
         if !tracked.counted_unsettled {
             return;
--- a/crates/session/tests/floor_table.rs
+++ b/crates/session/tests/floor_table.rs
@@ -52,7 +52,7 @@
     table.raise(GROUP, SessionKey(2), month_before);
     let old = table.get(GROUP, SessionKey(2)).exact.unwrap();
     assert!(old >= month_before, "a floor older than 12 days is raised to the first tick");
-    assert!(old < table.get(GROUP, SessionKey(1)).exact.unwrap());
+    assert!(old < table.get(GROUP, SessionKey(1)).exact.unwrap(), "{old:?} is not below a later floor");
     for day in 1..120u64 {
         let now = START.plus(Time(DAY.0 * day));
         table.raise(GROUP, SessionKey(1000 + day), now);
--- a/crates/session/tests/sessions.rs
+++ b/crates/session/tests/sessions.rs
@@ -54,5 +54,5 @@
         read_floor(&mut sessions, now, GROUP, 0) < at(4999),
         "the evicted sessions do not get the newest session's floor"
     );
-    assert!(sessions.take_counts().evicted > 0);
+    assert!(sessions.take_counts().evicted > 0, "no eviction raised a shared floor");
 }
--- a/crates/session/tests/token.rs
+++ b/crates/session/tests/token.rs
@@ -62,7 +62,7 @@
     let text = issue(&keys(1, &[]), NOW, SESSION, &floors(&all));
     assert!(text.len() <= MAX_TOKEN_LEN, "{} of {MAX_TOKEN_LEN}", text.len());
     let read = verify(&keys(1, &[]), NOW, SKEW, SESSION, text.as_bytes()).unwrap();
-    assert!(read.by_group().len() <= MAX_GROUPS);
+    assert!(read.by_group().len() <= MAX_GROUPS, "{} groups", read.by_group().len());
     for (group, written) in all {
         assert!(read.get(GroupId(group)) >= written, "group {group}");
     }
