--- a/crates/fleet/src/account/coordinator.rs
+++ b/crates/fleet/src/account/coordinator.rs
@@ -111,8 +111,8 @@
     /// Handles a report from a peer that considers this router the coordinator. Returns the response, or
     /// `None` if the report is outdated.
     pub fn receive_report(&mut self, now: Time, from: NodeId, report: &QuotaReport) -> Option<QuotaResponse> {
-        let first_number = self.config.first_loan_number;
-        let deposit = self.borrowed.entry(from).or_insert_with(|| Borrowing::numbered_from(first_number));
+        let number_base = self.config.loan_number_base;
+        let deposit = self.borrowed.entry(from).or_insert_with(|| Borrowing::numbered_from(number_base));
         if let Some(offer) = report.surplus {
             let span = self.config.timing.deposit;
             deposit.receive_grant(offer.number, offer.units, span, &mut self.ledger);
@@ -149,8 +149,8 @@
     /// they are not in use.
     fn request_deposit(&mut self, now: Time, peer: NodeId) -> LoanRequest {
         let free = self.ledger.minimum(now, now.plus(self.config.timing.grant)).max(0) as u64;
-        let first_number = self.config.first_loan_number;
-        let deposit = self.borrowed.entry(peer).or_insert_with(|| Borrowing::numbered_from(first_number));
+        let number_base = self.config.loan_number_base;
+        let deposit = self.borrowed.entry(peer).or_insert_with(|| Borrowing::numbered_from(number_base));
         let units = deposit.units_at(now);
         let excess = units.saturating_sub(deposit.last_granted());
         deposit.request(now, units - excess.min(free), &mut self.ledger)
--- a/crates/fleet/src/account/loans.rs
+++ b/crates/fleet/src/account/loans.rs
@@ -47,8 +47,8 @@
             return None;
         }
         let surplus = self.offer_surplus(now, coordinator, own_units.saturating_sub(demand));
-        let first_number = self.config.first_loan_number;
-        let loan = self.borrowed.entry(coordinator).or_insert_with(|| Borrowing::numbered_from(first_number));
+        let number_base = self.config.loan_number_base;
+        let loan = self.borrowed.entry(coordinator).or_insert_with(|| Borrowing::numbered_from(number_base));
         // Units that the coordinator no longer grants are returned at once; otherwise they would stay lent
         // until the end of their span.
         let request = loan.request(now, missing.min(loan.last_granted()), &mut self.ledger);
--- a/crates/fleet/src/account/mod.rs
+++ b/crates/fleet/src/account/mod.rs
@@ -76,8 +76,8 @@
     /// Whether there is always demand for at least one token. Budgets need it, because their tokens are
     /// requested only once they are available.
     pub has_standing_demand: bool,
-    /// One less than the number of the first loan request.
-    pub first_loan_number: u32,
+    /// The number before that of the first loan request.
+    pub loan_number_base: u32,
     /// How long loans are valid.
     pub timing: Timing,
 }
--- a/crates/fleet/src/fleet/accounts.rs
+++ b/crates/fleet/src/fleet/accounts.rs
@@ -17,9 +17,10 @@
 /// The most accounts for members that peers report on but this router does not know.
 const MAX_UNKNOWN_MEMBER_ACCOUNTS: usize = 4096;
 
-/// The first loan request number of an account is the time since the start divided by this time, in
-/// nanoseconds. An account that is closed and opened again therefore begins with a larger number than it has
-/// used before: it sends a peer one request per round, and a round is much longer.
+/// The loan requests of an account are numbered from the time between the start of the router and the opening
+/// of the account, divided by this time in nanoseconds. An account that is closed and opened again therefore
+/// begins with a larger number than it has used before: it sends a peer one request per round, and a round is
+/// much longer.
 const REQUEST_NUMBER_SPAN_NS: u64 = 10_000_000;
 
 /// The coordinator of a limit, valid while the membership version is the same.
@@ -129,7 +130,7 @@
             reserved_units: limit.quota_split(&config.roster, key, self.me).reserved,
             reserve_from,
             has_standing_demand: is_rate && matches!(limit.subject, Subject::Budget(_)),
-            first_loan_number: (now.since(self.started_at).0 / REQUEST_NUMBER_SPAN_NS) as u32,
+            loan_number_base: (now.since(self.started_at).0 / REQUEST_NUMBER_SPAN_NS) as u32,
             timing,
         };
         QuotaAccount::new(now, account)
--- a/crates/fleet/src/swim/mod.rs
+++ b/crates/fleet/src/swim/mod.rs
@@ -300,9 +300,9 @@
         self.gossip.next_batch(self.peers.len())
     }
 
-    /// Notifies random routers that this router shuts down: sends up to `LEAVE_REPORTS` notifications, several
-    /// of which may have the same receiver. Gossip spreads the update further. Notifying all routers at once
-    /// would cause a burst of packets in a large fleet.
+    /// Notifies random routers that this router shuts down: sends up to `LEAVE_REPORTS` notifications,
+    /// several of which may have the same receiver. Gossip spreads the update further. Notifying all routers
+    /// at once would cause a burst of packets in a large fleet.
     pub fn leave(&mut self, outputs: &mut Vec<SwimOutput>) {
         self.leaving = true;
         let update = self.own_update(PeerState::Left);
