--- a/crates/extproc/tests/coordinator.rs
+++ b/crates/extproc/tests/coordinator.rs
@@ -196,7 +196,7 @@
     fn lease(&self, stream: u64) -> LeaseId {
         match self.last_reply(stream) {
             Some(ProxyReply::Member { lease, .. }) => lease,
-            other => panic!("stream {stream}: {other:?}"),
+            other => panic!("stream {stream}: expected a member, got {other:?}"),
         }
     }
 }
@@ -211,7 +211,8 @@
     let write = write_id(router.now, 1);
     router.request(1, WRITE, Some(write), 900);
     let lease = router.lease(1);
-    assert!(matches!(router.last_reply(1), Some(ProxyReply::Member { member: PRIMARY, .. })));
+    let reply = router.last_reply(1);
+    assert!(matches!(reply, Some(ProxyReply::Member { member: PRIMARY, .. })), "{reply:?}");
     router.request(2, WRITE, Some(write), 900);
     assert_eq!(router.last_reply(2), Some(ProxyReply::AlreadyDecided));
     // After the write is served, later calls get no member, and a second report under the same lease has no
@@ -307,7 +308,7 @@
     ];
     for (n, (class, id, timeout_ms, reason)) in cases.into_iter().enumerate() {
         router.request(n as u64, class, id, timeout_ms);
-        assert_eq!(router.last_reply(n as u64), Some(ProxyReply::Invalid(reason)));
+        assert_eq!(router.last_reply(n as u64), Some(ProxyReply::Invalid(reason)), "case {n}");
     }
     router.request(50, READ, None, 900);
     router.lease(50);
@@ -321,7 +322,7 @@
     let rejection = Some(ProxyReply::Rejected { retry_after: None });
     let rejected = (100..200).filter(|stream| router.last_reply(*stream) == rejection).count();
     let in_use = router.coordinator.usage();
-    assert!(rejected >= 40 && in_use.open_calls <= LIMITS.max_open_calls, "{rejected}, {in_use:?}");
+    assert!(rejected >= 40 && in_use.open_calls <= LIMITS.max_open_calls, "{rejected} rejected, {in_use:?}");
     router.advance(3000);
     assert_eq!(router.coordinator.usage(), usage(0, 0, 0));
 }
@@ -375,8 +376,8 @@
         }
         self.check_replies(step);
         let in_use = self.router.coordinator.usage();
-        assert!(in_use.open_calls <= LIMITS.max_open_calls);
-        assert!(in_use.remembered_writes <= LIMITS.max_remembered_writes);
+        assert!(in_use.open_calls <= LIMITS.max_open_calls, "step {step}: {in_use:?}");
+        assert!(in_use.remembered_writes <= LIMITS.max_remembered_writes, "step {step}: {in_use:?}");
     }
 
     /// Calls for a read, a new write or one of the last thirty writes, on a new stream.
@@ -417,8 +418,8 @@
         let outcome = outcomes[self.random.below(7) as usize];
         let reported_on = if self.random.below(8) == 0 { stream + 1 } else { stream };
         if reported_on == stream {
-            // The lease has not ended, so the report is accepted. If it proves that the write has not
-            // executed, the execution is not possible any more.
+            // The lease has not ended, so the report is accepted. If the outcome proves that the write has
+            // not executed, that execution is no longer possible.
             if let Some(write) = self.calls[&stream].filter(|_| outcome.status().proves_not_executed()) {
                 *self.possible_executions.entry(write).or_default() -= 1;
             }
@@ -448,7 +449,7 @@
                 self.leases.remove(&stream);
                 continue;
             };
-            assert!(send_by <= self.router.now.plus(LIMITS.send_within));
+            assert!(send_by <= self.router.now.plus(LIMITS.send_within), "step {step}: {send_by:?}");
             self.members_assigned += 1;
             if let Some(write) = self.calls[&stream] {
                 let executions = self.possible_executions.entry(write).or_default();
@@ -470,7 +471,10 @@
     }
     let RandomProxies { members_assigned, retries, restarts, .. } = proxies;
     println!("{members_assigned} members assigned, {retries} of them to earlier writes; {restarts} restarts");
-    assert!(members_assigned > 5000 && retries > 100 && restarts > 5);
+    assert!(
+        members_assigned > 5000 && retries > 100 && restarts > 5,
+        "too few members assigned, retries or restarts"
+    );
     proxies.router.advance(3000);
     let in_use = proxies.router.coordinator.usage();
     assert_eq!((in_use.open_calls, in_use.leases), (0, 0));
--- a/crates/extproc/tests/lease_table.rs
+++ b/crates/extproc/tests/lease_table.rs
@@ -63,7 +63,7 @@
     leases.grant(lease(3, START, 900));
     leases.grant(lease(4, START, 700));
     let closed = leases.close_stream(StreamId(3));
-    assert!(closed.len() == 2 && closed.iter().all(|ended| ended.status == Status::Reset));
+    assert!(closed.len() == 2 && closed.iter().all(|ended| ended.status == Status::Reset), "{closed:?}");
     assert_eq!((leases.len(), leases.next_expiry()), (1, Some(START.plus(Time::ms(700)))));
 }
 
@@ -95,10 +95,10 @@
         for end in just_ended {
             assert!(ended.insert(end.lease.request), "the lease ended twice: {end:?}");
             let may_end_at_expiry = end.status == Status::Timeout || end.status == Status::Reset;
-            assert!(may_end_at_expiry || now < end.lease.expires_at);
+            assert!(may_end_at_expiry || now < end.lease.expires_at, "an outcome after the expiry: {end:?}");
         }
         assert_eq!(leases.len() + ended.len(), granted.len());
     }
     leases.expire(now.plus(Time::ms(301)));
-    assert!(leases.is_empty() && leases.next_expiry().is_none());
+    assert!(leases.is_empty() && leases.next_expiry().is_none(), "{} leases have not ended", leases.len());
 }
--- a/crates/fleet/src/account/coordinator.rs
+++ b/crates/fleet/src/account/coordinator.rs
@@ -24,7 +24,7 @@
 /// The state of the coordinator of a limit.
 #[derive(Clone, Debug, Default)]
 pub struct Coordination {
-    /// The demand of peers beyond the units of their own.
+    /// The demand that each peer has reported, in units beyond those that it has without a loan.
     peer_demands: BTreeMap<NodeId, PeerDemand>,
     /// The most units of the ledger that the coordinator uses itself, so that the peers get their allotments;
     /// `None` while no peer has demand.
@@ -92,8 +92,9 @@
         self.adjust_headroom(allotment.remaining);
     }
 
-    /// Raises the headroom by a part of the remaining units. While some demands are not met, halves it, so
-    /// that units granted beyond demand are returned soon.
+    /// Raises the headroom of each router by half of its part of the remaining units, up to
+    /// `MAX_HEADROOM_REQUESTS`. While some demands are not met, halves the headroom, so that units granted
+    /// beyond demand are returned soon.
     fn adjust_headroom(&mut self, remaining: Option<u64>) {
         let Bounds::Rate { burst, .. } = self.config.bounds else { return };
         let max_headroom = (RATE_UNITS as f64 / burst * MAX_HEADROOM_REQUESTS) as u64;
@@ -110,8 +111,8 @@
     /// Handles a report from a peer that considers this router the coordinator. Returns the response, or
     /// `None` if the report is outdated.
     pub fn receive_report(&mut self, now: Time, from: NodeId, report: &QuotaReport) -> Option<QuotaResponse> {
-        let first_number = self.config.first_loan_number;
-        let deposit = self.borrowed.entry(from).or_insert_with(|| Borrowing::numbered_from(first_number));
+        let number_base = self.config.loan_number_base;
+        let deposit = self.borrowed.entry(from).or_insert_with(|| Borrowing::numbered_from(number_base));
         if let Some(offer) = report.surplus {
             let span = self.config.timing.deposit;
             deposit.receive_grant(offer.number, offer.units, span, &mut self.ledger);
@@ -148,8 +149,8 @@
     /// they are not in use.
     fn request_deposit(&mut self, now: Time, peer: NodeId) -> LoanRequest {
         let free = self.ledger.minimum(now, now.plus(self.config.timing.grant)).max(0) as u64;
-        let first_number = self.config.first_loan_number;
-        let deposit = self.borrowed.entry(peer).or_insert_with(|| Borrowing::numbered_from(first_number));
+        let number_base = self.config.loan_number_base;
+        let deposit = self.borrowed.entry(peer).or_insert_with(|| Borrowing::numbered_from(number_base));
         let units = deposit.units_at(now);
         let excess = units.saturating_sub(deposit.last_granted());
         deposit.request(now, units - excess.min(free), &mut self.ledger)
--- a/crates/fleet/src/swim/gossip.rs
+++ b/crates/fleet/src/swim/gossip.rs
@@ -5,7 +5,8 @@
 
 /// The number of packets that carry an update, per decimal logarithm of the fleet's size.
 const TRANSMISSION_FACTOR: f64 = 4.0;
-/// The number of further packets that carry it, because many packets go to the same few peers.
+/// The number of packets that carry an update in addition, because many packets are sent to the same few
+/// peers.
 const EXTRA_TRANSMISSIONS: u32 = 4;
 /// The most updates in one packet.
 const MAX_UPDATES_PER_PACKET: usize = 20;
@@ -51,9 +52,10 @@
         if self.updates.is_empty() {
             return Vec::new();
         }
-        let fleet_size = (peers + 2) as f64;
+        // One more than the fleet's size: the logarithm of a fleet of one router would be zero.
+        let scaled_size = (peers + 2) as f64;
         let max_transmissions =
-            (TRANSMISSION_FACTOR * fleet_size.log10()).ceil() as u32 + EXTRA_TRANSMISSIONS;
+            (TRANSMISSION_FACTOR * scaled_size.log10()).ceil() as u32 + EXTRA_TRANSMISSIONS;
         self.updates.sort_by_key(|queued| queued.transmissions);
         let mut batch = Vec::new();
         for queued in self.updates.iter_mut().take(MAX_UPDATES_PER_PACKET) {
--- a/crates/fleet/src/token_bucket/tests.rs
+++ b/crates/fleet/src/token_bucket/tests.rs
@@ -55,7 +55,7 @@
     tokens.refill(Time::ms(30_000), 0, &ledger, None, &timing());
     ledger.credit(RATE_UNITS, Time::ms(90_000));
     tokens.refill(Time::ms(30_001), 0, &ledger, None, &timing());
-    assert_eq!(tokens.admission_level(), 0.0);
+    assert_eq!(tokens.admission_level(), 0.0, "expired units have refilled the bucket");
 }
 
 #[test]
@@ -69,5 +69,5 @@
     }
     assert!(retry_times.windows(2).all(|pair| pair[1].since(pair[0]) >= Time::ms(90)), "{retry_times:?}");
     tokens.refill(Time::ms(5000), 0, &ledger, None, &timing());
-    assert!(tokens.retry_after(0, RATE_UNITS as i64) < retry_times[0]);
+    assert!(tokens.retry_after(0, RATE_UNITS as i64) < retry_times[0], "{retry_times:?}");
 }
--- a/crates/session/tests/floor_table.rs
+++ b/crates/session/tests/floor_table.rs
@@ -36,12 +36,12 @@
     }
     assert!(evictions > 1000, "only {evictions} evictions raised a shared floor");
     assert_eq!(table.bytes(), 16 * BUCKET_BYTES);
-    // The newest session has a slot of its own, and the shared floor of evicted sessions is older.
+    // The newest session has a slot, and the shared floor of evicted sessions is older.
     let newest = written.values().max().unwrap();
     let ((group, session), _) = written.iter().find(|(_, commit)| *commit == newest).unwrap();
     let entry = table.get(*group, *session);
     assert_eq!(entry.exact, Some(*newest));
-    assert!(entry.evicted < newest.minus(Time::ms(50)), "the lowest floors are evicted first");
+    assert!(entry.evicted < newest.minus(Time::ms(50)), "the lowest floors are evicted first: {entry:?}");
 }
 
 #[test]
@@ -52,7 +52,7 @@
     table.raise(GROUP, SessionKey(2), month_before);
     let old = table.get(GROUP, SessionKey(2)).exact.unwrap();
     assert!(old >= month_before, "a floor older than 12 days is raised to the first tick");
-    assert!(old < table.get(GROUP, SessionKey(1)).exact.unwrap());
+    assert!(old < table.get(GROUP, SessionKey(1)).exact.unwrap(), "{old:?} is not below a later floor");
     for day in 1..120u64 {
         let now = START.plus(Time(DAY.0 * day));
         table.raise(GROUP, SessionKey(1000 + day), now);
--- a/crates/session/tests/sessions.rs
+++ b/crates/session/tests/sessions.rs
@@ -48,11 +48,11 @@
     assert_eq!(
         read_floor(&mut sessions, now, GROUP, 4999),
         at(4999),
-        "the newest session has a floor of its own"
+        "the newest session has a separate floor"
     );
     assert!(
         read_floor(&mut sessions, now, GROUP, 0) < at(4999),
         "the evicted sessions do not get the newest session's floor"
     );
-    assert!(sessions.take_counts().evicted > 0);
+    assert!(sessions.take_counts().evicted > 0, "no eviction raised a shared floor");
 }
