--- a/crates/router/src/protocol/client.rs
+++ b/crates/router/src/protocol/client.rs
@@ -47,7 +47,7 @@
 pub enum ClientMessage {
     /// A request for encryption, which is always declined.
     Encryption,
-    /// Cancel the open request of the connection with this key.
+    /// Cancel the first open request of the connection with this key.
     CancelRequest(CancelKey),
     /// The startup message.
     Startup {
@@ -174,8 +174,8 @@
         self.error.is_some()
     }
 
-    /// Returns the next complete message; none if there is none. After the last one, returns the protocol
-    /// error, if one has been found.
+    /// Returns the next complete message; none if no message is complete. After the last one, returns the
+    /// protocol error, if one has been found.
     pub fn next_message(&mut self) -> Result<Option<ReceivedMessage>, ProtocolError> {
         if let Some(QueuedMessage { received, bytes }) = self.queue.pop_front() {
             self.queued_bytes -= bytes;
--- a/crates/router/src/protocol/discovery/watch.rs
+++ b/crates/router/src/protocol/discovery/watch.rs
@@ -100,9 +100,9 @@
         self.stage = Stage::Finished;
     }
 
-    /// Returns the message that the next complete line ends. A list may be indented and span many lines: as
-    /// long as it is incomplete, further lines are appended, and it is parsed again after each line that may
-    /// be its last.
+    /// Returns the next message that ends with a complete line; none if no complete line ends one. A list may
+    /// be indented and span many lines: while it is incomplete, further lines are appended, and it is parsed
+    /// again after each line that may be its last.
     fn next_line(&mut self) -> Result<Option<WatchMessage>, DiscoveryError> {
         while let Some(line_len) = self.body[self.scanned..].iter().position(|b| *b == b'\n') {
             let is_first_line = self.scanned == 0;
--- a/crates/router/src/protocol/host.rs
+++ b/crates/router/src/protocol/host.rs
@@ -33,8 +33,8 @@
 /// The number of messages that a client gets for a row: RowDescription, DataRow, CommandComplete.
 const ROW_MESSAGE_COUNT: usize = 3;
 
-/// Log positions from here on, in milliseconds of Unix time, are ignored: in nanoseconds they would not fit
-/// into 64 bits.
+/// A reported log position must be less than this, in milliseconds of Unix time, or it is ignored. The limit
+/// ensures that positions in nanoseconds fit into 64 bits.
 const MAX_POSITION_MS: u64 = 1 << 44;
 
 /// The state that a host reported in the ParameterStatus messages before a ReadyForQuery.
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Handles the end of the connection. Returns the query's outcome if its row is complete, or if the host
-    /// sent an error, as it does before it closes a connection on its own.
+    /// Handles the end of the connection. Returns the query's outcome if its row is complete or the host sent
+    /// an error. A host that terminates a connection sends an error before it closes it.
     pub fn on_close(&mut self) -> Option<(QueryOutcome, ReportedState)> {
         let Phase::Responding(mut progress) = std::mem::take(&mut self.phase) else { return None };
         if let Some(code) = progress.error.take() {
@@ -342,7 +342,7 @@
     }
 }
 
-/// Encodes a short query of the router's own, such as a health check.
+/// Encodes a short query that the router itself sends, such as a health check.
 pub fn query(text: &str) -> Vec<u8> {
     let mut out = Vec::with_capacity(text.len() + 6);
     put_message(&mut out, b'Q', |out| put_cstring(out, text));
--- a/crates/router/src/protocol/statement/mod.rs
+++ b/crates/router/src/protocol/statement/mod.rs
@@ -50,17 +50,17 @@
     key: Range<usize>,
     class: Range<usize>,
     tenant: Range<usize>,
-    /// The range of the value of the field `d`.
+    /// The range of the value of `d`.
     deadline: Range<usize>,
     /// How many milliseconds the client waits for the reply, counted from when it sent the request: the value
-    /// of the field `d`, at most one day.
+    /// of `d`, at most one day.
     pub deadline_ms: u64,
     /// The group to which the request belongs.
     pub group: u32,
     /// The log position that a member must have applied to serve the read, a Unix time in milliseconds; the
-    /// latest one if the comment has several fields `after`.
+    /// latest one if the comment has `after` several times, and none if it has no `after`.
     pub min_position_ms: Option<u64>,
-    /// The ranges of the values of the fields `after`.
+    /// The ranges of the values of `after`.
     min_positions: Vec<Range<usize>>,
     session: Option<Range<usize>>,
     tokens: Vec<Range<usize>>,
@@ -135,9 +135,9 @@
         &self.text
     }
 
-    /// Returns the text in parts with the value of the field `d` replaced by `deadline`, which differs for
-    /// each attempt. If there is a floor, it replaces the values of all fields `after`, or is added in a new
-    /// field `after` if there are none.
+    /// Returns the text in parts, with the value of `d` replaced by `deadline`, which differs for each
+    /// attempt. If there is a floor, it replaces all values of `after`; if the comment has no `after`, one is
+    /// inserted after `d`.
     pub fn text_parts<'a>(&'a self, deadline: &'a str, floor: Option<&'a str>) -> Vec<&'a [u8]> {
         let mut edits = vec![Edit { range: &self.deadline, replacement: [deadline, ""] }];
         match floor {
@@ -149,7 +149,7 @@
             }
             None => {}
         }
-        // The sort is stable: a new field `after` follows the field `d`.
+        // The sort is stable: an inserted `after` follows the value of `d`.
         edits.sort_by_key(|edit| edit.range.start);
         let mut parts = Vec::with_capacity(8);
         let mut position = 0;
--- a/crates/router/src/routing/attempts.rs
+++ b/crates/router/src/routing/attempts.rs
@@ -188,8 +188,8 @@
         let replication = reported_replication(&reported);
         self.observe_position(now, exchange.sent_at, replication.position);
         self.record_possible_execution(request, status);
-        let ended = self.requests.get(request).is_none_or(|open| open.completed);
-        if ended {
+        let is_completed = self.requests.get(request).is_none_or(|open| open.completed);
+        if is_completed {
             self.complete_request(now, request);
         }
         let columns = &self.deployment.report_columns;
@@ -201,7 +201,7 @@
             member: exchange.member,
             status,
             elapsed: now.since(exchange.sent_at),
-            request_completed: ended,
+            request_completed: is_completed,
             replication: self.system_clock.replication_to_router_time(replication),
             report: self.system_clock.replication_to_router_time(report),
         }));
--- a/crates/router/src/routing/clock.rs
+++ b/crates/router/src/routing/clock.rs
@@ -3,9 +3,9 @@
 use basalthill_policy::api::Time;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The longest time between the two readings of the router's clock that enclose a reading of the system
-/// clock. A longer time means that the process was suspended between the readings; the measured offset is
-/// then discarded.
+/// The longest accepted time between the two readings of the router's clock that enclose a reading of the
+/// system clock: 100 µs. A longer time means that the process was suspended between the readings; the
+/// measured offset is then discarded.
 const MAX_READING_SPAN: Time = Time(100_000);
 
 /// A monotonic clock in nanoseconds. It starts at the Unix time and is not affected by later changes of the
--- a/crates/router/src/routing/effect.rs
+++ b/crates/router/src/routing/effect.rs
@@ -34,8 +34,8 @@
     Statement {
         /// The statement as its client sent it.
         statement: Rc<Statement>,
-        /// The deadline of the attempt. Transport writes the time that is left until then into the statement
-        /// when it sends it.
+        /// The deadline of the attempt. When transport sends the statement, it writes the remaining time
+        /// into it, in milliseconds.
         deadline: Time,
         /// The read floor to write into the statement, a Unix time in milliseconds; none if the statement is
         /// sent with the position that its client gave.
@@ -101,8 +101,8 @@
     },
     /// Close all idle connections to an address.
     CloseIdleConnections(SocketAddr),
-    /// Close the connections to an address that were last used before a point in time: the process that
-    /// accepted them has exited.
+    /// Close the idle connections to an address that were last used before a point in time: the process that
+    /// accepted them has exited, or the member has moved to another address.
     CloseConnectionsIdleSince {
         /// The address.
         addr: SocketAddr,
--- a/crates/router/src/routing/endpoints.rs
+++ b/crates/router/src/routing/endpoints.rs
@@ -27,8 +27,8 @@
     started_ms: u64,
 }
 
-/// An address at which connections are stale, because the process behind them has exited or the member has
-/// moved to another address.
+/// An address at which connections are stale, because the process that accepted them has exited or the member
+/// has moved to another address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StaleConnections {
     /// The address.
@@ -65,9 +65,9 @@
     ids: BTreeMap<String, MemberId>,
     /// The members, indexed by id.
     records: Vec<MemberRecord>,
-    /// Whether only an explicit drain limits what a member is sent. If so, a member that has merely been
-    /// removed from the list stays in service.
-    only_draining_binds: bool,
+    /// Whether removal from the list is ignored. If so, a member that has been removed without a drain stays
+    /// in service.
+    ignore_removal: bool,
     groups: BTreeSet<GroupId>,
     /// The zones' names, indexed by id.
     zones: Vec<String>,
@@ -75,11 +75,11 @@
 
 impl EndpointTable {
     /// Creates an empty table. `zones` are the zones' names in the order of their ids.
-    pub fn new(zones: &[String], only_draining_binds: bool) -> EndpointTable {
+    pub fn new(zones: &[String], ignore_removal: bool) -> EndpointTable {
         EndpointTable {
             ids: BTreeMap::new(),
             records: Vec::new(),
-            only_draining_binds,
+            ignore_removal,
             groups: BTreeSet::new(),
             zones: zones.to_vec(),
         }
@@ -90,7 +90,7 @@
         let form = if list.full { EndpointUpdate::Full } else { EndpointUpdate::Delta };
         let mut applied = AppliedList { form, entries: Vec::new(), stale_connections: Vec::new() };
         log_list(&list);
-        if list.full && !self.only_draining_binds {
+        if list.full && !self.ignore_removal {
             applied.entries = self.remove_unlisted(&list.servers, valid_since);
         }
         for host in list.servers {
@@ -99,7 +99,8 @@
         applied
     }
 
-    /// Drains the members that a complete list lacks. Returns their entries.
+    /// Marks the members that a complete list lacks as removed, except those that are draining already.
+    /// Returns the entries of the members marked.
     fn remove_unlisted(&mut self, hosts: &[HostEntry], valid_since: Time) -> Vec<Endpoint> {
         let listed: BTreeSet<&str> = hosts.iter().map(|host| host.id.as_str()).collect();
         let mut removed = Vec::new();
@@ -157,7 +158,7 @@
             record.started_ms = host.started_ms;
             record.draining_since = None;
         }
-        record.update_drain(host.state, valid_since, self.only_draining_binds);
+        record.update_drain(host.state, valid_since, self.ignore_removal);
         applied.stale_connections.extend(record.update_address(addr, restarted));
     }
 
@@ -224,10 +225,10 @@
 
 impl MemberRecord {
     /// Applies the state in a list. A drain counts from the first announcement.
-    fn update_drain(&mut self, state: HostState, valid_since: Time, only_draining_binds: bool) {
+    fn update_drain(&mut self, state: HostState, valid_since: Time, ignore_removal: bool) {
         match state {
             HostState::Active => self.draining_since = None,
-            HostState::Left if only_draining_binds => {}
+            HostState::Left if ignore_removal => {}
             HostState::Leaving | HostState::Left => {
                 self.draining_since.get_or_insert(valid_since);
             }
--- a/crates/router/src/routing/exchanges.rs
+++ b/crates/router/src/routing/exchanges.rs
@@ -26,8 +26,8 @@
 
 impl Router {
     /// Returns whether the query of an exchange may still be written. The policy respects a member's drain
-    /// grace period when it starts an exchange, but until the connection is open the grace period may end, or
-    /// the client may disconnect.
+    /// grace period when it starts an exchange, but before the connection to the member is open, the grace
+    /// period may end, or the request may be completed.
     pub fn may_write(&self, now: Time, exchange: ExchangeId, member: MemberId) -> bool {
         let awaited = match exchange {
             ExchangeId::Attempt(id, _) => self.requests.get(id).is_some_and(|open| !open.completed),
--- a/crates/router/src/routing/input.rs
+++ b/crates/router/src/routing/input.rs
@@ -78,9 +78,10 @@
     EndpointList {
         /// The complete list, or only the entries that have changed.
         list: HostList,
-        /// The earliest time at which the content may have become valid. It is the time of arrival, or, for
-        /// the first list of a new watch, the time at which discovery was last heard: the change may have
-        /// been made while no watch was open.
+        /// The earliest time at which the content may have become valid: the time at which the list was
+        /// received. For the first message of a new call to discovery, it is the time of the message before
+        /// it, or the time at which the watch was opened if there is none, because the change may have been
+        /// made while no call was open.
         valid_since: Time,
     },
     /// Another proxy has sent a message on its stream.
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -131,10 +131,9 @@
         router
     }
 
-    /// Records how far the system clock is ahead of the clock that gives inputs their time, in nanoseconds.
-    /// If the system clock has been stepped, log positions reported before the step can't be compared with
-    /// later ones, and the start time of each member is computed with the old or the new offset, whichever
-    /// gives the later time.
+    /// Records how far the system clock is ahead of the router's clock, in nanoseconds. If the system clock
+    /// has been stepped, log positions reported before the step can't be compared with later ones, and the
+    /// start time of each member is computed with the old or the new offset, whichever gives the later time.
     pub fn observe_system_clock(&mut self, now: Time, offset_ns: i64, out: &mut Vec<Effect>) {
         if !self.system_clock.update(offset_ns) {
             return;
--- a/crates/router/src/routing/outcomes.rs
+++ b/crates/router/src/routing/outcomes.rs
@@ -1,6 +1,6 @@
 //! Translates what hosts send into the policy's types: exchange results and SQLSTATEs into statuses, load
-//! reports into replication states. The functions have no state; the modules for attempts and health checks
-//! call them.
+//! reports and other reported parameters into replication states. The functions have no state; the modules
+//! for attempts and health checks call them.
 
 use super::input::ExchangeResult;
 use super::system_clock::time_from_unix_ms;
@@ -19,8 +19,9 @@
 /// The host is the primary if the value of [`ROLE_COLUMN`] is at least this.
 const PRIMARY_THRESHOLD: f64 = 0.5;
 
-/// An upper bound of the rounding error of a Unix time in seconds as a 64-bit float. Reported positions are
-/// reduced by it: if a position were too high, a replica could be sent a read whose floor it has not applied.
+/// An upper bound on the rounding error of a Unix time in seconds as a 64-bit float: 1 µs. Positions in load
+/// reports are reduced by it: if a position were too high, a replica could be sent a read whose floor it has
+/// not applied.
 const MAX_POSITION_ERROR: Time = Time(1000);
 
 /// Returns the status of an attempt, given the result of its exchange.
--- a/crates/router/src/routing/probes.rs
+++ b/crates/router/src/routing/probes.rs
@@ -48,7 +48,8 @@
 }
 
 impl Router {
-    /// Starts a health check as the policy decided. It fails at once if no address of the member is known.
+    /// Starts a health check as the policy decided. It times out after the connect timeout of the settings,
+    /// and fails immediately if no address of the member is known.
     pub(super) fn start_probe(&mut self, now: Time, member: MemberId, out: &mut Vec<Effect>) {
         let Some(addr) = self.endpoints.addr(member) else {
             return self.events.push_back(Event::ProbeFinished {
--- a/crates/router/src/routing/request_table.rs
+++ b/crates/router/src/routing/request_table.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// A command that awaits its reply, or did so until it was removed from the table.
+/// A command that awaits its reply, or awaited it until it was removed from `RequestTable::awaited`.
 #[derive(Clone, Copy, Debug)]
 pub struct AwaitedCommand {
     /// The client.
@@ -111,7 +111,7 @@
     }
 
     /// Removes all of a client's commands that await a reply.
-    pub fn remove_awaited_of(&mut self, client: ClientId) -> Vec<AwaitedCommand> {
+    pub fn remove_awaited_by_client(&mut self, client: ClientId) -> Vec<AwaitedCommand> {
         let commands: Vec<CommandId> = self.awaited_commands(client).collect();
         commands.into_iter().filter_map(|command| self.remove_awaited(client, command)).collect()
     }
@@ -152,6 +152,7 @@
 
     /// Returns the number of requests in the table.
     pub fn len(&self) -> usize {
+        // Each request has one entry in both; the larger number shows an entry that was left in either.
         self.open.len().max(self.client_ids.len())
     }
 }
--- a/crates/router/src/routing/requests.rs
+++ b/crates/router/src/routing/requests.rs
@@ -179,7 +179,7 @@
     /// safe to abort.
     pub(super) fn client_disconnected(&mut self, now: Time, client: ClientId) {
         self.accepted_at.remove(&client);
-        for AwaitedCommand { request, .. } in self.requests.remove_awaited_of(client) {
+        for AwaitedCommand { request, .. } in self.requests.remove_awaited_by_client(client) {
             self.counters.abandoned += 1;
             self.complete_request(now, request);
             self.events.push_back(Event::ClientGone(request));
