--- a/crates/router/src/program/fleet.rs
+++ b/crates/router/src/program/fleet.rs
@@ -24,12 +24,12 @@
     at: Option<SocketAddr>,
 }
 
-/// The number of times that each page is requested, because datagrams may get lost.
+/// The maximum number of requests for each page, because datagrams may get lost.
 const MAX_ATTEMPTS: u32 = 5;
 /// The time that each attempt waits for the response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The reason why there is no status to print.
+/// Why there is no status to print.
 #[derive(Debug, thiserror::Error)]
 enum StatusError {
     #[error(transparent)]
@@ -66,11 +66,11 @@
 fn fetch_status(options: &Options) -> Result<String, StatusError> {
     let fleet = local_settings::load(&options.settings)?.fleet.ok_or(StatusError::NoFleet)?;
     let address = fleet_address(options, &fleet)?;
-    let exchange = StatusClient::open(address, DatagramCodec::new(fleet.keys))?;
+    let client = StatusClient::open(address, DatagramCodec::new(fleet.keys))?;
     let mut text = String::new();
     let mut number = 0;
     loop {
-        let page = exchange.fetch_page(number)?;
+        let page = client.fetch_page(number)?;
         text.push_str(&page.text);
         number += 1;
         if number >= page.page_count {
@@ -97,7 +97,7 @@
     page_count: u16,
 }
 
-/// The socket and the identifier for fetching the status of one router.
+/// Fetches the status of one router over a UDP socket.
 struct StatusClient {
     socket: UdpSocket,
     codec: DatagramCodec,
--- a/crates/router/src/program/logging/mod.rs
+++ b/crates/router/src/program/logging/mod.rs
@@ -65,7 +65,8 @@
     Json,
 }
 
-/// Keeps the writer thread available; dropping it writes the lines that are still queued.
+/// The handle of the writer thread. Dropping it waits until the queued lines are written, for up to
+/// `writer::FLUSH_TIMEOUT`.
 #[must_use = "the log is flushed when this is dropped"]
 pub(super) struct LogGuard {
     _writer: Option<WriterThread>,
--- a/crates/router/src/program/logging/tests.rs
+++ b/crates/router/src/program/logging/tests.rs
@@ -157,13 +157,17 @@
         queue.clone().write_all(format!("{n}\n").as_bytes()).unwrap();
     }
     drop(writer);
-    assert!(started_at.elapsed() < Duration::from_secs(10), "{:?}", started_at.elapsed());
+    assert!(
+        started_at.elapsed() < Duration::from_secs(10),
+        "blocked for {:?}, expected less than 10 s",
+        started_at.elapsed()
+    );
     drop(permit_sender);
     queue.flush().unwrap();
     drop(queue);
     let lines: Vec<Vec<u8>> = lines.iter().collect();
     let dropped = limiter.take_dropped() as usize;
-    assert!(dropped >= 700, "{dropped}");
+    assert!(dropped >= 700, "{dropped} of 1000 lines were dropped, expected at least 700");
     assert_eq!(lines.len() + dropped, 1000, "lines that are not written are counted");
     assert_eq!(lines[..2], [b"0\n".to_vec(), b"1\n".to_vec()]);
 }
--- a/crates/router/src/program/mod.rs
+++ b/crates/router/src/program/mod.rs
@@ -41,7 +41,8 @@
         listen: SocketAddr,
     },
     /// Send one request through the routers, as a client with retries and a deadline; exit code 0 if it was
-    /// served, 1 if not, 2 if it could not be sent, 3 if it was not served and may have been executed.
+    /// served, 1 if not, 2 if it could not be sent or its session file could not be read or written, 3 if it
+    /// was not served and may have been executed.
     #[command(visible_alias = "ask")]
     Query(query::Options),
     /// Print a running router's view of its fleet: the routers with their states, and each limit with its
--- a/crates/router/src/program/query.rs
+++ b/crates/router/src/program/query.rs
@@ -46,7 +46,7 @@
     value: Option<String>,
 }
 
-/// The reason why no request was sent, or its session was not stored.
+/// Why no request was sent, or its session was not stored.
 #[derive(Debug, thiserror::Error)]
 enum QueryError {
     #[error("can't read session file {}: {source}", path.display())]
--- a/crates/router/src/program/ready.rs
+++ b/crates/router/src/program/ready.rs
@@ -13,7 +13,7 @@
 /// The size of the read buffer in bytes; the complete reply is shorter.
 const READ_BUFFER_LEN: usize = 1024;
 
-/// The reason why a router is not considered ready.
+/// Why a router is not considered ready.
 #[derive(Debug, thiserror::Error)]
 enum NotReady {
     #[error(transparent)]
--- a/crates/router/src/program/serve.rs
+++ b/crates/router/src/program/serve.rs
@@ -16,16 +16,16 @@
 const BIND_TIMEOUT: Duration = Duration::from_secs(5);
 /// The pause between two attempts to bind.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// The limit on retrying to read a file at a reload. A file that can't be read may be in the course of being
+/// The limit on retrying to read a file at a reload, because a file may be unreadable while it is being
 /// replaced. The limit leaves time to receive the list from a changed discovery address within 4 s of the
 /// signal.
 const RELOAD_READ_TIMEOUT: Duration = Duration::from_secs(1);
 /// The pause between two attempts to read a file.
 const RELOAD_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// The pause after receiving a signal failed.
+/// The pause after a failure to receive a signal.
 const SIGNAL_RETRY_DELAY: Duration = Duration::from_millis(5);
-/// The number of consecutive failures to receive a signal that are logged at debug level only. Above it, each
-/// failure whose number is a power of two is logged as a warning.
+/// The number of consecutive failures to receive a signal that are logged at debug level only. Of the further
+/// failures, those whose number is a power of two are logged as warnings.
 const SIGNAL_FAILURES_BEFORE_WARNING: u32 = 16;
 
 /// Serves until SIGTERM or SIGINT, and returns the exit code.
@@ -112,8 +112,7 @@
     future::or(signal, timer).await
 }
 
-/// Returns the next signal. Failures to receive one are retried, because they are no reason to stop the
-/// router.
+/// Returns the next signal. If receiving one fails, tries again, because a failure must not stop the router.
 async fn next_signal(signals: &mut Signals) -> Signal {
     for failures in 1u32.. {
         match signals.next().await {
@@ -144,8 +143,8 @@
     Box::pin(blocking::unblock(move || read_with_retries(&files)))
 }
 
-/// Reads the files again. Retries for up to [`RELOAD_READ_TIMEOUT`] if one can't be read, because it may be
-/// in the course of being replaced.
+/// Reads the files again. Retries for up to [`RELOAD_READ_TIMEOUT`] if one can't be read, because a file may
+/// be unreadable while it is being replaced.
 fn read_with_retries(files: &ConfigFiles) -> Result<Box<RouterConfig>, ConfigError> {
     let deadline = Instant::now() + RELOAD_READ_TIMEOUT;
     loop {
--- a/crates/router/src/transport/backoff.rs
+++ b/crates/router/src/transport/backoff.rs
@@ -5,10 +5,10 @@
 
 /// The delay after the first failed call.
 const INITIAL_DELAY: Duration = Duration::from_millis(100);
-/// The limit on a delay. The router has to have received discovery's list 6 s after discovery has become
-/// reachable, whatever happened to earlier calls. In the worst case that takes a watch that times out (2.25
-/// s), a delay, a call that times out (1.2 s before its head, 2.25 s after it), a delay, a refused call, a
-/// delay, and the call that receives the list: 5.1 s.
+/// The limit on a delay. The router must have received discovery's list 6 s after discovery has become
+/// reachable, regardless of how earlier calls ended. The worst case consists of a watch that times out
+/// (2.25 s), a delay, a call that times out (1.2 s before its head, 2.25 s after it), a delay, a refused
+/// call, a delay, and the call that receives the list: 5.1 s.
 const MAX_DELAY: Duration = Duration::from_millis(500);
 /// The limit on a delay if discovery serves the calls of all routers one after another. Serving one call of
 /// each router takes it up to eight seconds. If rejected routers called more often, discovery would be busy
@@ -23,10 +23,11 @@
 /// The multiplier that gives each watch of a router its own jitter seed (the 64-bit golden ratio).
 const SEED_STRIDE: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// The reason why a call failed, as far as it matters to the backoff.
+/// Why a call failed, as far as it affects the backoff.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
-    /// Discovery did not respond, or the connection failed.
+    /// The call failed for another reason: discovery did not respond in time, the connection failed or was
+    /// closed, or the response was invalid.
     Unreachable,
     /// Discovery rejected the call for lack of capacity.
     Rejected,
@@ -49,7 +50,7 @@
 
     /// Creates the backoff for a discovery that serves all routers one after another. Each delay is
     /// multiplied by a random factor between 0.5 and 1.5, so that routers that are rejected at the same time
-    /// retry at different times.
+    /// retry at different times. The factors depend on the router's `seed` and the number of the `watch`.
     pub fn with_jitter(seed: u64, watch: u64) -> Backoff {
         let rng = Rng::with_seed(seed ^ watch.wrapping_mul(SEED_STRIDE));
         Backoff { delay: INITIAL_DELAY, max_delay: MAX_SHARED_DELAY, jitter: Some(rng) }
--- a/crates/router/src/transport/client/admission.rs
+++ b/crates/router/src/transport/client/admission.rs
@@ -52,8 +52,8 @@
                 drop(rejection);
                 ClientConnection::new(driver, id, stream, permits, connected_at).run().await;
             }
-            // Rejected connections that wait for their client to close use descriptors as well, so the number
-            // of those is limited by permits.
+            // Rejected connections that wait for their client to close use descriptors as well, so their
+            // number is limited by permits.
             None => reject(driver, stream, rejection).await,
         }
     });
@@ -64,9 +64,9 @@
 
 impl ClientRegistry {
     /// Acquires the permits for a client, in up to `attempts` attempts, out of the descriptors that clients
-    /// may use. From `eviction_threshold` clients on, this evicts an unused connection or the one that has
-    /// been idle for longest. If no permit is available, it also evicts a connection with an incomplete
-    /// message, and waits between attempts for connections that are still protected from eviction.
+    /// may use. If there are at least `eviction_threshold` clients, this evicts an unused connection or the
+    /// one that has been idle for longest. If no permit is available, it also evicts a connection with an
+    /// incomplete message, and waits between attempts for connections that are still protected from eviction.
     async fn acquire_permits(&self, driver: &Driver, attempts: u32) -> Option<AdmissionPermits> {
         if self.len() >= self.eviction_threshold {
             self.evict(EvictionPriority::MidMessage(Duration::MAX)).await;
--- a/crates/router/src/transport/client/eviction.rs
+++ b/crates/router/src/transport/client/eviction.rs
@@ -13,7 +13,7 @@
 /// The state of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// No request has been received since the client connected, at this instant.
+    /// No valid request or empty query has been received since the client connected, at this instant.
     Unused(Instant),
     /// Requests are in flight or replies are still to be written.
     Busy,
@@ -35,7 +35,7 @@
     MidMessage(Duration),
     /// It has been idle for this long.
     Idle(Duration),
-    /// It has been without a first request, or closing, for this long.
+    /// It has been without a first valid request, or closing, for this long.
     Unused(Duration),
 }
 
--- a/crates/router/src/transport/client/mod.rs
+++ b/crates/router/src/transport/client/mod.rs
@@ -37,7 +37,7 @@
     stream: Rc<Async<TcpStream>>,
 }
 
-/// The reason why a connection's task stops serving.
+/// Why a connection's task stops serving.
 enum ConnectionEnd {
     /// The client has closed the connection, the connection failed, or the client has stopped reading.
     Disconnected,
--- a/crates/router/src/transport/client/registry.rs
+++ b/crates/router/src/transport/client/registry.rs
@@ -121,13 +121,13 @@
 /// The clients of a router, and the limits on them.
 pub struct ClientRegistry {
     handles: RefCell<BTreeMap<ClientId, Rc<ClientHandle>>>,
-    /// The descriptors that client connections may use.
+    /// The number of descriptors that client connections may use.
     pub(super) client_permits: Semaphore,
-    /// The number of clients from which on idle ones are evicted when new clients connect.
+    /// If there are at least this many clients, an unused or idle one is evicted when a new client connects.
     pub(super) eviction_threshold: usize,
-    /// The rejected or evicted connections that may wait for their client to close at a time.
+    /// The number of rejected or evicted connections that may wait for their client to close at a time.
     pub(super) rejection_permits: Semaphore,
-    /// The large statements that may be received at a time.
+    /// The number of large statements that may be received at a time.
     pub(super) large_statement_permits: Semaphore,
     /// Whether empty queries get a reply: the router has an endpoint list, or has timed out waiting for one.
     ready: Cell<bool>,
--- a/crates/router/src/transport/client/serve.rs
+++ b/crates/router/src/transport/client/serve.rs
@@ -50,7 +50,7 @@
 /// The progress of writing to the client.
 #[derive(Default)]
 struct WriteProgress {
-    /// Since when the current reply has been waiting to be written completely.
+    /// Since when the current reply or session token has been waiting to be written completely.
     blocked_since: Option<Instant>,
 }
 
@@ -134,7 +134,7 @@
         conversation.is_idle() && !conversation.is_closing()
     }
 
-    /// Returns whether no complete request has been received since the client connected.
+    /// Returns whether the client has sent no valid request or empty query since it connected.
     fn awaits_first_request(&self) -> bool {
         self.is_between_requests() && !self.conversation.borrow().has_been_used()
     }
@@ -311,7 +311,7 @@
         }
     }
 
-    /// Writes as much output as the socket accepts. Returns whether a reply was written completely.
+    /// Writes as much output as the socket accepts. Returns whether this completes a reply or session token.
     async fn write_output(&self) -> std::io::Result<bool> {
         let call = |mut s: &TcpStream| {
             let conversation = self.conversation.borrow();
--- a/crates/router/src/transport/conversation.rs
+++ b/crates/router/src/transport/conversation.rs
@@ -39,7 +39,7 @@
         /// When the last byte of the command was received.
         arrived_at: Time,
     },
-    /// The requests in flight of the connection with this key have to be cancelled.
+    /// The first request without a reply on the connection with this key has to be cancelled.
     Cancel(CancelKey),
     /// A message has been handled; the caller has nothing to do.
     Handled,
@@ -366,7 +366,7 @@
         self.output.fill(slices)
     }
 
-    /// Records that `len` bytes have been written. Returns whether they complete a reply.
+    /// Records that `len` bytes have been written. Returns whether they complete a reply or a session token.
     pub fn mark_written(&mut self, len: usize) -> bool {
         self.output.mark_written(len)
     }
--- a/crates/router/src/transport/conversation/replies.rs
+++ b/crates/router/src/transport/conversation/replies.rs
@@ -20,7 +20,7 @@
 #[derive(Debug, Default)]
 pub struct ReplyQueue {
     replies: VecDeque<PendingReply>,
-    /// The number of bytes in replies that are ready but wait for an earlier one.
+    /// The number of bytes in replies that wait for an earlier one, or for the router to be ready.
     buffered_bytes: usize,
 }
 
@@ -73,7 +73,7 @@
         Some(bytes)
     }
 
-    /// Returns the number of bytes in replies that are ready but wait for an earlier one.
+    /// Returns the number of bytes in replies that wait for an earlier one, or for the router to be ready.
     pub fn buffered_bytes(&self) -> usize {
         self.buffered_bytes
     }
--- a/crates/router/src/transport/conversation/tests.rs
+++ b/crates/router/src/transport/conversation/tests.rs
@@ -162,7 +162,10 @@
             conversation.complete_command(request.command, served_reply(&[7; 8000]));
         }
     }
-    assert!(count <= 2 * MAX_CONCURRENT_READS, "{count}");
+    assert!(
+        count <= 2 * MAX_CONCURRENT_READS,
+        "{count} requests were forwarded, more than twice the concurrency limit"
+    );
     write_out_all(&mut conversation);
     assert!(!forwarded(&mut conversation).is_empty(), "forwarding resumes once the replies are written");
 }
@@ -203,7 +206,7 @@
     conversation.complete_command(open[0].command, served_reply(b"x"));
     let received = replies(&write_out_all(&mut conversation));
     let faults = MAX_CLIENT_FAULTS as usize;
-    assert_eq!(received.len(), 1 + 1 + faults + 1, "welcome, row, faults, final error");
+    assert_eq!(received.len(), 1 + 1 + faults + 1, "startup reply, row, faults, final error");
     assert_eq!(received[1].message_type, b'D');
     assert!(received[2..2 + faults].iter().all(|t| t.error_code() == "42601"));
     assert_eq!(received[2 + faults].error_code(), "08P01");
@@ -273,7 +276,7 @@
     let mut conversation = empty_conversation();
     conversation.feed(&[startup(), query("")].concat(), true, Time(0));
     while conversation.next_step(false).is_some() {}
-    assert_eq!(replies(&write_out_all(&mut conversation)).len(), 1, "the welcome only");
+    assert_eq!(replies(&write_out_all(&mut conversation)).len(), 1, "the startup reply only");
     assert!(conversation.next_step(true).is_none());
     assert_eq!(replies(&write_out_all(&mut conversation))[0].message_type, b'I');
     let mut conversation = empty_conversation();
--- a/crates/router/src/transport/conversation/tests/interleavings.rs
+++ b/crates/router/src/transport/conversation/tests/interleavings.rs
@@ -172,7 +172,7 @@
         let mut received = received.iter();
         if fed >= ends[0].0 {
             let first = received.next().map(|reply| reply.message_type);
-            prop_assert_eq!(first, Some(b'R'), "the first reply is not the welcome");
+            prop_assert_eq!(first, Some(b'R'), "the first reply is not the startup reply");
         }
         let mut faults = 0;
         for (end, n) in ends.iter().skip(1) {
--- a/crates/router/src/transport/exchange.rs
+++ b/crates/router/src/transport/exchange.rs
@@ -62,8 +62,8 @@
         Ok(connection) => connection,
         Err(result) => return result,
     };
-    // The client may have disconnected while the exchange waited for a connection. On a busy router its task
-    // may not have been scheduled since, so the socket is checked here.
+    // The client may have disconnected while the exchange waited for a connection. On a busy router the
+    // client's task may not have been scheduled since, so the socket is checked here.
     if let Some(client) = client.filter(|client| driver.clients.has_disconnected(*client)) {
         driver.handle(Input::ClientDisconnected(client));
     }
@@ -95,7 +95,7 @@
         match driver.pool.check_out(addr) {
             Checkout::Ready(connection) => return Ok(connection),
             Checkout::ReusableAfter(delay) => drop(Timer::after(delay).await),
-            // The connect budget is shared by all routers; that it is exhausted is no failure of the member.
+            // The connect budget is shared by all routers; its exhaustion is not a failure of the member.
             Checkout::Empty if !may_connect(driver, query) => return Err(ExchangeResult::Skipped),
             Checkout::Empty => return connect(driver, addr).await,
         }
@@ -103,7 +103,7 @@
 }
 
 /// Returns whether a new connection may be opened for this query, and spends the routers' shared connect
-/// budget if so. Health checks don't count against that budget; they have a budget of their own.
+/// budget if so. Health checks don't count against that budget; they have a separate budget.
 fn may_connect(driver: &Driver, query: &Query) -> bool {
     let is_health_check = matches!(query, Query::HealthCheck(_));
     is_health_check || driver.router.borrow_mut().spend_budget(driver.clock.now(), Budget::Connects)
--- a/crates/router/src/transport/exchange/tests.rs
+++ b/crates/router/src/transport/exchange/tests.rs
@@ -50,7 +50,7 @@
     let text = CONFIG.replace("\"drainGrace\": 1000000000", &format!("\"drainGrace\": {grace}"));
     // A health check would take the pooled connection first.
     let text = text.replace("\"probes\": true", "\"probes\": false");
-    let config = parse(text.as_bytes(), |_| None, LoadPhase::Startup).expect("a sound example");
+    let config = parse(text.as_bytes(), |_| None, LoadPhase::Startup).expect("a valid example");
     let member = format!(r#"{{"id":"a","addr":"{addr}","cell":1,"state":"{state}"}}"#);
     let list = format!(r#"{{"version":1,"full":true,"servers":[{member}]}}"#);
     let executor = Rc::new(LocalExecutor::new());
@@ -98,7 +98,7 @@
 fn run_without_descriptors(id: ExchangeId) -> std::io::Result<Outcome> {
     let host = TcpListener::bind(("127.0.0.1", 0))?;
     let addr = host.local_addr()?;
-    let config = parse(CONFIG.as_bytes(), |_| None, LoadPhase::Startup).expect("a sound example");
+    let config = parse(CONFIG.as_bytes(), |_| None, LoadPhase::Startup).expect("a valid example");
     let executor = Rc::new(LocalExecutor::new());
     let driver = Driver::new(&config, None, &executor);
     let mut acquired: Vec<_> = std::iter::from_fn(|| driver.descriptors.acquire_now()).collect();
--- a/crates/router/src/transport/fleet.rs
+++ b/crates/router/src/transport/fleet.rs
@@ -1,5 +1,5 @@
-//! The link to the peers of a fleet: one UDP socket. Received datagrams are verified on a thread of their
-//! own, so that invalid ones don't delay requests; valid ones are passed to the router's thread.
+//! The link to the peers of a fleet: one UDP socket. Received datagrams are verified on a separate thread, so
+//! that invalid ones don't delay requests; valid ones are passed to the router's thread.
 
 use super::driver::Driver;
 use super::ServeError;
@@ -93,7 +93,7 @@
 /// both.
 struct FleetSocket {
     socket: UdpSocket,
-    /// The address on which the settings told the router to listen.
+    /// The address to listen on, as configured when the socket was opened.
     listen: SocketAddr,
     codec: Arc<RwLock<DatagramCodec>>,
     closed: Arc<AtomicBool>,
--- a/crates/router/src/transport/io.rs
+++ b/crates/router/src/transport/io.rs
@@ -178,7 +178,7 @@
     cancelled: impl Future<Output = ()>,
 ) {
     let _ = stream.get_ref().shutdown(Shutdown::Write);
-    let peer_closed = async {
+    let remote_closed = async {
         while matches!(buffer.read(stream, |_| {}).await, Ok(1..)) {
             future::yield_now().await;
         }
@@ -186,7 +186,7 @@
     let timed_out = async {
         Timer::after(LINGER_TIMEOUT).await;
     };
-    future::or(peer_closed, future::or(timed_out, cancelled)).await;
+    future::or(remote_closed, future::or(timed_out, cancelled)).await;
 }
 
 /// Makes the close of the socket reset the connection. Otherwise the operating system would keep trying to
--- a/crates/router/src/transport/listener/tests.rs
+++ b/crates/router/src/transport/listener/tests.rs
@@ -8,7 +8,7 @@
 fn the_backlog_is_accepted_before_the_listener_closes() -> io::Result<()> {
     let socket = TcpListener::bind(("127.0.0.1", 0))?;
     let addr = socket.local_addr()?;
-    let config = parse(CONFIG.as_bytes(), |_| None, LoadPhase::Startup).expect("a sound example");
+    let config = parse(CONFIG.as_bytes(), |_| None, LoadPhase::Startup).expect("a valid example");
     let executor = Rc::new(LocalExecutor::new());
     let driver = Driver::new(&config, None, &executor);
     let waiting: io::Result<Vec<TcpStream>> = (0..50).map(|_| TcpStream::connect(addr)).collect();
--- a/crates/router/src/transport/mod.rs
+++ b/crates/router/src/transport/mod.rs
@@ -1,7 +1,7 @@
 //! I/O of the router: the listener, client connections, host connections, the discovery watch and timers.
 //! All of it runs on one thread, except the receiving side of the fleet socket. This module passes inputs to
 //! [`routing`](crate::routing) and carries out the effects that routing returns; it makes no routing
-//! decisions of its own.
+//! decisions.
 //!
 //! Each resource is owned by one field of `Driver` and released when that field is dropped. Tasks hold
 //! references to the driver; [`serve`] drops all tasks before it returns.
@@ -48,7 +48,7 @@
     Stop,
 }
 
-/// The reason why a router could not start.
+/// Why a router could not start.
 #[derive(Debug, Error)]
 pub enum ServeError {
     /// The listener could not be registered with the reactor.
--- a/crates/router/src/transport/reload.rs
+++ b/crates/router/src/transport/reload.rs
@@ -19,11 +19,11 @@
 }
 
 fn reload_sessions(driver: &Driver, started: &RouterConfig, reloaded: &RouterConfig) {
-    let plan = reloaded.local_settings.sessions.as_ref().map(|s| s.config.clone());
+    let session_config = reloaded.local_settings.sessions.as_ref().map(|s| s.config.clone());
     let table_bytes = started.limits.session_table_bytes();
     let mut router = driver.router.borrow_mut();
     let now = router.unix_time(driver.clock.now());
-    router.sessions().reconfigure(now, plan, table_bytes, started.seed);
+    router.sessions().reconfigure(now, session_config, table_bytes, started.seed);
 }
 
 fn reload_discovery(driver: &Rc<Driver>, reloaded: &RouterConfig) {
--- a/crates/router/src/transport/shutdown.rs
+++ b/crates/router/src/transport/shutdown.rs
@@ -44,7 +44,7 @@
         self.draining.get()
     }
 
-    /// Wakes the shutdown after a client has disconnected or no request is in flight.
+    /// Wakes the task that shuts the router down, after a client has disconnected or no request is in flight.
     pub fn notify_progress(&self) {
         self.progress.notify();
     }
--- a/crates/router/src/transport/snapshot_file.rs
+++ b/crates/router/src/transport/snapshot_file.rs
@@ -18,7 +18,7 @@
 /// The suffix of the temporary file that a snapshot is written to before it is renamed.
 const TEMPORARY_SUFFIX: &str = ".new";
 
-/// The reason why a snapshot file was not read.
+/// Why a snapshot file was not read.
 #[derive(Debug, Error)]
 enum ReadError {
     /// A system call failed.
@@ -37,8 +37,9 @@
     let settings = config.local_settings.sessions.as_ref();
     let needs_table = settings.is_some() || config.deployment.platform_floors == PlatformFloors::Remembered;
     let table_bytes = if needs_table { config.limits.session_table_bytes() } else { 0 };
-    let plan = settings.map(|s| s.config.clone());
-    let mut sessions = Sessions::new(now, config.deployment.platform_floors, plan, table_bytes, config.seed);
+    let session_config = settings.map(|s| s.config.clone());
+    let mut sessions =
+        Sessions::new(now, config.deployment.platform_floors, session_config, table_bytes, config.seed);
     if let Some(snapshot) = settings.and_then(|s| s.snapshot.as_ref()) {
         restore(&mut sessions, now, snapshot, &config.name);
     }
--- a/crates/router/src/transport/timers.rs
+++ b/crates/router/src/transport/timers.rs
@@ -12,7 +12,7 @@
 /// The due time when no timer is set.
 const NEVER: Time = Time(u64::MAX);
 
-/// The time until which the timer task sleeps, and the notification that a timer has become due earlier.
+/// The time until which the timer task sleeps, and the notification that a timer is due before it.
 pub struct TimerDeadline {
     sleeps_until: Cell<Time>,
     earlier_timer_due: Notify,
--- a/crates/router/src/transport/watch.rs
+++ b/crates/router/src/transport/watch.rs
@@ -30,13 +30,13 @@
 const HEAD_TIMEOUT: Duration = Duration::from_millis(1200);
 /// The same limit if endpoint lists are polled. Discovery then serves the calls of all routers one after
 /// another, and closes a call itself after it has waited for two seconds. A router that gave up earlier would
-/// repeat a call whose work discovery has done in vain; with hundreds of such routers, none would ever
-/// receive a list.
+/// waste discovery's work on the call and repeat it; with hundreds of such routers, none would ever receive a
+/// list.
 const SHARED_HEAD_TIMEOUT: Duration = Duration::from_millis(2250);
 /// The pause before another attempt to spend the routers' shared budget for calls to discovery.
 const BUDGET_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The reason why a call to discovery has ended.
+/// Why a call to discovery has ended.
 #[derive(Debug, Error)]
 enum WatchError {
     /// The connection failed.
@@ -56,7 +56,7 @@
     Rejected(DiscoveryError),
     /// Discovery has closed the connection without a response, which it also does for lack of capacity.
     #[error("discovery closed the connection without a response")]
-    Unanswered,
+    NoResponse,
     /// The response is invalid. The next call requests the full list.
     #[error("{0}")]
     InvalidResponse(DiscoveryError),
@@ -65,13 +65,13 @@
 impl WatchError {
     fn call_failure(&self) -> CallFailure {
         match self {
-            WatchError::Rejected(_) | WatchError::Unanswered => CallFailure::Rejected,
+            WatchError::Rejected(_) | WatchError::NoResponse => CallFailure::Rejected,
             _ => CallFailure::Unreachable,
         }
     }
 }
 
-/// The watches of a router: the newest, and until that has received a list also the one before it.
+/// The watches of a router: the newest, and until that has received a list, the oldest of the earlier ones.
 pub struct DiscoveryWatches {
     addr: Cell<SocketAddr>,
     /// The tasks of the open watches by number, the newest last.
@@ -109,8 +109,9 @@
         self.list_received.notified().await;
     }
 
-    /// Opens a watch on an address, for changes since `version`. The previous watch stays open until the new
-    /// one has received a list. The current endpoint list remains in use.
+    /// Opens a watch on an address, for changes since `version` or, if that is none, for the full list. The
+    /// oldest of the earlier watches stays open until the new one has received a list. The current endpoint
+    /// list remains in use.
     pub fn open(driver: &Rc<Driver>, addr: SocketAddr, version: Option<u64>) {
         let watches = &driver.discovery;
         watches.addr.set(addr);
@@ -241,8 +242,8 @@
     async fn open(&self) -> Result<WatchCall, WatchError> {
         let discovery = &self.driver.discovery;
         let request = watch_request(&self.addr.to_string(), self.version);
-        // The first call after the start is made in any case, because the router could not serve without a
-        // list.
+        // The first call after the start is made without the budget, because the router could not serve
+        // without a list.
         while discovery.has_called.replace(true) && !self.spend_budget() {
             Timer::after(BUDGET_CHECK_INTERVAL).await;
         }
@@ -309,7 +310,7 @@
 }
 
 impl WatchCall {
-    /// Restarts the timeout after a message.
+    /// Restarts the timeout after the response head or a complete message.
     fn extend_deadline(&mut self) {
         self.deadline = Instant::now() + MESSAGE_TIMEOUT;
     }
@@ -324,7 +325,7 @@
             return Ok(());
         }
         if !self.has_head {
-            return Err(WatchError::Unanswered);
+            return Err(WatchError::NoResponse);
         }
         // The body may be delimited by the close, and its last line may lack a line break.
         self.codec.on_close();
