--- a/crates/router/src/protocol/discovery/watch.rs
+++ b/crates/router/src/protocol/discovery/watch.rs
@@ -50,7 +50,7 @@
     stage: Stage,
     /// The part of the body that has not been parsed as a message.
     body: Vec<u8>,
-    /// The number of bytes in `body` that form complete lines but no complete list yet.
+    /// The number of bytes in `body` that are complete lines of a list whose end has not been received.
     scanned: usize,
     rejected: bool,
 }
--- a/crates/router/src/transport/watch.rs
+++ b/crates/router/src/transport/watch.rs
@@ -57,7 +57,7 @@
     /// Discovery has closed the connection without a response, which it also does for lack of capacity.
     #[error("discovery closed the connection without a response")]
     NoResponse,
-    /// The response is invalid. The next call requests the full list.
+    /// The response is invalid. The next call requests the complete list.
     #[error("{0}")]
     InvalidResponse(DiscoveryError),
 }
@@ -109,9 +109,9 @@
         self.list_received.notified().await;
     }
 
-    /// Opens a watch on an address, for changes since `version` or, if that is none, for the full list. The
-    /// oldest of the earlier watches stays open until the new one has received a list. The current endpoint
-    /// list remains in use.
+    /// Opens a watch on an address, for changes since `version` or, if that is none, for the complete list.
+    /// The oldest of the earlier watches stays open until the new one has received a list. The current
+    /// endpoint list remains in use.
     pub fn open(driver: &Rc<Driver>, addr: SocketAddr, version: Option<u64>) {
         let watches = &driver.discovery;
         watches.addr.set(addr);
@@ -164,7 +164,7 @@
     driver: Rc<Driver>,
     number: u64,
     addr: SocketAddr,
-    /// The version of the last list received, or none to request the full list.
+    /// The version of the last list received, or none to request the complete list.
     version: Option<u64>,
     /// When the last message was received. The first list of the next call may have been valid since then.
     last_message_at: Time,
@@ -198,7 +198,7 @@
                     tracing::warn!(
                         addr = %self.addr,
                         error = %e,
-                        "discovery: invalid response; requesting the full list"
+                        "discovery: invalid response; requesting the complete list"
                     );
                     self.version = None;
                 }
@@ -289,7 +289,7 @@
                 Ok(Some(WatchMessage::End)) if call.is_closed => return Err(WatchError::Closed),
                 Ok(Some(WatchMessage::End)) => return Err(WatchError::Ended),
                 Ok(None) => return Ok(()),
-                // The version is kept, because requesting the full list would add to discovery's load.
+                // The version is kept, because requesting the complete list would add to discovery's load.
                 Err(e) if call.codec.was_rejected() => return Err(WatchError::Rejected(e)),
                 Err(e) => return Err(WatchError::InvalidResponse(e)),
             }
