--- a/crates/router/src/protocol/host.rs
+++ b/crates/router/src/protocol/host.rs
@@ -125,7 +125,7 @@
     }
 
     /// Handles the end of the connection. Returns the query's outcome if its row is complete or the host sent
-    /// an error. A host that terminates a connection sends an error before it closes it.
+    /// an error. A host sends an error before it terminates a connection deliberately, without ReadyForQuery.
     pub fn on_close(&mut self) -> Option<(QueryOutcome, ReportedState)> {
         let Phase::Responding(mut progress) = std::mem::take(&mut self.phase) else { return None };
         if let Some(code) = progress.error.take() {
