--- a/crates/client/src/core/api.rs
+++ b/crates/client/src/core/api.rs
@@ -52,7 +52,8 @@
 pub enum DisconnectReason {
     /// The connect was refused (`ECONNREFUSED`): no process listens on the address.
     NotListening,
-    /// Any other reason.
+    /// The connect failed with an error other than `ECONNREFUSED`, or the connection was lost after it had
+    /// been opened.
     Other,
 }
 
--- a/crates/client/src/outcome.rs
+++ b/crates/client/src/outcome.rs
@@ -35,11 +35,11 @@
 /// How much of a statement was handed to the operating system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteProgress {
-    /// None of it.
+    /// No byte of the statement was handed to the operating system.
     Unsent,
-    /// A part of it. Routers don't run incomplete statements.
+    /// Part of the statement was handed to the operating system. Routers don't run incomplete statements.
     Partial,
-    /// All of it.
+    /// The whole statement was handed to the operating system, so the router may have run it.
     Complete,
 }
 
--- a/crates/router/src/routing/endpoints.rs
+++ b/crates/router/src/routing/endpoints.rs
@@ -16,7 +16,8 @@
 
 /// The state of one member.
 struct MemberRecord {
-    /// Its latest entry.
+    /// The member's latest entry in an endpoint list, in the form that is passed to the policy. A complete
+    /// list that lacks the member does not change it.
     entry: Endpoint,
     /// Its latest valid address.
     addr: Option<SocketAddr>,
