--- a/crates/policy/src/policy/load.rs
+++ b/crates/policy/src/policy/load.rs
@@ -31,21 +31,23 @@
 /// The assumed service time of a class before the first response, as a fraction of its latency objective.
 const INITIAL_SERVICE_TIME_FRACTION: f64 = 0.2;
 
-/// The gain of the moving average of a service time for a response that is faster.
+/// The gain of the moving average of a service time for a response that is faster than the average.
 const SERVICE_TIME_GAIN_DOWN: f64 = 0.03;
 
-/// The gain for a response that is slower. It is lower, so that the service time stays close to that of a
-/// member that is not overloaded.
+/// The gain of the moving average of a service time for a response that is slower than the average. It is
+/// lower than [`SERVICE_TIME_GAIN_DOWN`], so that the service time stays close to that of a member that is
+/// not overloaded.
 const SERVICE_TIME_GAIN_UP: f64 = 0.015;
 
 /// The gain of the moving average of excess latency for a response of a class with a short service time.
 const EXCESS_LATENCY_GAIN: f64 = 0.15;
 
-/// Classes whose service time is at most this multiple of the shortest one have the full gain. Longer ones
-/// have a lower gain, since one such response is weaker evidence of the member's load.
+/// Classes whose service time is at most this multiple of the shortest one have the full
+/// [`EXCESS_LATENCY_GAIN`]. Classes with longer service times have a lower gain, since one response of such a
+/// class is weaker evidence of the member's load.
 const FULL_GAIN_MULTIPLE: f64 = 2.0;
 
-/// The least fraction of the gain, for classes with long service times.
+/// The least fraction of [`EXCESS_LATENCY_GAIN`] that a class with a long service time has.
 const MIN_GAIN_FRACTION: f64 = 0.4;
 
 /// Time constant, in seconds, of the decay of a member's own excess latency to the mean of its role.
@@ -58,7 +60,7 @@
 /// objective.
 const OVERLOADED_FRACTION: f64 = 0.45;
 
-/// The same fraction for a member without attempts in flight.
+/// The value that replaces [`OVERLOADED_FRACTION`] for a member without attempts in flight.
 const OVERLOADED_FRACTION_IDLE: f64 = 0.7;
 
 /// The lower bound of the highest value per second of work of any class; it prevents a division by zero.
@@ -92,8 +94,8 @@
         classes.iter().zip(self.by_class.iter().copied())
     }
 
-    /// Updates the moving average with a response whose latency exceeded the service time by `excess`
-    /// seconds, negative for a faster response.
+    /// Updates the service time of a class, a moving average, with a response whose latency exceeded it by
+    /// `excess` seconds, negative for a faster response.
     fn update(&mut self, class: usize, excess: f64) {
         let gain = if excess < 0.0 { SERVICE_TIME_GAIN_DOWN } else { SERVICE_TIME_GAIN_UP };
         self.by_class[class] += excess * gain;
