--- a/crates/policy/src/policy/breaker.rs
+++ b/crates/policy/src/policy/breaker.rs
@@ -7,7 +7,7 @@
 /// quickly.
 const LAG_COOLDOWN: Time = Time::ms(500);
 
-/// The cooldown after an ejection for transport failures or unresponsiveness.
+/// The cooldown after an ejection for transport failures, failed health checks or unresponsiveness.
 const FAILURE_COOLDOWN: Time = Time::ms(1000);
 
 /// Why a member was ejected.
@@ -15,7 +15,7 @@
 pub(super) enum EjectReason {
     /// It lags too far behind; it still serves reads that need no freshness.
     Lag,
-    /// Several consecutive transport failures.
+    /// Several consecutive transport failures or failed health checks.
     Transport,
     /// It has not responded to any attempt since an attempt that is overdue was sent.
     Unresponsive,
--- a/crates/policy/src/policy/member.rs
+++ b/crates/policy/src/policy/member.rs
@@ -6,7 +6,7 @@
 use super::slow_start::SlowStartCredit;
 use crate::api::*;
 
-/// The number of consecutive transport failures after which a member is ejected.
+/// The number of consecutive transport failures and failed health checks after which a member is ejected.
 const EJECT_AFTER_FAILURES: u32 = 3;
 
 /// A log position and the time as of which it was reported.
@@ -40,7 +40,8 @@
     pub(super) position: Option<KnownPosition>,
     pub(super) role: Option<KnownRole>,
     pub(super) breaker: Breaker,
-    /// The number of consecutive transport failures and failed health checks.
+    /// The number of consecutive transport failures and failed health checks. Transport failures are failed
+    /// and lost connections, and timeouts without a response of the member since the attempt was sent.
     pub(super) consecutive_failures: u32,
     /// Whether it is suspect: a failure suggests that it is down, and no response or successful health check
     /// has been received since.
@@ -61,7 +62,8 @@
     pub(super) responded_at: Time,
     /// No attempt is sent to it before this time.
     pub(super) backoff_until: Time,
-    /// When it last rejected a connection; zero once a later response was received.
+    /// When it last rejected a connection; zero once a response or a successful health check was received
+    /// after that.
     pub(super) connection_rejected_at: Time,
     /// This router's random preference among members to which it has no connection, 0 to 1; a lower value is
     /// preferred.
@@ -104,7 +106,8 @@
     }
 
     /// Counts a transport failure or a failed health check, and ejects the member after
-    /// [`EJECT_AFTER_FAILURES`] consecutive ones.
+    /// [`EJECT_AFTER_FAILURES`] consecutive ones, or after one while its breaker is half-open for transport
+    /// failures. With `raises_suspicion`, the member becomes suspect.
     pub(super) fn record_failure(&mut self, now: Time, raises_suspicion: bool) {
         self.consecutive_failures += 1;
         self.suspect |= raises_suspicion;
--- a/crates/policy/src/policy/outcomes.rs
+++ b/crates/policy/src/policy/outcomes.rs
@@ -7,8 +7,9 @@
 use super::Policy;
 use crate::api::*;
 
-/// How long no attempt is sent to a member that rejected an attempt or a connection. A connection attempt
-/// that fails within this time was rejected by the member, not lost in the network.
+/// How long no attempt is sent to a member that rejected an attempt for lack of capacity, or to which no
+/// connection could be established. A connection attempt that fails within this time was rejected by the
+/// member, not lost in the network.
 pub(super) const OVERLOAD_BACKOFF: Time = Time::ms(100);
 
 /// The gain of the moving average of a member's failure rate, per attempt.
