--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -292,7 +292,7 @@
 pub struct ReplicationState {
     /// The log position: all commits up to this time have been applied.
     pub position: Option<Time>,
-    /// Its role.
+    /// The member's role.
     pub role: Option<Role>,
 }
 
--- a/crates/policy/src/policy/admission.rs
+++ b/crates/policy/src/policy/admission.rs
@@ -9,8 +9,8 @@
 /// because most of them arrive after their latency objective.
 const MIN_RETRY_WEIGHT: f64 = 0.5;
 
-/// The fraction of a client's timeout after which a request that has reached no member is rejected, so that
-/// the client can still use another router.
+/// The fraction of the time from a request's arrival to its deadline after which the request is rejected if
+/// it has reached no member, so that the client can still use another router.
 const UNSENT_WAIT_FRACTION: f64 = 0.5;
 
 /// The largest fraction of a limit's tokens that a class leaves to classes of higher value per second of
@@ -141,7 +141,7 @@
     }
 
     /// Returns whether a request may wait in the queue: only while a further attempt is allowed and its
-    /// response is expected in time.
+    /// response is expected in time, and before `first_attempt_by` if the request has reached no member.
     pub(super) fn can_wait(&self, request: &PendingRequest) -> bool {
         let next_sweep = self.now.plus(BUSY_SWEEP_INTERVAL);
         let expected_s = self.service_times.get(request.class) * LATENCY_SAFETY_FACTOR;
--- a/crates/policy/src/policy/connections.rs
+++ b/crates/policy/src/policy/connections.rs
@@ -17,8 +17,8 @@
 /// response.
 const OPEN_CONNECTION_FRACTION: f64 = 0.7;
 
-/// The cost of a member without an open connection, in requests in flight, before this router's own bias is
-/// added.
+/// The cost of a member without an open connection, in requests in flight, before the member's
+/// `affinity_bias` is added.
 const MISSING_CONNECTION_COST: f64 = 1.0;
 
 impl Policy {
--- a/crates/policy/src/policy/slow_start.rs
+++ b/crates/policy/src/policy/slow_start.rs
@@ -49,8 +49,8 @@
 /// and shrinks with each attempt.
 #[derive(Default)]
 pub(super) struct SlowStartCredit {
-    /// The debt with which the credit starts after each start of the member. It is random, so that the
-    /// routers don't all send their first attempts at once.
+    /// The debt with which the credit starts after each start of the member, in seconds of work. It is
+    /// random, so that the routers don't all send their first attempts at once.
     initial_debt: f64,
     /// The credit as of `counted_at`, in seconds of work; negative while in debt.
     balance: f64,
@@ -154,7 +154,8 @@
     }
 
     /// Returns the credit at a warming member as of now, in seconds of work. An attempt is allowed if it is
-    /// not negative. At most the credit for about one request accumulates.
+    /// not negative. It accumulates to what the router earns in one [`Settings::overload_window`], or to the
+    /// amount of the initial debt if that is more.
     pub(super) fn slow_start_credit(&self, member: &Member) -> f64 {
         let rate = self.slow_start_rate(member);
         let credit = &member.slow_start;
--- a/crates/policy/tests/slow_start_fleets.rs
+++ b/crates/policy/tests/slow_start_fleets.rs
@@ -48,7 +48,7 @@
     due: Vec<PendingResponse>,
 }
 
-/// The response of a member to an attempt, sent at `at`.
+/// A member's response to an attempt. The response is sent at `at`.
 struct PendingResponse {
     at: Time,
     request: RequestId,
