--- a/crates/config/src/local_settings/mod.rs
+++ b/crates/config/src/local_settings/mod.rs
@@ -1,5 +1,6 @@
 //! The local settings: a KDL file whose path is given by `--settings` or `BASALTHILL_SETTINGS`. Without the
-//! file, all features that it configures are off. `deploy/basalthill.kdl` shows every key with its default.
+//! file, all features that it configures are off. `deploy/basalthill.kdl` shows every key, and its default
+//! where it has one.
 
 mod fleet;
 mod kdl_reader;
--- a/crates/session/src/snapshot.rs
+++ b/crates/session/src/snapshot.rs
@@ -111,8 +111,9 @@
 ///
 /// # Errors
 ///
-/// Returns an error if the snapshot is incomplete or corrupt, was written by another router or more than
-/// `max_age` ago, or is larger than this router's table may be. In that case `sessions` is unchanged.
+/// Returns an error if the bytes are not a snapshot of the supported format, or if the snapshot is incomplete
+/// or corrupt, was written by another router, in the future or more than `max_age` ago, or has a larger table
+/// than this router may have. In that case `sessions` is unchanged.
 pub fn restore(
     sessions: &mut Sessions,
     now: Time,
--- a/crates/session/src/token.rs
+++ b/crates/session/src/token.rs
@@ -145,7 +145,7 @@
 }
 
 /// Decodes the floors of a body whose signature is valid. Returns `None` if the body is too short or too long
-/// for them.
+/// for them, or if a number in it is out of range.
 fn read_floors(body: &[u8], issued_ms: u64) -> Option<GroupFloors> {
     let count = body[HEADER_LEN - 1];
     let mut unread = &body[HEADER_LEN..];
--- a/crates/wire/src/buffer.rs
+++ b/crates/wire/src/buffer.rs
@@ -28,7 +28,8 @@
 }
 
 impl MessageBuffer {
-    /// Appends received bytes. Consumed bytes are removed first if there are enough of them.
+    /// Appends received bytes. Consumed bytes are removed first if there are at least `RETAINED_CAPACITY` of
+    /// them, or no others.
     pub fn extend(&mut self, bytes: &[u8]) {
         let all_consumed = self.consumed == self.bytes.len();
         if self.consumed > 0 && (all_consumed || self.consumed >= RETAINED_CAPACITY) {
@@ -56,8 +57,8 @@
         &self.bytes[self.consumed..]
     }
 
-    /// Marks the next `len` bytes as consumed. Once all bytes are consumed, memory above the retained
-    /// capacity is freed.
+    /// Marks the next `len` bytes as consumed. Once all bytes are consumed, memory above `RETAINED_CAPACITY`
+    /// is freed.
     pub fn consume(&mut self, len: usize) {
         self.consumed = (self.consumed + len).min(self.bytes.len());
         if self.consumed == self.bytes.len() {
