--- a/crates/policy/tests/freshness.rs
+++ b/crates/policy/tests/freshness.rs
@@ -74,7 +74,7 @@
     assert_eq!(
         (first, then),
         (None, Some(1)),
-        "an estimated position is not sufficient here, and the read waits for it only once"
+        "only a reported position suffices, and the read stops waiting once the estimate reaches the floor"
     );
 }
 
