--- a/crates/router/src/routing/clock.rs
+++ b/crates/router/src/routing/clock.rs
@@ -8,8 +8,8 @@
 /// measured offset is then discarded.
 const MAX_READING_SPAN: Time = Time(100_000);
 
-/// A monotonic clock in nanoseconds. It starts at the Unix time and is not affected by later changes of the
-/// system clock.
+/// A monotonic clock in nanoseconds. It starts at the Unix time of its creation and is not affected by later
+/// changes of the system clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
--- a/crates/router/src/routing/input.rs
+++ b/crates/router/src/routing/input.rs
@@ -51,8 +51,8 @@
     /// not run.
     NotSent,
     /// Transport decided not to write the query, because the member's drain grace period had passed, the
-    /// client had disconnected, or the router had no file descriptor left. This counts neither as a fault of
-    /// the host nor as a failed connection.
+    /// request had been completed, the connect budget was exhausted, or the router had no file descriptors,
+    /// memory or ports left. This counts neither as a fault of the host nor as a failed connection.
     Skipped,
     /// The connection was lost after the query's last byte was written. The query may have run.
     ConnectionLost,
--- a/crates/router/src/routing/system_clock.rs
+++ b/crates/router/src/routing/system_clock.rs
@@ -27,7 +27,7 @@
         stepped
     }
 
-    /// Returns how far the system clock is ahead, in milliseconds.
+    /// Returns how far the system clock is ahead of the router's own clock, in milliseconds.
     pub fn offset_ms(&self) -> i64 {
         self.offset_ns / NS_PER_MS as i64
     }
