--- a/crates/router/src/protocol/client.rs
+++ b/crates/router/src/protocol/client.rs
@@ -57,8 +57,8 @@
     },
     /// A query: its text without the terminating zero byte.
     Query(Vec<u8>),
-    /// A message of a part of the protocol that is not served, with its type. It gets an error; further
-    /// messages up to the next Sync are skipped.
+    /// A message of a part of the protocol that is not served, with its type. It gets an error. Further
+    /// messages up to the next Sync are skipped, except after a FunctionCall.
     Unsupported(u8),
     /// Sync, which ends the skipping of messages after an unsupported one.
     Sync,
@@ -340,7 +340,8 @@
     out
 }
 
-/// Encodes the error for an unsupported message. It lacks ReadyForQuery, which is sent as the reply to Sync.
+/// Encodes the error for an unsupported message other than a FunctionCall. It lacks ReadyForQuery, which is
+/// sent as the reply to Sync.
 pub fn unsupported_reply() -> Vec<u8> {
     let mut out = Vec::with_capacity(128);
     put_error_response(
--- a/crates/router/src/protocol/discovery/list.rs
+++ b/crates/router/src/protocol/discovery/list.rs
@@ -32,7 +32,7 @@
     pub group: u32,
     /// Its state.
     pub state: HostState,
-    /// Its weight.
+    /// Its weight among the members of its group.
     #[serde(default)]
     pub weight: f64,
     /// The Unix time of its last start in milliseconds; 0 if it started long ago.
--- a/crates/router/src/protocol/host.rs
+++ b/crates/router/src/protocol/host.rs
@@ -13,7 +13,7 @@
 
 /// The longest accepted message body in bytes: a value of 64 KiB and its headers.
 pub const MAX_MESSAGE_LEN: usize = 80 * 1024;
-/// The longest accepted response to a query in bytes, all its messages together.
+/// The maximum total size of the RowDescription, DataRow and CommandComplete of a response, in bytes.
 const MAX_RESPONSE_LEN: usize = 128 * 1024;
 /// The longest accepted RowDescription in bytes; it describes one column.
 const MAX_DESCRIPTION_LEN: usize = 1024;
--- a/crates/router/src/protocol/statement/mod.rs
+++ b/crates/router/src/protocol/statement/mod.rs
@@ -52,8 +52,8 @@
     tenant: Range<usize>,
     /// The range of the value of `d`.
     deadline: Range<usize>,
-    /// How many milliseconds the client waits for the reply, counted from when it sent the request: the value
-    /// of `d`, at most one day.
+    /// How many milliseconds the client waits for the reply: the value of `d`, at most one day. The router
+    /// counts from the arrival of the request's last byte.
     pub deadline_ms: u64,
     /// The group to which the request belongs.
     pub group: u32,
