--- a/crates/router/src/transport/backoff.rs
+++ b/crates/router/src/transport/backoff.rs
@@ -14,9 +14,9 @@
 /// each router takes it up to eight seconds. If rejected routers called more often, discovery would be busy
 /// with calls that have timed out before it serves them, and no router would ever receive a list.
 const MAX_SHARED_DELAY: Duration = Duration::from_millis(8000);
-/// The limit on a delay if such a shared discovery is unreachable. The 6 s within which its list has to be
-/// received after an outage of any length have to cover a call that times out (2.25 s) and the longest delay
-/// with jitter (3 s).
+/// The limit on a delay if discovery serves the calls of all routers one after another, and is unreachable.
+/// The 6 s within which its list has to be received after an outage of any length have to cover a call that
+/// times out (2.25 s) and the longest delay with jitter (3 s).
 const MAX_UNREACHABLE_DELAY: Duration = Duration::from_millis(2000);
 /// The smallest factor that jitter applies to a delay; the largest is one more than this.
 const MIN_JITTER: f64 = 0.5;
@@ -26,8 +26,8 @@
 /// Why a call failed, as far as it affects the backoff.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
-    /// The call failed for another reason: discovery did not respond in time, the connection failed or was
-    /// closed, or the response was invalid.
+    /// The call failed for a reason other than a rejection: discovery did not respond in time, the connection
+    /// failed or was closed, or the response was invalid.
     Unreachable,
     /// Discovery rejected the call for lack of capacity.
     Rejected,
--- a/crates/router/src/transport/watch.rs
+++ b/crates/router/src/transport/watch.rs
@@ -28,10 +28,10 @@
 /// The limit on connecting and receiving the head of the response. Discovery's agent is nearby and responds
 /// immediately; the limit leaves time for the retransmission of a lost packet.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(1200);
-/// The same limit if endpoint lists are polled. Discovery then serves the calls of all routers one after
-/// another, and closes a call itself after it has waited for two seconds. A router that gave up earlier would
-/// waste discovery's work on the call and repeat it; with hundreds of such routers, none would ever receive a
-/// list.
+/// The limit on connecting and receiving the head of the response if endpoint lists are polled. Discovery
+/// then serves the calls of all routers one after another, and closes a call itself after it has waited for
+/// two seconds. A router that gave up earlier would waste discovery's work on the call and repeat it; with
+/// hundreds of such routers, none would ever receive a list.
 const SHARED_HEAD_TIMEOUT: Duration = Duration::from_millis(2250);
 /// The pause before another attempt to spend the routers' shared budget for calls to discovery.
 const BUDGET_CHECK_INTERVAL: Duration = Duration::from_millis(50);
