--- a/crates/router/src/program/logging/mod.rs
+++ b/crates/router/src/program/logging/mod.rs
@@ -66,7 +66,7 @@
 }
 
 /// The handle of the writer thread. Dropping it waits until the queued lines are written, for up to
-/// `writer::FLUSH_TIMEOUT`.
+/// `writer::FLUSH_TIMEOUT`. It does not wait if the queue is full.
 #[must_use = "the log is flushed when this is dropped"]
 pub(super) struct LogGuard {
     _writer: Option<WriterThread>,
--- a/crates/router/src/program/logging/rate_limit.rs
+++ b/crates/router/src/program/logging/rate_limit.rs
@@ -12,7 +12,7 @@
 const WINDOW: Duration = Duration::from_secs(1);
 
 /// Admits up to [`MAX_LINES_PER_SECOND`] lines per window. Counts the lines that were dropped since the last
-/// written line, either by this limit or because the queue was full.
+/// written line, either by this limit or because the writer thread's queue was full.
 #[derive(Debug, Default)]
 pub(super) struct RateLimiter {
     window: Mutex<Option<Window>>,
--- a/crates/router/src/program/logging/writer.rs
+++ b/crates/router/src/program/logging/writer.rs
@@ -48,7 +48,7 @@
 }
 
 /// The handle of the writer thread. Dropping it waits until all queued lines are written, for up to
-/// [`FLUSH_TIMEOUT`].
+/// [`FLUSH_TIMEOUT`]. It does not wait if the queue is full.
 #[derive(Debug)]
 pub(super) struct WriterThread {
     sender: SyncSender<Message>,
