--- a/crates/router/src/transport/conversation/tests/interleavings.rs
+++ b/crates/router/src/transport/conversation/tests/interleavings.rs
@@ -57,7 +57,7 @@
 /// A request that has been forwarded and has no reply yet.
 struct OpenRequest {
     command: CommandId,
-    /// The index of the command.
+    /// The index of the command among the generated commands.
     index: usize,
     is_write: bool,
 }
--- a/crates/router/src/transport/io.rs
+++ b/crates/router/src/transport/io.rs
@@ -12,7 +12,8 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::Duration;
 
-/// How long the router, after it has closed its side of a connection, waits for the client to close the other.
+/// How long the router waits for a client to close its side of a connection after the router has closed its
+/// own.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 /// The maximum number of bytes that one call reads.
 const READ_BUFFER_LEN: usize = 16 * 1024;
