--- a/crates/fleet/src/account/coordinator.rs
+++ b/crates/fleet/src/account/coordinator.rs
@@ -27,10 +27,10 @@
     /// The demand that each peer has reported, in units beyond those that it has without a loan.
     peer_demands: BTreeMap<NodeId, PeerDemand>,
     /// The most units of the ledger that the coordinator uses itself, so that the peers get their allotments;
-    /// `None` while no peer has demand.
+    /// `None` while no peer has demand, and at a router that is not the coordinator.
     pub own_cap: Option<u64>,
-    /// Units that each router with requests may use beyond its demand, as decided by the coordinator. It
-    /// shrinks to zero while some routers get less than their demand.
+    /// Units that each router with requests may use beyond its demand, as decided by the coordinator. The
+    /// coordinator shrinks the headroom to zero while some routers get less than their demand.
     pub headroom: u64,
 }
 
--- a/crates/fleet/src/account/mod.rs
+++ b/crates/fleet/src/account/mod.rs
@@ -29,8 +29,8 @@
 
 /// The demanded rate as a multiple of the request rate while the token bucket is empty.
 const DEMAND_FACTOR_EMPTY: f64 = 1.3;
-/// The amount by which the multiple is lower while the bucket is full, because the tokens in it are used
-/// first.
+/// The amount by which the demanded rate, as a multiple of the request rate, is lower while the token bucket
+/// is full than while it is empty, because the tokens in the bucket are used first.
 const DEMAND_FACTOR_DROP: f64 = 0.6;
 /// Slots demanded beyond the peak number of slots in use or missing.
 const SPARE_SLOTS: u64 = 1;
--- a/crates/fleet/src/fleet/accounts.rs
+++ b/crates/fleet/src/fleet/accounts.rs
@@ -20,7 +20,7 @@
 /// The loan requests of an account are numbered from the time between the start of the router and the opening
 /// of the account, divided by this time in nanoseconds. An account that is closed and opened again therefore
 /// begins with a larger number than it has used before: it sends a peer one request per round, and a round is
-/// much longer.
+/// much longer than this time.
 const REQUEST_NUMBER_SPAN_NS: u64 = 10_000_000;
 
 /// The coordinator of a limit, valid while the membership version is the same.
--- a/crates/fleet/src/ledger.rs
+++ b/crates/fleet/src/ledger.rs
@@ -52,7 +52,8 @@
     }
 
     /// Returns the smallest number of units at any time from `from` until just before `until`. Entries that
-    /// have expired before `from` must not have been discarded.
+    /// expire after `from` must not have been discarded: `from` must not be before the time of the last
+    /// [`Ledger::discard_expired`].
     pub fn minimum(&self, from: Time, until: Time) -> i64 {
         let first_tick = from.0 / TICK_NS;
         let end_tick = until.0.div_ceil(TICK_NS).max(first_tick + 1);
