--- a/crates/client/src/core/attempts.rs
+++ b/crates/client/src/core/attempts.rs
@@ -10,7 +10,8 @@
 use std::time::{Duration, Instant};
 
 /// Shortest delay before a retry after a rejection, even if its Retry-After time is shorter. Also the base of
-/// the exponential backoff after other failures, which doubles with each attempt.
+/// the exponential backoff, which doubles with each attempt, after other failures of a statement that a
+/// router may have read. A statement that no router has read is retried without a delay.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Maximum jitter that is added to a Retry-After time, as a fraction of that time.
 const RETRY_AFTER_JITTER: f64 = 0.5;
--- a/crates/client/src/core/exchange.rs
+++ b/crates/client/src/core/exchange.rs
@@ -96,7 +96,8 @@
                 ResponseProgress::Incomplete
             }
             ServerMessage::SessionToken(token) => {
-                // A router may send a token as early as when it forwards the statement, so it has read it.
+                // A router may send a token as early as when it forwards the statement. So the router has
+                // read the statement.
                 self.has_response_started = true;
                 ResponseProgress::SessionToken(token)
             }
@@ -125,7 +126,8 @@
         let outcome = if is_rejection(&error.code) {
             AttemptOutcome::Rejected(retry_after(error.detail.as_deref()))
         } else if error.code == ADMIN_SHUTDOWN && is_fatal && !self.has_response_started {
-            // As the first message of a response, it says that the router has not read the statement.
+            // As the first message of a response, a fatal 57P01 says that the router has not read the
+            // statement.
             AttemptOutcome::CloseNotice
         } else {
             AttemptOutcome::Error(error.code.clone())
--- a/crates/client/src/outcome.rs
+++ b/crates/client/src/outcome.rs
@@ -50,7 +50,7 @@
     Served,
     /// The router rejected the statement without running it. Carries the Retry-After time, if there was one.
     Rejected(Option<Duration>),
-    /// The response is any other error. Carries its SQLSTATE.
+    /// The response is an error that is neither a rejection nor a close notice. Carries its SQLSTATE.
     Error(String),
     /// The router announced with 57P01 that it closes the connection and has not read the statement.
     CloseNotice,
