--- a/crates/extproc/src/coordinator.rs
+++ b/crates/extproc/src/coordinator.rs
@@ -136,8 +136,8 @@
         self.attempt_ended(now, ended, is_served, out);
     }
 
-    /// Handles the closing of a stream. If the stream has a lease, the request may have been sent. If it
-    /// waits for a member, it stops waiting. A request for which no other stream waits is abandoned.
+    /// Handles the closing of a stream. If the stream has a lease, the request may have been sent. A stream
+    /// that waits for a member stops waiting, and a request for which no other stream waits is abandoned.
     pub fn stream_closed(&mut self, now: Time, stream: StreamId, out: &mut Vec<Output>) {
         let Some(id) = self.by_stream.remove(&stream) else { return };
         let ended = self.leases.close_stream(stream);
--- a/crates/extproc/src/lease_table.rs
+++ b/crates/extproc/src/lease_table.rs
@@ -22,7 +22,7 @@
     Misdirected,
     /// The member rejected the request without reading it, for lack of capacity.
     Rejected,
-    /// The member responded with any other error.
+    /// The member responded with an error other than those of `Misdirected` and `Rejected`.
     Error,
     /// The connection was not established, or it broke before the last byte of the request was written.
     ConnectFailed,
--- a/crates/extproc/src/write_registry.rs
+++ b/crates/extproc/src/write_registry.rs
@@ -49,9 +49,10 @@
 /// The reason why the registry cannot tell whether the write of an id has been decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnusableId {
-    /// The id is older than the window in which ids are accepted.
+    /// The id is older than the window in which ids are accepted, by more than the clock skew.
     TooOld,
-    /// The id was created before this process started, so that an earlier process may have decided the write.
+    /// The id was created before this process started, or later by no more than the clock skew, so that an
+    /// earlier process may have decided the write.
     BeforeStart,
     /// The id was created later than now by more than the clock skew.
     InFuture,
