--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -88,7 +88,8 @@
 pub struct Discovery {
     /// The address that it listens on.
     pub addr: SocketAddr,
-    /// What it publishes and has received.
+    /// The lines that the agent publishes, the requests that it has received from routers, and how it
+    /// responds to the next ones.
     pub state: Arc<Watched<DiscoveryState>>,
 }
 
--- a/crates/standin/src/group.rs
+++ b/crates/standin/src/group.rs
@@ -20,11 +20,11 @@
 /// How a replica responds to a read when it has not applied the log up to the read's floor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StaleRead {
-    /// Serves it from what it has applied.
+    /// Serves the read from the part of the log that the replica has applied.
     Serve,
-    /// Rejects it immediately.
+    /// Rejects the read immediately.
     Reject,
-    /// Waits up to this long until the floor is applied, then rejects it.
+    /// Waits up to this long until the replica has applied the log up to the floor, then rejects the read.
     Wait(Duration),
 }
 
@@ -94,7 +94,8 @@
     log: BTreeMap<String, Vec<Commit>>,
     last_position: u64,
     last_serial: u64,
-    /// Number of statements that each member executes, where [`GroupBehavior::max_concurrent`] limits them.
+    /// Number of statements that each member is executing, by index of the member. Only statements that
+    /// [`GroupBehavior::max_concurrent`] limits are counted.
     executing: Vec<usize>,
 }
 
--- a/crates/standin/src/group/member.rs
+++ b/crates/standin/src/group/member.rs
@@ -15,7 +15,7 @@
 const NO_CAPACITY: &str = "53300";
 /// SQLSTATE `read_only_sql_transaction`: a write at a replica.
 const READ_ONLY: &str = "25006";
-/// SQLSTATE `snapshot_too_old`: a read at a replica that has not applied the log up to its floor.
+/// SQLSTATE `snapshot_too_old`: a read at a replica that has not applied the log up to the read's floor.
 const NOT_APPLIED: &str = "72000";
 /// SQLSTATE `protocol_violation`: a statement of an unknown form.
 const UNKNOWN_STATEMENT: &str = "08P01";
--- a/crates/standin/src/host.rs
+++ b/crates/standin/src/host.rs
@@ -77,7 +77,7 @@
 pub struct Host {
     /// The address that it listens on.
     pub addr: SocketAddr,
-    /// What it has received.
+    /// What the host has received from routers so far, and settings that tests change while it runs.
     pub record: Arc<Watched<HostRecord>>,
 }
 
--- a/crates/standin/src/session_load/session.rs
+++ b/crates/standin/src/session_load/session.rs
@@ -157,8 +157,8 @@
         }
     }
 
-    /// Reads its own key, or one time in [`SessionLoad::status_every`] the key of a random session with class
-    /// `status`. Returns whether the read was served.
+    /// Reads the session's own key, or one time in [`SessionLoad::status_every`] the key of a random session
+    /// with class `status`. Returns whether the read was served.
     fn read_own_or_status(&mut self, group: &Group) -> bool {
         let is_status = self.load.status_every > 0 && self.rng.u64(..self.load.status_every) == 0;
         if is_status {
--- a/crates/standin/src/simulated_fleet.rs
+++ b/crates/standin/src/simulated_fleet.rs
@@ -20,7 +20,7 @@
 
 /// Delay of a datagram without faults, in microseconds.
 const DELAY_US: std::ops::Range<u64> = 100..1000;
-/// Maximum age at which a datagram is accepted.
+/// The maximum age of session tokens in the key ring. The datagram codec ignores it.
 const MAX_DATAGRAM_AGE: Time = Time::ms(1000);
 /// The key with which all routers sign datagrams.
 const KEY_BYTES: [u8; 16] = [7; 16];
@@ -171,8 +171,8 @@
         self.tick(router);
     }
 
-    /// Sets the offset of a router's system clock in milliseconds. The router reads its system clock only
-    /// when it starts.
+    /// Sets how far a router's system clock is ahead of the clocks of routers without an offset, in
+    /// milliseconds; negative if it is behind. The router reads its system clock only when it starts.
     pub fn set_system_clock_offset_ms(&mut self, router: usize, offset_ms: i64) {
         self.nodes[router].system_clock_offset_ms = offset_ms;
     }
--- a/crates/standin/src/simulated_fleet/node.rs
+++ b/crates/standin/src/simulated_fleet/node.rs
@@ -20,7 +20,8 @@
     clock_rate: f64,
     /// Value of the router's clock at true time zero, in nanoseconds.
     clock_offset_ns: u64,
-    /// Offset of the router's system clock, in milliseconds.
+    /// How far the router's system clock is ahead of the system clocks without an offset, in milliseconds;
+    /// negative if it is behind.
     pub system_clock_offset_ms: i64,
     pub paused: bool,
     /// Datagrams received while the router is paused.
--- a/crates/standin/tests/simulated_network.rs
+++ b/crates/standin/tests/simulated_network.rs
@@ -57,7 +57,8 @@
     let even: Vec<Time> = (0..50).map(|n| Time::ms(n * 100)).collect();
     assert!((rate_excess(even.clone(), 10.0, 0.0) - 1.0).abs() < 1e-6);
     assert!(rate_excess(even.clone(), 10.0, 1.0) <= 1e-6);
-    // Five more requests at one time exceed it by five. The admissions need not be sorted.
+    // Five more requests at one time exceed a rate of 10 per second with a burst of one by five. The
+    // admissions need not be sorted.
     let burst = [vec![Time::ms(2000); 5], even].concat();
     assert!((rate_excess(burst, 10.0, 1.0) - 5.0).abs() < 1e-6);
     assert_eq!(rate_excess(Vec::new(), 10.0, 3.0), -3.0, "no requests were admitted");
