--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -21,7 +21,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Counts allocations, for `overhead`.
+/// Counts allocations, for the experiment `overhead`.
 #[global_allocator]
 static ALLOCATOR: &stats_alloc::StatsAlloc<std::alloc::System> = &stats_alloc::INSTRUMENTED_SYSTEM;
 
