--- a/crates/standin/src/simulated_fleet.rs
+++ b/crates/standin/src/simulated_fleet.rs
@@ -21,7 +21,7 @@
 /// Delay of a datagram without faults, in microseconds.
 const DELAY_US: std::ops::Range<u64> = 100..1000;
 /// The maximum age of session tokens in the key ring. The datagram codec ignores it.
-const MAX_DATAGRAM_AGE: Time = Time::ms(1000);
+const MAX_SESSION_TOKEN_AGE: Time = Time::ms(1000);
 /// The key with which all routers sign datagrams.
 const KEY_BYTES: [u8; 16] = [7; 16];
 /// An interval between requests is a random number of steps below this. A step is a millionth of the mean
@@ -88,7 +88,7 @@
     let Some(signing) = SigningKey::new(KeyId(1), KEY_BYTES.to_vec()) else {
         unreachable!("a key of 16 bytes is long enough")
     };
-    DatagramCodec::new(KeyRing { signing, verifying: Vec::new(), max_age: MAX_DATAGRAM_AGE })
+    DatagramCodec::new(KeyRing { signing, verifying: Vec::new(), max_age: MAX_SESSION_TOKEN_AGE })
 }
 
 /// Returns a roster of routers named `n0`, `n1` and so on. The port of each router is its number plus one.
