--- a/crates/router/src/transport/maintenance.rs
+++ b/crates/router/src/transport/maintenance.rs
@@ -53,8 +53,8 @@
     }
 }
 
-/// Logs the session counters. If the router does not manage session floors itself, there are none to log
-/// beyond the request counters.
+/// Logs the session counters and resets them. If the router does not manage session floors itself, it still
+/// counts session reads and evictions from its floor table; these counts are reset without being logged.
 pub fn log_session_counts(driver: &Driver) {
     let mut router = driver.router.borrow_mut();
     let counts = router.take_session_counts();
