--- a/crates/router/tests/discovery_faults.rs
+++ b/crates/router/tests/discovery_faults.rs
@@ -162,7 +162,7 @@
     while requested_again_at.elapsed() < DRAIN_GRACE {
         let _ = router.client().query(&statement_text("write", ""));
     }
-    // Half the grace period is left for the list to arrive and for writes in flight.
+    // The assertion allows half the grace period for the list to arrive and for writes in flight.
     let last = last_write_received_at(&one).unwrap();
     assert!(
         last < requested_again_at + DRAIN_GRACE / 2,
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -159,8 +159,8 @@
     let _ = p99();
     sleep_ms(2000);
     let p99_before = p99();
-    // Some look like datagrams of the fleet up to their signature, the others do not. They are sent as fast
-    // as possible, with a pause of 0.8 ms after each batch of 100.
+    // Some of the datagrams sent here look like datagrams of the fleet up to their signature, the others do
+    // not. All are sent as fast as possible, with a pause of 0.8 ms after each batch of 100.
     let to = harness.fleet_addr(0).expect("the router has no fleet address");
     let socket = std::net::UdpSocket::bind("127.0.0.1:0").expect("failed to bind a UDP socket");
     let until = Instant::now() + Duration::from_secs(2);
@@ -286,8 +286,8 @@
     assert!(excess <= 0.0, "{excess} retries over the limit");
     let excess = rate_excess(&probes, 8.0, 8.0 + 8.0 * ARRIVAL_JITTER_S);
     assert!(excess <= 0.0, "{excess} probes over the limit");
-    // A third of the 180 requests per second fails. The retry budget is used up; the remaining requests are
-    // rejected or fail at once.
+    // A third of the 180 requests per second fails. The retry budget is used up; the failed requests that it
+    // does not cover are rejected or fail at once.
     assert!(retries.len() > 60, "{} retries, expected more than 60", retries.len());
     assert!(rejected + failed > 200, "{rejected} rejected, {failed} failed");
 }
--- a/crates/router/tests/reconnect.rs
+++ b/crates/router/tests/reconnect.rs
@@ -66,7 +66,8 @@
         connects.len(),
         (0..6).map(|n| within(n * 100, n * 100 + 100)).collect::<Vec<_>>()
     );
-    // The outcome of a request that was written just before the kill is unknown. All others are served.
+    // The outcome of a request is unknown if its client wrote it to the old connection before it noticed the
+    // kill. All other requests are served.
     let unknown = outcomes.iter().filter(|e| **e == RequestOutcome::MayHaveRun).count();
     assert_eq!(
         served(&outcomes) + unknown,
--- a/crates/router/tests/routing/invariants.rs
+++ b/crates/router/tests/routing/invariants.rs
@@ -66,13 +66,13 @@
 /// A step of a generated test case.
 #[derive(Clone, Debug)]
 enum Step {
-    /// A new client sends a request of the class with this index.
+    /// A new client sends a request of the class with this index in [`CLASSES`].
     Request(usize),
     /// The client with this number, modulo the number of clients so far, disconnects.
     Disconnect(usize),
     /// The time advances by this many milliseconds.
     Advance(u64),
-    /// Discovery lists the replica in the state with this index.
+    /// Discovery lists the replica in the state with this index: active (0), leaving (1) or left (2).
     List(usize),
 }
 
--- a/crates/router/tests/shutdown_soak.rs
+++ b/crates/router/tests/shutdown_soak.rs
@@ -19,7 +19,8 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// The time from SIGTERM to the earliest kill: the longest deadline, counted as three seconds, and 0.7 s.
+/// The time from SIGTERM to the earliest kill by the platform: the longest deadline, which counts as three
+/// seconds at most, and 0.7 s.
 const KILL_AFTER: Duration = Duration::from_millis(3700);
 /// The time after SIGTERM during which clients open new connections.
 const CONNECT_PERIOD: Duration = Duration::from_millis(400);
--- a/crates/router/tests/system_call_faults.rs
+++ b/crates/router/tests/system_call_faults.rs
@@ -89,7 +89,7 @@
     assert!(waiting.query("").is_ok());
     // More connections than the limit: the router closes idle connections to members to accept them.
     let idle_clients: Vec<_> = (0..80).map(|_| TcpStream::connect(router.addr).unwrap()).collect();
-    // The router serves other clients for 300 ms, which is as long as several attempts and health checks
+    // The router serves another client for 300 ms, which is as long as several attempts and health checks
     // would take.
     let mut serve_others = || {
         let started_at = Instant::now();
--- a/crates/router/tests/transport.rs
+++ b/crates/router/tests/transport.rs
@@ -280,7 +280,7 @@
     let started_at = Instant::now();
     let mut silent: Vec<Client> =
         (0..100).map(|_| Client::connect_without_startup(router.addr).unwrap()).collect();
-    // One sends part of a startup message, one part of a query, and one a byte every 200 ms.
+    // One client sends part of a startup message, one part of a query, and one a byte every 200 ms.
     silent[97].stream.write_all(&startup()[..20]).unwrap();
     silent[98]
         .stream
@@ -524,7 +524,7 @@
     let known = primary_list(70, one.addr);
     let old = Discovery::start(known.clone()).unwrap();
     old.state.change(|t| t.withhold_responses = true);
-    // The version of its list is lower: versions of two discoveries can't be compared.
+    // The new discovery's list has a lower version: versions of two discoveries can't be compared.
     let new =
         Discovery::start(endpoint_list(3, true, &[Endpoint::new("s-2", two.addr, 2, "active", "source")]))
             .unwrap();
