--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -149,13 +149,14 @@
         );
         assert!(!router.attempts.contains_key(&id));
     }
-    // A fifth is available: a request with an eighth of the highest value per second of work is rejected.
+    // A fifth of the tokens is available: a request with an eighth of the highest value per second of work
+    // is rejected.
     let (low, high) =
         (request_under_limits(&mut router, EVENTUAL, 0.2), request_under_limits(&mut router, BOUNDED, 0.2));
     assert!(
         router.is_rejected(low) && !router.attempts.contains_key(&low) && router.attempts.contains_key(&high)
     );
-    // Half is available: all requests are admitted.
+    // Half of the tokens is available: all requests are admitted.
     let low = request_under_limits(&mut router, EVENTUAL, 0.5);
     assert!(router.attempts.contains_key(&low));
     // The Retry-After is at most the longest one that the settings allow.
--- a/crates/policy/tests/ejection.rs
+++ b/crates/policy/tests/ejection.rs
@@ -40,7 +40,7 @@
             0 => router.finish_attempt(id, Status::Ok, 15, 0, Role::Primary),
             _ => router.finish_attempt(id, Status::Reset, 15, 0, Role::Primary),
         }
-        // Failed health checks do not stop writes either while the primary responds to some.
+        // Failed health checks do not stop writes either while the primary responds to some writes.
         router.probe_fails(1, Status::Reset, 1);
         router.probe_fails(1, Status::Error, 1);
     }
--- a/crates/policy/tests/retries.rs
+++ b/crates/policy/tests/retries.rs
@@ -81,8 +81,8 @@
     router.advance(10);
     let timeouts = attempt_timeouts(&router, id);
     assert_eq!(timeouts.len(), 2, "the deduplication window leaves time for a retry");
-    // The connection or the member may be slow: a retry that the member starts after the window would be
-    // executed again.
+    // The connection or the member may be slow: a retry that the member starts after the window would
+    // execute the write again.
     assert!(timeouts[1] <= Time::ms(200), "the retry may outlast the window: timeouts {timeouts:?}");
 }
 
--- a/crates/policy/tests/slow_start_fleets.rs
+++ b/crates/policy/tests/slow_start_fleets.rs
@@ -14,7 +14,7 @@
 const WARMING_MEMBER: MemberId = MemberId(7);
 const SERVICE_TIME: Time = Time::ms(80);
 const STEP_MS: u64 = 10;
-/// The time at which the member starts. It is observed until [`END_MS`].
+/// The time at which [`WARMING_MEMBER`] starts. It is observed until [`END_MS`].
 const MEMBER_START_MS: u64 = 120_000;
 const END_MS: u64 = 130_000;
 /// How long requests arrive before the member starts.
@@ -99,7 +99,7 @@
     (0..GROUPS).flat_map(|g| (0..3).map(move |n| endpoint(1 + 10 * g + n, g, n == 0))).collect()
 }
 
-/// The state of the fleet when the member starts.
+/// The state of the fleet when the warming member starts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum FleetState {
     /// All routers have been running for a while.
@@ -140,7 +140,7 @@
     }
 
     /// Returns the usual number of attempts per second at a warm member, for the states in which it can't be
-    /// measured after the member's start.
+    /// measured after the warming member's start.
     fn usual_warm_rate(self) -> Option<f64> {
         matches!(self, FleetState::AfterPause | FleetState::Surge)
             .then_some(REQUESTS_PER_S / f64::from(GROUPS * 2))
@@ -148,7 +148,8 @@
 }
 
 /// Simulates a fleet. Returns the times of the attempts at the warming member, and the number of attempts per
-/// second at one warm member in the same period.
+/// second at one warm member: as measured from the warming member's start on, or the usual number for the
+/// states in which it can't be measured then.
 fn simulate(seed: u64, fleet: FleetState) -> (Vec<Time>, f64) {
     let mut random = TestRng(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
     let settings = fleet.settings();
--- a/crates/session/tests/model.rs
+++ b/crates/session/tests/model.rs
@@ -43,7 +43,7 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Advances the time, in milliseconds.
+    /// Advances the time by this many milliseconds.
     AdvanceTime(u16),
     /// A session connects to another router.
     Move { session: u8, router: u8 },
