--- a/crates/router/tests/program.rs
+++ b/crates/router/tests/program.rs
@@ -188,20 +188,32 @@
     assert!(again.is_ok(), "the address is still in use: {again:?}");
 }
 
+/// The address is of 127.0.0.2, which no other test uses: a released port of 127.0.0.1 may be assigned to a
+/// socket of another test before the router binds to it.
 #[test]
 fn startup_waits_for_an_address_in_use() {
     let host = Host::start(|_| (Response::Row(b"x1=1".to_vec()), Vec::new())).unwrap();
-    let occupied = TcpListener::bind("127.0.0.1:0").unwrap();
+    let occupied = TcpListener::bind("127.0.0.2:0").unwrap();
     let addr = occupied.local_addr().unwrap();
     let mut child = spawn_router(&host, &addr.to_string());
-    let mut lines = BufReader::new(child.stderr.take().unwrap()).lines();
-    assert!(lines.any(|line| line.unwrap().contains("is in use")));
+    let mut lines = BufReader::new(child.stderr.take().unwrap()).lines().map(Result::unwrap);
+    let mut log = Vec::new();
+    let mut wait_for_line_with = |part: &str| {
+        let found = lines.any(|line| {
+            log.push(line);
+            log.last().unwrap().contains(part)
+        });
+        assert!(found, "no line with {part:?} in {log:#?}");
+    };
+    wait_for_line_with("is in use");
     drop(occupied);
-    assert!(lines.any(|line| line.unwrap().contains("listens on")));
-    std::thread::spawn(move || lines.for_each(drop));
+    wait_for_line_with("listens on");
+    let rest = std::thread::spawn(move || lines.collect::<Vec<_>>());
     assert_eq!(Client::connect(addr).unwrap().query("").unwrap(), Reply::Empty);
     signal(&child, "TERM");
-    assert_eq!(child.wait().unwrap().code(), Some(0));
+    let code = child.wait().unwrap().code();
+    log.extend(rest.join().unwrap());
+    assert_eq!(code, Some(0), "{log:#?}");
 }
 
 #[test]
