--- a/crates/router/tests/program.rs
+++ b/crates/router/tests/program.rs
@@ -8,7 +8,7 @@
 use common::{statement_text, SETTINGS};
 use std::io::{BufRead, BufReader, Read};
 use std::net::{SocketAddr, TcpListener};
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
@@ -27,6 +27,13 @@
     path
 }
 
+/// Replaces the file in one step, so that a reader never finds it empty or incomplete.
+fn replace_file(path: &Path, text: &str) {
+    let new = path.with_extension("json.new");
+    std::fs::write(&new, text).unwrap();
+    std::fs::rename(&new, path).unwrap();
+}
+
 fn printed(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned() + &String::from_utf8_lossy(&output.stdout)
 }
@@ -337,7 +344,7 @@
         (complete.replace(&two.addr.to_string(), "nowhere"), "discovery"),
     ];
     for (text, key) in invalid {
-        std::fs::write(&path, text).unwrap();
+        replace_file(&path, &text);
         signal(&child.0, "HUP");
         let line = log_line_with("stays in force");
         assert!(line.contains(key), "{line}");
@@ -349,12 +356,12 @@
     // A file that is missing for a short time, as when it is being replaced, is still read.
     signal(&child.0, "HUP");
     std::thread::sleep(Duration::from_millis(200));
-    std::fs::write(&path, text(one.addr, "n1", SETTINGS)).unwrap();
+    replace_file(&path, &text(one.addr, "n1", SETTINGS));
     let line = log_line_with("configuration: ");
     assert!(line.contains("read again, discovery stays"), "{line}");
     assert!(two.state.lock().requests.is_empty(), "nothing of an invalid file takes effect");
     // After several signals at once the newest file is in effect.
-    std::fs::write(&path, text(two.addr, "another", SETTINGS)).unwrap();
+    replace_file(&path, &text(two.addr, "another", SETTINGS));
     (0..20).for_each(|_| signal(&child.0, "HUP"));
     log_line_with("name has changed, which needs a restart");
     assert!(two.state.wait(|t| (!t.requests.is_empty()).then_some(())).is_some());
