--- a/crates/router/tests/program.rs
+++ b/crates/router/tests/program.rs
@@ -91,6 +91,10 @@
 /// discovery.
 fn start_toy_deployment(arguments: &[&str]) -> (ChildGuard, SocketAddr) {
     let toy = PathBuf::from(env!("CARGO_BIN_EXE_basalthill")).with_file_name("examples").join("toy");
+    assert!(
+        toy.exists(),
+        "{toy:?} doesn't exist; build it with `cargo build -p basalthill-router --example toy` (same profile)"
+    );
     let mut command = Command::new(toy);
     command.args(["serve", "127.0.0.1:0"]).args(arguments).stdout(Stdio::piped());
     let mut deployment = ChildGuard(command.spawn().unwrap());
