--- a/crates/router/tests/pipelines.rs
+++ b/crates/router/tests/pipelines.rs
@@ -139,19 +139,20 @@
     let addr = router.addr;
     let pipelines = [("report", 1, 0), ("write", 2, 20_000)].map(|(class, client_number, bytes)| {
         std::thread::spawn(move || {
-            let mut client = Client::connect(addr).unwrap();
+            // The router closes a connection without a first request in time, so the client connects last.
             let large = "9f".repeat(bytes.max(1));
             let commands: Vec<u8> = (0..500)
                 .flat_map(|n| query(&statement(class, client_number, n).replace("9f03", &large)))
                 .collect();
+            let mut client = Client::connect(addr).unwrap();
             client.stream.write_all(&commands).unwrap();
             read_in_order(&mut client, class, client_number, 500)
         })
     });
     // This client reads one byte at a time.
     let slow_reader = std::thread::spawn(move || {
-        let mut client = Client::connect(addr).unwrap();
         let commands: Vec<u8> = (0..20).flat_map(|n| query(&statement("write", 3, n))).collect();
+        let mut client = Client::connect(addr).unwrap();
         client.stream.write_all(&commands).unwrap();
         let (mut received, mut byte) = (Vec::new(), [0]);
         while received.windows(6).filter(|w| w == b"Z\0\0\0\x05I").count() < 20 {
@@ -178,10 +179,12 @@
 fn complete_requests_before_shutdown_are_answered_to_slow_readers() {
     let host = primary(20_000);
     let mut router = start_router_for(&host, 256);
-    let mut clients: Vec<Client> = (0..4).map(|_| Client::connect(router.addr).unwrap()).collect();
-    for (client_number, client) in (0..).zip(&mut clients) {
-        let commands: Vec<u8> = (0..60).flat_map(|n| query(&statement("write", client_number, n))).collect();
-        client.stream.write_all(&commands).unwrap();
+    let pipelines = [0, 1, 2, 3].map(|client_number| -> Vec<u8> {
+        (0..60).flat_map(|n| query(&statement("write", client_number, n))).collect()
+    });
+    let mut clients: Vec<Client> = pipelines.iter().map(|_| Client::connect(router.addr).unwrap()).collect();
+    for (client, commands) in clients.iter_mut().zip(&pipelines) {
+        client.stream.write_all(commands).unwrap();
     }
     for client_number in 0..4 {
         host.wait_for_statement(&format!("id={client_number:08x}")).unwrap();
@@ -205,8 +208,8 @@
     })
     .unwrap();
     let mut router = start_router_for(&host, 256);
-    let mut client = Client::connect(router.addr).unwrap();
     let commands: Vec<u8> = (0..400).flat_map(|n| query(&statement("write", 6, n))).collect();
+    let mut client = Client::connect(router.addr).unwrap();
     client.stream.write_all(&commands).unwrap();
     host.wait_for_statement("INSERT").unwrap();
     let signalled_at = Instant::now();
@@ -252,12 +255,12 @@
     );
     let (old, new) = (Discovery::start(known.clone()).unwrap(), Discovery::start(drained).unwrap());
     let router = start_router("n1", &known, old.addr, 64, SETTINGS);
-    let mut client = Client::connect(router.addr).unwrap();
-    let send = |client: &mut Client, from: usize, to: usize| {
-        let commands: Vec<u8> = (from..to).flat_map(|n| query(&statement("write", 7, n))).collect();
-        client.stream.write_all(&commands).unwrap();
+    let commands = |from: usize, to: usize| -> Vec<u8> {
+        (from..to).flat_map(|n| query(&statement("write", 7, n))).collect()
     };
-    send(&mut client, 0, 200);
+    let (before_change, after_change) = (commands(0, 200), commands(200, 400));
+    let mut client = Client::connect(router.addr).unwrap();
+    client.stream.write_all(&before_change).unwrap();
     // Clients may use 20 of the 64 descriptors. The router evicts idle clients, but not the one with the
     // pipeline.
     let idle_clients: Vec<Client> =
@@ -266,7 +269,7 @@
     std::fs::copy(path, router.config()).unwrap();
     router.signal("HUP").unwrap();
     router.wait_for_log("discovery has moved").unwrap();
-    send(&mut client, 200, 400);
+    client.stream.write_all(&after_change).unwrap();
     assert!(read_in_order(&mut client, "write", 7, 400) > 300);
     drop(idle_clients);
     wait_until("requests are sent to the new primary", || {
@@ -293,10 +296,6 @@
     let mut counts = PipelineCounts::default();
     let mut n = 0;
     while is_active.load(Ordering::Relaxed) {
-        let Ok(mut client) = Client::connect_without_startup(addr) else {
-            std::thread::sleep(Duration::from_millis(5));
-            continue;
-        };
         // The commands are written together with the startup message, as the protocol allows.
         let timeout = Duration::from_millis(700);
         let commands: Vec<u8> = (n..n + 12)
@@ -305,6 +304,10 @@
                 query(&statement(class, client_number, n).replace("d=60000", "d=700"))
             })
             .collect();
+        let Ok(mut client) = Client::connect_without_startup(addr) else {
+            std::thread::sleep(Duration::from_millis(5));
+            continue;
+        };
         let started_at = Instant::now();
         if client.stream.write_all(&[startup(), commands].concat()).is_err()
             || client.read_until_ready().is_err()
