--- a/crates/router/tests/client_edge_cases.rs
+++ b/crates/router/tests/client_edge_cases.rs
@@ -43,6 +43,12 @@
     assert!(client.wait_for_close());
 }
 
+/// Waits until all connections that the host has accepted are closed.
+fn wait_for_no_open_connection(host: &Host) {
+    let closed = host.record.wait(|record| (record.open == 0).then_some(()));
+    assert!(closed.is_some(), "{} connections of the host are still open", host.record.lock().open);
+}
+
 /// Starts a host that closes each connection after one response, and a router that has sent it one write.
 /// From then on the host accepts connections without responding to their startup message, so that the next
 /// request waits for its host connection.
@@ -56,7 +62,12 @@
     .unwrap();
     let settings = SETTINGS.replace("\"connectTimeout\": 250000000", "\"connectTimeout\": 2000000000");
     let router = RouterThread::with_settings(host.addr, &settings);
+    // The router may reuse a connection until it is closed, so each close is awaited. The first health check
+    // opens the first connection.
+    host.wait_for_statement("SHOW vitals").unwrap();
+    wait_for_no_open_connection(&host);
     assert_eq!(router.client().query(&write_statement("first")).unwrap(), row(b"x"));
+    wait_for_no_open_connection(&host);
     host.record.change(|s| s.withhold_startup_response = true);
     (host, router)
 }
@@ -131,6 +142,7 @@
     assert_eq!(host.statement_count("id=cancelled"), 0);
     // A cancel request without an open request has no effect.
     cancel(router.addr, &key);
+    wait_for_no_open_connection(&host);
     assert_eq!(client.query(&write_statement("again")).unwrap(), row(b"x"));
 }
 
