--- a/crates/policy/src/policy/selection.rs
+++ b/crates/policy/src/policy/selection.rs
@@ -29,7 +29,8 @@
 /// The divisor of member ids that are added to a cost only to break ties.
 const ID_TIE_BREAK: f64 = 1e10;
 
-/// The relative cost added to an attempt in another zone, per point of [`Settings::price_cross_zone`].
+/// The factor from [`Settings::price_cross_zone`] to the relative cost added to an attempt in another zone.
+/// Both are dimensionless: a price of 0.05 adds 1.5, which multiplies the cost by 2.5.
 const CROSS_ZONE_COST: f64 = 30.0;
 
 /// The cost factor of a member that is ejected for lag from other reads. It is below 1, so that eventual
--- a/crates/router/src/transport/backoff.rs
+++ b/crates/router/src/transport/backoff.rs
@@ -6,9 +6,11 @@
 /// The delay after the first failed call.
 const INITIAL_DELAY: Duration = Duration::from_millis(100);
 /// The limit on a delay. The router must have received discovery's list 6 s after discovery has become
-/// reachable, regardless of how earlier calls ended. The worst case consists of a watch that times out
-/// (2.25 s), a delay, a call that times out (1.2 s before its head, 2.25 s after it), a delay, a refused
-/// call, a delay, and the call that receives the list: 5.1 s.
+/// reachable, regardless of how earlier calls ended. Suppose that a watch times out (2.25 s), then a
+/// call times out, then a call is refused at once, and each of the three is followed by a delay of this limit
+/// (0.5 s). If the call that times out does so before its response head (1.2 s), the next call starts after
+/// 2.25 + 0.5 + 1.2 + 0.5 + 0 + 0.5 = 4.95 s. If it does so after a head that came at once (2.25 s), the next
+/// call starts after 2.25 + 0.5 + 2.25 + 0.5 + 0 + 0.5 = 6.0 s.
 const MAX_DELAY: Duration = Duration::from_millis(500);
 /// The limit on a delay if discovery serves the calls of all routers one after another. Serving one call of
 /// each router takes it up to eight seconds. If rejected routers called more often, discovery would be busy
--- a/crates/router/tests/discovery_faults.rs
+++ b/crates/router/tests/discovery_faults.rs
@@ -14,8 +14,8 @@
 
 /// The time after which a list counts as received, from the point at which discovery could be reached.
 const LIST_TIMEOUT: Duration = Duration::from_secs(6);
-/// The drain grace period of the settings (1 s), which follows [`LIST_TIMEOUT`], and the tolerance of the
-/// rules (50 ms).
+/// The drain grace period of the settings (1 s), which follows [`LIST_TIMEOUT`], and 50 ms. On real sockets
+/// the platform tolerates that much beyond each time limit of its settings, because of the machine's delays.
 const DRAIN_GRACE: Duration = Duration::from_millis(1050);
 
 /// Returns an endpoint list in which `one` is draining and `two` is the new primary.
