--- a/crates/fleet/src/loan.rs
+++ b/crates/fleet/src/loan.rs
@@ -103,9 +103,9 @@
     cancel: fn(&mut Ledger, u64, Time),
 }
 
-/// The borrower's side.
+/// The borrower's operations: borrowed units are added to its ledger.
 const CREDIT: LedgerSide = LedgerSide { post: Ledger::credit, cancel: Ledger::cancel_credit };
-/// The lender's side.
+/// The lender's operations: lent units are deducted from its ledger.
 const DEBIT: LedgerSide = LedgerSide { post: Ledger::debit, cancel: Ledger::cancel_debit };
 
 /// A borrower's request.
--- a/crates/fleet/src/packet.rs
+++ b/crates/fleet/src/packet.rs
@@ -163,7 +163,7 @@
     pub key: LimitKey,
     /// The number of the loan request that this is the response to.
     pub number: u32,
-    /// Units lent.
+    /// The units that the coordinator lends in response to that request.
     pub granted: u64,
     /// The coordinator's request for a deposit.
     pub deposit_request: LoanRequest,
--- a/crates/router/src/transport/conversation.rs
+++ b/crates/router/src/transport/conversation.rs
@@ -126,7 +126,8 @@
     }
 }
 
-/// Reading.
+/// These methods store the bytes that are read from the client, determine how much more may be read, and keep
+/// track of the incomplete message and its timeout.
 impl Conversation {
     /// Handles bytes that were read at `now`. `drained` is true if the socket has no more.
     pub fn feed(&mut self, bytes: &[u8], drained: bool, now: Time) {
@@ -188,7 +189,8 @@
     }
 }
 
-/// Forwarding.
+/// These methods handle the client's messages in their order: valid requests and cancellations are returned
+/// as steps for the caller, and any other message gets a reply or closes the conversation.
 impl Conversation {
     /// Returns the next step that can be executed now, if there is one.
     pub fn next_step(&mut self, router_is_ready: bool) -> Option<Step> {
@@ -322,7 +324,8 @@
     }
 }
 
-/// Replies and writing.
+/// These methods queue the replies from routing and the session tokens as output to the client, and provide
+/// that output to the caller, which writes it.
 impl Conversation {
     /// Handles the reply to a forwarded command.
     pub fn complete_command(&mut self, command: CommandId, reply: Reply) {
@@ -372,7 +375,8 @@
     }
 }
 
-/// Closing.
+/// These methods close the conversation, with or without an error message to the client, and return whether
+/// and why it is closing, whether replies are still due or unwritten, and whether it has been used.
 impl Conversation {
     /// Stops handling input. The connection is closed once all replies are written.
     pub fn close(&mut self) {
--- a/crates/standin/src/paced_clients.rs
+++ b/crates/standin/src/paced_clients.rs
@@ -25,9 +25,9 @@
 /// Numbers of replies that the clients of all routers have received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientTotals {
-    /// Rows.
+    /// Replies that are a row: the request was served.
     pub served: u64,
-    /// Rejections.
+    /// Replies by which the router rejected the request.
     pub rejected: u64,
     /// Other replies, and requests without a reply.
     pub failed: u64,
@@ -36,9 +36,9 @@
 /// Numbers of replies that the clients of one router have received.
 #[derive(Debug, Default)]
 pub struct ClientCounts {
-    /// Rows.
+    /// Replies that are a row: the request was served.
     pub served: AtomicU64,
-    /// Rejections.
+    /// Replies by which the router rejected the request.
     pub rejected: AtomicU64,
     /// Other replies, and requests without a reply.
     pub failed: AtomicU64,
