--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -225,13 +225,14 @@
     /// Where the endpoint list is polled: the router counts as notified of a change this long after the
     /// change.
     pub poll_interval: Time,
-    /// The price of attempts across zones, from `prices` in the settings. The operator rates a deployment
-    /// between 0 and 1; the price is what the rating loses if all first attempts go to another zone, and it
-    /// is multiplied by the fraction of first attempts that do. It is dimensionless, for example 0.05.
+    /// The price of attempts across zones, one of the `prices` in the settings. Each price is multiplied by a
+    /// share or rate and deducted from the deployment's rating. This one is multiplied by the number of
+    /// attempts that go to another zone, divided by the number of first attempts. It is dimensionless.
     pub price_cross_zone: f64,
-    /// The price of wasted work, from `prices` in the settings: what the operator's rating (see
-    /// [`price_cross_zone`](Self::price_cross_zone)) loses if all work was done for requests whose clients
-    /// got nothing of it. It is dimensionless.
+    /// The price of wasted work, one of the `prices` in the settings (see
+    /// [`price_cross_zone`](Self::price_cross_zone)). It is multiplied by the work of database hosts that
+    /// served no reply (health checks and connection startups included), divided by the work offered. It is
+    /// dimensionless.
     pub price_waste: f64,
 }
 
--- a/crates/router/tests/platform.rs
+++ b/crates/router/tests/platform.rs
@@ -62,11 +62,11 @@
     vec![SeccompRule::new(vec![condition]).unwrap()]
 }
 
-/// Denies system calls as the platform does. The platform loads a library of its own into each router process
-/// (`LD_PRELOAD`), which denies system calls that start processes or open sockets other than IPv4 sockets.
-/// Here a filter denies `clone3`, a plain fork by `clone`, and all sockets but those of IPv4, and also
-/// `splice`, `sendfile` and `io_uring`. A process may be started as `posix_spawn` does it, which is how the
-/// tests start the router.
+/// Denies the kinds of calls that the platform denies. The platform loads a library into each router process
+/// (`LD_PRELOAD`) that denies starting other programs, fork, `io_uring`, `splice` and `sendfile`, and all
+/// sockets but TCP and UDP over IPv4. Here a filter denies `clone3`, a plain fork by `clone`, `io_uring`,
+/// `splice` and `sendfile`, and all sockets but those of IPv4, whatever their type. A process may be started
+/// as `posix_spawn` does it, which is how the tests start the router.
 fn deny_calls_as_on_the_platform() {
     let (thread, vfork) = (libc::CLONE_THREAD as u64, libc::CLONE_VFORK as u64);
     let fork = argument_rule(0, thread | vfork, true, 0);
