--- a/crates/standin/src/session_load/session.rs
+++ b/crates/standin/src/session_load/session.rs
@@ -4,6 +4,7 @@
 use crate::client::{Client, Reply};
 use crate::group::{Group, REPLICA_RANK};
 use crate::Rng;
+use std::fmt;
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -18,6 +19,60 @@
 /// Number of bits in a request id.
 const ID_BITS: u32 = 60;
 
+/// What a session received for a statement.
+struct Received {
+    /// The reply; `None` if the connection failed or could not be opened.
+    reply: Option<Reply>,
+    /// Whether a session token was received, with the reply or before the connection failed.
+    has_token: bool,
+}
+
+/// How a write ended for its session.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum WriteEnd {
+    /// The reply was a row.
+    Row,
+    /// The router rejected the write without sending it to a host.
+    Rejected,
+    /// The reply was neither a row nor a rejection.
+    OtherReply,
+    /// The connection failed or could not be opened.
+    NoReply,
+}
+
+impl WriteEnd {
+    fn of(reply: Option<&Reply>) -> WriteEnd {
+        match reply {
+            Some(Reply::Row(_)) => WriteEnd::Row,
+            Some(reply) if reply.is_rejection() => WriteEnd::Rejected,
+            Some(_) => WriteEnd::OtherReply,
+            None => WriteEnd::NoReply,
+        }
+    }
+}
+
+/// A write of a session, for the description of a stale read.
+#[derive(Clone, Copy, Debug)]
+struct WriteRecord {
+    value: u64,
+    /// Index of the router that the session used.
+    router: usize,
+    sent_at: Instant,
+    ended_at: Instant,
+    end: WriteEnd,
+    has_token: bool,
+}
+
+impl fmt::Display for WriteRecord {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let WriteRecord { value, router, end, .. } = self;
+        let (since_sent, since_end) = (self.sent_at.elapsed(), self.ended_at.elapsed());
+        let token = if self.has_token { "token received" } else { "no token received" };
+        write!(f, "write of {value} through router {router}: sent {since_sent:?} ago, ")?;
+        write!(f, "ended {since_end:?} ago with {end:?}, {token}")
+    }
+}
+
 /// A session. Its writes have its name as their key.
 pub(super) struct Session<'a> {
     name: String,
@@ -33,6 +88,8 @@
     token: Option<String>,
     /// Number of writes so far, which is also the value of the last one.
     sequence: u64,
+    /// The last write whose reply was a row, and all later writes.
+    last_writes: Vec<WriteRecord>,
     rng: Rng,
     report: SessionLoadReport,
 }
@@ -53,6 +110,7 @@
             connection: None,
             token: None,
             sequence: 0,
+            last_writes: Vec::new(),
             rng: Rng::with_seed(load.session_seed(number)),
             report: SessionLoadReport::default(),
         }
@@ -115,23 +173,24 @@
         }
     }
 
-    /// Sends a statement and returns its reply. Returns `None` if the connection failed or could not be
-    /// opened.
-    fn query(&mut self, text: &str) -> Option<Reply> {
+    /// Sends a statement and waits for its reply.
+    fn query(&mut self, text: &str) -> Received {
         let Some(mut client) = self.take_connection() else {
             std::thread::sleep(CONNECT_RETRY_DELAY);
-            return None;
+            return Received { reply: None, has_token: false };
         };
         client.token = None;
         let sent_at = Instant::now();
         let reply = client.query(text).ok();
         self.report.record_wait(sent_at, Instant::now());
         // A token is kept even without a reply: the router may have sent it before the connection failed.
-        self.token = client.token.take().or(self.token.take());
+        let token = client.token.take();
+        let has_token = token.is_some();
+        self.token = token.or(self.token.take());
         if reply.is_some() {
             self.return_connection(client);
         }
-        reply
+        Received { reply, has_token }
     }
 
     /// Returns the comment of a statement, with the session token in [`ConnectionMode::PooledTokens`].
@@ -147,10 +206,18 @@
         let comment = self.comment("write");
         let (name, value) = (&self.name, self.sequence);
         let text = format!("INSERT INTO records (k, v) VALUES ('{name}', '{value}') RETURNING v {comment}");
-        match self.query(&text) {
-            Some(Reply::Row(_)) => self.report.writes += 1,
-            Some(reply) if reply.is_rejection() => self.report.not_served += 1,
-            _ => {
+        let (router, sent_at) = (self.router, Instant::now());
+        let Received { reply, has_token } = self.query(&text);
+        let end = WriteEnd::of(reply.as_ref());
+        if end == WriteEnd::Row {
+            self.last_writes.clear();
+        }
+        let ended_at = Instant::now();
+        self.last_writes.push(WriteRecord { value, router, sent_at, ended_at, end, has_token });
+        match end {
+            WriteEnd::Row => self.report.writes += 1,
+            WriteEnd::Rejected => self.report.not_served += 1,
+            WriteEnd::OtherReply | WriteEnd::NoReply => {
                 self.report.unknown += 1;
                 self.report.not_served += 1;
             }
@@ -170,12 +237,21 @@
         }
     }
 
+    /// Describes the last writes of a key if it is the session's own. Returns an empty string for other keys,
+    /// whose writes this session does not know.
+    fn describe_last_writes(&self, key: &str) -> String {
+        if key != self.name {
+            return String::new();
+        }
+        self.last_writes.iter().map(|write| format!("; {write}")).collect()
+    }
+
     /// Reads a key and checks the value against the oracle. Returns whether the read was served.
     fn read(&mut self, class: &str, key: &str, group: &Group) -> bool {
         let comment = self.comment(class);
         let text = format!("SELECT v FROM records WHERE k = '{key}' {comment}");
         let sent_at = Instant::now();
-        let reply = self.query(&text);
+        let reply = self.query(&text).reply;
         let elapsed = sent_at.elapsed();
         let Some(Reply::Row(value)) = reply else {
             self.report.not_served += 1;
@@ -189,7 +265,8 @@
         let floor = group.newest_serial_before(key, sent_at);
         self.report.reads += 1;
         if serial < floor {
-            self.report.record_stale(format!("{class} read of {key}: {value:?}, oracle has serial {floor}"));
+            let description = format!("{class} read of {key}: {value:?}, oracle has serial {floor}");
+            self.report.record_stale(description + &self.describe_last_writes(key));
         }
         if class == "own" {
             self.report.record_session_read(sent_at, elapsed, rank == REPLICA_RANK);
