--- a/crates/router/src/routing/counters.rs
+++ b/crates/router/src/routing/counters.rs
@@ -13,9 +13,9 @@
     pub rejected: u32,
     /// Requests that failed.
     pub failed: u32,
-    /// Statements that this deployment does not serve.
+    /// Requests that are invalid at this deployment, or for whose statement a host returned an error.
     pub invalid: u32,
-    /// Requests whose client disconnected or cancelled before it got a reply.
+    /// Requests whose client disconnected or cancelled them before they had a reply.
     pub abandoned: u32,
     /// Attempts that have ended, by their status in the order of [`STATUS_NAMES`].
     attempts: [u32; STATUS_NAMES.len()],
--- a/crates/router/src/routing/effect.rs
+++ b/crates/router/src/routing/effect.rs
@@ -14,7 +14,8 @@
 pub enum Reply {
     /// The row that a host returned for the request.
     Served(Row),
-    /// The request has been rejected. Nothing has run, and a retry is safe.
+    /// The request has been rejected, and the client may safely retry it: the request has not run, or running
+    /// it again has no further effect.
     Rejected {
         /// The number of milliseconds after which to retry, if it is known.
         retry_after_ms: Option<u64>,
@@ -101,12 +102,12 @@
     },
     /// Close all idle connections to an address.
     CloseIdleConnections(SocketAddr),
-    /// Close the idle connections to an address that were last used before a point in time: the process that
-    /// accepted them has exited, or the member has moved to another address.
+    /// Close the idle connections to an address that are stale, because the process that accepted them has
+    /// exited or the member has moved to another address.
     CloseConnectionsIdleSince {
         /// The address.
         addr: SocketAddr,
-        /// The point in time.
+        /// Connections that were last used before this time are stale.
         before: Time,
     },
 }
--- a/crates/router/src/routing/endpoints.rs
+++ b/crates/router/src/routing/endpoints.rs
@@ -40,8 +40,8 @@
 
 /// The changes that an endpoint list has made.
 pub struct AppliedList {
-    /// The kind of the list: complete, or changes only.
-    pub form: EndpointUpdate,
+    /// Whether the list was complete or contained changes only.
+    pub update: EndpointUpdate,
     /// The entries for the policy: first the members that a complete list lacks, then the entries of the list
     /// in its order.
     pub entries: Vec<Endpoint>,
@@ -88,8 +88,8 @@
 
     /// Applies an endpoint list, or changes to it, whose content may have been valid since `valid_since`.
     pub fn apply(&mut self, list: HostList, valid_since: Time, clock: SystemClockOffset) -> AppliedList {
-        let form = if list.full { EndpointUpdate::Full } else { EndpointUpdate::Delta };
-        let mut applied = AppliedList { form, entries: Vec::new(), stale_connections: Vec::new() };
+        let update = if list.full { EndpointUpdate::Full } else { EndpointUpdate::Delta };
+        let mut applied = AppliedList { update, entries: Vec::new(), stale_connections: Vec::new() };
         log_list(&list);
         if list.full && !self.ignore_removal {
             applied.entries = self.remove_unlisted(&list.servers, valid_since);
@@ -101,7 +101,7 @@
     }
 
     /// Marks the members that a complete list lacks as removed, except those that are draining already.
-    /// Returns the entries of the members marked.
+    /// Returns the entries of the marked members.
     fn remove_unlisted(&mut self, hosts: &[HostEntry], valid_since: Time) -> Vec<Endpoint> {
         let listed: BTreeSet<&str> = hosts.iter().map(|host| host.id.as_str()).collect();
         let mut removed = Vec::new();
@@ -125,7 +125,7 @@
         clock: SystemClockOffset,
         applied: &mut AppliedList,
     ) {
-        let addr = usable_address(&host);
+        let addr = parse_address(&host);
         let member = self.member_id(&host.id);
         let index = member.0 as usize;
         let previous = self.records.get(index);
@@ -183,8 +183,8 @@
         ZoneId(index as u16)
     }
 
-    /// Converts all start times again after a step of the system clock, and keeps those that become later.
-    /// Returns the entries of the members concerned.
+    /// Converts all start times again after a step of the system clock, and replaces those that become later.
+    /// Returns the entries of the members whose start times have been replaced.
     pub fn move_starts_later(&mut self, clock: SystemClockOffset) -> Vec<Endpoint> {
         let mut moved = Vec::new();
         for record in self.records.iter_mut().filter(|record| record.started_ms > 0) {
@@ -225,7 +225,7 @@
 }
 
 impl MemberRecord {
-    /// Applies the state in a list. A drain counts from the first announcement.
+    /// Applies the state in a list. A drain counts from its first announcement.
     fn update_drain(&mut self, state: HostState, valid_since: Time, ignore_removal: bool) {
         match state {
             HostState::Active => self.draining_since = None,
@@ -237,8 +237,8 @@
     }
 
     /// Applies an address, if it is valid, and returns which connections to the previous address are stale.
-    /// After a restart these are the connections last used before the start, because later ones lead to the
-    /// new process. After a move, all connections to the previous address are stale.
+    /// After a restart, the connections that were last used before the start are stale; those used later lead
+    /// to the new process. After a move, all connections to the previous address are stale.
     fn update_address(&mut self, addr: Option<SocketAddr>, restarted: bool) -> Option<StaleConnections> {
         let previous = self.addr;
         let moved = addr.is_some() && addr != previous;
@@ -263,8 +263,8 @@
     }
 }
 
-/// Returns a host's address. An address that can't be parsed is logged, unless the host has been removed.
-fn usable_address(host: &HostEntry) -> Option<SocketAddr> {
+/// Parses a host's address. An address that can't be parsed is logged, unless the host has been removed.
+fn parse_address(host: &HostEntry) -> Option<SocketAddr> {
     let addr = host.addr.parse().ok();
     if addr.is_none() && host.state != HostState::Left {
         tracing::warn!(
@@ -307,7 +307,7 @@
         for StaleConnections { addr, before } in applied.stale_connections {
             out.push(Effect::CloseConnectionsIdleSince { addr, before });
         }
-        self.events.push_back(Event::Endpoints(applied.form, applied.entries));
+        self.events.push_back(Event::Endpoints(applied.update, applied.entries));
         self.update_limited_members(now);
     }
 }
--- a/crates/router/src/routing/exchanges.rs
+++ b/crates/router/src/routing/exchanges.rs
@@ -25,15 +25,15 @@
 }
 
 impl Router {
-    /// Returns whether the query of an exchange may still be written. The policy respects a member's drain
-    /// grace period when it starts an exchange, but before the connection to the member is open, the grace
-    /// period may end, or the request may be completed.
+    /// Returns whether the query of an exchange may still be written. The policy observes a member's drain
+    /// grace period when it starts an exchange, but the grace period may end, or the request may be
+    /// completed, before the connection to the member is open.
     pub fn may_write(&self, now: Time, exchange: ExchangeId, member: MemberId) -> bool {
-        let awaited = match exchange {
+        let is_awaited = match exchange {
             ExchangeId::Attempt(id, _) => self.requests.get(id).is_some_and(|open| !open.completed),
             ExchangeId::Probe(_) => true,
         };
-        awaited && self.drain_ends_at(member).is_none_or(|end| now < end)
+        is_awaited && self.drain_ends_at(member).is_none_or(|end| now < end)
     }
 
     /// Returns when a draining member's grace period ends; none if the member is not draining.
--- a/crates/router/src/routing/fleet.rs
+++ b/crates/router/src/routing/fleet.rs
@@ -1,4 +1,4 @@
-//! The router as a member of a fleet: joins and leaves it, passes on what other routers send, and keeps the
+//! The router's part in a fleet: joins and leaves the fleet, passes on what other routers send, and keeps the
 //! policy informed of capacities and budgets. The state is in [`FleetLimits`]; a router that has joined no
 //! fleet ignores all calls.
 
@@ -11,7 +11,7 @@
 use basalthill_policy::api::{Attempt, Event, MemberId, Request, RequestId, Time};
 
 impl Router {
-    /// Joins the fleet under `name`: from now on, limits hold for all routers of the fleet together.
+    /// Joins the fleet under `name`: from now on, limits apply to all routers of the fleet together.
     pub fn join_fleet(
         &mut self,
         now: Time,
@@ -146,11 +146,12 @@
         let Some(limits) = &mut self.fleet_limits else { return };
         if limits.release_slot(now, finished) {
             let member = finished.exchange.member;
+            // `with_current_capacity` replaces the 0 when the event is passed to the policy.
             self.events.push_back(Event::MemberCapacity { member, attempts: 0 });
         }
     }
 
-    /// Records that a request completes without a host's response. If the request had an attempt and the
+    /// Records that a request completes without a host's response. If the request has had an attempt and the
     /// retry budget is exhausted, this counts as demand for another retry.
     pub(super) fn record_retry_demand(&mut self, id: RequestId) {
         let attempted = self.requests.get(id).is_some_and(|open| !open.attempts.is_empty());
--- a/crates/router/src/routing/fleet_limits.rs
+++ b/crates/router/src/routing/fleet_limits.rs
@@ -11,8 +11,8 @@
 use basalthill_policy::api::{Attempt, Event, GroupId, MemberId, Request, RequestId, Status, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The number of low bits of a slot's number that hold the attempt's number. The bits above hold the
-/// request's number.
+/// The number of low bits of a slot's number that hold the attempt's number. The other bits hold the
+/// request's id.
 const ATTEMPT_BITS: u32 = 16;
 
 /// The capacity of a member without a limit.
@@ -25,23 +25,23 @@
     probes: Option<u32>,
 }
 
-/// Returns the fleet's configuration for a deployment. If a limit bounds concurrent requests, a request may
-/// use what it was granted for up to the longest client timeout of all classes.
+/// Returns the fleet's configuration for a deployment. If a limit bounds concurrency, an attempt may occupy
+/// its slot for up to the longest client timeout of all classes.
 fn fleet_config(deployment: &Deployment, fleet: &FleetSettings) -> FleetConfig {
     let timeouts = deployment.settings.classes.iter().map(|class| class.client_timeout);
-    let longest = timeouts.max().unwrap_or_default();
-    let bounds_concurrency = fleet.limits.iter().any(|l| matches!(l.bounds, Bounds::Concurrent(_)));
-    let max_use = if bounds_concurrency { longest } else { Time(0) };
+    let longest_timeout = timeouts.max().unwrap_or_default();
+    let bounds_concurrency = fleet.limits.iter().any(|limit| matches!(limit.bounds, Bounds::Concurrent(_)));
+    let max_use = if bounds_concurrency { longest_timeout } else { Time(0) };
     // A voter that has just started grants no votes until all votes of its earlier incarnation have expired.
-    // These may have been granted under other limits, so the longest client timeout applies here even if no
-    // present limit bounds concurrency.
-    let any_limits = Timing::new(fleet.drift, longest);
+    // Those votes may have been granted under other limits, so the longest client timeout applies here even
+    // if no present limit bounds concurrency.
+    let longest_timing = Timing::new(fleet.drift, longest_timeout);
     FleetConfig {
         roster: fleet.roster.clone(),
         limits: fleet.limits.clone(),
         timing: Timing::new(fleet.drift, max_use),
         max_use,
-        vote_quarantine: any_limits.lender_span(any_limits.lease),
+        vote_quarantine: longest_timing.lender_span(longest_timing.lease),
     }
 }
 
@@ -59,8 +59,8 @@
     member_keys: BTreeMap<MemberId, LimitKey>,
     /// The members in service, by group.
     group_members: BTreeMap<GroupId, BTreeSet<MemberId>>,
-    /// The policy's value of the free capacity at each member. It is decremented for each attempt that the
-    /// policy starts.
+    /// The policy's value of the free capacity at each member, in attempts. It is decremented for each
+    /// attempt that the policy starts.
     policy_capacity: BTreeMap<MemberId, u32>,
     /// The policy's values of the budgets. They are decremented for each token that the policy spends.
     policy_budgets: PolicyBudgets,
@@ -160,7 +160,7 @@
     }
 
     /// Records whether the policy has admitted a request. Each limit that counts the request spends a token
-    /// if it was admitted, and records the demand if it was rejected.
+    /// if the request was admitted, and records the demand if the request was rejected.
     pub fn record_decision(&mut self, admitted: bool, keys: &[LimitKey]) {
         if keys.is_empty() {
             return;
@@ -182,7 +182,7 @@
     ) {
         let Some(key) = self.member_keys.get(&member) else { return };
         self.fleet.occupy_slot(now, *key, slot_number(request, attempt), deadline);
-        // The policy has already counted the attempt.
+        // The policy has already decremented its own value for the attempt.
         if let Some(capacity) = self.policy_capacity.get_mut(&member) {
             *capacity = capacity.saturating_sub(1);
         }
@@ -201,8 +201,8 @@
         true
     }
 
-    /// Records that a request that had attempts has completed without a host's response. If the retry budget
-    /// is exhausted, this counts as demand for another retry.
+    /// Records that a request with at least one attempt has completed without a host's response. If the retry
+    /// budget is exhausted, this counts as demand for another retry.
     pub fn record_retry_demand(&mut self) {
         if self.policy_budgets.retries != Some(0) {
             return;
--- a/crates/router/src/routing/input.rs
+++ b/crates/router/src/routing/input.rs
@@ -79,9 +79,9 @@
         /// The complete list, or only the entries that have changed.
         list: HostList,
         /// The earliest time at which the content may have become valid: the time at which the list was
-        /// received. For the first message of a new call to discovery, it is the time of the message before
-        /// it, or the time at which the watch was opened if there is none, because the change may have been
-        /// made while no call was open.
+        /// received. For the first message of a new call to discovery, it is the time of the last message of
+        /// the calls before, or the time at which the watch was opened if no message was received before,
+        /// because the change may have been made while no call was open.
         valid_since: Time,
     },
     /// Another proxy has sent a message on its stream.
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -95,20 +95,20 @@
 }
 
 impl Router {
-    /// Creates a router that starts with the endpoint list in the configuration, if there is one. The effects
-    /// of the start are appended to `out`.
+    /// Creates a router that starts with `known_endpoints`, the endpoint list in the configuration, if there
+    /// is one. The effects of the start are appended to `out`.
     pub fn new(
         now: Time,
         deployment: Deployment,
         sessions: Sessions,
         seed: u64,
-        cached_list: Option<HostList>,
+        known_endpoints: Option<HostList>,
         out: &mut Vec<Effect>,
     ) -> Router {
         let policy = Policy::new(deployment.settings.clone(), seed);
         let system_clock = SystemClockOffset::default();
         let mut endpoints = EndpointTable::new(&deployment.zones, deployment.settings.ignore_removal);
-        let entries = cached_list.map(|list| endpoints.apply(list, now, system_clock).entries);
+        let entries = known_endpoints.map(|list| endpoints.apply(list, now, system_clock).entries);
         let cached = Event::Endpoints(EndpointUpdate::Cached, entries.unwrap_or_default());
         let mut router = Router {
             policy,
@@ -237,8 +237,8 @@
             Action::CloseIdle(member) => {
                 out.extend(self.endpoints.addr(member).map(Effect::CloseIdleConnections));
             }
-            // Transport always keeps a watch open, which delivers every change. Polling the complete list
-            // would only delay the other routers that use the same discovery service.
+            // Transport always keeps a watch open, which delivers every change. Polling the complete list as
+            // well would only delay the other routers that use the same discovery service.
             Action::WatchEndpoints | Action::PollEndpoints => {}
             Action::Log(line) => tracing::info!("{line}"),
         }
--- a/crates/router/src/routing/outcomes.rs
+++ b/crates/router/src/routing/outcomes.rs
@@ -1,6 +1,6 @@
-//! Translates what hosts send into the policy's types: exchange results and SQLSTATEs into statuses, load
-//! reports and other reported parameters into replication states. The functions have no state; the modules
-//! for attempts and health checks call them.
+//! Translates exchange results and SQLSTATEs into the policy's statuses, and load reports and other reported
+//! parameters into its replication states. The functions have no state; the modules for attempts and health
+//! checks call them.
 
 use super::input::ExchangeResult;
 use super::system_clock::time_from_unix_ms;
@@ -20,8 +20,8 @@
 const PRIMARY_THRESHOLD: f64 = 0.5;
 
 /// An upper bound on the rounding error of a Unix time in seconds as a 64-bit float: 1 µs. Positions in load
-/// reports are reduced by it: if a position were too high, a replica could be sent a read whose floor it has
-/// not applied.
+/// reports are reduced by this bound: if a replica's position were too high, the policy could send the
+/// replica a read whose floor the replica has not reached.
 const MAX_POSITION_ERROR: Time = Time(1000);
 
 /// Returns the status of an attempt, given the result of its exchange.
--- a/crates/router/src/routing/proxy_leases.rs
+++ b/crates/router/src/routing/proxy_leases.rs
@@ -1,5 +1,6 @@
-//! Requests of other proxies, which get a member under a lease and send the request to it themselves. The
-//! [`LeaseCoordinator`] owns the state; this module connects it with the router's policy and endpoints.
+//! Requests of other proxies. A proxy gets a member under a lease and sends its request to that member
+//! itself. The [`LeaseCoordinator`] owns the state; this module connects it with the router's policy and
+//! endpoints.
 
 use super::input::ProxyMessage;
 use super::{Effect, Router};
@@ -45,8 +46,9 @@
         self.apply_coordinator_outputs(outputs, out);
     }
 
-    /// Carries out an action of the policy that concerns a proxy's request. A proxy may send to the chosen
-    /// member until the member's drain grace period ends. A member without a known address is not offered.
+    /// Carries out an action of the policy that concerns a proxy's request. A proxy may send its request to
+    /// the chosen member until the member's drain grace period ends. A member without a known address is not
+    /// offered.
     pub(super) fn apply_proxy_action(&mut self, now: Time, action: &Action, out: &mut Vec<Effect>) {
         let valid_until = match action {
             Action::Send(_, member, _) if self.endpoints.addr(*member).is_none() => Some(now),
--- a/crates/router/src/routing/request_table.rs
+++ b/crates/router/src/routing/request_table.rs
@@ -24,9 +24,9 @@
     pub group: GroupId,
     /// Its session state; none if it belongs to no session.
     pub tracked: Option<TrackedRequest>,
-    /// The read floor that is sent to hosts, a Unix time in milliseconds; none if none is sent.
+    /// The read floor that is sent to hosts, a Unix time in milliseconds; none if no floor is sent.
     pub floor_ms: Option<u64>,
-    /// Whether its client has been sent a reply or has disconnected.
+    /// Whether its client has been sent the reply or has disconnected.
     pub completed: bool,
     /// Whether a host has served it.
     pub served: bool,
@@ -46,7 +46,8 @@
     }
 }
 
-/// A command that awaits its reply, or awaited it until it was removed from `RequestTable::awaited`.
+/// A command that awaits its reply, or that awaited it until the command was removed from
+/// `RequestTable::awaited`.
 #[derive(Clone, Copy, Debug)]
 pub struct AwaitedCommand {
     /// The client.
@@ -140,7 +141,8 @@
         self.open.remove(&id)
     }
 
-    /// Removes an attempt, if it is in flight. Its request stays until [`RequestTable::complete`].
+    /// Removes an attempt, if it is in flight. Its request stays in the table until
+    /// [`RequestTable::complete`] is called.
     pub fn take_attempt(&mut self, id: RequestId, attempt: Attempt) -> Option<InFlightExchange> {
         self.open.get_mut(&id)?.attempts.get_mut(usize::from(attempt.0))?.take()
     }
@@ -152,7 +154,8 @@
 
     /// Returns the number of requests in the table.
     pub fn len(&self) -> usize {
-        // Each request has one entry in both; the larger number shows an entry that was left in either.
+        // Each request has one entry in each of the two maps. The larger size is returned, so that an entry
+        // that was not removed from one of them is counted.
         self.open.len().max(self.client_ids.len())
     }
 }
--- a/crates/router/src/routing/requests.rs
+++ b/crates/router/src/routing/requests.rs
@@ -1,6 +1,6 @@
-//! The life of a client's request: it is validated, passed to the policy, replied to and removed from the
-//! table. The state is in [`RequestTable`](super::request_table::RequestTable). The functions are called for
-//! inputs and for the policy's actions.
+//! The lifecycle of a client's request: it is validated, passed to the policy, replied to and removed from
+//! the table. The state is in [`RequestTable`](super::request_table::RequestTable). The functions are called
+//! for inputs and for the policy's actions.
 
 use super::input::{ClientId, ClientRequest};
 use super::request_table::{AwaitedCommand, OpenRequest};
@@ -129,8 +129,8 @@
         Ok(RequestTarget { class: ClassId(class as u16), tenant: TenantId(tenant as u16), group })
     }
 
-    /// Rejects a request as the policy decided: nothing has run, and the client may retry after
-    /// `retry_after`.
+    /// Rejects a request as the policy decided: the client may safely retry it, after `retry_after` if that
+    /// is given. The request may have run if running it again has no further effect.
     pub(super) fn reject_request(
         &mut self,
         now: Time,
@@ -144,7 +144,7 @@
         self.reply_to_client(now, id, Reply::Rejected { retry_after_ms }, out);
     }
 
-    /// Fails a request as the policy decided: it may have run.
+    /// Fails a request as the policy decided: the request may have run, and a retry is not safe.
     pub(super) fn fail_request(&mut self, now: Time, id: RequestId, out: &mut Vec<Effect>) {
         self.record_retry_demand(id);
         self.record_unknown_outcome(now, id, out);
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Completes a request with a reply that does not come from a host. The request has already been removed
+    /// Completes a request with a reply that does not come from a host. The command has already been removed
     /// from those that await a reply.
     fn complete_without_response(
         &mut self,
--- a/crates/router/src/routing/sessions.rs
+++ b/crates/router/src/routing/sessions.rs
@@ -1,6 +1,6 @@
-//! Session consistency of requests: to which session a request belongs, the read floor of a session read, and
-//! the tokens that clients get. The state is in [`basalthill_session::Sessions`], whose times are Unix times;
-//! the modules for requests and attempts call the functions here.
+//! Session consistency of requests: the session of a request, the read floor of a session read, and the
+//! tokens that clients get. The state is in [`basalthill_session::Sessions`], whose times are Unix times; the
+//! modules for requests and attempts call the functions here.
 
 use super::input::ClientId;
 use super::system_clock::time_from_unix_ms;
@@ -15,7 +15,7 @@
 /// The prime of 64-bit FNV-1a.
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// How a request takes part in its session.
+/// The session state and the read floor that a request starts with.
 #[derive(Default)]
 pub(super) struct SessionStart {
     /// The request's session state; none if it belongs to no session.
@@ -62,7 +62,8 @@
     }
 
     /// Issues a token that covers a write whose first attempt is being sent, if the settings enable early
-    /// tokens. The client then has a token even if this router crashes. The write has ended by `deadline`.
+    /// tokens. The client then has a token even if this router crashes. The attempt ends at `deadline` at the
+    /// latest.
     pub(super) fn issue_early_token(
         &mut self,
         now: Time,
--- a/crates/router/src/routing/system_clock.rs
+++ b/crates/router/src/routing/system_clock.rs
@@ -1,6 +1,7 @@
 //! Conversion between Unix times, which hosts, service discovery and clients send, and the times of the
 //! router's own clock. The router's clock never steps; the system clock may be set at any time.
-//! [`Router`](super::Router) owns the one offset and updates it before each input.
+//! [`Router`](super::Router) owns the offset between the two clocks. Transport measures the offset before
+//! each input and passes it to [`Router::observe_system_clock`](super::Router::observe_system_clock).
 
 use basalthill_policy::api::{ReplicationState, Time};
 
@@ -49,8 +50,8 @@
     }
 }
 
-/// Shifts a time by nanoseconds. Zero, which means "long ago", and the latest representable time are not
-/// shifted.
+/// Adds `by_ns` nanoseconds, which may be negative, to a time. Zero, which means "long ago", and the latest
+/// representable time stay unchanged.
 fn shift(time: Time, by_ns: i128) -> Time {
     match time {
         Time(0 | u64::MAX) => time,
--- a/crates/router/src/routing/timers.rs
+++ b/crates/router/src/routing/timers.rs
@@ -43,7 +43,7 @@
         self.timers.remove(&key);
     }
 
-    /// Returns the timers that are due, in order. They stay set until they are cancelled.
+    /// Returns the timers that are due, the earliest first. They stay set until they are cancelled.
     pub fn due(&self, now: Time) -> Vec<(TimerKey, Timer)> {
         let last = TimerKey { due: now, number: u64::MAX };
         self.timers.range(..=last).map(|(key, timer)| (*key, *timer)).collect()
