--- a/crates/router/src/protocol/client.rs
+++ b/crates/router/src/protocol/client.rs
@@ -33,7 +33,8 @@
 /// The prefix of startup options that request protocol extensions.
 const EXTENSION_PREFIX: &[u8] = b"_pq_.";
 
-/// The key that a client gets when its connection is opened and has to send in a cancel request.
+/// The key that a client gets when its connection is opened, and that identifies the connection in a cancel
+/// request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CancelKey {
     /// The number of the connection.
@@ -57,8 +58,8 @@
     },
     /// A query: its text without the terminating zero byte.
     Query(Vec<u8>),
-    /// A message of a part of the protocol that is not served, with its type. It gets an error. Further
-    /// messages up to the next Sync are skipped, except after a FunctionCall.
+    /// A message of a part of the protocol that is not served, with its type byte. The reply is an error.
+    /// Further messages up to the next Sync are skipped, except after a FunctionCall.
     Unsupported(u8),
     /// Sync, which ends the skipping of messages after an unsupported one.
     Sync,
@@ -84,7 +85,7 @@
     queue: VecDeque<QueuedMessage>,
     /// The size of the messages in `queue`, in bytes.
     queued_bytes: usize,
-    /// The protocol error in what arrived after the queued messages.
+    /// The protocol error in the bytes after the queued messages.
     error: Option<ProtocolError>,
 }
 
--- a/crates/router/src/protocol/discovery/list.rs
+++ b/crates/router/src/protocol/discovery/list.rs
@@ -1,5 +1,5 @@
 //! The endpoint list in the JSON format of service discovery. The keys in JSON are the names of the fields,
-//! except for a member's group (`cell`) and role (`rank`).
+//! except for a host's group (`cell`) and role (`rank`).
 
 use super::DiscoveryError;
 use serde::Deserialize;
@@ -17,10 +17,10 @@
     pub servers: Vec<HostEntry>,
 }
 
-/// One member in the list.
+/// One host in the list.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct HostEntry {
-    /// The member's id, which is the same at every router.
+    /// The host's id, which is the same at every router.
     pub id: String,
     /// The address on which it listens.
     pub addr: String,
@@ -32,24 +32,24 @@
     pub group: u32,
     /// Its state.
     pub state: HostState,
-    /// Its weight among the members of its group.
+    /// Its weight among the hosts of its group.
     #[serde(default)]
     pub weight: f64,
     /// The Unix time of its last start in milliseconds; 0 if it started long ago.
     #[serde(default)]
     pub started_ms: u64,
-    /// Its role, if the list has one.
+    /// Its role, if the entry has one.
     #[serde(default, rename = "rank")]
     pub role: Option<String>,
 }
 
-/// A member's state.
+/// A host's state.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum HostState {
     /// In service.
     Active,
-    /// Draining: it finishes the requests that it has, and must not be sent new ones.
+    /// Draining: the host completes the requests that it has, and must not be sent new ones.
     Leaving,
     /// Removed.
     Left,
--- a/crates/router/src/protocol/discovery/watch.rs
+++ b/crates/router/src/protocol/discovery/watch.rs
@@ -5,11 +5,11 @@
 use basalthill_wire::MessageBuffer;
 use httparse::Status;
 
-/// The longest accepted list in bytes.
+/// The longest accepted list, in bytes.
 pub(super) const MAX_LIST_LEN: usize = 4 << 20;
-/// The longest accepted head of a response in bytes.
+/// The longest accepted head of a response, in bytes.
 pub(super) const MAX_HEAD_LEN: usize = 16 * 1024;
-/// The longest accepted line with a chunk size in bytes.
+/// The longest accepted line with a chunk size, in bytes.
 pub(super) const MAX_CHUNK_SIZE_LINE_LEN: usize = 256;
 /// The maximum number of headers of a response.
 const MAX_HEADERS: usize = 32;
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Returns whether discovery rejected the call with status 429 or 500 and above, which is mostly for lack
-    /// of capacity. The endpoint list stays valid.
+    /// Returns whether discovery rejected the call with status 429, or with 500 or above, usually because it
+    /// lacks capacity. The endpoint list received before stays valid.
     pub fn was_rejected(&self) -> bool {
         self.rejected
     }
@@ -90,8 +90,8 @@
         self.stage != Stage::Head
     }
 
-    /// Handles the end of the connection. A partial message is discarded, unless the body was to end with the
-    /// connection.
+    /// Handles the end of the connection. An incomplete message is discarded, unless the end of the
+    /// connection is also the end of the body.
     pub fn on_close(&mut self) {
         if self.stage != Stage::PlainBody(None) {
             self.body.clear();
@@ -137,7 +137,8 @@
         }
     }
 
-    /// Processes the next part of the buffer. Returns whether there was enough of it to make progress.
+    /// Processes the next part of the buffer. Returns false if more bytes are needed or the response has
+    /// ended.
     fn advance(&mut self) -> Result<bool, DiscoveryError> {
         match self.stage {
             Stage::Head => self.read_head(),
--- a/crates/router/src/protocol/host.rs
+++ b/crates/router/src/protocol/host.rs
@@ -24,7 +24,7 @@
 
 /// Bytes of a DataRow's body before the value: the number of columns, which is one, and the value's length.
 const ROW_HEADER_LEN: usize = 6;
-/// The length that stands for a null value.
+/// The value of the length field for a null value.
 const NULL_VALUE_LEN: i32 = -1;
 /// Bytes of a column's description after the column's name.
 const COLUMN_DESCRIPTION_LEN: usize = 18;
@@ -125,7 +125,7 @@
     }
 
     /// Handles the end of the connection. Returns the query's outcome if its row is complete or the host sent
-    /// an error. A host sends an error before it terminates a connection deliberately, without ReadyForQuery.
+    /// an error. A host that closes a connection deliberately sends an error first, without ReadyForQuery.
     pub fn on_close(&mut self) -> Option<(QueryOutcome, ReportedState)> {
         let Phase::Responding(mut progress) = std::mem::take(&mut self.phase) else { return None };
         if let Some(code) = progress.error.take() {
@@ -135,7 +135,7 @@
         Some((QueryOutcome::Row(row), ReportedState::default()))
     }
 
-    /// Returns the row if it is complete, although the rest of the response is malformed or has not arrived.
+    /// Returns the row if it is complete, even if the rest of the response is malformed or has not arrived.
     /// The state that the host has reported is discarded, as it can't be trusted.
     pub fn take_complete_row(&mut self) -> Option<Row> {
         match std::mem::take(&mut self.phase) {
@@ -184,8 +184,8 @@
     }
 }
 
-/// Checks the next message by its header. If a length is wrong, waiting for the rest of the message would
-/// never end, so the error is reported before the body has arrived.
+/// Checks the next message by its header. If a length is too large, the rest of the message never arrives, so
+/// the error is reported without waiting for the body.
 fn check_header(unread: &[u8]) -> Result<(), ProtocolError> {
     let Some(&[kind, a, b, c, d]) = unread.first_chunk::<HEADER_LEN>() else {
         return match unread.first().is_none_or(|kind| HOST_MESSAGE_KINDS.contains(kind)) {
@@ -194,7 +194,7 @@
         };
     };
     let len = (u32::from_be_bytes([a, b, c, d]) as usize).saturating_sub(4);
-    let plausible = match kind {
+    let is_plausible = match kind {
         b'D' => is_plausible_row(len, &unread[HEADER_LEN..]),
         b'Z' => len == 1,
         b'I' => len == 0,
@@ -203,7 +203,7 @@
         b'S' | b'N' | b'A' | b'R' | b'K' | b'v' | b'E' => len <= MAX_TEXT_MESSAGE_LEN,
         _ => false,
     };
-    match plausible {
+    match is_plausible {
         true => Ok(()),
         false => Err(ProtocolError::InvalidBodyLength { kind, len }),
     }
@@ -241,12 +241,16 @@
 /// What has arrived of the response to a query.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct ResponseProgress {
+    /// The messages that belong to the row: RowDescription, DataRow, CommandComplete.
     bytes: Vec<u8>,
+    /// The range of each message in `bytes`.
     parts: Vec<ByteRange>,
     value: Option<ByteRange>,
     rows: usize,
     binary: bool,
-    complete: bool,
+    /// Whether CommandComplete has arrived.
+    command_completed: bool,
+    /// The SQLSTATE of an ErrorResponse.
     error: Option<String>,
 }
 
@@ -262,12 +266,16 @@
             b'E' => self.error = Some(sqlstate(body)),
             b'I' => {}
             b'T' if self.parts.is_empty() && describes_one_column(body) => {
+                // The column's description ends with its format code, which is 1 for binary.
                 self.binary = body.ends_with(&[0, 1]);
                 self.append(message)?;
             }
-            b'D' if self.parts.len() == 1 && !self.complete => self.record_row(kind, message)?,
-            b'C' if self.parts.len() < ROW_MESSAGE_COUNT && !self.complete && body.ends_with(&[0]) => {
-                self.complete = true;
+            b'D' if self.parts.len() == 1 && !self.command_completed => self.record_row(kind, message)?,
+            b'C' if self.parts.len() < ROW_MESSAGE_COUNT
+                && !self.command_completed
+                && body.ends_with(&[0]) =>
+            {
+                self.command_completed = true;
                 self.append(message)?;
             }
             _ => return Err(ProtocolError::UnexpectedMessage(kind)),
@@ -311,8 +319,8 @@
 
     /// Returns the row, if all messages that belong to it have arrived.
     fn into_row(self) -> Option<Row> {
-        let all_parts = self.rows == 1 && self.parts.len() == ROW_MESSAGE_COUNT && self.complete;
-        if !all_parts || self.error.is_some() {
+        let is_complete = self.rows == 1 && self.parts.len() == ROW_MESSAGE_COUNT && self.command_completed;
+        if !is_complete || self.error.is_some() {
             return None;
         }
         Some(Row { bytes: self.bytes, parts: self.parts, value: self.value, binary: self.binary })
--- a/crates/router/src/protocol/statement/mod.rs
+++ b/crates/router/src/protocol/statement/mod.rs
@@ -20,7 +20,7 @@
 /// The maximum number of session tokens in a statement; a statement with more is rejected.
 pub const MAX_TOKENS: usize = 8;
 
-/// The longest timeout of a client in milliseconds: one day. Longer timeouts are shortened to this.
+/// The longest client timeout in milliseconds: one day. A longer one is reduced to this.
 const MAX_DEADLINE_MS: u64 = 86_400_000;
 
 fn syntax_error(message: impl Into<String>) -> StatementError {
