--- a/crates/router/src/program/ready.rs
+++ b/crates/router/src/program/ready.rs
@@ -1,6 +1,6 @@
 //! `basalthill ready`: checks whether a router replies to an empty query, which it does once it is ready.
 
-use crate::protocol::host::{self, HostCodec, HostMessage, QueryOutcome};
+use crate::protocol::host::{self, HostCodec, HostEvent, QueryOutcome};
 use basalthill_wire::ProtocolError;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -21,7 +21,7 @@
     #[error(transparent)]
     Protocol(#[from] ProtocolError),
     #[error("unexpected reply to an empty query: {0:?}")]
-    UnexpectedReply(Box<HostMessage>),
+    UnexpectedReply(Box<HostEvent>),
 }
 
 /// Prints whether the router at `listen` is ready, and returns the exit code.
@@ -46,9 +46,9 @@
     let mut codec = HostCodec::default();
     let mut bytes = [0; READ_BUFFER_LEN];
     loop {
-        match codec.next_message()? {
-            Some(HostMessage::Ready) => codec.begin_query(),
-            Some(HostMessage::QueryEnded(QueryOutcome::Empty, _)) => return Ok(()),
+        match codec.next_event()? {
+            Some(HostEvent::Ready) => codec.begin_query(),
+            Some(HostEvent::QueryEnded(QueryOutcome::Empty, _)) => return Ok(()),
             Some(other) => return Err(NotReady::UnexpectedReply(Box::new(other))),
             None => match stream.read(&mut bytes)? {
                 0 => return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into()),
--- a/crates/router/src/protocol/client.rs
+++ b/crates/router/src/protocol/client.rs
@@ -52,9 +52,9 @@
     CancelRequest(CancelKey),
     /// The startup message.
     Startup {
-        /// Whether the client requests a newer minor version or protocol extensions, which are not served: it
-        /// must be sent NegotiateProtocolVersion.
-        newer: bool,
+        /// Whether the client requests a newer minor version or protocol extensions. They are not served, so
+        /// the reply begins with NegotiateProtocolVersion.
+        needs_negotiation: bool,
     },
     /// A query: its text without the terminating zero byte.
     Query(Vec<u8>),
@@ -248,7 +248,7 @@
             (SERVED_MAJOR, minor) => {
                 let has_extensions = startup_has_extensions(content)?;
                 self.phase = Phase::Open;
-                ClientMessage::Startup { newer: minor > 0 || has_extensions }
+                ClientMessage::Startup { needs_negotiation: minor > 0 || has_extensions }
             }
             (major, minor) => return Err(ProtocolError::UnsupportedVersion { major, minor }),
         };
@@ -283,10 +283,11 @@
 /// The reply to a request for encryption, which is declined.
 pub const ENCRYPTION_DECLINED: &[u8] = b"N";
 
-/// Encodes the reply to a startup message, with the key by which the client can cancel its requests.
-pub fn startup_reply(newer: bool, key: CancelKey) -> Vec<u8> {
+/// Encodes the reply to a startup message, with the key by which the client can cancel its requests. If
+/// `needs_negotiation`, the reply begins with NegotiateProtocolVersion.
+pub fn startup_reply(needs_negotiation: bool, key: CancelKey) -> Vec<u8> {
     let mut out = Vec::with_capacity(256);
-    if newer {
+    if needs_negotiation {
         put_message(&mut out, b'v', |out| out.extend([0; 8]));
     }
     put_message(&mut out, b'R', |out| out.extend([0; 4]));
--- a/crates/router/src/protocol/host.rs
+++ b/crates/router/src/protocol/host.rs
@@ -74,7 +74,7 @@
 
 /// An event that results from a host's messages.
 #[derive(Clone, Debug, PartialEq)]
-pub enum HostMessage {
+pub enum HostEvent {
     /// The connection is ready for queries.
     Ready,
     /// The host rejects the connection: it sent an ErrorResponse with this SQLSTATE during startup.
@@ -144,8 +144,9 @@
         }
     }
 
-    /// Returns the event that results from the messages that have arrived; none if more bytes are needed.
-    pub fn next_message(&mut self) -> Result<Option<HostMessage>, ProtocolError> {
+    /// Returns the next event that results from the messages that have arrived; none if more bytes are
+    /// needed.
+    pub fn next_event(&mut self) -> Result<Option<HostEvent>, ProtocolError> {
         loop {
             check_header(self.buffer.unread())?;
             let Some(header) = self.buffer.message_header(MAX_MESSAGE_LEN)? else { return Ok(None) };
@@ -158,7 +159,7 @@
     }
 
     /// Handles the complete message at the front of the buffer.
-    fn handle_message(&mut self, header: MessageHeader) -> Result<Option<HostMessage>, ProtocolError> {
+    fn handle_message(&mut self, header: MessageHeader) -> Result<Option<HostEvent>, ProtocolError> {
         let kind = header.kind;
         let message = &self.buffer.unread()[..HEADER_LEN + header.body_len];
         let body = &message[HEADER_LEN..];
@@ -167,7 +168,7 @@
             (b'N' | b'A', _) => {}
             (b'Z', phase @ Phase::Startup) => {
                 *phase = Phase::Idle;
-                return Ok(Some(HostMessage::Ready));
+                return Ok(Some(HostEvent::Ready));
             }
             (_, Phase::Startup) => return check_startup_message(kind, body),
             (b'Z', phase @ Phase::Responding(_)) => {
@@ -175,7 +176,7 @@
                     return Ok(None);
                 };
                 let reported = std::mem::take(&mut self.reported);
-                return Ok(Some(HostMessage::QueryEnded(progress.into_outcome(), reported)));
+                return Ok(Some(HostEvent::QueryEnded(progress.into_outcome(), reported)));
             }
             (_, Phase::Responding(progress)) => progress.record_message(kind, message)?,
             (_, Phase::Idle) => return Err(ProtocolError::UnexpectedMessage(kind)),
@@ -184,8 +185,8 @@
     }
 }
 
-/// Checks the next message by its header. If a length is too large, the rest of the message never arrives, so
-/// the error is reported without waiting for the body.
+/// Checks the next message by its header. If a length is wrong, the rest of the message might never arrive,
+/// or might fill the memory, so the error is reported without waiting for the body.
 fn check_header(unread: &[u8]) -> Result<(), ProtocolError> {
     let Some(&[kind, a, b, c, d]) = unread.first_chunk::<HEADER_LEN>() else {
         return match unread.first().is_none_or(|kind| HOST_MESSAGE_KINDS.contains(kind)) {
@@ -223,12 +224,12 @@
 }
 
 /// Handles a message before the first ReadyForQuery.
-fn check_startup_message(kind: u8, body: &[u8]) -> Result<Option<HostMessage>, ProtocolError> {
+fn check_startup_message(kind: u8, body: &[u8]) -> Result<Option<HostEvent>, ProtocolError> {
     match kind {
         b'R' if body == [0; 4] => Ok(None),
         b'R' => Err(ProtocolError::AuthenticationRequested(kind)),
         b'K' | b'v' => Ok(None),
-        b'E' => Ok(Some(HostMessage::Rejected(sqlstate(body)))),
+        b'E' => Ok(Some(HostEvent::Rejected(sqlstate(body)))),
         _ => Err(ProtocolError::UnexpectedMessage(kind)),
     }
 }
--- a/crates/router/src/transport/conversation.rs
+++ b/crates/router/src/transport/conversation.rs
@@ -255,8 +255,8 @@
                 return NextMessage::Other(Step::Cancel(key));
             }
             ClientMessage::Terminate => self.close(),
-            ClientMessage::Startup { newer } => {
-                self.push_reply(client::startup_reply(newer, self.cancel_key))
+            ClientMessage::Startup { needs_negotiation } => {
+                self.push_reply(client::startup_reply(needs_negotiation, self.cancel_key))
             }
             ClientMessage::Unsupported(FUNCTION_CALL) => {
                 self.push_fault(client::error(
--- a/crates/router/src/transport/exchange.rs
+++ b/crates/router/src/transport/exchange.rs
@@ -5,7 +5,7 @@
 use super::io;
 use super::pool::{Checkout, HostConnection};
 use super::semaphore::{Permit, RETRY_INTERVAL};
-use crate::protocol::host::{self, HostCodec, HostMessage, QueryOutcome, ReportedState};
+use crate::protocol::host::{self, HostCodec, HostEvent, QueryOutcome, ReportedState};
 use crate::routing::{ExchangeId, ExchangeResult, ExchangeStart, Input, Query};
 use async_executor::Task;
 use async_io::{Async, Timer};
@@ -161,12 +161,12 @@
     io::write_all(&stream, &[&host::startup()]).await.map_err(|_| ExchangeResult::NotSent)?;
     let mut codec = HostCodec::default();
     loop {
-        match codec.next_message() {
-            Ok(Some(HostMessage::Ready)) => {
+        match codec.next_event() {
+            Ok(Some(HostEvent::Ready)) => {
                 return Ok(HostConnection { stream, codec, _descriptor: descriptor });
             }
-            Ok(Some(HostMessage::Rejected(code))) => return Err(ExchangeResult::ConnectionRejected(code)),
-            Ok(Some(HostMessage::QueryEnded(..))) => return Err(ExchangeResult::NotSent),
+            Ok(Some(HostEvent::Rejected(code))) => return Err(ExchangeResult::ConnectionRejected(code)),
+            Ok(Some(HostEvent::QueryEnded(..))) => return Err(ExchangeResult::NotSent),
             Ok(None) => {}
             Err(e) => {
                 tracing::warn!(%addr, error = %e, "invalid startup response from a host");
@@ -204,8 +204,8 @@
 async fn read_response(driver: &Driver, addr: SocketAddr, connection: &mut HostConnection) -> ExchangeResult {
     let HostConnection { stream, codec, .. } = connection;
     loop {
-        match codec.next_message() {
-            Ok(Some(HostMessage::QueryEnded(outcome, state))) => {
+        match codec.next_event() {
+            Ok(Some(HostEvent::QueryEnded(outcome, state))) => {
                 return ExchangeResult::Response(outcome, state);
             }
             Ok(Some(_)) => return ExchangeResult::MalformedResponse,
--- a/crates/router/src/transport/exchange/tests.rs
+++ b/crates/router/src/transport/exchange/tests.rs
@@ -63,7 +63,7 @@
     }
     let mut codec = HostCodec::default();
     codec.feed(STARTUP_RESPONSE);
-    assert_eq!(codec.next_message(), Ok(Some(HostMessage::Ready)));
+    assert_eq!(codec.next_event(), Ok(Some(HostEvent::Ready)));
     let descriptor = driver.descriptors.acquire_now().expect("a descriptor");
     let connection = HostConnection { stream: Async::new(stream)?, codec, _descriptor: descriptor };
     driver.pool.check_in(addr, connection);
--- a/crates/router/tests/codec.rs
+++ b/crates/router/tests/codec.rs
@@ -3,7 +3,7 @@
 use basalthill_policy::api::Time;
 use basalthill_router::protocol::client::{ClientCodec, ClientMessage, ReceivedMessage, MAX_MESSAGE_LEN};
 use basalthill_router::protocol::discovery::{HostList, HostState, WatchCodec, WatchMessage};
-use basalthill_router::protocol::host::{parse_load_report, HostCodec, HostMessage, QueryOutcome};
+use basalthill_router::protocol::host::{parse_load_report, HostCodec, HostEvent, QueryOutcome};
 use basalthill_router::protocol::statement::{Statement, Verb};
 use basalthill_standin::client::{query, startup};
 use basalthill_standin::host::row;
@@ -34,12 +34,12 @@
     (messages, false)
 }
 
-fn host_messages<'a>(pieces: impl Iterator<Item = &'a [u8]>, queries: usize) -> (Vec<HostMessage>, bool) {
+fn host_messages<'a>(pieces: impl Iterator<Item = &'a [u8]>, queries: usize) -> (Vec<HostEvent>, bool) {
     let (mut codec, mut messages, mut started) = (HostCodec::default(), Vec::new(), 0);
     for piece in pieces {
         codec.feed(piece);
         loop {
-            match codec.next_message() {
+            match codec.next_event() {
                 Ok(Some(message)) => messages.push(message),
                 Ok(None) => break,
                 Err(_) => return (messages, true),
@@ -88,7 +88,7 @@
     let text = |t: &str| ClientMessage::Query(t.as_bytes().to_vec());
     let expected = [
         ClientMessage::Encryption,
-        ClientMessage::Startup { newer: false },
+        ClientMessage::Startup { needs_negotiation: false },
         text(READ),
         text(""),
         ClientMessage::Unsupported(b'P'),
@@ -131,8 +131,8 @@
     let stream = host_stream();
     let (expected, failed) = host_messages([&stream[..]].into_iter(), 2);
     assert!(!failed);
-    use HostMessage::QueryEnded;
-    let [HostMessage::Ready, QueryEnded(QueryOutcome::Row(row), reported), QueryEnded(error, _)] =
+    use HostEvent::QueryEnded;
+    let [HostEvent::Ready, QueryEnded(QueryOutcome::Row(row), reported), QueryEnded(error, _)] =
         &expected[..]
     else {
         panic!("{expected:?}");
@@ -186,14 +186,14 @@
     assert!(host_messages([&message(b'R', &[0, 0, 0, 3])[..]].into_iter(), 0).1);
     let empty = [&startup_response[..], &message(b'I', b""), &ready[..]].concat();
     let (messages, _) = host_messages([&empty[..]].into_iter(), 1);
-    assert!(matches!(messages[1], HostMessage::QueryEnded(QueryOutcome::Empty, _)), "{messages:?}");
+    assert!(matches!(messages[1], HostEvent::QueryEnded(QueryOutcome::Empty, _)), "{messages:?}");
 }
 
 /// Returns the codec of a connection after the query was written.
 fn codec_awaiting_response() -> HostCodec {
     let mut codec = HostCodec::default();
     codec.feed(&[message(b'R', &[0; 4]), message(b'Z', b"I")].concat());
-    assert_eq!(codec.next_message(), Ok(Some(HostMessage::Ready)));
+    assert_eq!(codec.next_event(), Ok(Some(HostEvent::Ready)));
     codec.begin_query();
     codec
 }
@@ -215,7 +215,7 @@
     for (what, header) in headers {
         let mut codec = codec_awaiting_response();
         codec.feed(&[described, header].concat());
-        assert!(codec.next_message().is_err(), "{what}");
+        assert!(codec.next_event().is_err(), "{what}");
         assert_eq!(codec.take_complete_row(), None, "{what}");
     }
 }
@@ -233,8 +233,8 @@
     for malformed in malformed {
         let mut codec = codec_awaiting_response();
         codec.feed(&[row(b"x"), malformed.clone(), message(b'Z', b"I")].concat());
-        let received = codec.next_message().unwrap();
-        let Some(HostMessage::QueryEnded(QueryOutcome::Row(_), reported)) = received else {
+        let received = codec.next_event().unwrap();
+        let Some(HostEvent::QueryEnded(QueryOutcome::Row(_), reported)) = received else {
             panic!("{malformed:?}: {received:?}")
         };
         assert_eq!((reported.primary, reported.position_ms), (None, None));
@@ -250,7 +250,7 @@
     for cut in 0..stream.len() {
         let mut codec = codec_awaiting_response();
         codec.feed(&stream[..cut]);
-        assert_eq!(codec.next_message(), Ok(None), "cut at {cut}");
+        assert_eq!(codec.next_event(), Ok(None), "cut at {cut}");
         assert_eq!(codec.response_started(), cut > 0, "cut at {cut}");
         assert_eq!(codec.take_complete_row().is_some(), cut >= value.len(), "cut at {cut}");
         assert!(!codec.is_idle());
@@ -261,7 +261,7 @@
 fn a_fatal_host_error_needs_no_ready_for_query() {
     let mut codec = codec_awaiting_response();
     codec.feed(&message(b'E', b"SFATAL\0C53300\0Mfull\0\0"));
-    assert_eq!(codec.next_message(), Ok(None));
+    assert_eq!(codec.next_event(), Ok(None));
     assert_eq!(codec.on_close().map(|c| c.0), Some(QueryOutcome::Error("53300".into())));
     assert_eq!(codec.on_close(), None);
 }
