--- a/crates/router/src/transport/conversation.rs
+++ b/crates/router/src/transport/conversation.rs
@@ -61,8 +61,8 @@
 struct PendingRequest {
     statement: Box<Statement>,
     arrived_at: Time,
-    /// The length of the statement's text.
-    bytes: usize,
+    /// The length of the statement's text in bytes.
+    text_len: usize,
 }
 
 /// The error message that ends a conversation, after the replies to all complete commands.
@@ -156,7 +156,7 @@
     /// complete messages are queued.
     pub fn accepts_input(&self) -> bool {
         let is_open = !self.closing && self.final_error.is_none() && self.input.accepts_more();
-        let pending_bytes = self.pending.as_ref().map_or(0, |pending| pending.bytes);
+        let pending_bytes = self.pending.as_ref().map_or(0, |pending| pending.text_len);
         is_open && self.input.queued_bytes() + pending_bytes <= LARGE_STATEMENT_LEN
     }
 
@@ -247,7 +247,7 @@
         Some(Step::Forward { command, statement, arrived_at })
     }
 
-    fn handle_message(&mut self, received: ReceivedMessage, ready: bool) -> NextMessage {
+    fn handle_message(&mut self, received: ReceivedMessage, router_is_ready: bool) -> NextMessage {
         match received.message {
             ClientMessage::Encryption => self.push_reply(client::ENCRYPTION_DECLINED.to_vec()),
             ClientMessage::CancelRequest(key) => {
@@ -267,7 +267,9 @@
             }
             ClientMessage::Unsupported(_) => self.push_fault(client::unsupported_reply()),
             ClientMessage::Sync => self.push_reply(READY_FOR_QUERY.to_vec()),
-            ClientMessage::Query(text) if text.trim_ascii().is_empty() => self.handle_empty_query(ready),
+            ClientMessage::Query(text) if text.trim_ascii().is_empty() => {
+                self.handle_empty_query(router_is_ready)
+            }
             ClientMessage::Query(text) => return self.handle_query(text, received.arrived_at),
         }
         NextMessage::Other(Step::Handled)
@@ -282,11 +284,11 @@
     }
 
     fn handle_query(&mut self, text: Vec<u8>, arrived_at: Time) -> NextMessage {
-        let bytes = text.len();
+        let text_len = text.len();
         match Statement::parse(text) {
             Ok(statement) => {
                 let statement = Box::new(statement);
-                self.pending = Some(PendingRequest { statement, arrived_at, bytes });
+                self.pending = Some(PendingRequest { statement, arrived_at, text_len });
                 NextMessage::Request
             }
             Err(e) => {
--- a/crates/router/src/transport/conversation/input.rs
+++ b/crates/router/src/transport/conversation/input.rs
@@ -14,8 +14,8 @@
     /// When the first byte of the incomplete message was received, if there is one.
     message_started: Option<Time>,
     paused: bool,
-    /// The number of further bytes that are accepted, if it is limited. The rest of the message that is
-    /// incomplete after these bytes is accepted as well, and nothing after it.
+    /// The number of further bytes that are accepted; none if the input is not limited. The rest of the
+    /// message that is incomplete after these bytes is accepted as well, and nothing after that message.
     accept_limit: Option<usize>,
 }
 
@@ -31,8 +31,9 @@
         }
     }
 
-    /// Returns the earliest time at which bytes that are read at `now` may have been received. `drained`
-    /// is true if the socket has no more.
+    /// Returns the earliest time at which bytes that are read at `now` may have been received. If `drained`
+    /// is true, the socket has no more bytes, and bytes that are read later have been received after this
+    /// read.
     pub fn arrival_time(&mut self, drained: bool, now: Time) -> Time {
         let arrived_at = self.unread_since.unwrap_or(now);
         if drained {
--- a/crates/router/src/transport/conversation/replies.rs
+++ b/crates/router/src/transport/conversation/replies.rs
@@ -7,7 +7,7 @@
 
 /// The state of one command's reply.
 #[derive(Debug)]
-enum PendingReply {
+enum ReplyState {
     /// The reply can be written.
     Ready(Vec<u8>),
     /// The command has been forwarded and has no reply yet.
@@ -19,7 +19,7 @@
 /// The replies that have not been moved to the output, in the order of their commands.
 #[derive(Debug, Default)]
 pub struct ReplyQueue {
-    replies: VecDeque<PendingReply>,
+    replies: VecDeque<ReplyState>,
     /// The number of bytes in replies that wait for an earlier one, or for the router to be ready.
     buffered_bytes: usize,
 }
@@ -28,47 +28,46 @@
     /// Appends a reply that is ready.
     pub fn push_ready(&mut self, bytes: Vec<u8>) {
         self.buffered_bytes += bytes.len();
-        self.replies.push_back(PendingReply::Ready(bytes));
+        self.replies.push_back(ReplyState::Ready(bytes));
     }
 
     /// Appends a placeholder for the reply to a forwarded command.
     pub fn push_forwarded(&mut self, command: CommandId) {
-        self.replies.push_back(PendingReply::Forwarded(command));
+        self.replies.push_back(ReplyState::Forwarded(command));
     }
 
     /// Appends a placeholder for the reply to an empty query, which is sent once the router is ready.
     pub fn push_empty_query(&mut self) {
         self.buffered_bytes += client::empty_query().len();
-        self.replies.push_back(PendingReply::EmptyQuery);
+        self.replies.push_back(ReplyState::EmptyQuery);
     }
 
     /// Completes the replies to all empty queries, once the router is ready.
     pub fn complete_empty_queries(&mut self) {
-        for reply in self.replies.iter_mut().filter(|r| matches!(r, PendingReply::EmptyQuery)) {
-            *reply = PendingReply::Ready(client::empty_query());
+        for reply in self.replies.iter_mut().filter(|r| matches!(r, ReplyState::EmptyQuery)) {
+            *reply = ReplyState::Ready(client::empty_query());
         }
     }
 
     /// Returns the position of a forwarded command in the queue, if it has no reply yet.
     pub fn position(&self, command: CommandId) -> Option<usize> {
-        self.replies.iter().position(|r| matches!(r, PendingReply::Forwarded(c) if *c == command))
+        self.replies.iter().position(|r| matches!(r, ReplyState::Forwarded(c) if *c == command))
     }
 
     /// Stores the reply at its position. Empty queries before it are rejected as not ready, so that the reply
     /// does not wait until the router is ready.
     pub fn complete(&mut self, position: usize, bytes: Vec<u8>) {
         self.buffered_bytes += bytes.len();
-        self.replies[position] = PendingReply::Ready(bytes);
-        for reply in self.replies.iter_mut().take(position).filter(|r| matches!(r, PendingReply::EmptyQuery))
-        {
-            *reply = PendingReply::Ready(client::error(CANNOT_CONNECT_NOW, "not ready yet", None));
+        self.replies[position] = ReplyState::Ready(bytes);
+        for reply in self.replies.iter_mut().take(position).filter(|r| matches!(r, ReplyState::EmptyQuery)) {
+            *reply = ReplyState::Ready(client::error(CANNOT_CONNECT_NOW, "not ready yet", None));
         }
     }
 
     /// Takes the first reply, if it is ready.
     pub fn pop_ready(&mut self) -> Option<Vec<u8>> {
-        let Some(PendingReply::Ready(_)) = self.replies.front() else { return None };
-        let Some(PendingReply::Ready(bytes)) = self.replies.pop_front() else { return None };
+        let Some(ReplyState::Ready(_)) = self.replies.front() else { return None };
+        let Some(ReplyState::Ready(bytes)) = self.replies.pop_front() else { return None };
         self.buffered_bytes = self.buffered_bytes.saturating_sub(bytes.len());
         Some(bytes)
     }
--- a/crates/router/src/transport/conversation/tests/interleavings.rs
+++ b/crates/router/src/transport/conversation/tests/interleavings.rs
@@ -82,17 +82,17 @@
     ) {
         let mut bytes = startup();
         let mut ends = vec![(bytes.len(), None)];
-        for (n, c) in commands.iter().enumerate() {
-            bytes.extend(match c {
-                ClientWrite::Read => query(&statement_text(n, false)),
-                ClientWrite::Write => query(&statement_text(n, true)),
+        for (index, command) in commands.iter().enumerate() {
+            bytes.extend(match command {
+                ClientWrite::Read => query(&statement_text(index, false)),
+                ClientWrite::Write => query(&statement_text(index, true)),
                 ClientWrite::Empty => query(""),
                 ClientWrite::Invalid => query("EXPLAIN records"),
                 ClientWrite::Sync => b"S\0\0\0\x04".to_vec(),
                 // The Sync that follows ends the skipping of messages after the error.
                 ClientWrite::Unsupported => b"P\0\0\0\x04S\0\0\0\x04".to_vec(),
             });
-            ends.push((bytes.len(), Some(n)));
+            ends.push((bytes.len(), Some(index)));
         }
         let mut cuts: Vec<usize> = cuts.iter().map(|c| c % (bytes.len() + 1)).collect();
         cuts.extend([0, bytes.len()]);
@@ -111,26 +111,27 @@
             while let Some(step) = conversation.next_step(true) {
                 prop_assert!(conversation.replies.len() <= bytes.len());
                 if let Step::Forward { command, statement, .. } = step {
-                    let n = usize::from_str_radix(std::str::from_utf8(statement.id()).unwrap(), 16).unwrap();
+                    let id = std::str::from_utf8(statement.id()).unwrap();
+                    let index = usize::from_str_radix(id, 16).unwrap();
                     let is_write = statement.verb == Verb::Insert;
                     let order_is_kept = open.iter().all(|request| !request.is_write && !is_write);
                     prop_assert!(order_is_kept, "a write and another request are in flight concurrently");
                     prop_assert!(open.len() < MAX_CONCURRENT_READS);
-                    prop_assert!(reply_kinds.insert(n, u8::MAX).is_none(), "command forwarded twice");
-                    open.push(OpenRequest { command, index: n, is_write });
+                    prop_assert!(reply_kinds.insert(index, u8::MAX).is_none(), "command forwarded twice");
+                    open.push(OpenRequest { command, index, is_write });
                 }
             }
             match events.next() {
                 Some(Event::Reply(which, kind)) if !open.is_empty() => {
-                    let OpenRequest { command, index: n, .. } = open.remove(which % open.len());
+                    let OpenRequest { command, index, .. } = open.remove(which % open.len());
                     let kind = kind % 5;
-                    reply_kinds.insert(n, kind);
-                    let e = StatementError { code: "22023", message: "unknown".into() };
+                    reply_kinds.insert(index, kind);
+                    let error = StatementError { code: "22023", message: "unknown".into() };
                     conversation.complete_command(command, match kind {
-                        0 | 1 => served_reply(format!("{n:016x}").as_bytes()),
+                        0 | 1 => served_reply(format!("{index:016x}").as_bytes()),
                         2 => Reply::Rejected { retry_after_ms: None },
                         3 => Reply::Failed,
-                        _ => Reply::Invalid(e),
+                        _ => Reply::Invalid(error),
                     });
                 }
                 Some(Event::Reply(..)) => {}
@@ -146,10 +147,11 @@
                 }
                 Some(Event::ShutdownStarts | Event::MessageTimesOut) => {}
                 None => {
-                    // No events are left: completes all requests and writes all output.
-                    if let Some(OpenRequest { command, index: n, .. }) = open.pop() {
-                        reply_kinds.insert(n, 0);
-                        conversation.complete_command(command, served_reply(format!("{n:016x}").as_bytes()));
+                    // No events are left: complete all requests and write all output.
+                    if let Some(OpenRequest { command, index, .. }) = open.pop() {
+                        reply_kinds.insert(index, 0);
+                        let reply = served_reply(format!("{index:016x}").as_bytes());
+                        conversation.complete_command(command, reply);
                     }
                     out.extend(write_out_all(&mut conversation));
                     let is_consumed = open.is_empty() && chunks.len() == 0;
@@ -175,17 +177,17 @@
             prop_assert_eq!(first, Some(b'R'), "the first reply is not the startup reply");
         }
         let mut faults = 0;
-        for (end, n) in ends.iter().skip(1) {
-            let Some(n) = n else { continue };
-            if matches!(commands[*n], ClientWrite::Sync) {
+        for (end, index) in ends.iter().skip(1) {
+            let Some(index) = index else { continue };
+            if matches!(commands[*index], ClientWrite::Sync) {
                 continue;
             }
             let Some(reply) = received.next() else {
-                // The command has no reply. Then it was not forwarded, and no later command has a reply.
-                prop_assert!(received.next().is_none() && !reply_kinds.contains_key(n));
+                // A command without a reply was not forwarded, and no later command has a reply.
+                prop_assert!(received.next().is_none() && !reply_kinds.contains_key(index));
                 let is_excused =
                     shutdown_started || message_timed_out || conversation.is_closing() || *end > fed;
-                prop_assert!(is_excused, "command {} has no reply", n);
+                prop_assert!(is_excused, "command {} has no reply", index);
                 return Ok(());
             };
             let fatal = reply.message_type == b'E' && reply.body.starts_with(b"SFATAL");
@@ -197,7 +199,7 @@
                 prop_assert!(received.next().is_none(), "a reply after the final error");
                 return Ok(());
             }
-            match (&commands[*n], reply_kinds.get(n)) {
+            match (&commands[*index], reply_kinds.get(index)) {
                 (ClientWrite::Empty, _) => prop_assert_eq!(reply.message_type, b'I'),
                 (ClientWrite::Invalid, _) => {
                     faults += 1;
@@ -208,7 +210,7 @@
                     prop_assert_eq!(reply.error_code(), "0A000");
                 }
                 (_, Some(0 | 1)) => {
-                    let id = format!("{n:016x}");
+                    let id = format!("{index:016x}");
                     prop_assert!(reply.body.ends_with(id.as_bytes()), "the reply to another command");
                 }
                 (_, Some(2)) | (_, None) => prop_assert_eq!(reply.error_code(), "53300"),
--- a/crates/router/src/transport/driver.rs
+++ b/crates/router/src/transport/driver.rs
@@ -154,8 +154,9 @@
         self.handle(Input::ExchangeFinished(id, result));
     }
 
-    /// Acquires a permit for a descriptor. If none is left, closes the host connection that has been idle for
-    /// longest, and if that frees none, evicts a client connection. Returns `None` if neither helped.
+    /// Acquires a permit for a descriptor. If none is left, closes the host connection that has been idle the
+    /// longest, and if that frees no descriptor, evicts a client connection. Returns `None` if neither frees
+    /// one.
     pub async fn acquire_descriptor(&self) -> Option<Permit> {
         if let Some(permit) = self.descriptors.acquire_now() {
             return Some(permit);
--- a/crates/router/src/transport/mod.rs
+++ b/crates/router/src/transport/mod.rs
@@ -127,9 +127,9 @@
     }
 }
 
-/// Waits until the router is ready and marks it so, which makes it reply to empty queries. It is ready once
-/// it has an endpoint list from the configuration or from discovery, or after [`READY_TIMEOUT`] without one.
-/// Requests are rejected until a list is received.
+/// Waits until the router is ready, and then makes it reply to empty queries. The router is ready once it has
+/// an endpoint list from the configuration or from discovery, or after [`READY_TIMEOUT`] without one. Without
+/// a list, requests are rejected.
 async fn wait_until_ready(driver: Rc<Driver>, has_endpoints: bool) {
     if !has_endpoints {
         let list_received = async {
@@ -142,7 +142,7 @@
         };
         if !future::or(list_received, timed_out).await {
             tracing::warn!(
-                "no endpoint list received within {:?}; rejecting requests until one is",
+                "no endpoint list received within {:?}; rejecting requests until one is received",
                 Duration::from_nanos(READY_TIMEOUT.0)
             );
         }
