--- a/crates/router/src/transport/backoff.rs
+++ b/crates/router/src/transport/backoff.rs
@@ -13,19 +13,19 @@
 /// call starts after 2.25 + 0.5 + 2.25 + 0.5 + 0 + 0.5 = 6.0 s.
 const MAX_DELAY: Duration = Duration::from_millis(500);
 /// The limit on a delay if discovery serves the calls of all routers one after another. Serving one call of
-/// each router takes it up to eight seconds. If rejected routers called more often, discovery would be busy
+/// each router takes up to eight seconds. If rejected routers called more often, discovery would be busy
 /// with calls that have timed out before it serves them, and no router would ever receive a list.
 const MAX_SHARED_DELAY: Duration = Duration::from_millis(8000);
 /// The limit on a delay if discovery serves the calls of all routers one after another, and is unreachable.
-/// The 6 s within which its list has to be received after an outage of any length have to cover a call that
-/// times out (2.25 s) and the longest delay with jitter (3 s).
+/// After an outage of any length, the router must receive the list within 6 s. A call that times out (2.25 s)
+/// and the longest delay with jitter (3 s) have to fit into this time.
 const MAX_UNREACHABLE_DELAY: Duration = Duration::from_millis(2000);
-/// The smallest factor that jitter applies to a delay; the largest is one more than this.
+/// The smallest factor that jitter applies to a delay; the largest is greater by 1.
 const MIN_JITTER: f64 = 0.5;
 /// The multiplier that gives each watch of a router its own jitter seed (the 64-bit golden ratio).
 const SEED_STRIDE: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Why a call failed, as far as it affects the backoff.
+/// Why a call failed, as far as the backoff depends on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
     /// The call failed for a reason other than a rejection: discovery did not respond in time, the connection
--- a/crates/router/src/transport/client/close.rs
+++ b/crates/router/src/transport/client/close.rs
@@ -16,15 +16,15 @@
         io::lingering_close(&self.driver.read_buffer, &self.stream, self.evicted_without_permit()).await;
     }
 
-    /// Waits until the connection is evicted while no rejection permit is available. On an eviction, the
-    /// connection tries to exchange its admission permits for a rejection permit. If it gets one, it may
-    /// continue to linger and holds the permit until it is closed; if not, this returns.
+    /// Waits until the connection is evicted while no rejection permit is available. On an eviction, tries to
+    /// exchange the connection's admission permits for a rejection permit. If one is available, the
+    /// connection continues to linger and holds the permit until it is closed; otherwise, this returns.
     async fn evicted_without_permit(&self) {
-        let mut rejection = None;
+        let mut rejection_permit = None;
         loop {
-            if self.handle.is_eviction_requested() && rejection.is_none() {
-                rejection = self.driver.clients.rejection_permits.acquire_now();
-                if rejection.is_none() {
+            if self.handle.is_eviction_requested() && rejection_permit.is_none() {
+                rejection_permit = self.driver.clients.rejection_permits.acquire_now();
+                if rejection_permit.is_none() {
                     return;
                 }
                 self.permits.take();
@@ -35,10 +35,10 @@
 
     /// Closes the conversation while no request is in flight. Every complete request that was read has its
     /// reply, and no further input is read, so a client that sends a request at this time can tell from the
-    /// close that it was not executed.
+    /// close that the request was not executed.
     pub(super) fn close_between_requests(&self) {
         let mut conversation = self.conversation.borrow_mut();
-        match self.driver.clients.close_notice() {
+        match self.driver.clients.sends_close_notice() {
             true => conversation.close_with_notice(),
             false => conversation.close(),
         }
--- a/crates/router/src/transport/client/eviction.rs
+++ b/crates/router/src/transport/client/eviction.rs
@@ -1,4 +1,4 @@
-//! Selection of the client connection to evict when descriptors are short.
+//! Selection of the client connection to evict when no more descriptors are available.
 
 use super::registry::ClientRegistry;
 use basalthill_config::router::{CLIENT_EVICTION_IDLE, CLIENT_MESSAGE_TIMEOUT};
@@ -31,11 +31,11 @@
     Never,
     /// It is still protected, or its eviction has already been requested.
     NotYet,
-    /// It has had an incomplete message for this long, longer than the protection of such clients.
+    /// It has had an incomplete message for this long, and is no longer protected.
     MidMessage(Duration),
     /// It has been idle for this long.
     Idle(Duration),
-    /// It has been without a first valid request, or closing, for this long.
+    /// It has had no valid request yet, or the router has been closing it, for this long.
     Unused(Duration),
 }
 
--- a/crates/router/src/transport/client/mod.rs
+++ b/crates/router/src/transport/client/mod.rs
@@ -32,6 +32,7 @@
     /// The permit for receiving a large statement, held while one is being received.
     large_permit: RefCell<Option<Permit>>,
     connected_at: Instant,
+    /// The admission permits; none once they have been exchanged for a rejection permit.
     permits: RefCell<Option<AdmissionPermits>>,
     conversation: RefCell<Conversation>,
     stream: Rc<Async<TcpStream>>,
@@ -41,7 +42,7 @@
 enum ConnectionEnd {
     /// The client has closed the connection, the connection failed, or the client has stopped reading.
     Disconnected,
-    /// The router closes the connection, and the client still has to receive what was written last.
+    /// The router closes the connection, and the client still has to receive the last reply.
     Closed,
 }
 
--- a/crates/router/src/transport/client/registry.rs
+++ b/crates/router/src/transport/client/registry.rs
@@ -114,7 +114,8 @@
 pub struct ConnectionCounts {
     /// Connections rejected for lack of descriptors.
     pub rejected: u32,
-    /// Connections closed for a protocol error, too many unsupported commands or a timeout.
+    /// Connections closed for a protocol error, too many unsupported or invalid commands, or a message
+    /// timeout.
     pub dismissed: u32,
 }
 
@@ -132,7 +133,7 @@
     /// Whether empty queries get a reply: the router has an endpoint list, or has timed out waiting for one.
     ready: Cell<bool>,
     /// Whether clients are sent an error message before their connection is closed between two requests.
-    close_notice: Cell<bool>,
+    sends_close_notice: Cell<bool>,
     /// The hasher that derives the secrets of cancel keys.
     secret_hasher: RandomState,
     connection_counts: Cell<ConnectionCounts>,
@@ -148,7 +149,7 @@
             rejection_permits: Semaphore::new(RESERVED_SOCKETS / 3),
             large_statement_permits: Semaphore::new(config.limits.max_large_statements()),
             ready: Cell::new(false),
-            close_notice: Cell::new(config.local_settings.close_notice),
+            sends_close_notice: Cell::new(config.local_settings.close_notice),
             secret_hasher: RandomState::new(),
             connection_counts: Cell::default(),
         }
@@ -211,14 +212,14 @@
     }
 
     /// Sets whether clients are sent an error message before their connection is closed between two requests.
-    pub fn set_close_notice(&self, close_notice: bool) {
-        self.close_notice.set(close_notice);
+    pub fn set_close_notice(&self, enabled: bool) {
+        self.sends_close_notice.set(enabled);
     }
 
     /// Returns whether clients are sent an error message before their connection is closed between two
     /// requests.
-    pub(super) fn close_notice(&self) -> bool {
-        self.close_notice.get()
+    pub(super) fn sends_close_notice(&self) -> bool {
+        self.sends_close_notice.get()
     }
 
     /// Counts a connection that was rejected for lack of descriptors.
@@ -227,7 +228,7 @@
         self.connection_counts.set(ConnectionCounts { rejected: counts.rejected + 1, ..counts });
     }
 
-    /// Counts a connection that was closed for an error or a timeout.
+    /// Counts a connection that was closed for an error or a message timeout.
     pub(super) fn count_dismissed(&self) {
         let counts = self.connection_counts.get();
         self.connection_counts.set(ConnectionCounts { dismissed: counts.dismissed + 1, ..counts });
--- a/crates/router/src/transport/client/serve.rs
+++ b/crates/router/src/transport/client/serve.rs
@@ -16,8 +16,8 @@
 /// The interval at which the task checks whether the client has disconnected while it does not read from the
 /// socket.
 const HANGUP_CHECK_INTERVAL: Duration = Duration::from_millis(25);
-/// The number of steps of one conversation that are executed before the task yields to others, as a client
-/// may send commands without a pause.
+/// The number of steps of one conversation that are executed before the task yields to other tasks, as a
+/// client may send commands without a pause.
 const MAX_STEPS_AT_ONCE: usize = 16;
 /// The maximum number of replies in one vectored write.
 const MAX_GATHERED_REPLIES: usize = 16;
@@ -50,7 +50,7 @@
 /// The progress of writing to the client.
 #[derive(Default)]
 struct WriteProgress {
-    /// Since when the current reply or session token has been waiting to be written completely.
+    /// Since when there has been output and no reply or session token has been written completely.
     blocked_since: Option<Instant>,
 }
 
@@ -258,7 +258,8 @@
         future::or(deadline, future::or(write, future::or(changed, read))).await
     }
 
-    /// Reads once without waiting. Returns the number of bytes that were read, 0 if there are none.
+    /// Reads once without waiting. Returns the number of bytes that were read, 0 if there are none. Fails if
+    /// the client has disconnected.
     fn receive_now(&self) -> Result<usize, ConnectionEnd> {
         match io::uninterrupted(|| self.receive(self.stream.get_ref())) {
             Ok(0) => Err(ConnectionEnd::Disconnected),
--- a/crates/router/src/transport/conversation/input.rs
+++ b/crates/router/src/transport/conversation/input.rs
@@ -32,8 +32,8 @@
     }
 
     /// Returns the earliest time at which bytes that are read at `now` may have been received. If `drained`
-    /// is true, the socket has no more bytes, and bytes that are read later have been received after this
-    /// read.
+    /// is true, the socket has no more bytes; bytes that are read later count as received when they are read,
+    /// unless reading is paused before.
     pub fn arrival_time(&mut self, drained: bool, now: Time) -> Time {
         let arrived_at = self.unread_since.unwrap_or(now);
         if drained {
--- a/crates/router/src/transport/exchange.rs
+++ b/crates/router/src/transport/exchange.rs
@@ -22,8 +22,8 @@
 const STALL_TIMEOUT: Duration = Duration::from_nanos(RESPONSE_STALL_TIMEOUT.0);
 /// The zero byte that terminates a string in a message.
 const TERMINATOR: &[u8] = &[0];
-/// Nanoseconds in a millisecond.
-const NANOS_PER_MS: u64 = 1_000_000;
+/// Nanoseconds per millisecond.
+const NS_PER_MS: u64 = 1_000_000;
 
 /// The tasks of the exchanges that are in flight.
 #[derive(Default)]
@@ -67,8 +67,8 @@
     if let Some(client) = client.filter(|client| driver.clients.has_disconnected(*client)) {
         driver.handle(Input::ClientDisconnected(client));
     }
-    // While the exchange waited for a connection, the grace period of a draining host may have passed, or an
-    // endpoint list without the host may have been received.
+    // While the exchange waited for a connection, the request may have been completed, the grace period of a
+    // draining host may have passed, or an endpoint list without the host may have been received.
     if !driver.router.borrow().may_write(driver.clock.now(), id, member) {
         driver.pool.check_in(addr, connection);
         return ExchangeResult::Skipped;
@@ -111,8 +111,8 @@
 
 /// Opens a connection and completes its startup, within the connect timeout. If this router lacks local
 /// resources, such as descriptors, it retries within the timeout, because completing exchanges release them.
-/// If it still lacks them at the timeout, the result is [`ExchangeResult::Skipped`] and not a failure of the
-/// host, because the policy would otherwise eject a healthy host.
+/// If it still lacks them at the timeout, the result is [`ExchangeResult::Skipped`]: if the result were a
+/// failure of the host, the policy would eject a healthy host.
 async fn connect(driver: &Rc<Driver>, addr: SocketAddr) -> Result<HostConnection, ExchangeResult> {
     let lacks_resources = Cell::new(true);
     let connected = connect_with_retries(driver, addr, &lacks_resources);
@@ -127,8 +127,8 @@
     future::or(connected, timed_out).await
 }
 
-/// Opens a connection, retrying while this router lacks the local resources for it. `lacks_resources` shows
-/// the caller at a timeout whether that was the reason.
+/// Opens a connection, retrying while this router lacks the local resources for it. `lacks_resources` is true
+/// while a lack of resources prevents the connect; the caller reads it at a timeout.
 async fn connect_with_retries(
     driver: &Rc<Driver>,
     addr: SocketAddr,
@@ -183,7 +183,7 @@
     match query {
         Query::Statement { statement, deadline, floor_ms } => {
             // The time that is left now, after the connection has been opened.
-            let remaining_ms = deadline.since(driver.clock.now()).0 / NANOS_PER_MS;
+            let remaining_ms = deadline.since(driver.clock.now()).0 / NS_PER_MS;
             let remaining_ms = remaining_ms.max(1).to_string();
             let floor_ms = floor_ms.map(|ms| ms.to_string());
             let text = statement.text_parts(&remaining_ms, floor_ms.as_deref());
@@ -235,7 +235,7 @@
     }
 }
 
-/// Returns the result of a response that is invalid or incomplete after some point: its row if that was
+/// Returns the result of a response that is invalid or incomplete after some point: the row if it was
 /// received completely, or else [`ExchangeResult::MalformedResponse`].
 fn complete_row_or_malformed(codec: &mut HostCodec) -> ExchangeResult {
     match codec.take_complete_row() {
@@ -244,7 +244,7 @@
     }
 }
 
-/// Returns the result when the host has closed the connection. A fatal error is a complete response then,
+/// Returns the result when the host has closed the connection. A fatal error counts as a complete response,
 /// because no ReadyForQuery follows it.
 fn result_at_close(codec: &mut HostCodec) -> ExchangeResult {
     match codec.on_close() {
--- a/crates/router/src/transport/exchange/tests.rs
+++ b/crates/router/src/transport/exchange/tests.rs
@@ -20,7 +20,7 @@
 /// The messages AuthenticationOk and ReadyForQuery.
 const STARTUP_RESPONSE: &[u8] = b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I";
 
-/// The result of an exchange and what the host received of it.
+/// The result of an exchange, and how much of its query the host received.
 #[derive(Debug, PartialEq)]
 struct Outcome {
     result: ExchangeResult,
@@ -93,8 +93,8 @@
     Ok(())
 }
 
-/// Runs a query while no descriptor is available. One is released after the exchange has failed to acquire
-/// one, and well within the connect timeout.
+/// Runs a query while no descriptor is available. A descriptor is released after the exchange has failed to
+/// acquire one, and well within the connect timeout.
 fn run_without_descriptors(id: ExchangeId) -> std::io::Result<Outcome> {
     let host = TcpListener::bind(("127.0.0.1", 0))?;
     let addr = host.local_addr()?;
--- a/crates/router/src/transport/fleet.rs
+++ b/crates/router/src/transport/fleet.rs
@@ -22,7 +22,7 @@
 
 /// The maximum number of verified datagrams queued for the router's thread. Further ones are dropped.
 const MAX_QUEUED_DATAGRAMS: usize = 1024;
-/// The time that the reader waits for a datagram before it checks whether the link has been closed.
+/// The longest time that the reader waits for a datagram before it checks whether the link has been closed.
 const READ_TIMEOUT: Duration = Duration::from_millis(200);
 /// The interval at which the reader reports the number of invalid datagrams.
 const DROP_REPORT_INTERVAL: Duration = Duration::from_millis(500);
@@ -45,7 +45,7 @@
     }
 }
 
-/// Opens the link and joins the fleet, if the settings name one.
+/// Opens the link and joins the fleet, if the settings define one.
 pub fn join(driver: &Rc<Driver>, config: &RouterConfig) -> Result<(), ServeError> {
     let Some(settings) = &config.local_settings.fleet else { return Ok(()) };
     let Some(listen) = listen_address(&config.name, settings) else { return Ok(()) };
@@ -84,13 +84,14 @@
     driver.with_router(|router, now, effects| router.reload_fleet(now, settings, effects));
 }
 
-/// Returns the address on which a router listens for its peers.
+/// Returns the address on which a router listens for its peers; none if the settings have no `listen` address
+/// and the roster lacks the router's name.
 fn listen_address(name: &str, settings: &FleetSettings) -> Option<SocketAddr> {
     settings.listen.or_else(|| settings.roster.get(NodeId::of(name)).map(|peer| peer.addr))
 }
 
-/// The socket, its reader thread, and the task that passes verified datagrams to routing. Dropping this stops
-/// both.
+/// The socket, its reader thread, and the task that passes verified datagrams to routing. When the
+/// `FleetSocket` is dropped, the thread and the task are stopped.
 struct FleetSocket {
     socket: UdpSocket,
     /// The address to listen on, as configured when the socket was opened.
--- a/crates/router/src/transport/io.rs
+++ b/crates/router/src/transport/io.rs
@@ -71,8 +71,8 @@
 pub struct Received<'a> {
     /// The bytes that were read; empty at the end of the stream.
     pub bytes: &'a [u8],
-    /// Whether the read returned less than the buffer holds, so that the socket's receive buffer is empty
-    /// now.
+    /// Whether the read returned fewer bytes than the buffer holds, so that the socket's receive buffer is
+    /// empty now.
     pub drained: bool,
 }
 
@@ -130,8 +130,8 @@
     matches!(read, Err(e) if e.kind() == ErrorKind::WouldBlock || is_transient(&e))
 }
 
-/// Returns the number of received bytes that have not been read. If the operating system can't tell, returns
-/// the maximum that one call reads.
+/// Returns the number of received bytes that have not been read. If the system call fails, returns
+/// [`READ_BUFFER_LEN`], the maximum that one call reads.
 pub fn unread_len(stream: &Async<TcpStream>) -> usize {
     rustix::io::ioctl_fionread(stream.get_ref()).map_or(READ_BUFFER_LEN, |len| len as usize)
 }
--- a/crates/router/src/transport/listener/tests.rs
+++ b/crates/router/src/transport/listener/tests.rs
@@ -13,7 +13,7 @@
     let driver = Driver::new(&config, None, &executor);
     let waiting: io::Result<Vec<TcpStream>> = (0..50).map(|_| TcpStream::connect(addr)).collect();
     let waiting = waiting?;
-    // The listener is told to stop before it has accepted any of them.
+    // The listener is told to stop before it has accepted any connection.
     driver.shutdown.stop_accepting();
     let listener = Listener::new(Rc::clone(&driver), Async::new(socket)?);
     async_io::block_on(executor.run(listener.run()));
--- a/crates/router/src/transport/pool.rs
+++ b/crates/router/src/transport/pool.rs
@@ -25,7 +25,7 @@
     idle_since: Instant,
 }
 
-/// The result of requesting a connection to an address from the pool.
+/// The result of [`HostPool::check_out`].
 pub enum Checkout {
     /// A connection that can be used now.
     Ready(HostConnection),
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Closes the connection that has been idle for longest.
+    /// Closes the connection that has been idle the longest.
     pub fn close_oldest(&self) {
         let mut idle = self.idle.borrow_mut();
         let first_of_each = idle.iter().filter_map(|(addr, list)| Some((list.first()?.idle_since, *addr)));
--- a/crates/router/src/transport/watch.rs
+++ b/crates/router/src/transport/watch.rs
@@ -23,7 +23,7 @@
 
 /// The time within which a watch has to receive a complete message. Discovery sends an empty line every two
 /// seconds as a keep-alive, so a watch without a complete message for longer than that has failed, even if it
-/// receives single bytes. Reopening it costs next to nothing.
+/// receives single bytes. Reopening a watch is cheap.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2250);
 /// The limit on connecting and receiving the head of the response. Discovery's agent is nearby and responds
 /// immediately; the limit leaves time for the retransmission of a lost packet.
@@ -238,7 +238,7 @@
         }
     }
 
-    /// Connects and writes the request, once the routers' shared budget for such calls permits it.
+    /// Connects and writes the request, once the routers' shared budget for calls to discovery permits it.
     async fn open(&self) -> Result<WatchCall, WatchError> {
         let discovery = &self.driver.discovery;
         let request = watch_request(&self.addr.to_string(), self.version);
@@ -319,15 +319,16 @@
     async fn receive(&mut self, driver: &Driver) -> Result<(), WatchError> {
         let WatchCall { stream, codec, deadline, .. } = self;
         let read = async { Ok(driver.read_buffer.read(stream, |bytes| codec.feed(bytes)).await?) };
-        // After a reset or a timeout, the received bytes may end with an incomplete line. After an orderly
-        // close of the connection they don't.
+        // A reset or a timeout returns here: the received bytes may end with an incomplete message, which
+        // must not be parsed.
         if future::or(read, time_out_at(*deadline)).await? > 0 {
             return Ok(());
         }
         if !self.has_head {
             return Err(WatchError::NoResponse);
         }
-        // The body may be delimited by the close, and its last line may lack a line break.
+        // After an orderly close, the body may end with the connection, and its last line may lack a line
+        // break.
         self.codec.on_close();
         self.is_closed = true;
         Ok(())
