--- a/crates/router/src/program/fleet.rs
+++ b/crates/router/src/program/fleet.rs
@@ -24,7 +24,7 @@
     at: Option<SocketAddr>,
 }
 
-/// The maximum number of requests for each page, because datagrams may get lost.
+/// The maximum number of requests for each page. A request is repeated because datagrams may be lost.
 const MAX_ATTEMPTS: u32 = 5;
 /// The time that each attempt waits for the response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
--- a/crates/router/src/program/logging/format.rs
+++ b/crates/router/src/program/logging/format.rs
@@ -16,7 +16,8 @@
 /// The field that carries an event's message.
 const MESSAGE: &str = "message";
 
-/// Formats events as lines. A line also has the number of lines that were dropped since the previous one.
+/// Formats events as lines. A line also contains the number of lines that were dropped since the previous
+/// line, unless it is 0.
 pub(super) struct LineFormat {
     format: LogFormat,
     limiter: Arc<RateLimiter>,
--- a/crates/router/src/program/logging/mod.rs
+++ b/crates/router/src/program/logging/mod.rs
@@ -72,7 +72,8 @@
     _writer: Option<WriterThread>,
 }
 
-/// Starts logging. Does nothing if the writer thread can't be started, or if logging was started before.
+/// Starts logging. Nothing is logged if the writer thread can't be started. If logging was started before, it
+/// continues unchanged.
 pub(super) fn init(level: LogLevel, format: LogFormat) -> LogGuard {
     let limiter = Arc::new(RateLimiter::default());
     let Ok((queue, writer)) = writer::spawn(stderr(), Arc::clone(&limiter)) else {
@@ -83,7 +84,8 @@
     LogGuard { _writer: Some(writer) }
 }
 
-/// Returns the subscriber: filters by target and level, applies the rate limit, and writes lines to `lines`.
+/// Returns the subscriber, which filters events by target and level, applies the rate limit, and writes lines
+/// to `lines`.
 fn subscriber<W>(
     level: LogLevel,
     format: LogFormat,
--- a/crates/router/src/program/logging/tests.rs
+++ b/crates/router/src/program/logging/tests.rs
@@ -123,7 +123,7 @@
     assert_eq!(limiter.take_dropped(), 0);
     assert_eq!(admitted(1000, MAX_LINES_PER_SECOND + 5), MAX_LINES_PER_SECOND);
     assert_eq!(limiter.take_dropped(), 5);
-    assert_eq!(admitted(1999, 1), 0, "the window begins with its first line");
+    assert_eq!(admitted(1999, 1), 0, "the window begins at its first line, at 1000 ms, and ends at 2000 ms");
     assert_eq!(admitted(5000, 1), 1);
 }
 
@@ -168,7 +168,7 @@
     let lines: Vec<Vec<u8>> = lines.iter().collect();
     let dropped = limiter.take_dropped() as usize;
     assert!(dropped >= 700, "{dropped} of 1000 lines were dropped, expected at least 700");
-    assert_eq!(lines.len() + dropped, 1000, "lines that are not written are counted");
+    assert_eq!(lines.len() + dropped, 1000, "each of the 1000 lines is either written or counted as dropped");
     assert_eq!(lines[..2], [b"0\n".to_vec(), b"1\n".to_vec()]);
 }
 
--- a/crates/router/src/program/query.rs
+++ b/crates/router/src/program/query.rs
@@ -1,4 +1,4 @@
-//! `basalthill query` (formerly `ask`): sends one request with the client library.
+//! `basalthill query`, which has the alias `ask`: sends one request with the client library.
 
 use basalthill_client::{
     AttemptRecord, Client, Config, Idempotency, InvalidSession, Request, RequestOutcome, RequestReport,
@@ -85,8 +85,8 @@
     Ok(report)
 }
 
-/// Returns the session stored in a file, or a new one if there is no file. A new session has an empty name,
-/// since the key identifies it.
+/// Returns the session stored in a file, or a new session if the file does not exist. A new session has an
+/// empty name, because the request's key identifies it.
 fn load_session(path: &Path) -> Result<Session, QueryError> {
     let path = path.to_path_buf();
     let session = if path.exists() {
--- a/crates/router/src/program/serve.rs
+++ b/crates/router/src/program/serve.rs
@@ -16,7 +16,7 @@
 const BIND_TIMEOUT: Duration = Duration::from_secs(5);
 /// The pause between two attempts to bind.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// The limit on retrying to read a file at a reload, because a file may be unreadable while it is being
+/// The limit on retries of reading the files at a reload. A file may be unreadable while it is being
 /// replaced. The limit leaves time to receive the list from a changed discovery address within 4 s of the
 /// signal.
 const RELOAD_READ_TIMEOUT: Duration = Duration::from_secs(1);
@@ -24,8 +24,8 @@
 const RELOAD_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// The pause after a failure to receive a signal.
 const SIGNAL_RETRY_DELAY: Duration = Duration::from_millis(5);
-/// The number of consecutive failures to receive a signal that are logged at debug level only. Of the further
-/// failures, those whose number is a power of two are logged as warnings.
+/// The number of consecutive failures to receive a signal that are logged at debug level only. After these,
+/// each failure whose number is a power of two is logged as a warning.
 const SIGNAL_FAILURES_BEFORE_WARNING: u32 = 16;
 
 /// Serves until SIGTERM or SIGINT, and returns the exit code.
@@ -73,11 +73,11 @@
         /// The reload that was requested while waiting for the address, if any.
         reload: Option<Reload>,
     },
-    /// A signal to stop was received first.
+    /// A signal to stop was received before the address was bound.
     Stopped,
 }
 
-/// Binds to the address. If an earlier process still uses it, retries for up to [`BIND_TIMEOUT`] and handles
+/// Binds to the address. If another process still uses it, retries for up to [`BIND_TIMEOUT`] and handles
 /// signals between the attempts.
 fn bind(address: SocketAddr, signals: &mut Signals, files: &ConfigFiles) -> io::Result<Binding> {
     let deadline = Instant::now() + BIND_TIMEOUT;
@@ -112,7 +112,8 @@
     future::or(signal, timer).await
 }
 
-/// Returns the next signal. If receiving one fails, tries again, because a failure must not stop the router.
+/// Returns the next signal. Retries after a failure to receive one, because a failure must not stop the
+/// router.
 async fn next_signal(signals: &mut Signals) -> Signal {
     for failures in 1u32.. {
         match signals.next().await {
@@ -143,8 +144,8 @@
     Box::pin(blocking::unblock(move || read_with_retries(&files)))
 }
 
-/// Reads the files again. Retries for up to [`RELOAD_READ_TIMEOUT`] if one can't be read, because a file may
-/// be unreadable while it is being replaced.
+/// Reads the files again. Retries for up to [`RELOAD_READ_TIMEOUT`] if a file can't be read, which may happen
+/// while it is being replaced.
 fn read_with_retries(files: &ConfigFiles) -> Result<Box<RouterConfig>, ConfigError> {
     let deadline = Instant::now() + RELOAD_READ_TIMEOUT;
     loop {
@@ -170,8 +171,8 @@
     reload: Option<Reload>,
 }
 
-/// Returns the stream of commands that the signals request. Another SIGHUP during a reload restarts it, so
-/// that the newest files are read.
+/// Returns the stream of commands that the signals request. Another SIGHUP during a reload restarts the
+/// reload, so that the newest files are read.
 fn control_commands(
     signals: Signals,
     files: ConfigFiles,
