--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -6,7 +6,7 @@
 //! - [`routing`] turns requests, responses and endpoint lists into the policy's events, and the policy's
 //!   actions into effects;
 //! - [`program`] is the command line: it reads the configuration, sets up logging, and runs the router until
-//!   it is told to stop.
+//!   a signal stops it.
 
 pub mod program;
 pub mod protocol;
--- a/crates/router/src/protocol/client.rs
+++ b/crates/router/src/protocol/client.rs
@@ -1,4 +1,5 @@
-//! The protocol towards clients: parses what clients send, and encodes the messages that they get.
+//! The protocol on client connections: parses the messages that clients send, and encodes those that they
+//! get.
 //!
 //! [`ClientCodec`] parses messages as they arrive and records the arrival time of each message's last byte. A
 //! client's deadline counts from that time, even if other commands have to be processed first.
--- a/crates/router/src/protocol/host.rs
+++ b/crates/router/src/protocol/host.rs
@@ -1,4 +1,4 @@
-//! The protocol towards database hosts: parses what hosts send, and encodes queries.
+//! The protocol on connections to database hosts: parses the messages that hosts send, and encodes queries.
 //!
 //! [`HostCodec`] checks that messages arrive in the order that the protocol requires and don't exceed their
 //! maximum lengths. It checks the length as soon as a message's header has arrived.
@@ -15,11 +15,11 @@
 pub const MAX_MESSAGE_LEN: usize = 80 * 1024;
 /// The maximum total size of the RowDescription, DataRow and CommandComplete of a response, in bytes.
 const MAX_RESPONSE_LEN: usize = 128 * 1024;
-/// The longest accepted RowDescription in bytes; it describes one column.
+/// The longest accepted RowDescription, which describes one column, in bytes.
 const MAX_DESCRIPTION_LEN: usize = 1024;
-/// The longest accepted CommandComplete in bytes.
+/// The longest accepted CommandComplete, in bytes.
 const MAX_COMMAND_TAG_LEN: usize = 64;
-/// The longest accepted message of any other type in bytes, such as parameters, notices and errors.
+/// The longest accepted message of any other type, such as a parameter, a notice or an error, in bytes.
 const MAX_TEXT_MESSAGE_LEN: usize = 8 * 1024;
 
 /// Bytes of a DataRow's body before the value: the number of columns, which is one, and the value's length.
@@ -239,7 +239,7 @@
     error_code(body).map(|code| String::from_utf8_lossy(code).into_owned()).unwrap_or_default()
 }
 
-/// What has arrived of the response to a query.
+/// The part of the response to a query that has arrived.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct ResponseProgress {
     /// The messages that belong to the row: RowDescription, DataRow, CommandComplete.
--- a/crates/router/src/routing/attempts.rs
+++ b/crates/router/src/routing/attempts.rs
@@ -26,11 +26,11 @@
     pub request: RequestId,
     /// The number of the attempt within its request.
     pub number: Attempt,
-    /// The member that it was sent to, and when.
+    /// The member to which the attempt was sent, and when.
     pub exchange: InFlightExchange,
     /// How it ended.
     pub status: Status,
-    /// What the host reported with its response.
+    /// The state that the host reported with its response.
     pub reported: ReportedState,
 }
 
@@ -47,8 +47,8 @@
 }
 
 impl Router {
-    /// Starts an attempt as the policy decided. It ends at the request's deadline, or after `timeout` if that
-    /// is earlier. An attempt that can't be started has its outcome at once.
+    /// Starts an attempt as the policy decided. The attempt ends at the request's deadline, or after
+    /// `timeout` if that is earlier. If the attempt can't be started, its outcome is recorded at once.
     pub(super) fn start_attempt(
         &mut self,
         now: Time,
--- a/crates/router/src/routing/fleet.rs
+++ b/crates/router/src/routing/fleet.rs
@@ -1,6 +1,6 @@
-//! The router's part in a fleet: joins and leaves the fleet, passes on what other routers send, and keeps the
-//! policy informed of capacities and budgets. The state is in [`FleetLimits`]; a router that has joined no
-//! fleet ignores all calls.
+//! The router's part in a fleet: joins and leaves the fleet, passes on the packets of other routers, and
+//! keeps the policy informed of capacities and budgets. The state is in [`FleetLimits`]; a router that has
+//! joined no fleet ignores all calls.
 
 use super::attempts::FinishedAttempt;
 use super::fleet_limits::FleetLimits;
@@ -54,7 +54,7 @@
         self.fleet_limits.as_mut().is_none_or(|limits| limits.spend_budget(now, budget))
     }
 
-    /// Handles what has arrived on the fleet's socket.
+    /// Handles an event on the fleet's socket.
     pub(super) fn handle_fleet_input(&mut self, now: Time, input: FleetInput, out: &mut Vec<Effect>) {
         let Some(limits) = &mut self.fleet_limits else { return };
         let mut effects = Vec::new();
--- a/crates/router/src/routing/fleet_limits.rs
+++ b/crates/router/src/routing/fleet_limits.rs
@@ -249,8 +249,8 @@
         changes
     }
 
-    /// Replaces the budgets and capacities in an event with their present values, which include what was
-    /// spent since the event was queued.
+    /// Replaces the budgets and capacities in an event with their present values, because tokens and slots
+    /// may have been used or released since the event was queued.
     pub fn refresh(&mut self, now: Time, event: Event) -> Event {
         match event {
             Event::Budgets { .. } => {
--- a/crates/router/src/routing/input.rs
+++ b/crates/router/src/routing/input.rs
@@ -1,4 +1,5 @@
-//! What transport passes to the router: one [`Input`] for each event, and the types that inputs contain.
+//! The inputs that transport passes to the router: one [`Input`] for each event, and the types that inputs
+//! contain.
 
 use crate::protocol::discovery::HostList;
 use crate::protocol::host::{QueryOutcome, ReportedState};
@@ -86,7 +87,7 @@
     },
     /// Another proxy has sent a message on its stream.
     Proxy(StreamId, ProxyMessage),
-    /// Something has arrived on the fleet's socket.
+    /// A packet or an operator's query has arrived on the fleet's socket, or datagrams have been dropped.
     Fleet(FleetInput),
     /// Timers may be due.
     Tick,
@@ -112,7 +113,7 @@
     StreamClosed,
 }
 
-/// What arrives on the fleet's socket.
+/// An event on the fleet's socket.
 #[derive(Debug)]
 pub enum FleetInput {
     /// A packet of another router, whose signature has been verified.
--- a/crates/router/src/transport/client/registry.rs
+++ b/crates/router/src/transport/client/registry.rs
@@ -25,7 +25,8 @@
     pub reply: Reply,
 }
 
-/// The part of a client connection that other tasks access: its state, and what they queue for its task.
+/// The part of a client connection that other tasks access: its state, and the replies and tokens that they
+/// queue for its task.
 pub struct ClientHandle {
     /// Replies that the connection's task has not taken yet.
     pub(super) replies: RefCell<Vec<CommandReply>>,
--- a/crates/router/src/transport/client/serve.rs
+++ b/crates/router/src/transport/client/serve.rs
@@ -194,9 +194,9 @@
         Check::Passed
     }
 
-    /// During a shutdown, limits the input to what has been received by now and the rest of a message that
-    /// has begun, and closes the conversation once no request is in flight. A client that has just connected
-    /// may still send a request within [`SHUTDOWN_GRACE`].
+    /// During a shutdown, limits the input to the bytes that have been received by now and the rest of a
+    /// message that has begun, and closes the conversation once no request is in flight. A client that has
+    /// just connected may still send a request within [`SHUTDOWN_GRACE`].
     fn check_shutdown(&self, now: Instant, wake_up: &mut WakeUp) -> Result<Check, ConnectionEnd> {
         if !self.driver.shutdown.is_draining() {
             return Ok(Check::Passed);
--- a/crates/router/src/transport/driver.rs
+++ b/crates/router/src/transport/driver.rs
@@ -41,7 +41,7 @@
     pub read_buffer: ReadBuffer,
     /// The watches on discovery's endpoint list.
     pub discovery: DiscoveryWatches,
-    /// The link to the peers of a fleet.
+    /// The link to the peers in the fleet, if this router belongs to one.
     pub fleet: FleetLink,
     /// The time until which the timer task sleeps.
     pub timers: TimerDeadline,
--- a/crates/router/src/transport/watch.rs
+++ b/crates/router/src/transport/watch.rs
@@ -29,9 +29,9 @@
 /// immediately; the limit leaves time for the retransmission of a lost packet.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(1200);
 /// The limit on connecting and receiving the head of the response if endpoint lists are polled. Discovery
-/// then serves the calls of all routers one after another, and closes a call itself after it has waited for
-/// two seconds. A router that gave up earlier would waste discovery's work on the call and repeat it; with
-/// hundreds of such routers, none would ever receive a list.
+/// then serves the calls of all routers one after another, and closes a call itself once the call has waited
+/// for two seconds. If a router closed its call earlier and made another, discovery's work on the first call
+/// would be wasted; with hundreds of routers that do so, none would ever receive a list.
 const SHARED_HEAD_TIMEOUT: Duration = Duration::from_millis(2250);
 /// The pause before another attempt to spend the routers' shared budget for calls to discovery.
 const BUDGET_CHECK_INTERVAL: Duration = Duration::from_millis(50);
@@ -170,7 +170,7 @@
     last_message_at: Time,
 }
 
-/// One call: its connection, and what has been received on it.
+/// One call: its connection, and how much of the response has been received.
 struct WatchCall {
     stream: Async<TcpStream>,
     codec: WatchCodec,
