--- a/crates/router/src/protocol/client.rs
+++ b/crates/router/src/protocol/client.rs
@@ -176,7 +176,7 @@
         self.error.is_some()
     }
 
-    /// Returns the next complete message; none if no message is complete. After the last one, returns the
+    /// Returns the next complete message; `None` if no message is complete. After the last one, returns the
     /// protocol error, if one has been found.
     pub fn next_message(&mut self) -> Result<Option<ReceivedMessage>, ProtocolError> {
         if let Some(QueuedMessage { received, bytes }) = self.queue.pop_front() {
@@ -205,7 +205,7 @@
         }
     }
 
-    /// Parses the message at the front of the buffer; none if it is skipped.
+    /// Parses the message at the front of the buffer; `None` if it is skipped.
     fn parse_command(&mut self, header: MessageHeader) -> Result<Option<ClientMessage>, ProtocolError> {
         let MessageHeader { kind, body_len } = header;
         let body = &self.buffer.unread()[HEADER_LEN..HEADER_LEN + body_len];
--- a/crates/router/src/protocol/discovery/watch.rs
+++ b/crates/router/src/protocol/discovery/watch.rs
@@ -61,7 +61,7 @@
         self.buffer.extend(bytes);
     }
 
-    /// Returns the next message; none if more bytes are needed.
+    /// Returns the next message; `None` if more bytes are needed.
     pub fn next_message(&mut self) -> Result<Option<WatchMessage>, DiscoveryError> {
         loop {
             if let Some(message) = self.next_line()? {
@@ -100,9 +100,9 @@
         self.stage = Stage::Finished;
     }
 
-    /// Returns the next message that ends with a complete line; none if no complete line ends one. A list may
-    /// be indented and span many lines: while it is incomplete, further lines are appended, and it is parsed
-    /// again after each line that may be its last.
+    /// Returns the next message; `None` if its last line is incomplete. A list may be indented and span many
+    /// lines: while it is incomplete, further lines are appended, and it is parsed again after each line that
+    /// may be its last.
     fn next_line(&mut self) -> Result<Option<WatchMessage>, DiscoveryError> {
         while let Some(line_len) = self.body[self.scanned..].iter().position(|b| *b == b'\n') {
             let is_first_line = self.scanned == 0;
@@ -240,7 +240,7 @@
 }
 
 /// Encodes a request for the changes since a version, or for the complete list followed by its changes if
-/// `from` is none.
+/// `from` is `None`.
 pub fn watch_request(host: &str, from: Option<u64>) -> Vec<u8> {
     let from = from.map(|version| format!("&from={version}")).unwrap_or_default();
     let request =
--- a/crates/router/src/protocol/host.rs
+++ b/crates/router/src/protocol/host.rs
@@ -66,7 +66,7 @@
     pub bytes: Vec<u8>,
     /// The ranges of the messages that the client gets, in order: RowDescription, DataRow, CommandComplete.
     pub parts: Vec<ByteRange>,
-    /// The range of the value; none if it is null.
+    /// The range of the value; `None` if it is null.
     pub value: Option<ByteRange>,
     /// Whether the value is in binary format.
     pub binary: bool,
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Returns the next event that results from the messages that have arrived; none if more bytes are
+    /// Returns the next event that results from the messages that have arrived; `None` if more bytes are
     /// needed.
     pub fn next_event(&mut self) -> Result<Option<HostEvent>, ProtocolError> {
         loop {
--- a/crates/router/src/protocol/statement/mod.rs
+++ b/crates/router/src/protocol/statement/mod.rs
@@ -58,7 +58,7 @@
     /// The group to which the request belongs.
     pub group: u32,
     /// The log position that a member must have applied to serve the read, a Unix time in milliseconds; the
-    /// latest one if the comment has `after` several times, and none if it has no `after`.
+    /// latest one if the comment has `after` several times, and `None` if it has no `after`.
     pub min_position_ms: Option<u64>,
     /// The ranges of the values of `after`.
     min_positions: Vec<Range<usize>>,
--- a/crates/router/src/routing/clock.rs
+++ b/crates/router/src/routing/clock.rs
@@ -28,7 +28,7 @@
         self.anchor.plus(Time(self.start.elapsed().as_nanos() as u64))
     }
 
-    /// Returns how far the system clock is ahead of this clock, in nanoseconds; none if the process was
+    /// Returns how far the system clock is ahead of this clock, in nanoseconds; `None` if the process was
     /// suspended between the readings of the two clocks.
     pub fn system_clock_offset_ns(&self) -> Option<i64> {
         let before = self.now();
--- a/crates/router/src/routing/effect.rs
+++ b/crates/router/src/routing/effect.rs
@@ -38,8 +38,8 @@
         /// The deadline of the attempt. When transport sends the statement, it writes the remaining time
         /// into it, in milliseconds.
         deadline: Time,
-        /// The read floor to write into the statement, a Unix time in milliseconds; none if the statement is
-        /// sent with the position that its client gave.
+        /// The read floor to write into the statement, a Unix time in milliseconds; `None` if the statement
+        /// is sent with the position that its client gave.
         floor_ms: Option<u64>,
     },
     /// The SQL text of a health check.
@@ -53,7 +53,7 @@
     pub id: ExchangeId,
     /// The member to which the query is sent.
     pub member: MemberId,
-    /// The client that awaits the reply; none for a health check.
+    /// The client that awaits the reply; `None` for a health check.
     pub client: Option<ClientId>,
     /// The member's address.
     pub addr: SocketAddr,
--- a/crates/router/src/routing/endpoints.rs
+++ b/crates/router/src/routing/endpoints.rs
@@ -21,7 +21,7 @@
     entry: Endpoint,
     /// Its latest valid address.
     addr: Option<SocketAddr>,
-    /// When discovery first announced its drain or removal; none if it is in service, or if removals are
+    /// When discovery first announced its drain or removal; `None` if it is in service, or if removals are
     /// ignored and it has only been removed.
     draining_since: Option<Time>,
     /// The Unix time of its latest known start in milliseconds; 0 if it started long ago.
@@ -197,13 +197,13 @@
         moved
     }
 
-    /// Returns when discovery first announced the drain or removal of a member; none if the member is in
+    /// Returns when discovery first announced the drain or removal of a member; `None` if the member is in
     /// service.
     pub fn draining_since(&self, member: MemberId) -> Option<Time> {
         self.records.get(member.0 as usize)?.draining_since
     }
 
-    /// Returns the address of a member; none if no valid address is known.
+    /// Returns the address of a member; `None` if no valid address is known.
     pub fn addr(&self, member: MemberId) -> Option<SocketAddr> {
         self.records.get(member.0 as usize)?.addr
     }
@@ -249,7 +249,7 @@
     }
 }
 
-/// Returns the start time of a member on the router's clock; none if the member started long ago.
+/// Returns the start time of a member on the router's clock; `None` if the member started long ago.
 fn start_time(started_ms: u64, clock: SystemClockOffset) -> Option<Time> {
     let started = clock.to_router_time(time_from_unix_ms(started_ms));
     (started > Time(0)).then_some(started)
--- a/crates/router/src/routing/exchanges.rs
+++ b/crates/router/src/routing/exchanges.rs
@@ -36,7 +36,7 @@
         is_awaited && self.drain_ends_at(member).is_none_or(|end| now < end)
     }
 
-    /// Returns when a draining member's grace period ends; none if the member is not draining.
+    /// Returns when a draining member's grace period ends; `None` if the member is not draining.
     pub(super) fn drain_ends_at(&self, member: MemberId) -> Option<Time> {
         let notified_at = self.endpoints.draining_since(member)?;
         Some(notified_at.plus(self.deployment.settings.drain_grace))
--- a/crates/router/src/routing/fleet_limits.rs
+++ b/crates/router/src/routing/fleet_limits.rs
@@ -18,7 +18,7 @@
 /// The capacity of a member without a limit.
 const UNLIMITED: u32 = u32::MAX;
 
-/// The tokens left in the budgets that the policy spends; none if there is no such budget.
+/// The tokens left in the budgets that the policy spends; `None` if there is no such budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct PolicyBudgets {
     retries: Option<u32>,
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -63,9 +63,9 @@
     policy: Policy,
     deployment: Deployment,
     sessions: Sessions,
-    /// The leases of other proxies; none unless [`Router::serve_proxies`] has been called.
+    /// The leases of other proxies; `None` unless [`Router::serve_proxies`] has been called.
     coordinator: Option<LeaseCoordinator>,
-    /// The limits shared by all routers; none unless the router has joined a fleet.
+    /// The limits shared by all routers; `None` unless the router has joined a fleet.
     fleet_limits: Option<FleetLimits>,
     endpoints: EndpointTable,
     system_clock: SystemClockOffset,
--- a/crates/router/src/routing/request_table.rs
+++ b/crates/router/src/routing/request_table.rs
@@ -22,15 +22,15 @@
     pub deadline: Time,
     /// Its group.
     pub group: GroupId,
-    /// Its session state; none if it belongs to no session.
+    /// Its session state; `None` if it belongs to no session.
     pub tracked: Option<TrackedRequest>,
-    /// The read floor that is sent to hosts, a Unix time in milliseconds; none if no floor is sent.
+    /// The read floor that is sent to hosts, a Unix time in milliseconds; `None` if no floor is sent.
     pub floor_ms: Option<u64>,
     /// Whether its client has been sent the reply or has disconnected.
     pub completed: bool,
     /// Whether a host has served it.
     pub served: bool,
-    /// Its attempts by number; none for an attempt that has ended.
+    /// Its attempts by number; `None` for an attempt that has ended.
     pub attempts: Vec<Option<InFlightExchange>>,
 }
 
--- a/crates/router/src/routing/sessions.rs
+++ b/crates/router/src/routing/sessions.rs
@@ -18,7 +18,7 @@
 /// The session state and the read floor that a request starts with.
 #[derive(Default)]
 pub(super) struct SessionStart {
-    /// The request's session state; none if it belongs to no session.
+    /// The request's session state; `None` if it belongs to no session.
     pub tracked: Option<TrackedRequest>,
     /// The read floor of the request; the default value for a write.
     pub floor: ReadFloor,
--- a/crates/router/src/transport/backoff/tests.rs
+++ b/crates/router/src/transport/backoff/tests.rs
@@ -20,7 +20,7 @@
 /// longer is rejected immediately.
 fn routers_served(routers: u64, call_ms: u64, until_ms: u64) -> usize {
     let mut backoffs: Vec<Backoff> = (0..routers).map(|n| Backoff::with_jitter(n, 0)).collect();
-    // When each router makes its next call; none while its call is queued and after it has received a list.
+    // When each router makes its next call; `None` while its call is queued and after it has received a list.
     let mut next_calls: Vec<Option<u64>> = vec![Some(0); routers as usize];
     let mut queue: VecDeque<(usize, u64)> = VecDeque::new();
     let (mut busy_until, mut served) = (0, 0);
--- a/crates/router/src/transport/client/mod.rs
+++ b/crates/router/src/transport/client/mod.rs
@@ -32,7 +32,7 @@
     /// The permit for receiving a large statement, held while one is being received.
     large_permit: RefCell<Option<Permit>>,
     connected_at: Instant,
-    /// The admission permits; none once they have been exchanged for a rejection permit.
+    /// The admission permits; `None` once they have been exchanged for a rejection permit.
     permits: RefCell<Option<AdmissionPermits>>,
     conversation: RefCell<Conversation>,
     stream: Rc<Async<TcpStream>>,
--- a/crates/router/src/transport/conversation/input.rs
+++ b/crates/router/src/transport/conversation/input.rs
@@ -9,12 +9,12 @@
 #[derive(Debug)]
 pub struct MessageInput {
     codec: ClientCodec,
-    /// Since when the socket may have unread input; none if the last read emptied it.
+    /// Since when the socket may have unread input; `None` if the last read emptied it.
     unread_since: Option<Time>,
     /// When the first byte of the incomplete message was received, if there is one.
     message_started: Option<Time>,
     paused: bool,
-    /// The number of further bytes that are accepted; none if the input is not limited. The rest of the
+    /// The number of further bytes that are accepted; `None` if the input is not limited. The rest of the
     /// message that is incomplete after these bytes is accepted as well, and nothing after that message.
     accept_limit: Option<usize>,
 }
--- a/crates/router/src/transport/fleet.rs
+++ b/crates/router/src/transport/fleet.rs
@@ -84,8 +84,8 @@
     driver.with_router(|router, now, effects| router.reload_fleet(now, settings, effects));
 }
 
-/// Returns the address on which a router listens for its peers; none if the settings have no `listen` address
-/// and the roster lacks the router's name.
+/// Returns the address on which a router listens for its peers; `None` if the settings have no `listen`
+/// address and the roster lacks the router's name.
 fn listen_address(name: &str, settings: &FleetSettings) -> Option<SocketAddr> {
     settings.listen.or_else(|| settings.roster.get(NodeId::of(name)).map(|peer| peer.addr))
 }
--- a/crates/router/src/transport/watch.rs
+++ b/crates/router/src/transport/watch.rs
@@ -109,7 +109,7 @@
         self.list_received.notified().await;
     }
 
-    /// Opens a watch on an address, for changes since `version` or, if that is none, for the complete list.
+    /// Opens a watch on an address, for changes since `version` or, if that is `None`, for the complete list.
     /// The oldest of the earlier watches stays open until the new one has received a list. The current
     /// endpoint list remains in use.
     pub fn open(driver: &Rc<Driver>, addr: SocketAddr, version: Option<u64>) {
@@ -164,7 +164,7 @@
     driver: Rc<Driver>,
     number: u64,
     addr: SocketAddr,
-    /// The version of the last list received, or none to request the complete list.
+    /// The version of the last list received, or `None` to request the complete list.
     version: Option<u64>,
     /// When the last message was received. The first list of the next call may have been valid since then.
     last_message_at: Time,
