--- a/crates/router/src/program/serve.rs
+++ b/crates/router/src/program/serve.rs
@@ -159,7 +159,7 @@
 }
 
 /// An event that [`CommandSource`] handles: a signal, or the completion of a reload.
-enum SignalEvent {
+enum ControlEvent {
     Signal(Signal),
     Reloaded(Result<Box<RouterConfig>, ConfigError>),
 }
@@ -188,16 +188,16 @@
     async fn next_command(&mut self) -> ControlCommand {
         loop {
             match self.next_event().await {
-                SignalEvent::Signal(Signal::Hup) => self.reload = Some(start_reload(&self.files)),
-                SignalEvent::Signal(_) => {
+                ControlEvent::Signal(Signal::Hup) => self.reload = Some(start_reload(&self.files)),
+                ControlEvent::Signal(_) => {
                     self.reload = None;
                     return ControlCommand::Stop;
                 }
-                SignalEvent::Reloaded(Ok(config)) => {
+                ControlEvent::Reloaded(Ok(config)) => {
                     self.reload = None;
                     return ControlCommand::Reload(config);
                 }
-                SignalEvent::Reloaded(Err(error)) => {
+                ControlEvent::Reloaded(Err(error)) => {
                     tracing::error!("configuration: reload failed, the previous one stays in force: {error}");
                     self.reload = None;
                 }
@@ -205,12 +205,12 @@
         }
     }
 
-    async fn next_event(&mut self) -> SignalEvent {
+    async fn next_event(&mut self) -> ControlEvent {
         let CommandSource { signals, reload, .. } = self;
-        let signal = async { SignalEvent::Signal(next_signal(signals).await) };
+        let signal = async { ControlEvent::Signal(next_signal(signals).await) };
         let reloaded = async {
             match reload.as_mut() {
-                Some(reload) => SignalEvent::Reloaded(reload.await),
+                Some(reload) => ControlEvent::Reloaded(reload.await),
                 None => future::pending().await,
             }
         };
--- a/crates/router/src/transport/backoff/tests.rs
+++ b/crates/router/src/transport/backoff/tests.rs
@@ -59,7 +59,8 @@
 fn routers_rejected_together_by_a_shared_discovery_all_receive_a_list() {
     for routers in [20, 100, 300] {
         let call_ms = 8000 / routers;
-        assert_eq!(routers_served(routers, call_ms, 30_000), routers as usize, "{routers} routers");
+        let served = routers_served(routers, call_ms, 30_000);
+        assert_eq!(served, routers as usize, "{served} of {routers} routers received a list within 30 s");
     }
 }
 
@@ -70,6 +71,9 @@
     for watch in 0..50 {
         let mut backoff = Backoff::with_jitter(40, watch);
         let longest = (0..30).map(|_| backoff.next_delay(CallFailure::Unreachable)).max();
-        assert!(longest <= Some(Duration::from_millis(6000 - 2250)), "watch {watch}: {longest:?}");
+        assert!(
+            longest <= Some(Duration::from_millis(6000 - 2250)),
+            "watch {watch}: the longest delay, {longest:?}, exceeds 3.75 s"
+        );
     }
 }
--- a/crates/router/src/transport/conversation/tests/interleavings.rs
+++ b/crates/router/src/transport/conversation/tests/interleavings.rs
@@ -117,7 +117,8 @@
                     let order_is_kept = open.iter().all(|request| !request.is_write && !is_write);
                     prop_assert!(order_is_kept, "a write and another request are in flight concurrently");
                     prop_assert!(open.len() < MAX_CONCURRENT_READS);
-                    prop_assert!(reply_kinds.insert(index, u8::MAX).is_none(), "command forwarded twice");
+                    let is_new = reply_kinds.insert(index, u8::MAX).is_none();
+                    prop_assert!(is_new, "command {} forwarded twice", index);
                     open.push(OpenRequest { command, index, is_write });
                 }
             }
@@ -194,9 +195,9 @@
             if fatal {
                 prop_assert!(
                     message_timed_out || faults >= MAX_CLIENT_FAULTS,
-                    "closed without a timeout or too many faults"
+                    "closed without a message timeout after {faults} of {MAX_CLIENT_FAULTS} faults"
                 );
-                prop_assert!(received.next().is_none(), "a reply after the final error");
+                prop_assert!(received.next().is_none(), "the client got a reply after the final error");
                 return Ok(());
             }
             match (&commands[*index], reply_kinds.get(index)) {
@@ -211,7 +212,8 @@
                 }
                 (_, Some(0 | 1)) => {
                     let id = format!("{index:016x}");
-                    prop_assert!(reply.body.ends_with(id.as_bytes()), "the reply to another command");
+                    let is_own = reply.body.ends_with(id.as_bytes());
+                    prop_assert!(is_own, "command {} got the reply to another command", index);
                 }
                 (_, Some(2)) | (_, None) => prop_assert_eq!(reply.error_code(), "53300"),
                 (_, Some(3)) => prop_assert_eq!(reply.error_code(), "58000"),
--- a/crates/router/src/transport/pool.rs
+++ b/crates/router/src/transport/pool.rs
@@ -75,8 +75,8 @@
         let Some(connections) = idle.get_mut(&addr) else { return Checkout::Empty };
         connections.retain(|c| self.is_usable(c));
         let reuse_delay = self.timeouts.reuse_delay;
-        if let Some(n) = connections.iter().rposition(|c| c.idle_since.elapsed() >= reuse_delay) {
-            return Checkout::Ready(connections.remove(n).connection);
+        if let Some(index) = connections.iter().rposition(|c| c.idle_since.elapsed() >= reuse_delay) {
+            return Checkout::Ready(connections.remove(index).connection);
         }
         match connections.first() {
             Some(first) => Checkout::ReusableAfter(reuse_delay.saturating_sub(first.idle_since.elapsed())),
--- a/crates/router/src/transport/snapshot_file.rs
+++ b/crates/router/src/transport/snapshot_file.rs
@@ -94,7 +94,8 @@
     File::open(directory)?.sync_all()
 }
 
-/// Writes the snapshot of the session table at a graceful shutdown, after the last reply.
+/// Writes the snapshot of the session table, if the settings name a file for it. Called at a graceful
+/// shutdown after the last reply.
 pub fn store(driver: &Driver, settings: &LocalSettings, router_name: &str) {
     let Some(settings) = settings.sessions.as_ref().and_then(|s| s.snapshot.as_ref()) else { return };
     let mut router = driver.router.borrow_mut();
