--- a/crates/router/src/transport/client/registry.rs
+++ b/crates/router/src/transport/client/registry.rs
@@ -127,7 +127,8 @@
     pub(super) client_permits: Semaphore,
     /// If there are at least this many clients, an unused or idle one is evicted when a new client connects.
     pub(super) eviction_threshold: usize,
-    /// The number of rejected or evicted connections that may wait for their client to close at a time.
+    /// The number of rejected or evicted connections that may wait for their client to close at a time. They
+    /// hold no other permit; their sockets use up to a third of the reserved descriptors.
     pub(super) rejection_permits: Semaphore,
     /// The number of large statements that may be received at a time.
     pub(super) large_statement_permits: Semaphore,
