--- a/crates/router/src/protocol/client.rs
+++ b/crates/router/src/protocol/client.rs
@@ -1,4 +1,5 @@
-//! The protocol towards clients: parses what clients send, and encodes the messages that they get.
+//! The protocol on client connections: parses the messages that clients send, and encodes those that they
+//! get.
 //!
 //! [`ClientCodec`] parses messages as they arrive and records the arrival time of each message's last byte. A
 //! client's deadline counts from that time, even if other commands have to be processed first.
@@ -33,7 +34,8 @@
 /// The prefix of startup options that request protocol extensions.
 const EXTENSION_PREFIX: &[u8] = b"_pq_.";
 
-/// The key that a client gets when its connection is opened and has to send in a cancel request.
+/// The key that a client gets when its connection is opened, and that identifies the connection in a cancel
+/// request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CancelKey {
     /// The number of the connection.
@@ -51,14 +53,14 @@
     CancelRequest(CancelKey),
     /// The startup message.
     Startup {
-        /// Whether the client requests a newer minor version or protocol extensions, which are not served: it
-        /// must be sent NegotiateProtocolVersion.
-        newer: bool,
+        /// Whether the client requests a newer minor version or protocol extensions. They are not served, so
+        /// the reply begins with NegotiateProtocolVersion.
+        needs_negotiation: bool,
     },
     /// A query: its text without the terminating zero byte.
     Query(Vec<u8>),
-    /// A message of a part of the protocol that is not served, with its type. It gets an error. Further
-    /// messages up to the next Sync are skipped, except after a FunctionCall.
+    /// A message of a part of the protocol that is not served, with its type byte. The reply is an error.
+    /// Further messages up to the next Sync are skipped, except after a FunctionCall.
     Unsupported(u8),
     /// Sync, which ends the skipping of messages after an unsupported one.
     Sync,
@@ -84,7 +86,7 @@
     queue: VecDeque<QueuedMessage>,
     /// The size of the messages in `queue`, in bytes.
     queued_bytes: usize,
-    /// The protocol error in what arrived after the queued messages.
+    /// The protocol error in the bytes after the queued messages.
     error: Option<ProtocolError>,
 }
 
@@ -174,7 +176,7 @@
         self.error.is_some()
     }
 
-    /// Returns the next complete message; none if no message is complete. After the last one, returns the
+    /// Returns the next complete message; `None` if no message is complete. After the last one, returns the
     /// protocol error, if one has been found.
     pub fn next_message(&mut self) -> Result<Option<ReceivedMessage>, ProtocolError> {
         if let Some(QueuedMessage { received, bytes }) = self.queue.pop_front() {
@@ -203,7 +205,7 @@
         }
     }
 
-    /// Parses the message at the front of the buffer; none if it is skipped.
+    /// Parses the message at the front of the buffer; `None` if it is skipped.
     fn parse_command(&mut self, header: MessageHeader) -> Result<Option<ClientMessage>, ProtocolError> {
         let MessageHeader { kind, body_len } = header;
         let body = &self.buffer.unread()[HEADER_LEN..HEADER_LEN + body_len];
@@ -247,7 +249,7 @@
             (SERVED_MAJOR, minor) => {
                 let has_extensions = startup_has_extensions(content)?;
                 self.phase = Phase::Open;
-                ClientMessage::Startup { newer: minor > 0 || has_extensions }
+                ClientMessage::Startup { needs_negotiation: minor > 0 || has_extensions }
             }
             (major, minor) => return Err(ProtocolError::UnsupportedVersion { major, minor }),
         };
@@ -282,10 +284,11 @@
 /// The reply to a request for encryption, which is declined.
 pub const ENCRYPTION_DECLINED: &[u8] = b"N";
 
-/// Encodes the reply to a startup message, with the key by which the client can cancel its requests.
-pub fn startup_reply(newer: bool, key: CancelKey) -> Vec<u8> {
+/// Encodes the reply to a startup message, with the key by which the client can cancel its requests. If
+/// `needs_negotiation`, the reply begins with NegotiateProtocolVersion.
+pub fn startup_reply(needs_negotiation: bool, key: CancelKey) -> Vec<u8> {
     let mut out = Vec::with_capacity(256);
-    if newer {
+    if needs_negotiation {
         put_message(&mut out, b'v', |out| out.extend([0; 8]));
     }
     put_message(&mut out, b'R', |out| out.extend([0; 4]));
--- a/crates/router/src/protocol/host.rs
+++ b/crates/router/src/protocol/host.rs
@@ -1,4 +1,4 @@
-//! The protocol towards database hosts: parses what hosts send, and encodes queries.
+//! The protocol on connections to database hosts: parses the messages that hosts send, and encodes queries.
 //!
 //! [`HostCodec`] checks that messages arrive in the order that the protocol requires and don't exceed their
 //! maximum lengths. It checks the length as soon as a message's header has arrived.
@@ -15,16 +15,16 @@
 pub const MAX_MESSAGE_LEN: usize = 80 * 1024;
 /// The maximum total size of the RowDescription, DataRow and CommandComplete of a response, in bytes.
 const MAX_RESPONSE_LEN: usize = 128 * 1024;
-/// The longest accepted RowDescription in bytes; it describes one column.
+/// The longest accepted RowDescription, which describes one column, in bytes.
 const MAX_DESCRIPTION_LEN: usize = 1024;
-/// The longest accepted CommandComplete in bytes.
+/// The longest accepted CommandComplete, in bytes.
 const MAX_COMMAND_TAG_LEN: usize = 64;
-/// The longest accepted message of any other type in bytes, such as parameters, notices and errors.
+/// The longest accepted message of any other type, such as a parameter, a notice or an error, in bytes.
 const MAX_TEXT_MESSAGE_LEN: usize = 8 * 1024;
 
 /// Bytes of a DataRow's body before the value: the number of columns, which is one, and the value's length.
 const ROW_HEADER_LEN: usize = 6;
-/// The length that stands for a null value.
+/// The value of the length field for a null value.
 const NULL_VALUE_LEN: i32 = -1;
 /// Bytes of a column's description after the column's name.
 const COLUMN_DESCRIPTION_LEN: usize = 18;
@@ -66,7 +66,7 @@
     pub bytes: Vec<u8>,
     /// The ranges of the messages that the client gets, in order: RowDescription, DataRow, CommandComplete.
     pub parts: Vec<ByteRange>,
-    /// The range of the value; none if it is null.
+    /// The range of the value; `None` if it is null.
     pub value: Option<ByteRange>,
     /// Whether the value is in binary format.
     pub binary: bool,
@@ -74,7 +74,7 @@
 
 /// An event that results from a host's messages.
 #[derive(Clone, Debug, PartialEq)]
-pub enum HostMessage {
+pub enum HostEvent {
     /// The connection is ready for queries.
     Ready,
     /// The host rejects the connection: it sent an ErrorResponse with this SQLSTATE during startup.
@@ -125,7 +125,7 @@
     }
 
     /// Handles the end of the connection. Returns the query's outcome if its row is complete or the host sent
-    /// an error. A host sends an error before it terminates a connection deliberately, without ReadyForQuery.
+    /// an error. A host that closes a connection deliberately sends an error first, without ReadyForQuery.
     pub fn on_close(&mut self) -> Option<(QueryOutcome, ReportedState)> {
         let Phase::Responding(mut progress) = std::mem::take(&mut self.phase) else { return None };
         if let Some(code) = progress.error.take() {
@@ -135,7 +135,7 @@
         Some((QueryOutcome::Row(row), ReportedState::default()))
     }
 
-    /// Returns the row if it is complete, although the rest of the response is malformed or has not arrived.
+    /// Returns the row if it is complete, even if the rest of the response is malformed or has not arrived.
     /// The state that the host has reported is discarded, as it can't be trusted.
     pub fn take_complete_row(&mut self) -> Option<Row> {
         match std::mem::take(&mut self.phase) {
@@ -144,8 +144,9 @@
         }
     }
 
-    /// Returns the event that results from the messages that have arrived; none if more bytes are needed.
-    pub fn next_message(&mut self) -> Result<Option<HostMessage>, ProtocolError> {
+    /// Returns the next event that results from the messages that have arrived; `None` if more bytes are
+    /// needed.
+    pub fn next_event(&mut self) -> Result<Option<HostEvent>, ProtocolError> {
         loop {
             check_header(self.buffer.unread())?;
             let Some(header) = self.buffer.message_header(MAX_MESSAGE_LEN)? else { return Ok(None) };
@@ -158,7 +159,7 @@
     }
 
     /// Handles the complete message at the front of the buffer.
-    fn handle_message(&mut self, header: MessageHeader) -> Result<Option<HostMessage>, ProtocolError> {
+    fn handle_message(&mut self, header: MessageHeader) -> Result<Option<HostEvent>, ProtocolError> {
         let kind = header.kind;
         let message = &self.buffer.unread()[..HEADER_LEN + header.body_len];
         let body = &message[HEADER_LEN..];
@@ -167,7 +168,7 @@
             (b'N' | b'A', _) => {}
             (b'Z', phase @ Phase::Startup) => {
                 *phase = Phase::Idle;
-                return Ok(Some(HostMessage::Ready));
+                return Ok(Some(HostEvent::Ready));
             }
             (_, Phase::Startup) => return check_startup_message(kind, body),
             (b'Z', phase @ Phase::Responding(_)) => {
@@ -175,7 +176,7 @@
                     return Ok(None);
                 };
                 let reported = std::mem::take(&mut self.reported);
-                return Ok(Some(HostMessage::QueryEnded(progress.into_outcome(), reported)));
+                return Ok(Some(HostEvent::QueryEnded(progress.into_outcome(), reported)));
             }
             (_, Phase::Responding(progress)) => progress.record_message(kind, message)?,
             (_, Phase::Idle) => return Err(ProtocolError::UnexpectedMessage(kind)),
@@ -184,8 +185,8 @@
     }
 }
 
-/// Checks the next message by its header. If a length is wrong, waiting for the rest of the message would
-/// never end, so the error is reported before the body has arrived.
+/// Checks the next message by its header. If a length is wrong, the rest of the message might never arrive,
+/// or might fill the memory, so the error is reported without waiting for the body.
 fn check_header(unread: &[u8]) -> Result<(), ProtocolError> {
     let Some(&[kind, a, b, c, d]) = unread.first_chunk::<HEADER_LEN>() else {
         return match unread.first().is_none_or(|kind| HOST_MESSAGE_KINDS.contains(kind)) {
@@ -194,7 +195,7 @@
         };
     };
     let len = (u32::from_be_bytes([a, b, c, d]) as usize).saturating_sub(4);
-    let plausible = match kind {
+    let is_plausible = match kind {
         b'D' => is_plausible_row(len, &unread[HEADER_LEN..]),
         b'Z' => len == 1,
         b'I' => len == 0,
@@ -203,7 +204,7 @@
         b'S' | b'N' | b'A' | b'R' | b'K' | b'v' | b'E' => len <= MAX_TEXT_MESSAGE_LEN,
         _ => false,
     };
-    match plausible {
+    match is_plausible {
         true => Ok(()),
         false => Err(ProtocolError::InvalidBodyLength { kind, len }),
     }
@@ -223,12 +224,12 @@
 }
 
 /// Handles a message before the first ReadyForQuery.
-fn check_startup_message(kind: u8, body: &[u8]) -> Result<Option<HostMessage>, ProtocolError> {
+fn check_startup_message(kind: u8, body: &[u8]) -> Result<Option<HostEvent>, ProtocolError> {
     match kind {
         b'R' if body == [0; 4] => Ok(None),
         b'R' => Err(ProtocolError::AuthenticationRequested(kind)),
         b'K' | b'v' => Ok(None),
-        b'E' => Ok(Some(HostMessage::Rejected(sqlstate(body)))),
+        b'E' => Ok(Some(HostEvent::Rejected(sqlstate(body)))),
         _ => Err(ProtocolError::UnexpectedMessage(kind)),
     }
 }
@@ -238,15 +239,19 @@
     error_code(body).map(|code| String::from_utf8_lossy(code).into_owned()).unwrap_or_default()
 }
 
-/// What has arrived of the response to a query.
+/// The part of the response to a query that has arrived.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct ResponseProgress {
+    /// The messages that belong to the row: RowDescription, DataRow, CommandComplete.
     bytes: Vec<u8>,
+    /// The range of each message in `bytes`.
     parts: Vec<ByteRange>,
     value: Option<ByteRange>,
     rows: usize,
     binary: bool,
-    complete: bool,
+    /// Whether CommandComplete has arrived.
+    command_completed: bool,
+    /// The SQLSTATE of an ErrorResponse.
     error: Option<String>,
 }
 
@@ -262,12 +267,16 @@
             b'E' => self.error = Some(sqlstate(body)),
             b'I' => {}
             b'T' if self.parts.is_empty() && describes_one_column(body) => {
+                // The column's description ends with its format code, which is 1 for binary.
                 self.binary = body.ends_with(&[0, 1]);
                 self.append(message)?;
             }
-            b'D' if self.parts.len() == 1 && !self.complete => self.record_row(kind, message)?,
-            b'C' if self.parts.len() < ROW_MESSAGE_COUNT && !self.complete && body.ends_with(&[0]) => {
-                self.complete = true;
+            b'D' if self.parts.len() == 1 && !self.command_completed => self.record_row(kind, message)?,
+            b'C' if self.parts.len() < ROW_MESSAGE_COUNT
+                && !self.command_completed
+                && body.ends_with(&[0]) =>
+            {
+                self.command_completed = true;
                 self.append(message)?;
             }
             _ => return Err(ProtocolError::UnexpectedMessage(kind)),
@@ -311,8 +320,8 @@
 
     /// Returns the row, if all messages that belong to it have arrived.
     fn into_row(self) -> Option<Row> {
-        let all_parts = self.rows == 1 && self.parts.len() == ROW_MESSAGE_COUNT && self.complete;
-        if !all_parts || self.error.is_some() {
+        let is_complete = self.rows == 1 && self.parts.len() == ROW_MESSAGE_COUNT && self.command_completed;
+        if !is_complete || self.error.is_some() {
             return None;
         }
         Some(Row { bytes: self.bytes, parts: self.parts, value: self.value, binary: self.binary })
--- a/crates/router/src/protocol/statement/mod.rs
+++ b/crates/router/src/protocol/statement/mod.rs
@@ -20,7 +20,7 @@
 /// The maximum number of session tokens in a statement; a statement with more is rejected.
 pub const MAX_TOKENS: usize = 8;
 
-/// The longest timeout of a client in milliseconds: one day. Longer timeouts are shortened to this.
+/// The longest client timeout in milliseconds: one day. A longer one is reduced to this.
 const MAX_DEADLINE_MS: u64 = 86_400_000;
 
 fn syntax_error(message: impl Into<String>) -> StatementError {
@@ -58,7 +58,7 @@
     /// The group to which the request belongs.
     pub group: u32,
     /// The log position that a member must have applied to serve the read, a Unix time in milliseconds; the
-    /// latest one if the comment has `after` several times, and none if it has no `after`.
+    /// latest one if the comment has `after` several times, and `None` if it has no `after`.
     pub min_position_ms: Option<u64>,
     /// The ranges of the values of `after`.
     min_positions: Vec<Range<usize>>,
--- a/crates/router/src/routing/fleet.rs
+++ b/crates/router/src/routing/fleet.rs
@@ -1,6 +1,6 @@
-//! The router as a member of a fleet: joins and leaves it, passes on what other routers send, and keeps the
-//! policy informed of capacities and budgets. The state is in [`FleetLimits`]; a router that has joined no
-//! fleet ignores all calls.
+//! The router's part in a fleet: joins and leaves the fleet, passes on the packets of other routers, and
+//! keeps the policy informed of capacities and budgets. The state is in [`FleetLimits`]; a router that has
+//! joined no fleet ignores all calls.
 
 use super::attempts::FinishedAttempt;
 use super::fleet_limits::FleetLimits;
@@ -11,7 +11,7 @@
 use basalthill_policy::api::{Attempt, Event, MemberId, Request, RequestId, Time};
 
 impl Router {
-    /// Joins the fleet under `name`: from now on, limits hold for all routers of the fleet together.
+    /// Joins the fleet under `name`: from now on, limits apply to all routers of the fleet together.
     pub fn join_fleet(
         &mut self,
         now: Time,
@@ -54,7 +54,7 @@
         self.fleet_limits.as_mut().is_none_or(|limits| limits.spend_budget(now, budget))
     }
 
-    /// Handles what has arrived on the fleet's socket.
+    /// Handles an event on the fleet's socket.
     pub(super) fn handle_fleet_input(&mut self, now: Time, input: FleetInput, out: &mut Vec<Effect>) {
         let Some(limits) = &mut self.fleet_limits else { return };
         let mut effects = Vec::new();
@@ -146,11 +146,12 @@
         let Some(limits) = &mut self.fleet_limits else { return };
         if limits.release_slot(now, finished) {
             let member = finished.exchange.member;
+            // `with_current_capacity` replaces the 0 when the event is passed to the policy.
             self.events.push_back(Event::MemberCapacity { member, attempts: 0 });
         }
     }
 
-    /// Records that a request completes without a host's response. If the request had an attempt and the
+    /// Records that a request completes without a host's response. If the request has had an attempt and the
     /// retry budget is exhausted, this counts as demand for another retry.
     pub(super) fn record_retry_demand(&mut self, id: RequestId) {
         let attempted = self.requests.get(id).is_some_and(|open| !open.attempts.is_empty());
--- a/crates/router/src/routing/input.rs
+++ b/crates/router/src/routing/input.rs
@@ -1,4 +1,5 @@
-//! What transport passes to the router: one [`Input`] for each event, and the types that inputs contain.
+//! The inputs that transport passes to the router: one [`Input`] for each event, and the types that inputs
+//! contain.
 
 use crate::protocol::discovery::HostList;
 use crate::protocol::host::{QueryOutcome, ReportedState};
@@ -79,14 +80,14 @@
         /// The complete list, or only the entries that have changed.
         list: HostList,
         /// The earliest time at which the content may have become valid: the time at which the list was
-        /// received. For the first message of a new call to discovery, it is the time of the message before
-        /// it, or the time at which the watch was opened if there is none, because the change may have been
-        /// made while no call was open.
+        /// received. For the first message of a new call to discovery, it is the time of the last message of
+        /// the calls before, or the time at which the watch was opened if no message was received before,
+        /// because the change may have been made while no call was open.
         valid_since: Time,
     },
     /// Another proxy has sent a message on its stream.
     Proxy(StreamId, ProxyMessage),
-    /// Something has arrived on the fleet's socket.
+    /// A packet or an operator's query has arrived on the fleet's socket, or datagrams have been dropped.
     Fleet(FleetInput),
     /// Timers may be due.
     Tick,
@@ -112,7 +113,7 @@
     StreamClosed,
 }
 
-/// What arrives on the fleet's socket.
+/// An event on the fleet's socket.
 #[derive(Debug)]
 pub enum FleetInput {
     /// A packet of another router, whose signature has been verified.
--- a/crates/router/src/transport/pool.rs
+++ b/crates/router/src/transport/pool.rs
@@ -25,7 +25,7 @@
     idle_since: Instant,
 }
 
-/// The result of requesting a connection to an address from the pool.
+/// The result of [`HostPool::check_out`].
 pub enum Checkout {
     /// A connection that can be used now.
     Ready(HostConnection),
@@ -75,8 +75,8 @@
         let Some(connections) = idle.get_mut(&addr) else { return Checkout::Empty };
         connections.retain(|c| self.is_usable(c));
         let reuse_delay = self.timeouts.reuse_delay;
-        if let Some(n) = connections.iter().rposition(|c| c.idle_since.elapsed() >= reuse_delay) {
-            return Checkout::Ready(connections.remove(n).connection);
+        if let Some(index) = connections.iter().rposition(|c| c.idle_since.elapsed() >= reuse_delay) {
+            return Checkout::Ready(connections.remove(index).connection);
         }
         match connections.first() {
             Some(first) => Checkout::ReusableAfter(reuse_delay.saturating_sub(first.idle_since.elapsed())),
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Closes the connection that has been idle for longest.
+    /// Closes the connection that has been idle the longest.
     pub fn close_oldest(&self) {
         let mut idle = self.idle.borrow_mut();
         let first_of_each = idle.iter().filter_map(|(addr, list)| Some((list.first()?.idle_since, *addr)));
--- a/crates/router/src/transport/watch.rs
+++ b/crates/router/src/transport/watch.rs
@@ -23,15 +23,15 @@
 
 /// The time within which a watch has to receive a complete message. Discovery sends an empty line every two
 /// seconds as a keep-alive, so a watch without a complete message for longer than that has failed, even if it
-/// receives single bytes. Reopening it costs next to nothing.
+/// receives single bytes. Reopening a watch is cheap.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2250);
 /// The limit on connecting and receiving the head of the response. Discovery's agent is nearby and responds
 /// immediately; the limit leaves time for the retransmission of a lost packet.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(1200);
 /// The limit on connecting and receiving the head of the response if endpoint lists are polled. Discovery
-/// then serves the calls of all routers one after another, and closes a call itself after it has waited for
-/// two seconds. A router that gave up earlier would waste discovery's work on the call and repeat it; with
-/// hundreds of such routers, none would ever receive a list.
+/// then serves the calls of all routers one after another, and closes a call itself once the call has waited
+/// for two seconds. If a router closed its call earlier and made another, discovery's work on the first call
+/// would be wasted; with hundreds of routers that do so, none would ever receive a list.
 const SHARED_HEAD_TIMEOUT: Duration = Duration::from_millis(2250);
 /// The pause before another attempt to spend the routers' shared budget for calls to discovery.
 const BUDGET_CHECK_INTERVAL: Duration = Duration::from_millis(50);
@@ -109,7 +109,7 @@
         self.list_received.notified().await;
     }
 
-    /// Opens a watch on an address, for changes since `version` or, if that is none, for the complete list.
+    /// Opens a watch on an address, for changes since `version` or, if that is `None`, for the complete list.
     /// The oldest of the earlier watches stays open until the new one has received a list. The current
     /// endpoint list remains in use.
     pub fn open(driver: &Rc<Driver>, addr: SocketAddr, version: Option<u64>) {
@@ -164,13 +164,13 @@
     driver: Rc<Driver>,
     number: u64,
     addr: SocketAddr,
-    /// The version of the last list received, or none to request the complete list.
+    /// The version of the last list received, or `None` to request the complete list.
     version: Option<u64>,
     /// When the last message was received. The first list of the next call may have been valid since then.
     last_message_at: Time,
 }
 
-/// One call: its connection, and what has been received on it.
+/// One call: its connection, and how much of the response has been received.
 struct WatchCall {
     stream: Async<TcpStream>,
     codec: WatchCodec,
@@ -238,7 +238,7 @@
         }
     }
 
-    /// Connects and writes the request, once the routers' shared budget for such calls permits it.
+    /// Connects and writes the request, once the routers' shared budget for calls to discovery permits it.
     async fn open(&self) -> Result<WatchCall, WatchError> {
         let discovery = &self.driver.discovery;
         let request = watch_request(&self.addr.to_string(), self.version);
@@ -319,15 +319,16 @@
     async fn receive(&mut self, driver: &Driver) -> Result<(), WatchError> {
         let WatchCall { stream, codec, deadline, .. } = self;
         let read = async { Ok(driver.read_buffer.read(stream, |bytes| codec.feed(bytes)).await?) };
-        // After a reset or a timeout, the received bytes may end with an incomplete line. After an orderly
-        // close of the connection they don't.
+        // A reset or a timeout returns here: the received bytes may end with an incomplete message, which
+        // must not be parsed.
         if future::or(read, time_out_at(*deadline)).await? > 0 {
             return Ok(());
         }
         if !self.has_head {
             return Err(WatchError::NoResponse);
         }
-        // The body may be delimited by the close, and its last line may lack a line break.
+        // After an orderly close, the body may end with the connection, and its last line may lack a line
+        // break.
         self.codec.on_close();
         self.is_closed = true;
         Ok(())
