--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -61,9 +61,9 @@
     ClassId(u16);
     /// A tenant: an index into [`Settings::tenants`].
     TenantId(u16);
-    /// A session.
+    /// A session: a number that stands for the session's name, such as a hash of the name.
     SessionKey(u64);
-    /// A zone.
+    /// A zone. Each member and each router is in one; attempts across zones may have a price.
     ZoneId(u16);
     /// The number of an attempt within its request, counted from 0 in the order in which they were sent.
     Attempt(u16);
@@ -120,7 +120,8 @@
     /// The deduplication window, from the first attempt that may have been executed; repeats within it are
     /// discarded.
     pub window: Time,
-    /// The span within which a reply has its full value.
+    /// The span, counted from when the client first sent the request, within which a reply has its full
+    /// value.
     pub latency_objective: Time,
     /// How long a client waits in total, including its retries.
     pub client_timeout: Time,
@@ -152,11 +153,11 @@
 /// How reliably the endpoint list names the primary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ListRole {
-    /// It is updated, but some seconds late.
+    /// The list names the primary, but is updated some seconds after the primary changes.
     Late,
-    /// It names the primary as of the start and is not updated.
+    /// The list names the primary as of the start and is not updated.
     Start,
-    /// It does not name the primary.
+    /// The list does not name the primary.
     #[default]
     None,
 }
@@ -390,7 +391,7 @@
         /// How long after a rejection by these limits the client may retry.
         retry_after: Time,
     },
-    /// The rest of the fleet-wide budgets that this router may use until the next such event.
+    /// How much of the fleet-wide budgets this router may use until the next such event.
     Budgets {
         /// Attempts after the first of a request; `None` without such a budget.
         retries: Option<u32>,
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -54,8 +54,8 @@
 /// The token of the sweep timer, the only timer that the policy sets.
 const SWEEP_TIMER: u64 = 0;
 
-/// The rest of the fleet-wide budgets that this router may use, counted down with each use; `None` without a
-/// budget.
+/// What is left of the fleet-wide budgets that this router may use, counted down with each use; `None`
+/// without a budget.
 #[derive(Clone, Copy, Debug, Default)]
 struct RemainingBudgets {
     /// Attempts after the first of a request.
--- a/crates/policy/src/policy/client_timeouts.rs
+++ b/crates/policy/src/policy/client_timeouts.rs
@@ -9,7 +9,7 @@
 
 /// The number of timeouts recorded per class. They include each timeout that more than a quarter of the
 /// requests have.
-const REMEMBERED_TIMEOUTS: usize = 3;
+const RECORDED_TIMEOUTS: usize = 3;
 
 /// A timeout and its count of votes.
 #[derive(Clone, Copy, Debug, Default)]
@@ -22,7 +22,7 @@
 /// The frequent client timeouts of one class, found by the Misra-Gries algorithm.
 #[derive(Clone, Debug, Default)]
 pub(super) struct FrequentTimeouts {
-    candidates: [Candidate; REMEMBERED_TIMEOUTS],
+    candidates: [Candidate; RECORDED_TIMEOUTS],
 }
 
 impl FrequentTimeouts {
--- a/crates/policy/src/policy/connections.rs
+++ b/crates/policy/src/policy/connections.rs
@@ -27,12 +27,12 @@
     /// A router that rarely sends to a group would open a connection to each member of the group, hardly
     /// use it, and lose it to the idle timeout. In a large fleet, each router therefore prefers a random
     /// subset of the members; the subsets of all routers cover the group evenly. A router uses other members
-    /// when more requests are in flight at the preferred ones or the latency of these rises.
+    /// when the preferred ones have more requests in flight or a higher latency.
     pub(super) fn connection_cost(&self, member: &Member) -> f64 {
         let open_for = self.settings.conn_idle.times(OPEN_CONNECTION_FRACTION);
         let likely_open = self.now.since(member.responded_at) < open_for;
-        let weight = if likely_open { 0.0 } else { 1.0 - self.shared_work_fraction() };
-        weight * (MISSING_CONNECTION_COST + member.affinity_bias)
+        let cost_factor = if likely_open { 0.0 } else { 1.0 - self.shared_work_fraction() };
+        cost_factor * (MISSING_CONNECTION_COST + member.affinity_bias)
     }
 
     /// Records a rejected connection, closes a member's idle connections during a shortage, and checks for a
--- a/crates/policy/src/policy/endpoints.rs
+++ b/crates/policy/src/policy/endpoints.rs
@@ -64,7 +64,7 @@
         if endpoint.started > member.started_at {
             member.consecutive_failures = 0;
             member.draining_since = None;
-            member.restart(endpoint.started, now);
+            member.record_restart(endpoint.started, now);
         }
         match endpoint.state {
             EndpointState::Ready => member.draining_since = None,
--- a/crates/policy/src/policy/health_checks.rs
+++ b/crates/policy/src/policy/health_checks.rs
@@ -34,9 +34,10 @@
     ///
     /// For each member and probe interval, a router gets one token in a fleet of up to
     /// [`SMALL_FLEET_ROUTERS`](super::SMALL_FLEET_ROUTERS) routers. In a larger fleet, all routers together
-    /// get [`SMALL_FLEET_ROUTERS`](super::SMALL_FLEET_ROUTERS) tokens. Requests add some more.
-    pub(super) fn add_probe_tokens(&mut self, probes: f64) {
-        self.probe_tokens = (self.probe_tokens + probes).min(self.members.len() as f64);
+    /// get [`SMALL_FLEET_ROUTERS`](super::SMALL_FLEET_ROUTERS) tokens. Each request adds
+    /// [`PROBE_TOKENS_PER_REQUEST`] more.
+    pub(super) fn add_probe_tokens(&mut self, tokens: f64) {
+        self.probe_tokens = (self.probe_tokens + tokens).min(self.members.len() as f64);
     }
 
     /// Adds the tokens for one request.
--- a/crates/policy/src/policy/load.rs
+++ b/crates/policy/src/policy/load.rs
@@ -16,10 +16,12 @@
 /// The lower bound of a concurrency limit.
 const MIN_CONCURRENCY: f64 = 1.0;
 
-/// A response whose latency exceeds this fraction of its latency objective cuts the concurrency limit.
+/// A response whose latency exceeds this fraction of its class's latency objective cuts the concurrency
+/// limit.
 const SLOW_RESPONSE_FRACTION: f64 = 0.5;
 
-/// The factor by which a concurrency limit is cut, at most once per round trip.
+/// A concurrency limit is multiplied by this when it is cut. Slow responses cut it at most once per round
+/// trip.
 const CONCURRENCY_CUT: f64 = 0.7;
 
 /// The largest fraction of itself by which a concurrency limit grows per response.
--- a/crates/policy/src/policy/member.rs
+++ b/crates/policy/src/policy/member.rs
@@ -99,8 +99,8 @@
         !self.suspect && up && self.draining_since.is_none()
     }
 
-    /// Records a start of the member, from which it warms up.
-    pub(super) fn restart(&mut self, started_at: Option<Time>, now: Time) {
+    /// Records that the member started at `started_at`, so that it is warming up.
+    pub(super) fn record_restart(&mut self, started_at: Option<Time>, now: Time) {
         self.started_at = started_at;
         self.slow_start.reset(now);
     }
@@ -112,8 +112,8 @@
         self.consecutive_failures += 1;
         self.suspect |= raises_suspicion;
         let too_many = self.consecutive_failures >= EJECT_AFTER_FAILURES;
-        let newly = too_many && !self.breaker.is_open_for(EjectReason::Transport);
-        if newly || self.breaker == Breaker::HalfOpen(EjectReason::Transport) {
+        let newly_ejected = too_many && !self.breaker.is_open_for(EjectReason::Transport);
+        if newly_ejected || self.breaker == Breaker::HalfOpen(EjectReason::Transport) {
             self.breaker.open(EjectReason::Transport, now);
         }
     }
@@ -122,7 +122,7 @@
     /// attempt ends one for unresponsiveness, a successful health check one for transport failures.
     pub(super) fn record_contact(&mut self, now: Time, recovers: EjectReason) {
         if self.has_likely_restarted() {
-            self.restart(Some(self.probe_failed_at), now);
+            self.record_restart(Some(self.probe_failed_at), now);
         }
         self.consecutive_failures = 0;
         self.suspect = false;
--- a/crates/policy/src/policy/members.rs
+++ b/crates/policy/src/policy/members.rs
@@ -4,9 +4,9 @@
 use crate::api::{GroupId, MemberId, Time};
 use std::collections::BTreeMap;
 
-/// The time after the start of draining at which a member without attempts in flight is removed from its
-/// group. Members are added and removed for weeks: if a group listed them all, the cost of each request would
-/// grow without bound.
+/// How long after a member starts to drain it is removed from its group, unless it has attempts in flight. A
+/// router runs for weeks while members are added and removed: if a group kept the removed ones, the cost of
+/// each request would grow without bound.
 const GROUP_REMOVAL_DELAY: Time = Time::ms(30_000);
 
 /// All known members and the groups that they form.
--- a/crates/policy/src/policy/pending_request.rs
+++ b/crates/policy/src/policy/pending_request.rs
@@ -8,8 +8,8 @@
     pub(super) sent_at: Time,
     /// How it ended; `None` while it is in flight.
     pub(super) status: Option<Status>,
-    /// Whether it is overdue although its member has responded since: its response was probably lost, so it
-    /// no longer counts as in flight at the member.
+    /// Whether it is overdue although its member has responded to other attempts since it was sent: its
+    /// response was probably lost, so it no longer counts as in flight at the member.
     pub(super) presumed_lost: bool,
 }
 
--- a/crates/policy/src/policy/primary_search.rs
+++ b/crates/policy/src/policy/primary_search.rs
@@ -40,7 +40,7 @@
     }
 
     /// Returns the member to try next: preferably one without an attempt of this write, then the one that the
-    /// search tried longest ago, then the most advanced one.
+    /// search tried longest ago, then one whose log position is unknown, then the most advanced one.
     fn next_search_target(&self, group: GroupId, write: &PendingRequest) -> Option<MemberId> {
         let eligible = self
             .members
@@ -48,8 +48,9 @@
             .filter(|(id, member)| member.can_be_primary() && self.may_send(write, *id));
         let next = eligible.min_by_key(|(id, member)| {
             let attempted = write.attempts.iter().any(|attempt| attempt.member == *id);
-            let remaining = member.position.map(|known| u64::MAX - known.position.0);
-            (attempted, member.searched_at, remaining)
+            // The larger the position, the smaller the key. `None` is smaller than any `Some`.
+            let position_key = member.position.map(|known| u64::MAX - known.position.0);
+            (attempted, member.searched_at, position_key)
         });
         next.map(|(id, _)| id)
     }
--- a/crates/policy/src/policy/queue.rs
+++ b/crates/policy/src/policy/queue.rs
@@ -11,8 +11,8 @@
 /// skipped in this round.
 const MAX_UNPLACED_PER_CLASS: u32 = 4;
 
-/// The factor by which a request's value per second of work is multiplied before it is rounded down to an
-/// integer, by which requests are sorted.
+/// The queue is sorted by integers: each request's value per second of work, multiplied by this factor and
+/// rounded down.
 const VALUE_SCALE: f64 = 1e6;
 
 /// The ids of all queued requests, by group.
@@ -61,7 +61,7 @@
 
 impl Policy {
     /// Tries to place the queued requests of a group: those of the highest value per second of work first,
-    /// and among equal ones the newest first, since they have the most time left to be served in.
+    /// and among those of equal value the newest first, since they have the most time left.
     pub(super) fn place_queued(&mut self, group: GroupId, out: &mut Vec<Action>) {
         let queued = self.queue.in_group(group).filter_map(|id| self.queued_request(id));
         let mut waiting: Vec<QueuedRequest> = queued.collect();
--- a/crates/policy/src/policy/selection.rs
+++ b/crates/policy/src/policy/selection.rs
@@ -63,7 +63,7 @@
 }
 
 impl Policy {
-    /// Returns the member for the next attempt, if one may get it now.
+    /// Returns the member for the next attempt, or `None` if no attempt may be sent now.
     pub(super) fn choose_member(&self, request: &PendingRequest, rng: &mut Rng) -> Option<MemberId> {
         let primary = self.known_primary(request.request.group);
         if Workload::of(&self.settings.classes[request.class]) == Workload::PrimaryOnly {
--- a/crates/policy/src/policy/slow_start.rs
+++ b/crates/policy/src/policy/slow_start.rs
@@ -87,12 +87,13 @@
         (initial + (1.0 - initial) * progress).min(1.0)
     }
 
-    /// Returns the fraction of its requests that one router of a large fleet may send to a warming member. It
-    /// supplements the credit: a router that gets a request for the group only every few seconds can't
-    /// accumulate any. Over many routers the fractions add up like the rates do.
+    /// Returns the fraction of its requests that one router of a large fleet may send to a warming member,
+    /// in addition to those that its credit allows: a router that gets a request for the group only every few
+    /// seconds can't accumulate credit. As with the credit, the work that all routers together may send
+    /// adds up to what the member can take without being overloaded.
     ///
-    /// The group's demand is assumed to be the mean of all groups, or its own if that is higher, and all of
-    /// it is assumed to be sent to this member.
+    /// The group's demand is assumed to be the mean of all groups, or the group's own if that is higher, and
+    /// all of the demand is assumed to be sent to this member.
     pub(super) fn slow_start_request_fraction(
         &self,
         request: &PendingRequest,
@@ -105,13 +106,14 @@
         }
         // Without a usable primary, replicas get the writes that search for one in addition to their reads,
         // so one fraction covers both workloads.
-        let only = self.usable_primary(member.group).map(|_| workload);
+        let counted_workload = self.usable_primary(member.group).map(|_| workload);
         let in_group = self.demand.by_group.get(&member.group);
-        let group_rate = in_group.map_or(0.0, |work| self.demand_rate(work, only, DEMAND_DECAY_S));
+        let group_rate =
+            in_group.map_or(0.0, |work| self.demand_rate(work, counted_workload, DEMAND_DECAY_S));
         // The short time constant detects a sudden rise of the demand before it can overload the member.
         let overload_window_s = self.settings.overload_window.secs();
-        let usual = self.demand_rate(&self.demand.total, only, DEMAND_DECAY_S);
-        let recent = self.demand_rate(&self.demand.recent_total, only, overload_window_s);
+        let usual = self.demand_rate(&self.demand.total, counted_workload, DEMAND_DECAY_S);
+        let recent = self.demand_rate(&self.demand.recent_total, counted_workload, overload_window_s);
         let total_rate = usual.max(recent);
         let demand = group_rate.max(total_rate / self.members.group_count().max(1) as f64);
         let allowed_multiple = OVERLOAD_SAFETY_FRACTION * self.settings.overload_multiple;
@@ -120,13 +122,13 @@
         fraction * (1.0 - self.shared_work_fraction())
     }
 
-    /// Returns the requested work of the workload `only`, or of both workloads, in seconds of work per
+    /// Returns the requested work of one workload, or of both if `workload` is `None`, in seconds of work per
     /// second.
-    fn demand_rate(&self, work: &WorkByWorkload, only: Option<Workload>, time_constant_s: f64) -> f64 {
+    fn demand_rate(&self, work: &WorkByWorkload, workload: Option<Workload>, time_constant_s: f64) -> f64 {
         let counted = work
             .iter()
             .enumerate()
-            .filter(|(index, _)| only.is_none_or(|workload| workload.index() == *index));
+            .filter(|(index, _)| workload.is_none_or(|workload| workload.index() == *index));
         let decayed = counted.map(|(_, work)| work.at(self.now, time_constant_s));
         decayed.sum::<f64>() / self.accumulation_time_s(time_constant_s)
     }
@@ -134,11 +136,12 @@
     /// Returns the time in seconds by which a decaying sum has to be divided to get a rate: the time
     /// constant, less while the router's uptime is short.
     fn accumulation_time_s(&self, time_constant_s: f64) -> f64 {
-        let age = self.now.since(self.started_at.unwrap_or(self.now)).secs().max(1.0);
-        time_constant_s * (1.0 - (-age / time_constant_s).exp())
+        let uptime_s = self.now.since(self.started_at.unwrap_or(self.now)).secs().max(1.0);
+        time_constant_s * (1.0 - (-uptime_s / time_constant_s).exp())
     }
 
-    /// Returns this router's mean rate of work at a member of this weight, in seconds of work per second.
+    /// Returns this router's mean rate of work at a warm member with the weight of `member`, in seconds of
+    /// work per second.
     fn own_rate_at(&self, member: &Member) -> f64 {
         let served = self.work_served.at(self.now, SERVED_WORK_DECAY_S);
         served / self.accumulation_time_s(SERVED_WORK_DECAY_S) * member.weight / self.members.total_weight()
@@ -153,9 +156,9 @@
         own_rate * OVERLOAD_SAFETY_FRACTION * self.settings.overload_multiple * self.warm_up_fraction(member)
     }
 
-    /// Returns the credit at a warming member as of now, in seconds of work. An attempt is allowed if it is
-    /// not negative. It accumulates to what the router earns in one [`Settings::overload_window`], or to the
-    /// amount of the initial debt if that is more.
+    /// Returns the credit at a warming member as of now, in seconds of work. An attempt is allowed if the
+    /// credit is not negative. The credit accumulates to at most what the router earns in one
+    /// [`Settings::overload_window`], or to the amount of the initial debt if that is more.
     pub(super) fn slow_start_credit(&self, member: &Member) -> f64 {
         let rate = self.slow_start_rate(member);
         let credit = &member.slow_start;
