--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -116,10 +116,10 @@
     /// Whether a request that may have been executed may be repeated.
     pub effect: Effect,
     /// The members among which repeats are discarded; used for [`Effect::IdempotentByKey`] only.
-    pub scope: KeyScope,
+    pub key_scope: KeyScope,
     /// The deduplication window, from the first attempt that may have been executed; repeats within it are
     /// discarded.
-    pub window: Time,
+    pub deduplication_window: Time,
     /// The span, counted from when the client first sent the request, within which a reply has its full
     /// value.
     pub latency_objective: Time,
@@ -184,27 +184,27 @@
     /// How reliably the endpoint list names the primary.
     pub list_role: ListRole,
     /// Whether the weights in the endpoint list are used; without them, all members have weight 1.
-    pub weights: bool,
+    pub use_weights: bool,
     /// Whether every response reports a log position.
-    pub positions: bool,
+    pub responses_report_position: bool,
     /// Whether health checks report a log position.
-    pub probe_positions: bool,
+    pub probes_report_position: bool,
     /// Whether health checks report the role.
-    pub probe_roles: bool,
+    pub probes_report_role: bool,
     /// What members do with reads for which their log positions are too far behind.
     pub when_behind: WhenBehind,
     /// The maximum number of attempts of a request.
     pub max_attempts: u32,
     /// Whether two attempts of a request may be in flight at once.
-    pub hedging: bool,
+    pub hedging_allowed: bool,
     /// Whether attempts may be cancelled.
-    pub cancel: bool,
+    pub cancel_allowed: bool,
     /// The idle timeout after which a host closes a connection.
     pub conn_idle: Time,
     /// Whether health checks are allowed.
-    pub probes: bool,
+    pub probes_allowed: bool,
     /// Whether a rejected client is given a Retry-After.
-    pub retry_after: bool,
+    pub send_retry_after: bool,
     /// The longest Retry-After that clients comply with.
     pub max_retry_after: Time,
     /// How long attempts may still be sent to a member after the router was notified that the member is
@@ -387,7 +387,7 @@
         /// The request.
         request: Request,
         /// The fraction of the limits' tokens that is available, 0 to 1.
-        open_fraction: f64,
+        available_fraction: f64,
         /// How long after a rejection by these limits the client may retry.
         retry_after: Time,
     },
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -179,8 +179,8 @@
             Event::Endpoints(EndpointUpdate::Failed, _) => {}
             Event::Endpoints(update, endpoints) => self.update_endpoints(update, endpoints, out),
             Event::Request(request) => self.admit(request, out),
-            Event::LimitedRequest { request, open_fraction, retry_after } => {
-                self.admit_limited(request, open_fraction, retry_after, out);
+            Event::LimitedRequest { request, available_fraction, retry_after } => {
+                self.admit_limited(request, available_fraction, retry_after, out);
             }
             Event::Budgets { retries, probes } => self.budgets = RemainingBudgets { retries, probes },
             Event::MemberCapacity { member, attempts } => {
--- a/crates/policy/src/policy/admission.rs
+++ b/crates/policy/src/policy/admission.rs
@@ -42,16 +42,16 @@
     pub(super) fn admit_limited(
         &mut self,
         request: Request,
-        open_fraction: f64,
+        available_fraction: f64,
         retry_after: Time,
         out: &mut Vec<Action>,
     ) {
         let class = usize::from(request.class.0);
-        if open_fraction > 0.0 && open_fraction >= self.reserved_for_others(class) {
+        if available_fraction > 0.0 && available_fraction >= self.reserved_for_others(class) {
             return self.admit(request, out);
         }
         let after = retry_after.min(self.settings.max_retry_after);
-        out.push(Action::Reject(request.id, self.settings.retry_after.then_some(after)));
+        out.push(Action::Reject(request.id, self.settings.send_retry_after.then_some(after)));
     }
 
     /// Returns the fraction of a limit's tokens that requests of this class leave to those of higher value
@@ -194,7 +194,9 @@
         let until_deadline = request.request.deadline.since(next_tick).max(tick);
         let class = &self.settings.classes[request.class];
         match class.effect {
-            Effect::IdempotentByKey => until_deadline.min(request.window_left(next_tick, class.window)),
+            Effect::IdempotentByKey => {
+                until_deadline.min(request.window_left(next_tick, class.deduplication_window))
+            }
             Effect::Idempotent | Effect::NonIdempotent => until_deadline,
         }
     }
@@ -206,7 +208,7 @@
         if request.attempts_in_flight() > 0 {
             return;
         }
-        let retry_after = self.settings.retry_after.then_some(self.settings.max_retry_after);
+        let retry_after = self.settings.send_retry_after.then_some(self.settings.max_retry_after);
         out.push(match self.is_retry_harmless(request) {
             true => Action::Reject(id, retry_after),
             false => Action::Fail(id),
@@ -220,9 +222,9 @@
     fn is_retry_harmless(&self, request: &PendingRequest) -> bool {
         let class = &self.settings.classes[request.class];
         let Some(first) = request.first_possible_execution() else { return true };
-        let deduplicated = class.effect == Effect::IdempotentByKey && class.scope == KeyScope::All;
+        let deduplicated = class.effect == Effect::IdempotentByKey && class.key_scope == KeyScope::All;
         let client_retry_at = self.now.plus(self.settings.max_retry_after);
-        let within_window = client_retry_at < first.sent_at.plus(class.window);
+        let within_window = client_retry_at < first.sent_at.plus(class.deduplication_window);
         class.effect == Effect::Idempotent || (deduplicated && within_window)
     }
 
@@ -236,7 +238,7 @@
             if !attempt.is_in_flight() {
                 continue;
             }
-            if self.settings.cancel && idempotent {
+            if self.settings.cancel_allowed && idempotent {
                 out.push(Action::Cancel(id, Attempt(number as u16)));
             }
             if let Some(member) = self.members.get_mut(attempt.member) {
--- a/crates/policy/src/policy/eligibility.rs
+++ b/crates/policy/src/policy/eligibility.rs
@@ -35,7 +35,7 @@
         let class = &self.settings.classes[request.class];
         match request.attempts_in_flight() {
             0 => true,
-            1 => self.settings.hedging && class.effect != Effect::NonIdempotent,
+            1 => self.settings.hedging_allowed && class.effect != Effect::NonIdempotent,
             _ => false,
         }
     }
@@ -55,7 +55,7 @@
         }
         // All attempts of a request go to one group, so of the scopes only a zone can exclude the member.
         let first_zone = self.members.get(first.member).map(|member| member.zone);
-        let in_scope = class.scope != KeyScope::Zone || first_zone == Some(member.zone);
+        let in_scope = class.key_scope != KeyScope::Zone || first_zone == Some(member.zone);
         in_scope && self.window_allows_repeat(request)
     }
 
@@ -63,7 +63,7 @@
     /// than the service time, so that a repeat is expected to be executed within the window.
     pub(super) fn window_allows_repeat(&self, request: &PendingRequest) -> bool {
         let class = &self.settings.classes[request.class];
-        let left = request.window_left(self.now.plus(self.settings.tick), class.window);
+        let left = request.window_left(self.now.plus(self.settings.tick), class.deduplication_window);
         class.effect == Effect::IdempotentByKey && left.secs() > self.service_times.get(request.class)
     }
 
--- a/crates/policy/src/policy/endpoints.rs
+++ b/crates/policy/src/policy/endpoints.rs
@@ -60,7 +60,8 @@
         });
         member.group = endpoint.group;
         member.zone = endpoint.zone;
-        member.weight = if self.settings.weights && endpoint.weight > 0.0 { endpoint.weight } else { 1.0 };
+        member.weight =
+            if self.settings.use_weights && endpoint.weight > 0.0 { endpoint.weight } else { 1.0 };
         if endpoint.started > member.started_at {
             member.consecutive_failures = 0;
             member.draining_since = None;
--- a/crates/policy/src/policy/health_checks.rs
+++ b/crates/policy/src/policy/health_checks.rs
@@ -53,7 +53,7 @@
         let Some(member) = self.members.get_mut(id) else { return };
         let drained = member.draining_since.is_some_and(|since| now.since(since) >= drain_grace);
         let has_budget = self.probe_tokens >= 1.0 && self.budgets.probes != Some(0);
-        if !self.settings.probes || member.probe_in_flight || drained || !has_budget {
+        if !self.settings.probes_allowed || member.probe_in_flight || drained || !has_budget {
             return;
         }
         self.probe_tokens -= 1.0;
@@ -102,10 +102,10 @@
         // In a large fleet, lagging members are probed less often: they still serve reads that need no
         // freshness, and frequent probes by every router would only find them lagging again.
         let lag_probe_interval = SUSPECT_PROBE_INTERVAL.times(1.0 / self.shared_work_fraction());
-        let probe_positions = self.settings.probe_positions;
+        let probes_report_position = self.settings.probes_report_position;
         let is_due = |reason, since_contact| match reason {
             EjectReason::Transport => since_contact >= SUSPECT_PROBE_INTERVAL,
-            EjectReason::Lag => probe_positions && since_contact >= lag_probe_interval,
+            EjectReason::Lag => probes_report_position && since_contact >= lag_probe_interval,
             // Only a response to an attempt shows that the member responds again.
             EjectReason::Unresponsive => false,
         };
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -5,11 +5,11 @@
 use basalthill_policy::api::*;
 use common::*;
 
-fn request_under_limits(router: &mut TestRouter, class: ClassId, open_fraction: f64) -> RequestId {
+fn request_under_limits(router: &mut TestRouter, class: ClassId, available_fraction: f64) -> RequestId {
     router.last_request_id += 1;
     let request = plain_request(RequestId(router.last_request_id), class, router.now.plus(Time::ms(1500)));
     let id = request.id;
-    router.handle_event(Event::LimitedRequest { request, open_fraction, retry_after: Time::ms(120) });
+    router.handle_event(Event::LimitedRequest { request, available_fraction, retry_after: Time::ms(120) });
     id
 }
 
@@ -19,7 +19,7 @@
     let id = router.request(BOUNDED, 0);
     assert!(router.actions.contains(&Action::Reject(id, Some(Time::ms(500)))), "a group without members");
     let mut settings = test_settings();
-    settings.retry_after = false;
+    settings.send_retry_after = false;
     let mut router = TestRouter::with_cached_list(settings, vec![endpoint(1, 1, true)]);
     let id = router.request(IDEMPOTENT_BY_KEY, 0);
     assert!(router.actions.contains(&Action::Reject(id, None)));
--- a/crates/policy/tests/freshness.rs
+++ b/crates/policy/tests/freshness.rs
@@ -83,7 +83,7 @@
     // Guards against a replica that gets no reads although it has caught up, because its recorded position is
     // outdated, as in simulated runs of the deployments jb-ffb-trips and kk-harvest.
     let mut settings = test_settings();
-    settings.probe_positions = false;
+    settings.probes_report_position = false;
     let mut router = TestRouter::new(settings);
     router.replicas_respond_with_lag([2500, 2500]);
     router.advance(700);
@@ -99,7 +99,7 @@
 #[test]
 fn no_outdated_replica_gets_reads_while_another_is_fresh() {
     let mut settings = test_settings();
-    settings.probe_positions = false;
+    settings.probes_report_position = false;
     let mut router = TestRouter::new(settings);
     router.replicas_respond_with_lag([5000, 10]);
     router.advance(700);
--- a/crates/policy/tests/primary_search.rs
+++ b/crates/policy/tests/primary_search.rs
@@ -47,7 +47,7 @@
 fn without_roles_in_the_endpoint_list_the_router_searches_for_the_primary() {
     let mut settings = test_settings();
     settings.list_role = ListRole::None;
-    settings.probe_roles = false;
+    settings.probes_report_role = false;
     let mut router = TestRouter::with_cached_list(settings, primary_and_replicas());
     let id = router.request(IDEMPOTENT_BY_KEY, 0);
     assert_eq!(router.last_target(id), None, "the primary in the endpoint list is ignored");
--- a/crates/policy/tests/retries.rs
+++ b/crates/policy/tests/retries.rs
@@ -9,8 +9,8 @@
 fn with_window(ms: u64) -> Settings {
     let mut settings = test_settings();
     let class = &mut settings.classes[usize::from(IDEMPOTENT_BY_KEY.0)];
-    class.window = Time::ms(ms);
-    class.scope = KeyScope::All;
+    class.deduplication_window = Time::ms(ms);
+    class.key_scope = KeyScope::All;
     settings
 }
 
@@ -49,7 +49,7 @@
 #[test]
 fn a_write_with_a_zone_scoped_key_is_retried_in_its_zone_only() {
     let mut settings = test_settings();
-    settings.classes[usize::from(IDEMPOTENT_BY_KEY.0)].scope = KeyScope::Zone;
+    settings.classes[usize::from(IDEMPOTENT_BY_KEY.0)].key_scope = KeyScope::Zone;
     let mut list = primary_and_replicas();
     list[1].zone = ZoneId(1);
     list[2].zone = ZoneId(1);
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -170,8 +170,8 @@
                 request.completed = true;
                 let late = self.now > request.deadline.plus(Time::ms(20));
                 let idempotent = request.class.effect == Effect::Idempotent;
-                let deduplicated =
-                    request.class.effect == Effect::IdempotentByKey && request.class.scope == KeyScope::All;
+                let deduplicated = request.class.effect == Effect::IdempotentByKey
+                    && request.class.key_scope == KeyScope::All;
                 if completed || late || (may_have_executed && !idempotent && !deduplicated) {
                     self.add_violation(format!(
                         "rejected {id:?}: already completed {completed}, late {late}, \
@@ -223,7 +223,7 @@
             broken_rules.push("the maximum number of attempts is exceeded".into());
         }
         let in_flight = request.attempts.iter().any(|t| t.status.is_none());
-        if in_flight && !self.settings.hedging {
+        if in_flight && !self.settings.hedging_allowed {
             broken_rules.push("a hedge is not allowed".into());
         }
         let first = request.attempts.iter().find(|t| t.status.is_none_or(|s| !s.proves_not_executed()));
@@ -233,7 +233,7 @@
                 Effect::NonIdempotent => {
                     broken_rules.push("the request is not idempotent and may have been executed".into())
                 }
-                Effect::IdempotentByKey if now.since(first.sent_at) > request.class.window => {
+                Effect::IdempotentByKey if now.since(first.sent_at) > request.class.deduplication_window => {
                     broken_rules.push("the deduplication window has passed".into())
                 }
                 Effect::IdempotentByKey => {}
@@ -530,13 +530,13 @@
         1 => WhenBehind::Reject,
         _ => WhenBehind::Wait(Time::ms(100)),
     };
-    settings.hedging = flags & 4 == 0;
-    settings.probe_positions = flags & 8 == 0;
-    settings.probe_roles = flags & 8 == 0;
+    settings.hedging_allowed = flags & 4 == 0;
+    settings.probes_report_position = flags & 8 == 0;
+    settings.probes_report_role = flags & 8 == 0;
     if flags & 16 != 0 {
-        settings.classes[usize::from(IDEMPOTENT_BY_KEY.0)].scope = KeyScope::All;
+        settings.classes[usize::from(IDEMPOTENT_BY_KEY.0)].key_scope = KeyScope::All;
     }
-    settings.classes[usize::from(IDEMPOTENT_BY_KEY.0)].window = Time::ms(300);
+    settings.classes[usize::from(IDEMPOTENT_BY_KEY.0)].deduplication_window = Time::ms(300);
     if flags & 32 != 0 {
         settings.max_attempts = 3;
     }
--- a/crates/router/src/routing/fleet_limits.rs
+++ b/crates/router/src/routing/fleet_limits.rs
@@ -142,7 +142,7 @@
         let available = self.fleet.availability(now, keys);
         Event::LimitedRequest {
             request,
-            open_fraction: available.fraction,
+            available_fraction: available.fraction,
             retry_after: available.retry_after,
         }
     }
--- a/crates/sim/tests/golden.rs
+++ b/crates/sim/tests/golden.rs
@@ -155,11 +155,11 @@
         panic!("{events:?}")
     };
     assert_eq!(
-        (deployment.settings.classes[0].effect, deployment.settings.classes[0].scope),
+        (deployment.settings.classes[0].effect, deployment.settings.classes[0].key_scope),
         (Effect::IdempotentByKey, KeyScope::Group)
     );
     assert_eq!(deployment.settings.when_behind, WhenBehind::Reject);
-    assert!(deployment.settings.probe_positions && deployment.settings.probe_roles);
+    assert!(deployment.settings.probes_report_position && deployment.settings.probes_report_role);
     let record = "05 00000003 0000000000000009 0001 00000004 0064 00000000011a49a0 01 0000638e
          02 40c6872b 3f800000 00000000 00000000";
     let events = decoder.decode(&frame(5, &[record], &[])).unwrap().events;
