--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -99,8 +99,8 @@
     let delayed = (0..10).filter(|n| served(&mut router, 300 + 60 * n)).count();
     assert_eq!(delayed, 0, "each of these requests has waited for longer than its latency objective");
     (0..20).for_each(|_| assert!(served(&mut router, 1500)));
-    let short = (0..20).filter(|n| served(&mut router, if n % 4 == 0 { 1500 } else { 220 })).count();
-    assert!(short >= 18, "{short} of 20 sent: only the first with a new timeout counts as delayed");
+    let sent = (0..20).filter(|n| served(&mut router, if n % 4 == 0 { 1500 } else { 220 })).count();
+    assert!(sent >= 18, "{sent} of 20 sent: only the first with a new timeout counts as delayed");
 }
 
 #[test]
@@ -154,7 +154,9 @@
     let (low, high) =
         (request_under_limits(&mut router, EVENTUAL, 0.2), request_under_limits(&mut router, BOUNDED, 0.2));
     assert!(
-        router.is_rejected(low) && !router.attempts.contains_key(&low) && router.attempts.contains_key(&high)
+        router.is_rejected(low) && !router.attempts.contains_key(&low) && router.attempts.contains_key(&high),
+        "expected a rejection of {low:?} and an attempt of {high:?} only, attempts: {:?}",
+        router.attempts
     );
     // Half of the tokens is available: all requests are admitted.
     let low = request_under_limits(&mut router, EVENTUAL, 0.5);
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -115,7 +115,7 @@
 pub struct TestRouter {
     pub policy: Policy,
     pub now: Time,
-    /// The `lead` of each request.
+    /// The [`lead`](Request::lead) of the requests that are submitted.
     pub lead: Time,
     /// The id of the last request; 0 if there was none.
     pub last_request_id: u64,
@@ -131,7 +131,7 @@
 
 impl TestRouter {
     /// Creates a router with primary 1 and replicas 2 and 3 of group 0, whose first health checks have
-    /// succeeded.
+    /// succeeded. The replicas reported a lag of nine seconds.
     pub fn new(settings: Settings) -> TestRouter {
         TestRouter::with_seed(settings, 7)
     }
@@ -214,7 +214,7 @@
         self.submit_default(class, floor, false)
     }
 
-    /// Submits a request; `client_retry` is the client's mark for a retry.
+    /// Submits a request; `client_retry` says whether the client marked it as a retry.
     pub fn request_marked_as_retry(&mut self, class: ClassId, client_retry: bool) -> RequestId {
         self.submit_default(class, Time(0), client_retry)
     }
@@ -238,7 +238,7 @@
 
     /// Returns the member that the request's last attempt was sent to.
     pub fn last_target(&self, id: RequestId) -> Option<u32> {
-        self.attempts.get(&id).and_then(|t| t.last()).map(|m| m.0)
+        self.attempts.get(&id).and_then(|members| members.last()).map(|member| member.0)
     }
 
     /// Returns whether an attempt of the request is in flight.
@@ -356,7 +356,7 @@
     }
 }
 
-/// Returns the number of attempts sent to a member since a time.
+/// Returns the number of attempts sent to a member at or after the time `from`.
 pub fn attempts_since(router: &TestRouter, from: Time, member: u32) -> usize {
     let is_attempt = |a: &Action| matches!(a, Action::Send(_, m, _) if m.0 == member);
     router.action_log.iter().filter(|(at, a)| *at >= from && is_attempt(a)).count()
--- a/crates/policy/tests/connections.rs
+++ b/crates/policy/tests/connections.rs
@@ -23,15 +23,16 @@
     assert!(!closed(&router, 2) && !closed(&router, 3), "not even if a health check succeeds after it");
     let id = router.request(EVENTUAL, 0);
     let rejecting = router.last_target(id).unwrap();
+    let other_replica = 5 - rejecting; // of replicas 2 and 3
     router.finish_attempt(id, Status::ConnectFailed, 2, 0, Role::Replica);
     assert!(
-        !closed(&router, 5 - rejecting),
+        !closed(&router, other_replica),
         "a rejection alone does not show a shortage: a member that is down also rejects"
     );
     router.probe_succeeds(rejecting, router.now, Role::Replica);
     assert!(closed(&router, rejecting), "the member is up, so idle connections are closed for other routers");
     router.finish_attempt(id, Status::Ok, 20, 10, Role::Replica);
-    assert!(closed(&router, 5 - rejecting), "each connection is closed after its response");
+    assert!(closed(&router, other_replica), "each connection is closed after its response");
     router.advance(11_000);
     let id = router.request(EVENTUAL, 0);
     router.finish_attempt(id, Status::Ok, 20, 10, Role::Replica);
--- a/crates/policy/tests/ejection.rs
+++ b/crates/policy/tests/ejection.rs
@@ -103,7 +103,7 @@
         router.advance(20);
     }
     let writes = attempts_since(&router, from, 1);
-    assert!(writes <= 20, "{writes} non-idempotent writes were sent to an unresponsive primary");
+    assert!(writes <= 20, "{writes} of 100 writes were sent to an unresponsive primary, more than 20");
 }
 
 #[test]
@@ -151,7 +151,10 @@
         router.request(EVENTUAL, 0);
     }
     let sent = attempts_since(&router, from, 2) + attempts_since(&router, from, 3);
-    assert!(sent >= 5, "no health check failed, so the members are not warming up: {sent} of 6 sent");
+    assert!(
+        sent >= 5,
+        "{sent} of 6 sent, as if the members were warming up, although no health check failed"
+    );
 }
 
 #[test]
--- a/crates/policy/tests/endpoint_list.rs
+++ b/crates/policy/tests/endpoint_list.rs
@@ -58,7 +58,10 @@
         (0..5).map(|_| round(&mut router)).min().unwrap()
     };
     let (none, many) = (cost(0), cost(500));
-    assert!(many < none * 8, "{none:?} with no removed members, {many:?} with 500");
+    assert!(
+        many < none * 8,
+        "{none:?} with no removed members, {many:?} with 500: not below 8 times as much"
+    );
 }
 
 #[test]
--- a/crates/policy/tests/freshness.rs
+++ b/crates/policy/tests/freshness.rs
@@ -63,16 +63,16 @@
     }
     assert!(
         matches!(read(waits, 50).0, Some(2 | 3)),
-        "the read waits at the replica for the log to be applied"
+        "the read is sent to a replica, which delays it until it has applied the log up to the floor"
     );
-    let (first, then) = read(WhenBehind::Reject, 50);
+    let (at_arrival, later) = read(WhenBehind::Reject, 50);
     assert!(
-        first.is_none() && matches!(then, Some(2 | 3)),
-        "queued until a replica is fresh enough: {first:?}, {then:?}"
+        at_arrival.is_none() && matches!(later, Some(2 | 3)),
+        "queued until a replica is fresh enough: {at_arrival:?} at arrival, then {later:?}"
     );
-    let (first, then) = read(WhenBehind::ServeStale, 50);
+    let (at_arrival, later) = read(WhenBehind::ServeStale, 50);
     assert_eq!(
-        (first, then),
+        (at_arrival, later),
         (None, Some(1)),
         "only a reported position suffices, and the read stops waiting once the estimate reaches the floor"
     );
--- a/crates/policy/tests/large_fleets.rs
+++ b/crates/policy/tests/large_fleets.rs
@@ -7,8 +7,8 @@
 
 #[test]
 fn few_routers_of_a_large_fleet_send_to_an_overloaded_idle_member() {
-    // Guards against each router sending one read to a member at which it has no attempt in flight: in runs
-    // with 86 and with 763 routers, these reads together overloaded every member.
+    // Guards against each router sending one read to an overloaded member because it has no attempt in flight
+    // there: in runs with 86 and with 763 routers, these reads together overloaded every member.
     let attempts = |routers: u32| {
         let mut settings = test_settings();
         settings.routers = routers;
@@ -66,38 +66,40 @@
         sum
     };
     let (lagging, unused) = (probes(300, 0), probes(300, 80));
-    assert!(lagging <= 3, "{lagging} health checks of a lagging member in eleven seconds");
-    assert!(unused <= 10, "{unused} health checks with 80 unused members in eleven seconds");
-    assert!(probes(2, 80) > 100, "a router of a small fleet sends too few health checks");
+    assert!(lagging <= 3, "{lagging} health checks of a lagging member in eleven seconds, more than 3");
+    assert!(unused <= 10, "{unused} health checks with 80 unused members in eleven seconds, more than 10");
+    let of_small_fleet = probes(2, 80);
+    assert!(of_small_fleet > 100, "only {of_small_fleet} health checks by a router of a fleet of 2");
 }
 
 #[test]
 fn each_router_of_a_large_fleet_prefers_members_that_it_is_connected_to() {
     // Guards against connections that are rarely used: in a run with 300 routers and 120 hosts, nearly every
     // router had one to every host.
-    let used = |routers: u32, seed: u64, interval_ms: u64| {
+    let reads_by_replica = |routers: u32, seed: u64, interval_ms: u64| {
         let settings = Settings { routers, ..test_settings() };
         let mut router = TestRouter::with_seed(settings, seed);
         (2..4).for_each(|m| router.probe_succeeds(m, router.now, Role::Replica));
-        let mut at = [0; 2];
+        let mut reads = [0; 2];
         for _ in 0..40 {
             router.advance(interval_ms);
             let id = router.request(EVENTUAL, 0);
-            at[router.last_target(id).unwrap() as usize - 2] += 1;
+            reads[router.last_target(id).unwrap() as usize - 2] += 1;
             router.finish_attempt(id, Status::Ok, 80, 10, Role::Replica);
         }
-        at
+        reads
     };
+    // Returns how many of 40 routers use only one replica, and how many reads all of them send to the first.
     let usage = |routers, interval_ms| {
-        let all: Vec<[i32; 2]> = (0..40).map(|seed| used(routers, seed, interval_ms)).collect();
-        let single = all.iter().filter(|at| at.contains(&0)).count();
-        (single, all.iter().map(|at| at[0]).sum::<i32>())
+        let all: Vec<[i32; 2]> = (0..40).map(|seed| reads_by_replica(routers, seed, interval_ms)).collect();
+        let single = all.iter().filter(|reads| reads.contains(&0)).count();
+        (single, all.iter().map(|reads| reads[0]).sum::<i32>())
     };
     let (single, first) = usage(300, 5000);
-    assert!(single >= 36, "{single} of 40 routers use only one of the two replicas");
+    assert!(single >= 36, "only {single} of 40 routers use a single replica, expected at least 36");
     assert!((400..1200).contains(&first), "uneven load: {first} of 1600 requests at the first replica");
     let (single, _) = usage(4, 5000);
-    assert_eq!(single, 0, "a router of a small fleet uses only one replica");
+    assert_eq!(single, 0, "routers of a small fleet that use only one replica");
     // A router with several requests in flight at its preferred replica uses the other one as well.
     let settings = Settings { routers: 300, ..test_settings() };
     let mut router = TestRouter::with_seed(settings, 1);
--- a/crates/policy/tests/load.rs
+++ b/crates/policy/tests/load.rs
@@ -99,5 +99,6 @@
             .iter()
             .any(|(_, a)| matches!(a, Action::Send(_, m, _) if m.0 != 1))
     };
-    assert!(sent(false) && !sent(true));
+    assert!(sent(false), "a first request was not sent to a replica");
+    assert!(!sent(true), "a client's retry was sent to a replica that is overloaded for it");
 }
--- a/crates/policy/tests/primary_search.rs
+++ b/crates/policy/tests/primary_search.rs
@@ -16,7 +16,7 @@
     );
     router.advance(60);
     let next = router.last_target(id);
-    assert!(matches!(next, Some(2 | 3)), "the search tries the other members in turn");
+    assert!(matches!(next, Some(2 | 3)), "the search tried {next:?}, not one of the other members 2 and 3");
     router.finish_attempt(id, Status::Misdirected, 1, 10, Role::Replica);
     router.advance(60);
     assert!(matches!(router.last_target(id), Some(2 | 3)) && router.last_target(id) != next);
--- a/crates/policy/tests/retries.rs
+++ b/crates/policy/tests/retries.rs
@@ -60,7 +60,7 @@
     router.advance(1400);
     assert!(
         router.attempts[&id].len() > 1,
-        "the write is repeated at its own member, which discards repeats"
+        "the write is repeated at the member of its first attempt, which discards repeats"
     );
     assert!(
         router.attempts[&id].iter().all(|m| m.0 == 1),
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -76,7 +76,9 @@
 struct CheckedAttempt {
     member: MemberId,
     sent_at: Time,
+    /// When it times out: the end of its timeout, or the request's deadline if that is earlier.
     expires_at: Time,
+    /// How it ended; `None` while it is in flight.
     status: Option<Status>,
 }
 
@@ -88,6 +90,7 @@
     floor: Time,
     deadline: Time,
     attempts: Vec<CheckedAttempt>,
+    /// Whether the router has served, rejected or failed it, or its client is gone.
     completed: bool,
 }
 
@@ -165,7 +168,10 @@
                 };
                 let (completed, may_have_executed) = (
                     request.completed,
-                    request.attempts.iter().any(|t| t.status.is_none_or(|s| !s.proves_not_executed())),
+                    request
+                        .attempts
+                        .iter()
+                        .any(|attempt| attempt.status.is_none_or(|status| !status.proves_not_executed())),
                 );
                 request.completed = true;
                 let late = self.now > request.deadline.plus(Time::ms(20));
@@ -180,7 +186,8 @@
                 }
                 if after.is_some_and(|t| t > self.settings.max_retry_after) {
                     self.add_violation(format!(
-                        "rejected {id:?} with a Retry-After above the longest allowed one"
+                        "rejected {id:?} with the Retry-After {after:?}, above the maximum of {:?}",
+                        self.settings.max_retry_after
                     ));
                 }
             }
@@ -220,14 +227,17 @@
             broken_rules.push("the member is in another group".into());
         }
         if request.attempts.len() >= self.settings.max_attempts as usize {
-            broken_rules.push("the maximum number of attempts is exceeded".into());
+            broken_rules.push(format!("the maximum of {} attempts is exceeded", self.settings.max_attempts));
         }
-        let in_flight = request.attempts.iter().any(|t| t.status.is_none());
+        let in_flight = request.attempts.iter().any(|attempt| attempt.status.is_none());
         if in_flight && !self.settings.hedging_allowed {
             broken_rules.push("a hedge is not allowed".into());
         }
-        let first = request.attempts.iter().find(|t| t.status.is_none_or(|s| !s.proves_not_executed()));
-        if let Some(first) = first {
+        let first_possible_execution = request
+            .attempts
+            .iter()
+            .find(|attempt| attempt.status.is_none_or(|status| !status.proves_not_executed()));
+        if let Some(first) = first_possible_execution {
             match request.class.effect {
                 Effect::Idempotent => {}
                 Effect::NonIdempotent => {
@@ -280,7 +290,8 @@
             // time of 80 ms.
             if recent > 8 + 3 * self.served_by_warm {
                 broken_rules.push(format!(
-                    "the member is warming up and got {recent} attempts in the overload window"
+                    "the member is warming up and got {recent} attempts in the overload window, more than {}",
+                    8 + 3 * self.served_by_warm
                 ));
             }
         }
@@ -342,6 +353,7 @@
     }
 
     /// Advances the clock by ten milliseconds, ends the attempts that time out, and fires the router's timer.
+    /// A request that is not completed within 20 ms after its deadline is a violation.
     fn tick(&mut self) {
         self.now = self.now.plus(Time::ms(10));
         for (id, number) in self.attempts_in_flight() {
@@ -351,12 +363,12 @@
         }
         self.event(Event::Timer(0));
         let now = self.now;
-        let lost = self
+        let overdue = self
             .requests
             .iter()
             .filter(|(_, request)| !request.completed && now > request.deadline.plus(Time::ms(20)));
-        let lost: Vec<RequestId> = lost.map(|(id, _)| *id).collect();
-        for id in lost {
+        let overdue: Vec<RequestId> = overdue.map(|(id, _)| *id).collect();
+        for id in overdue {
             self.add_violation(format!("{id:?} was not completed within 20 ms after its deadline"));
             if let Some(request) = self.requests.get_mut(&id) {
                 request.completed = true;
--- a/crates/policy/tests/selection.rs
+++ b/crates/policy/tests/selection.rs
@@ -30,8 +30,8 @@
     let first = router.request(BOUNDED, 0);
     router.replicas_respond_with_lag([10, 10]);
     let second = router.request(BOUNDED, 0);
-    // With both replicas idle, either may get a read. With one read at each, a third goes to the replica that
-    // responds first.
+    // With both replicas idle, either may get a read. If each has one read in flight, a third read goes to
+    // the replica that responds first; if one replica has both, the third does not go to that replica.
     let targets: std::collections::BTreeSet<_> =
         [router.last_target(first), router.last_target(second)].into();
     if targets.len() == 2 {
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -22,12 +22,14 @@
     };
     let mut fleet: Vec<Policy> = (0..ROUTERS).map(|n| Policy::new(settings.clone(), n * 7919 + 1)).collect();
     let (start, change, end) = (100_000u64, 120_000u64, 128_000u64);
-    let mut due: Vec<(Time, usize, RequestId, MemberId)> = Vec::new();
+    // The responses that have not arrived: the time of arrival, the number of the router, the request and the
+    // member.
+    let mut pending: Vec<(Time, usize, RequestId, MemberId)> = Vec::new();
     let (mut sent_to_warming, mut sent_before): (Vec<Time>, usize) = (Vec::new(), 0);
     for ms in (start..end).step_by(10) {
         let now = Time::ms(ms);
-        let (ready, rest): (Vec<_>, Vec<_>) = due.into_iter().partition(|d| d.0 <= now);
-        due = rest;
+        let (arrived, rest): (Vec<_>, Vec<_>) = pending.into_iter().partition(|(at, ..)| *at <= now);
+        pending = rest;
         for (n, router) in fleet.iter_mut().enumerate() {
             let mut events = Vec::new();
             if ms == start {
@@ -39,12 +41,12 @@
                 list.push(Endpoint { started: Some(now), ..endpoint(4, 0, false) });
                 events.push(Event::Endpoints(EndpointUpdate::Delta, list));
             }
-            for d in ready.iter().filter(|d| d.1 == n) {
-                let role = if d.3 .0 % 10 == 1 { Role::Primary } else { Role::Replica };
+            for (_, _, request, member) in arrived.iter().copied().filter(|(_, number, ..)| *number == n) {
+                let role = if member.0 % 10 == 1 { Role::Primary } else { Role::Replica };
                 events.push(Event::Outcome(Outcome {
-                    request: d.2,
+                    request,
                     attempt: Attempt(0),
-                    member: d.3,
+                    member,
                     status: Status::Ok,
                     elapsed: service_time,
                     request_completed: true,
@@ -62,18 +64,18 @@
             for event in events {
                 let mut out = Vec::new();
                 router.handle(now, event, &mut out);
-                for a in out {
-                    if let Action::Send(id, m, _) = a {
-                        due.push((now.plus(service_time), n, id, m));
-                        sent_before += usize::from(ms < change && m.0 < 10);
-                        sent_to_warming.extend((m == MemberId(4)).then_some(now));
+                for action in out {
+                    if let Action::Send(id, member, _) = action {
+                        pending.push((now.plus(service_time), n, id, member));
+                        sent_before += usize::from(ms < change && member.0 < 10);
+                        sent_to_warming.extend((member == MemberId(4)).then_some(now));
                     }
                 }
             }
         }
     }
-    // Before the change, two warm replicas shared the load: each has shown that it can handle half of their
-    // attempts per second.
+    // Before the change, two warm replicas shared the load of group 0: each of them can take half of the
+    // attempts per second that both got.
     let warm_rate = sent_before as f64 / 2.0 / ((change - start) as f64 / 1000.0);
     for at in &sent_to_warming {
         let attempts =
@@ -100,8 +102,10 @@
         router.request(EVENTUAL, 0);
         router.request(IDEMPOTENT_BY_KEY, 0);
     }
-    for m in 1..=3 {
-        assert!(attempts_since(&router, from, m) <= 2, "the capacity of a warm member is not known yet");
+    for member in 1..=3 {
+        // The router has not measured yet how much work a warm member can take.
+        let sent = attempts_since(&router, from, member);
+        assert!(sent <= 2, "warming member {member} got {sent} attempts, more than 2");
     }
 }
 
@@ -113,8 +117,9 @@
     assert!(sent > 200, "the warming member got only {sent} attempts");
 }
 
-/// Each router has a request for the group only every ten seconds, so few accumulate enough credit for one
-/// while the member warms up. Together they still have to use it, within the limit that the settings allow.
+/// Each router has a request for the group only every ten seconds, so few routers accumulate enough credit
+/// for a request while the member warms up. Together the routers still have to use the member, within the
+/// limit that the settings allow.
 #[test]
 fn a_large_fleet_with_sparse_traffic_still_uses_a_warming_member() {
     let sent = attempts_of_a_large_fleet(5);
--- a/crates/policy/tests/slow_start_fleets.rs
+++ b/crates/policy/tests/slow_start_fleets.rs
@@ -45,7 +45,7 @@
     /// The number of attempts so far, by request.
     attempts: BTreeMap<RequestId, u16>,
     writes: BTreeSet<RequestId>,
-    due: Vec<PendingResponse>,
+    pending: Vec<PendingResponse>,
 }
 
 /// A member's response to an attempt. The response is sent at `at`.
@@ -67,7 +67,7 @@
             requests: 0,
             attempts: BTreeMap::new(),
             writes: BTreeSet::new(),
-            due: Vec::new(),
+            pending: Vec::new(),
         }
     }
 
@@ -82,7 +82,7 @@
         } else {
             (Status::Ok, SERVICE_TIME)
         };
-        self.due.push(PendingResponse { at: now.plus(elapsed), request, attempt, member, status });
+        self.pending.push(PendingResponse { at: now.plus(elapsed), request, attempt, member, status });
     }
 }
 
@@ -139,8 +139,8 @@
         }
     }
 
-    /// Returns the usual number of attempts per second at a warm member, for the states in which it can't be
-    /// measured after the warming member's start.
+    /// Returns the usual number of attempts per second at a warm member, for the states in which the number
+    /// can't be measured after the warming member's start because the request rate changes then.
     fn usual_warm_rate(self) -> Option<f64> {
         matches!(self, FleetState::AfterPause | FleetState::Surge)
             .then_some(REQUESTS_PER_S / f64::from(GROUPS * 2))
@@ -148,8 +148,8 @@
 }
 
 /// Simulates a fleet. Returns the times of the attempts at the warming member, and the number of attempts per
-/// second at one warm member: as measured from the warming member's start on, or the usual number for the
-/// states in which it can't be measured then.
+/// second at one warm member: measured from the warming member's start on, or
+/// [`FleetState::usual_warm_rate`] for the states in which that measurement is impossible.
 fn simulate(seed: u64, fleet: FleetState) -> (Vec<Time>, f64) {
     let mut random = TestRng(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
     let settings = fleet.settings();
@@ -194,10 +194,10 @@
             } else if ms == MEMBER_START_MS {
                 events.push(Event::Endpoints(EndpointUpdate::Delta, list));
             }
-            let due = std::mem::take(&mut router.due);
-            for response in due {
+            let pending = std::mem::take(&mut router.pending);
+            for response in pending {
                 if response.at > now {
-                    router.due.push(response);
+                    router.pending.push(response);
                     continue;
                 }
                 let PendingResponse { request, attempt, member, status, .. } = response;
@@ -238,20 +238,20 @@
                         Action::Send(id, member, _) => {
                             let write = router.writes.contains(&id);
                             router.record_attempt(now, id, member, write);
-                            let counts = without_primary || !is_primary(member);
-                            sent_to_warm += u32::from(ms >= MEMBER_START_MS && member.0 > 10 && counts);
+                            let counted = without_primary || !is_primary(member);
+                            sent_to_warm += u32::from(ms >= MEMBER_START_MS && member.0 > 10 && counted);
                             sent_to_warming.extend((member == WARMING_MEMBER).then_some(now));
                         }
                         Action::Probe(member) => {
                             // Simplified: health checks succeed at once instead of in the next round.
                             let report = ReplicationState { position: Some(now), role: role(member) };
-                            let probed = Event::ProbeFinished {
+                            let finished = Event::ProbeFinished {
                                 member,
                                 status: Status::Ok,
                                 elapsed: Time::ms(1),
                                 report,
                             };
-                            router.policy.handle(now, probed, &mut Vec::new());
+                            router.policy.handle(now, finished, &mut Vec::new());
                         }
                         _ => {}
                     }
@@ -266,8 +266,7 @@
 }
 
 /// Returns the largest number of attempts by which an overload window exceeds its budget, as a multiple of
-/// the tolerance for random variation. It is not positive if all windows are within
-/// their budgets.
+/// the tolerance for random variation. The result is not positive if all windows are within their budgets.
 fn largest_excess(sent_to_warming: &[Time], warm_rate: f64, settings: &Settings) -> f64 {
     let excesses = sent_to_warming.iter().map(|at| {
         let attempts =
@@ -297,7 +296,7 @@
         "{fleet:?}: largest excesses, in units of the tolerance, with their seeds: {:.2?}",
         &excesses[..5]
     );
-    assert!(sent > 100 * 30, "the warming member got only {sent} attempts in 100 runs");
+    assert!(sent > 100 * 30, "{fleet:?}: the warming member got only {sent} attempts in 100 runs");
 }
 
 #[test]
