--- a/crates/session/src/config.rs
+++ b/crates/session/src/config.rs
@@ -18,13 +18,14 @@
 /// The floor of a session that sends neither a token nor an `after` position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DefaultFloor {
-    /// No floor, as by the platform's rules: such a session is taken to have written nothing. An `after`
-    /// position without a token is used as it is, and remembered writes do not apply.
+    /// No floor, as in the platform's rules: such a session is taken to have written nothing. An `after`
+    /// position without a token is the floor, but at most the time at which the read arrived, and remembered
+    /// writes do not apply.
     Platform,
     /// The floor that this router remembers for the session, and no floor if it remembers none.
     RememberedOnly,
-    /// The floor that this router remembers for the session, but at least the time from which its floor table
-    /// covers all writes: the start of the router, or the time in a restored snapshot.
+    /// The floor that this router remembers for the session, but at least the time from which the router's
+    /// floor table covers all writes: the start of the router, or the time in a restored snapshot.
     RouterStart,
     /// The time at which the read's connection was accepted.
     ConnectionAccept,
--- a/crates/session/src/floor_table.rs
+++ b/crates/session/src/floor_table.rs
@@ -102,7 +102,7 @@
         u32::try_from(ticks).unwrap_or(u32::MAX).max(1)
     }
 
-    /// Converts a stored tick to a floor. Tick zero, an empty word, is no floor.
+    /// Converts a stored tick to a floor. Tick zero, the value of an empty word, means no floor.
     fn time(&self, tick: u32) -> Time {
         match tick {
             0 => Time(0),
@@ -121,8 +121,8 @@
         }
     }
 
-    /// Raises the floor of a session. A value below the current floor has no effect, and neither has zero,
-    /// which stands for no floor.
+    /// Raises the floor of a session. Values below the current floor have no effect, and neither does zero,
+    /// which means that there is no floor.
     pub fn raise(&mut self, group: GroupId, session: SessionKey, floor: Time) {
         if floor == Time(0) {
             return;
@@ -207,8 +207,9 @@
     (0..SLOTS).find(|slot| bucket[FINGERPRINTS + slot] == fingerprint && bucket[FLOORS + slot] > 0)
 }
 
-/// Stores a session that has no slot. The lowest floor of the bucket, which may be the new one, is evicted.
-/// Returns whether the eviction raised the shared floor of evicted sessions.
+/// Stores a session that has no slot. The lowest floor of the bucket, which may be the new one, is evicted; a
+/// free slot has floor zero, and its eviction has no effect. Returns whether the eviction raised the shared
+/// floor of evicted sessions.
 fn insert(bucket: &mut Bucket, fingerprint: u32, tick: u32) -> bool {
     let lowest = (0..SLOTS).min_by_key(|slot| bucket[FLOORS + slot]).unwrap_or(0);
     let evicted = bucket[FLOORS + lowest].min(tick);
--- a/crates/session/src/lib.rs
+++ b/crates/session/src/lib.rs
@@ -4,8 +4,8 @@
 //! tokens are results.
 //!
 //! Log positions are commit times: Unix times in nanoseconds, as database hosts report them. A point in time
-//! is therefore also a position: everything that committed before it has a lower position, up to the clock
-//! skew. `docs/design/sessions.md` explains why each floor is sound.
+//! is therefore also a position: each write that committed before that time has a lower position, up to the
+//! clock skew. `docs/design/sessions.md` explains why each floor is sound.
 //!
 //! - [`Sessions`] is the session state of one router.
 //! - [`GroupFloors`] holds the floors of one session, by group.
--- a/crates/session/src/request.rs
+++ b/crates/session/src/request.rs
@@ -35,7 +35,7 @@
 pub struct TrackedRequest {
     /// The key of the session.
     pub key: SessionKey,
-    /// The session's floors according to the tokens sent with the request, the default floor and the
+    /// The session's floors, from the tokens sent with the request, the default floor and the host's
     /// response.
     pub floors: GroupFloors,
     /// Whether the request is a write.
--- a/crates/session/src/sessions.rs
+++ b/crates/session/src/sessions.rs
@@ -87,7 +87,8 @@
         let mut floors = tokens.floors.clone().unwrap_or_default();
         if let Some(config) = &self.config {
             if tokens.any_rejected {
-                // The content of a rejected token is unknown, but the writes it covers committed before now.
+                // The content of a rejected token is unknown, but the writes that it covers committed before
+                // now.
                 floors.raise_other_groups(self.latest_commit(config, now));
             } else if tokens.floors.is_none() && (is_write || request.after.is_none()) {
                 floors.raise_other_groups(self.default_floor(config, now, request.accepted_at));
@@ -106,9 +107,9 @@
     /// Returns the floor of a session read that has just arrived.
     pub fn read_floor(&mut self, now: Time, request: &SessionRequest, tracked: &TrackedRequest) -> ReadFloor {
         let after = request.after.unwrap_or_default();
-        let as_by_platform = |position| ReadFloor { position, lead: Time(0), send_to_hosts: false };
+        let platform_floor = |position| ReadFloor { position, lead: Time(0), send_to_hosts: false };
         let Some(config) = &self.config else {
-            return as_by_platform(match self.platform {
+            return platform_floor(match self.platform {
                 PlatformFloors::FromRequest => after.min(now),
                 PlatformFloors::Remembered => {
                     let remembered = self.table.get(request.group, tracked.key);
@@ -117,7 +118,7 @@
             });
         };
         if config.default_floor == DefaultFloor::Platform && request.tokens.is_empty() {
-            return as_by_platform(after.min(now));
+            return platform_floor(after.min(now));
         }
         // A read with an `after` position or a token names its floor, so the shared floor of the sessions
         // evicted from its bucket is not needed.
@@ -130,14 +131,15 @@
         if self.unsettled.contains_key(&(request.group, tracked.key)) {
             position = Time(u64::MAX);
         }
-        // A read needs to see only what committed before it arrived.
+        // A read needs to see only the writes that committed before it arrived.
         let limit = self.latest_commit(config, now);
         self.counts.clipped += u64::from(position > limit);
         ReadFloor { position: position.min(limit), lead: config.lead, send_to_hosts: position > Time(0) }
     }
 
-    /// Issues a token that covers a write about to be sent, for any outcome of the write and even if this
-    /// router exits first. The host responds by `deadline`, if at all.
+    /// Issues a token that covers a write that is about to be sent, whatever the write's outcome, and even if
+    /// this router exits before it knows the outcome. The host responds by `deadline`, if at all. Returns
+    /// `None` for a read, or if early tokens, token delivery or keys are not configured.
     pub fn early_token(
         &mut self,
         now: Time,
@@ -281,17 +283,17 @@
 
     /// Returns the floor of a session whose request names none. The session may have a write of unknown
     /// outcome, which can commit up to the settle time after the point in time that the floor is derived
-    /// from, so the settle time is added. The sum is limited to `now`, because a read needs to see only what
-    /// committed before it arrived.
+    /// from, so the settle time is added. The sum is limited to `now`, because a read needs to see only the
+    /// writes that committed before it arrived. The clock skew is added to the result.
     fn default_floor(&self, config: &SessionConfig, now: Time, accepted_at: Time) -> Time {
-        let since = match config.default_floor {
+        let derived_from = match config.default_floor {
             DefaultFloor::Platform | DefaultFloor::RememberedOnly => return Time(0),
             DefaultFloor::RouterStart if self.initial_floor == Time(0) => return Time(0),
             DefaultFloor::RouterStart => self.initial_floor,
             DefaultFloor::ConnectionAccept => accepted_at,
             DefaultFloor::ReadArrival => now,
         };
-        since.plus(config.settle_time).min(now).plus(self.skew(config))
+        derived_from.plus(config.settle_time).min(now).plus(self.skew(config))
     }
 
     /// Issues a token with these floors, if tokens are configured for this kind of reply.
@@ -318,15 +320,15 @@
         self.initial_floor
     }
 
-    /// Replaces the table, and the floor of all writes from before its creation, by those of an earlier
-    /// process.
+    /// Replaces the table, and the floor that covers all writes from before its creation, by those of an
+    /// earlier process.
     pub(crate) fn restore(&mut self, table: FloorTable, initial_floor: Time) {
         self.table = table;
         self.initial_floor = initial_floor;
     }
 
-    /// Raises the floors of the sessions with unsettled writes as the process exits: the outcome of these
-    /// writes is unknown.
+    /// Raises the floors of the sessions with unsettled writes before the process exits, because the outcome
+    /// of these writes is unknown.
     pub(crate) fn settle_all(&mut self, now: Time) {
         let Some(config) = &self.config else { return };
         let settled_at = self.settled_at(config, now);
--- a/crates/session/src/snapshot.rs
+++ b/crates/session/src/snapshot.rs
@@ -47,7 +47,7 @@
     #[error("snapshot is incomplete or corrupt: its checksum does not match")]
     Corrupt,
     /// The snapshot was written by another router, whose name this is.
-    #[error("snapshot was written by router {0:?}")]
+    #[error("snapshot was written by another router, {0:?}")]
     OtherRouter(String),
     /// The snapshot is older than allowed, or its time of writing is in the future; with its age, which is
     /// zero in the latter case.
@@ -92,7 +92,7 @@
     out
 }
 
-/// Appends the number of used buckets, and each of them.
+/// Appends the number of used buckets and then each used bucket.
 fn put_buckets(out: &mut Vec<u8>, table: &FloorTable) {
     let count_at = out.len();
     out.extend([0; 4]);
--- a/crates/session/src/token.rs
+++ b/crates/session/src/token.rs
@@ -48,7 +48,7 @@
 }
 
 impl SessionIdentity<'_> {
-    /// Returns the part of the session's key that tokens carry.
+    /// Returns the session tag: the part of the session's key that tokens carry.
     fn tag(&self) -> [u8; 4] {
         (self.key.0 as u32).to_be_bytes()
     }
@@ -95,8 +95,9 @@
 ///
 /// # Errors
 ///
-/// Returns a [`TokenError`] if the token is not valid. For a token with several faults, it is that of the
-/// first check that fails, in the order of the checks in this function.
+/// Returns a [`TokenError`] if the token is not valid. For a token with several faults, the error is that of
+/// the first check that fails. The order of the checks is: length, encoding and version; key; session tag;
+/// signature; age; time of issue; floors.
 pub fn verify(
     keys: &KeyRing,
     now: Time,
--- a/crates/session/tests/common/mod.rs
+++ b/crates/session/tests/common/mod.rs
@@ -54,7 +54,7 @@
     sessions.end_request(commit, group, &tracked);
 }
 
-/// Returns the floor of a session's read on a new connection.
+/// Returns the floor of a session's read that arrives at `now` on a new connection.
 pub fn read_floor(sessions: &mut Sessions, now: Time, group: GroupId, session: u64) -> Time {
     let request = request(group, session, now);
     let tracked = sessions.begin_request(now, &request, false);
--- a/crates/session/tests/floor_table.rs
+++ b/crates/session/tests/floor_table.rs
@@ -30,7 +30,10 @@
         if n % 97 == 0 {
             for ((group, session), commit) in &written {
                 let entry = table.get(*group, *session);
-                assert!(entry.exact.max(Some(entry.evicted)) >= Some(*commit), "{n}: {session:?}");
+                assert!(
+                    entry.exact.max(Some(entry.evicted)) >= Some(*commit),
+                    "step {n}, {group:?}, {session:?}: {entry:?} is below the commit at {commit:?}"
+                );
             }
         }
     }
@@ -51,14 +54,17 @@
     table.raise(GROUP, SessionKey(1), START.minus(DAY));
     table.raise(GROUP, SessionKey(2), month_before);
     let old = table.get(GROUP, SessionKey(2)).exact.unwrap();
-    assert!(old >= month_before, "a floor older than 12 days is raised to the first tick");
+    assert!(old >= month_before, "a floor older than 12 days is raised to the first tick, got {old:?}");
     assert!(old < table.get(GROUP, SessionKey(1)).exact.unwrap(), "{old:?} is not below a later floor");
     for day in 1..120u64 {
         let now = START.plus(Time(DAY.0 * day));
         table.raise(GROUP, SessionKey(1000 + day), now);
         assert_eq!(table.get(GROUP, SessionKey(1000 + day)).exact, Some(now), "day {day}");
         let first = table.get(GROUP, SessionKey(1)).exact.unwrap();
-        assert!(first >= START.minus(DAY) && first <= now, "day {day}: {first:?}");
+        assert!(
+            first >= START.minus(DAY) && first <= now,
+            "day {day}: the floor {first:?} is below the stored one or in the future"
+        );
         assert_eq!(table.get(GROUP, SessionKey(999)).exact, None);
     }
 }
--- a/crates/session/tests/model.rs
+++ b/crates/session/tests/model.rs
@@ -38,6 +38,7 @@
     Served,
     /// The host's response is lost: the router keeps running and does not know the outcome.
     ResponseLost,
+    /// The router is killed while the write is in flight.
     RouterKilled,
 }
 
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Returns the connection on which the session's next request arrives.
+    /// Returns the connection on which the session's next request arrives, according to the pattern.
     fn connection(&self, session: usize) -> Connection {
         let connection = self.connections[session];
         match self.pattern {
@@ -209,7 +210,7 @@
                 self.add_commit(session, group, commit_ms);
                 let router = self.connection(session).router;
                 self.kill(router);
-                // The session continues at the next router, unless its pattern has it return to the same one.
+                // The session continues at the next router, except with the pattern `OneRouter`.
                 let next = (router + 1) % ROUTERS;
                 self.connections[session] = Connection { router: next, accepted_at: self.now };
             }
@@ -335,8 +336,8 @@
             SessionConfig { early_tokens: false, ..config(DefaultFloor::RememberedOnly) },
         ),
     ];
-    for (what, pattern, config) in unsound {
+    for (unsound_because, pattern, config) in unsound {
         let result = run_model(pattern, config, TABLE_SIZES[0]);
-        assert!(result.is_err(), "the model found no violation with {what}");
+        assert!(result.is_err(), "the model found no violation with {unsound_because}");
     }
 }
--- a/crates/session/tests/sessions.rs
+++ b/crates/session/tests/sessions.rs
@@ -43,7 +43,8 @@
     }
     let now = at(60_000);
     for (session, commit) in &written {
-        assert!(read_floor(&mut sessions, now, GROUP, *session) >= *commit, "session {session}");
+        let floor = read_floor(&mut sessions, now, GROUP, *session);
+        assert!(floor >= *commit, "session {session}: floor {floor:?} is below its write at {commit:?}");
     }
     assert_eq!(
         read_floor(&mut sessions, now, GROUP, 4999),
--- a/crates/session/tests/snapshot_fixture.rs
+++ b/crates/session/tests/snapshot_fixture.rs
@@ -120,7 +120,11 @@
     // floor of the sessions evicted from the same bucket.
     let newest_evicted = evicted_commit(EVICTED_SESSIONS.end - 1);
     let unknown = restored_floor(&mut sessions, GROUPS[0], 99_999);
-    assert!(unknown >= settled(0) && unknown <= newest_evicted, "{unknown:?}");
+    assert!(
+        unknown >= settled(0) && unknown <= newest_evicted,
+        "{unknown:?} is not between {:?} and {newest_evicted:?}",
+        settled(0)
+    );
 }
 
 #[test]
@@ -130,8 +134,8 @@
     let mut raised = 0;
     for session in EVICTED_SESSIONS {
         let floor = restored_floor(&mut sessions, GROUPS[1], session);
-        assert!(floor >= evicted_commit(session), "session {session}: {floor:?}");
-        assert!(floor <= newest_evicted, "session {session}: {floor:?}");
+        assert!(floor >= evicted_commit(session), "session {session}: {floor:?} is below its write");
+        assert!(floor <= newest_evicted, "session {session}: {floor:?} is above all evicted floors");
         raised += u32::from(floor > evicted_commit(session));
     }
     assert!(raised > 100, "only {raised} floors of evicted sessions were raised");
--- a/crates/session/tests/token.rs
+++ b/crates/session/tests/token.rs
@@ -60,11 +60,16 @@
     let floor = |n: u64| before_now(100 * n);
     let all: Vec<(u32, Time)> = (0..40).map(|n| (n as u32, floor((n * 7) % 40))).collect();
     let text = issue(&keys(1, &[]), NOW, SESSION, &floors(&all));
-    assert!(text.len() <= MAX_TOKEN_LEN, "{} of {MAX_TOKEN_LEN}", text.len());
+    assert!(text.len() <= MAX_TOKEN_LEN, "{} characters, more than {MAX_TOKEN_LEN}", text.len());
     let read = verify(&keys(1, &[]), NOW, SKEW, SESSION, text.as_bytes()).unwrap();
-    assert!(read.by_group().len() <= MAX_GROUPS, "{} groups", read.by_group().len());
+    assert!(
+        read.by_group().len() <= MAX_GROUPS,
+        "{} groups have separate floors, more than {MAX_GROUPS}",
+        read.by_group().len()
+    );
     for (group, written) in all {
-        assert!(read.get(GroupId(group)) >= written, "group {group}");
+        let floor = read.get(GroupId(group));
+        assert!(floor >= written, "group {group}: floor {floor:?} is below the encoded {written:?}");
     }
     assert_eq!(read.get(GroupId(0)), floor(0), "the group with the highest floor has a separate floor");
     assert!(read.get(GroupId(99)) < floor(0), "the shared floor is not the highest one");
@@ -82,12 +87,12 @@
         flipped[i / 8] ^= 1 << (i % 8);
         assert!(verify(&keys, NOW, SKEW, SESSION, &flipped).is_err(), "bit {i}");
     }
-    let long = [&text[..], &[b'A'; 4000]].concat();
-    assert_eq!(verify(&keys, NOW, SKEW, SESSION, &long), Err(TokenError::Malformed));
+    let too_long = [&text[..], &[b'A'; 4000]].concat();
+    assert_eq!(verify(&keys, NOW, SKEW, SESSION, &too_long), Err(TokenError::Malformed));
 }
 
 #[test]
-fn a_token_is_valid_only_for_its_session_its_period_and_its_key() {
+fn a_token_is_valid_only_for_its_session_its_validity_period_and_its_key() {
     let old = keys(1, &[]);
     let both = keys(2, &[1]);
     let new = keys(2, &[]);
