--- a/crates/extproc/src/coordinator.rs
+++ b/crates/extproc/src/coordinator.rs
@@ -2,7 +2,7 @@
 //! coordinator produces events for it, and its actions are applied to the coordinator.
 
 use crate::lease_table::{EndedLease, IgnoredReports, Lease, LeaseId, LeaseOutcome, LeaseTable, StreamId};
-use crate::messages::{DecisionRequest, LeaseUsage, Output, ProxyLimits, ProxyReply, RejectReason};
+use crate::messages::{DecisionRequest, InvalidCallReason, LeaseUsage, Output, ProxyLimits, ProxyReply};
 use crate::write_id::WriteId;
 use crate::write_registry::{Verdict, WriteRegistry};
 use basalthill_policy::api::{
@@ -78,7 +78,7 @@
         LeaseCoordinator {
             limits,
             effects: settings.classes.iter().map(|class| class.effect).collect(),
-            writes: WriteRegistry::new(now, limits.id_window, limits.skew, limits.max_remembered_writes),
+            writes: WriteRegistry::new(now, limits.id_window, limits.skew, limits.max_registered_writes),
             leases: LeaseTable::default(),
             calls: BTreeMap::new(),
             by_stream: BTreeMap::new(),
@@ -173,7 +173,7 @@
         LeaseUsage {
             open_calls: self.calls.len().max(self.by_stream.len()).max(self.by_write.len()),
             leases: self.leases.len(),
-            remembered_writes: self.writes.len(),
+            registered_writes: self.writes.len(),
         }
     }
 
@@ -191,12 +191,12 @@
         request: &DecisionRequest,
     ) -> Result<Admission, ProxyReply> {
         let class = usize::from(request.class.0);
-        let effect = *self.effects.get(class).ok_or(ProxyReply::Invalid(RejectReason::UnknownClass))?;
+        let effect = *self.effects.get(class).ok_or(ProxyReply::Invalid(InvalidCallReason::UnknownClass))?;
         if self.by_stream.contains_key(&stream) {
-            return Err(ProxyReply::Invalid(RejectReason::StreamBusy));
+            return Err(ProxyReply::Invalid(InvalidCallReason::StreamBusy));
         }
         if request.deadline <= now {
-            return Err(ProxyReply::Invalid(RejectReason::DeadlinePassed));
+            return Err(ProxyReply::Invalid(InvalidCallReason::DeadlinePassed));
         }
         if self.by_stream.len() >= self.limits.max_open_calls {
             return Err(ProxyReply::Rejected { retry_after: None });
@@ -205,7 +205,7 @@
         if effect != Effect::NonIdempotent {
             return Ok(Admission::New(None));
         }
-        let write = request.id.ok_or(ProxyReply::Invalid(RejectReason::MissingId))?;
+        let write = request.id.ok_or(ProxyReply::Invalid(InvalidCallReason::MissingId))?;
         match self.writes.admit(now, write) {
             Verdict::New | Verdict::Retry => Ok(Admission::New(Some(write))),
             Verdict::Pending => {
@@ -214,7 +214,7 @@
             }
             Verdict::Decided => Err(ProxyReply::AlreadyDecided),
             Verdict::Full { retry_after } => Err(ProxyReply::Rejected { retry_after: Some(retry_after) }),
-            Verdict::Unusable(reason) => Err(ProxyReply::Invalid(RejectReason::UnusableId(reason))),
+            Verdict::Unusable(reason) => Err(ProxyReply::Invalid(InvalidCallReason::UnusableId(reason))),
         }
     }
 
--- a/crates/extproc/src/lib.rs
+++ b/crates/extproc/src/lib.rs
@@ -20,6 +20,6 @@
 pub use coordinator::LeaseCoordinator;
 pub use instance_owners::{InstanceList, InstanceOwners};
 pub use lease_table::{EndedLease, IgnoredReports, Lease, LeaseId, LeaseOutcome, LeaseTable, StreamId};
-pub use messages::{DecisionRequest, LeaseUsage, Output, ProxyLimits, ProxyReply, RejectReason};
+pub use messages::{DecisionRequest, InvalidCallReason, LeaseUsage, Output, ProxyLimits, ProxyReply};
 pub use write_id::WriteId;
 pub use write_registry::{UnusableId, Verdict, WriteRegistry};
--- a/crates/extproc/src/messages.rs
+++ b/crates/extproc/src/messages.rs
@@ -12,7 +12,7 @@
     /// Maximum number of open calls.
     pub max_open_calls: usize,
     /// Maximum number of registered write ids.
-    pub max_remembered_writes: usize,
+    pub max_registered_writes: usize,
     /// Time after the creation of a write id during which the id is accepted.
     pub id_window: Time,
     /// Maximum difference between this router's clock and the clocks of the creators of write ids.
@@ -29,7 +29,7 @@
     /// Number of leases in use.
     pub leases: usize,
     /// Number of registered write ids.
-    pub remembered_writes: usize,
+    pub registered_writes: usize,
 }
 
 /// A proxy's call for a decision.
@@ -75,12 +75,12 @@
     /// Another call has been assigned a member for this write, which may execute or has executed.
     AlreadyDecided,
     /// The call is invalid.
-    Invalid(RejectReason),
+    Invalid(InvalidCallReason),
 }
 
 /// The reason why a call is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RejectReason {
+pub enum InvalidCallReason {
     /// The settings contain no class with this id.
     UnknownClass,
     /// The call is for a non-idempotent write and has no id, which must be a UUID of version 7.
--- a/crates/extproc/tests/coordinator.rs
+++ b/crates/extproc/tests/coordinator.rs
@@ -5,8 +5,8 @@
 mod common;
 
 use basalthill_extproc::{
-    DecisionRequest, LeaseCoordinator, LeaseId, LeaseOutcome, LeaseUsage, Output, ProxyLimits, ProxyReply,
-    RejectReason, StreamId, UnusableId, WriteId,
+    DecisionRequest, InvalidCallReason, LeaseCoordinator, LeaseId, LeaseOutcome, LeaseUsage, Output,
+    ProxyLimits, ProxyReply, StreamId, UnusableId, WriteId,
 };
 use basalthill_policy::api::*;
 use basalthill_policy::Policy;
@@ -18,7 +18,7 @@
 const PRIMARY: MemberId = MemberId(1);
 const LIMITS: ProxyLimits = ProxyLimits {
     max_open_calls: 60,
-    max_remembered_writes: 200,
+    max_registered_writes: 200,
     id_window: Time::ms(10_000),
     skew: Time::ms(50),
     send_within: Time::ms(200),
@@ -201,8 +201,8 @@
     }
 }
 
-fn usage(open_calls: usize, leases: usize, remembered_writes: usize) -> LeaseUsage {
-    LeaseUsage { open_calls, leases, remembered_writes }
+fn usage(open_calls: usize, leases: usize, registered_writes: usize) -> LeaseUsage {
+    LeaseUsage { open_calls, leases, registered_writes }
 }
 
 #[test]
@@ -297,11 +297,11 @@
     let mut router = TestRouter::running();
     let now = router.now;
     let id_at = |created_at| Some(write_id(created_at, 1));
-    let unusable = RejectReason::UnusableId;
+    let unusable = InvalidCallReason::UnusableId;
     let cases = [
-        (ClassId(9), None, 900, RejectReason::UnknownClass),
-        (WRITE, None, 900, RejectReason::MissingId),
-        (WRITE, id_at(now), 0, RejectReason::DeadlinePassed),
+        (ClassId(9), None, 900, InvalidCallReason::UnknownClass),
+        (WRITE, None, 900, InvalidCallReason::MissingId),
+        (WRITE, id_at(now), 0, InvalidCallReason::DeadlinePassed),
         (WRITE, id_at(START.minus(Time::ms(100))), 900, unusable(UnusableId::BeforeStart)),
         (WRITE, id_at(now.plus(Time::ms(99))), 900, unusable(UnusableId::InFuture)),
         (WRITE, id_at(START.minus(Time::ms(20_000))), 900, unusable(UnusableId::TooOld)),
@@ -313,7 +313,7 @@
     router.request(50, READ, None, 900);
     router.lease(50);
     router.request(50, READ, None, 900);
-    let busy = ProxyReply::Invalid(RejectReason::StreamBusy);
+    let busy = ProxyReply::Invalid(InvalidCallReason::StreamBusy);
     assert_eq!(router.last_reply(50), Some(busy), "a stream has one open call");
     // The number of open calls is limited, and calls are completed by their deadlines.
     for stream in 100..200 {
@@ -377,7 +377,7 @@
         self.check_replies(step);
         let in_use = self.router.coordinator.usage();
         assert!(in_use.open_calls <= LIMITS.max_open_calls, "step {step}: {in_use:?}");
-        assert!(in_use.remembered_writes <= LIMITS.max_remembered_writes, "step {step}: {in_use:?}");
+        assert!(in_use.registered_writes <= LIMITS.max_registered_writes, "step {step}: {in_use:?}");
     }
 
     /// Calls for a read, a new write or one of the last thirty writes, on a new stream.
--- a/crates/router/tests/routing/proxies.rs
+++ b/crates/router/tests/routing/proxies.rs
@@ -10,7 +10,7 @@
 
 const PROXY_LIMITS: ProxyLimits = ProxyLimits {
     max_open_calls: 100,
-    max_remembered_writes: 1000,
+    max_registered_writes: 1000,
     id_window: Time::ms(10_000),
     skew: Time::ms(5),
     send_within: Time::ms(200),
@@ -70,8 +70,8 @@
     })
 }
 
-fn usage(open_calls: usize, leases: usize, remembered_writes: usize) -> LeaseUsage {
-    LeaseUsage { open_calls, leases, remembered_writes }
+fn usage(open_calls: usize, leases: usize, registered_writes: usize) -> LeaseUsage {
+    LeaseUsage { open_calls, leases, registered_writes }
 }
 
 #[test]
