--- a/crates/extproc/src/coordinator.rs
+++ b/crates/extproc/src/coordinator.rs
@@ -14,7 +14,7 @@
 /// The bit that is set in the ids of proxies' requests. It distinguishes them from clients' requests, so that
 /// one decision module can serve both.
 const PROXY_REQUEST_BIT: u64 = 1 << 63;
-/// The stream of a lease whose attempt was not assigned to any stream.
+/// The placeholder for the stream of an attempt that was declined, and so was not assigned to any stream.
 const NO_STREAM: StreamId = StreamId(0);
 
 /// An open request. One or more streams have called for it.
@@ -26,7 +26,7 @@
     leased: Option<LeasedStream>,
     /// The id of the write, if the request is a non-idempotent write.
     write: Option<WriteId>,
-    /// Number of attempts so far.
+    /// Number of attempts so far, including those that were declined.
     attempts: u16,
     deadline: Time,
 }
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Returns whether a request is that of a proxy. All other requests are those of clients.
+    /// Returns whether a request came from a proxy. All other requests came from clients.
     pub fn owns(id: RequestId) -> bool {
         id.0 & PROXY_REQUEST_BIT != 0
     }
@@ -136,8 +136,9 @@
         self.attempt_ended(now, ended, is_served, out);
     }
 
-    /// Handles the closing of a stream. If the stream has a lease, the request may have been sent. A stream
-    /// that waits for a member stops waiting, and a request for which no other stream waits is abandoned.
+    /// Handles the closing of a stream. If the stream has a lease, the lease ends and the request is
+    /// completed, since the request may have been sent. If the stream waits for a member, it stops waiting,
+    /// and a request for which no other stream waits is abandoned.
     pub fn stream_closed(&mut self, now: Time, stream: StreamId, out: &mut Vec<Output>) {
         let Some(id) = self.by_stream.remove(&stream) else { return };
         let ended = self.leases.close_stream(stream);
@@ -168,7 +169,7 @@
         self.leases.next_expiry()
     }
 
-    /// Returns the numbers of open calls, leases and registered writes.
+    /// Returns the numbers of open calls, leases in use and registered writes.
     pub fn usage(&self) -> LeaseUsage {
         LeaseUsage {
             open_calls: self.calls.len().max(self.by_stream.len()).max(self.by_write.len()),
@@ -281,8 +282,8 @@
         }
     }
 
-    /// Reports to the decision module that an attempt was not sent, because no stream waits for a member, or
-    /// because the request's deadline or the assignment's `send_until` has passed.
+    /// Reports to the decision module that an attempt was not sent, because the request is not open, no
+    /// stream waits for a member, or the request's deadline or the assignment's `send_until` has passed.
     fn decline(&mut self, now: Time, assignment: Assignment, out: &mut Vec<Output>) {
         let Assignment { request, member, .. } = assignment;
         let attempt = match self.calls.get_mut(&request) {
@@ -300,8 +301,9 @@
             granted_at: now,
             expires_at: now,
         };
-        let is_last = !self.calls.contains_key(&request);
-        self.attempt_ended(now, EndedLease::without_response(lease, Status::NotSent), is_last, out);
+        let request_completed = !self.calls.contains_key(&request);
+        let ended = EndedLease::without_response(lease, Status::NotSent);
+        self.attempt_ended(now, ended, request_completed, out);
     }
 
     /// Cancels an attempt of a request. The attempt may still execute.
@@ -315,7 +317,13 @@
 
     /// Reports the outcome of an attempt to the decision module. If the request is still open, the attempt's
     /// stream waits for the next member.
-    fn attempt_ended(&mut self, now: Time, ended: EndedLease, is_last: bool, out: &mut Vec<Output>) {
+    fn attempt_ended(
+        &mut self,
+        now: Time,
+        ended: EndedLease,
+        request_completed: bool,
+        out: &mut Vec<Output>,
+    ) {
         let lease = ended.lease;
         if let Some(call) = self.calls.get_mut(&lease.request) {
             if call.leased.take().is_some() {
@@ -328,7 +336,7 @@
             member: lease.member,
             status: ended.status,
             elapsed: now.since(lease.granted_at),
-            request_completed: is_last,
+            request_completed,
             replication: ended.replication,
             report: ReplicationState::default(),
         })));
--- a/crates/extproc/src/lease_table.rs
+++ b/crates/extproc/src/lease_table.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// An attempt of a request that is assigned to a stream.
+/// The assignment of an attempt of a request to a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
     /// The stream that the lease was granted to.
--- a/crates/extproc/src/messages.rs
+++ b/crates/extproc/src/messages.rs
@@ -17,7 +17,8 @@
     pub id_window: Time,
     /// Maximum difference between this router's clock and the clocks of the creators of write ids.
     pub skew: Time,
-    /// Time after the reply within which a proxy must begin to send; it must not send later.
+    /// Time after the reply with the member within which the proxy must begin to send the request. After this
+    /// time, the proxy must not send it.
     pub send_within: Time,
 }
 
@@ -62,7 +63,8 @@
         lease: LeaseId,
         /// The member to send the request to.
         member: MemberId,
-        /// The time before which the proxy must begin to send; it must not send later.
+        /// The time before which the proxy must begin to send the request. From this time on, the proxy must
+        /// not send it.
         send_by: Time,
     },
     /// The request is rejected, and no attempt of it has executed.
@@ -72,7 +74,7 @@
     },
     /// The request has failed, and an attempt of it may have executed.
     Failed,
-    /// Another call has been assigned a member for this write, which may execute or has executed.
+    /// Another call has been assigned a member for this write, so the write has executed or may execute.
     AlreadyDecided,
     /// The call is invalid.
     Invalid(InvalidCallReason),
--- a/crates/extproc/src/write_registry.rs
+++ b/crates/extproc/src/write_registry.rs
@@ -29,13 +29,13 @@
 pub enum Verdict {
     /// This is the first call for the write, which is handed to the decision module.
     New,
-    /// Another call for the write waits for a member. One of the waiting calls gets it.
+    /// Another call for the write waits for a member. One of the waiting calls gets the member.
     Pending,
     /// All earlier attempts of the write are proved not to have executed: the write is handed to the decision
     /// module as a retry.
     Retry,
-    /// A member was assigned to the write, which may execute or has executed. No further call gets a member
-    /// for it.
+    /// A member was assigned to the write, so the write has executed or may execute. No further call gets a
+    /// member for it.
     Decided,
     /// The id of the write is not accepted.
     Unusable(UnusableId),
@@ -68,8 +68,8 @@
     skew: Time,
     max_entries: usize,
     states: BTreeMap<WriteId, WriteState>,
-    /// The ids by the slot of their creation time, oldest first. An entry never changes its slot, and is
-    /// removed together with the slot.
+    /// The ids by the slot of their creation time, oldest first. An id never changes its slot, and its entry
+    /// is removed together with the slot.
     wheel: BTreeMap<u64, Vec<WriteId>>,
 }
 
@@ -90,7 +90,7 @@
 
     /// Removes the entries whose ids are too old to be accepted.
     pub fn expire(&mut self, now: Time) {
-        // A slot is removed only when even its newest id is out of its window, by any clock within the skew.
+        // A slot is removed only when the window of its newest id has ended by every clock within the skew.
         let oldest_slot = self.slot(now.minus(self.window).minus(self.skew).minus(self.skew));
         while let Some(first) = self.wheel.first_entry().filter(|entry| *entry.key() < oldest_slot) {
             for id in first.remove() {
@@ -114,7 +114,7 @@
                 }
             };
         }
-        if let Some(reason) = self.unusable(now, id) {
+        if let Some(reason) = self.unusable_reason(now, id) {
             return Verdict::Unusable(reason);
         }
         if self.states.len() >= self.max_entries {
@@ -152,7 +152,7 @@
     }
 
     /// Returns the reason why an unregistered id is not accepted, or `None` if it is accepted.
-    fn unusable(&self, now: Time, id: WriteId) -> Option<UnusableId> {
+    fn unusable_reason(&self, now: Time, id: WriteId) -> Option<UnusableId> {
         let created_at = id.created_at();
         if created_at > now.plus(self.skew) {
             return Some(UnusableId::InFuture);
@@ -160,8 +160,8 @@
         if now.since(created_at) > self.window.plus(self.skew) {
             return Some(UnusableId::TooOld);
         }
-        // An id that an earlier process decided was created, by any clock, at most the skew after this
-        // process started.
+        // An id whose write an earlier process decided was created before this process started. By the clock
+        // of its creator, that is at most the skew after the start.
         if created_at <= self.started_at.plus(self.skew) {
             return Some(UnusableId::BeforeStart);
         }
--- a/crates/extproc/tests/common/mod.rs
+++ b/crates/extproc/tests/common/mod.rs
@@ -16,7 +16,7 @@
     WriteId::new(ms << 80 | 7 << 76 | 2 << 62 | u128::from(n)).unwrap()
 }
 
-/// A generator of random numbers, which are the same in each run.
+/// A generator of pseudorandom numbers, which are the same in each test run.
 pub struct RandomNumbers {
     random: TestRng,
 }
--- a/crates/extproc/tests/coordinator.rs
+++ b/crates/extproc/tests/coordinator.rs
@@ -110,7 +110,8 @@
         router
     }
 
-    /// Passes events to the decision module and its actions to the coordinator until no output is left.
+    /// Records the replies, and passes events to the decision module and its actions to the coordinator,
+    /// until no output is left.
     fn handle(&mut self, outputs: Vec<Output>) {
         let mut queue = VecDeque::from(outputs);
         while let Some(output) = queue.pop_front() {
@@ -322,7 +323,10 @@
     let rejection = Some(ProxyReply::Rejected { retry_after: None });
     let rejected = (100..200).filter(|stream| router.last_reply(*stream) == rejection).count();
     let in_use = router.coordinator.usage();
-    assert!(rejected >= 40 && in_use.open_calls <= LIMITS.max_open_calls, "{rejected} rejected, {in_use:?}");
+    assert!(
+        rejected >= 40 && in_use.open_calls <= LIMITS.max_open_calls,
+        "{rejected} of 100 rejected, expected at least 40; in use: {in_use:?}, limits: {LIMITS:?}"
+    );
     router.advance(3000);
     assert_eq!(router.coordinator.usage(), usage(0, 0, 0));
 }
@@ -340,8 +344,9 @@
     leases: BTreeMap<u64, LeaseId>,
     last_stream: u64,
     /// Number of replies that have been checked.
-    replies_seen: usize,
+    replies_checked: usize,
     members_assigned: u32,
+    /// Number of members that were assigned to another write than the newest one.
     retries: i32,
     restarts: u32,
 }
@@ -356,7 +361,7 @@
             calls: BTreeMap::new(),
             leases: BTreeMap::new(),
             last_stream: 0,
-            replies_seen: 0,
+            replies_checked: 0,
             members_assigned: 0,
             retries: 0,
             restarts: 0,
@@ -376,8 +381,11 @@
         }
         self.check_replies(step);
         let in_use = self.router.coordinator.usage();
-        assert!(in_use.open_calls <= LIMITS.max_open_calls, "step {step}: {in_use:?}");
-        assert!(in_use.registered_writes <= LIMITS.max_registered_writes, "step {step}: {in_use:?}");
+        assert!(in_use.open_calls <= LIMITS.max_open_calls, "step {step}: {in_use:?}, limits: {LIMITS:?}");
+        assert!(
+            in_use.registered_writes <= LIMITS.max_registered_writes,
+            "step {step}: {in_use:?}, limits: {LIMITS:?}"
+        );
     }
 
     /// Calls for a read, a new write or one of the last thirty writes, on a new stream.
@@ -440,16 +448,17 @@
         self.restarts += 1;
         self.router = TestRouter::new(self.router.now.plus(Time::ms(1)), self.router.seed + 1);
         self.leases.clear();
-        self.replies_seen = 0;
+        self.replies_checked = 0;
     }
 
     fn check_replies(&mut self, step: u64) {
-        for SentReply { stream, reply } in self.router.replies[self.replies_seen..].iter().copied() {
+        for SentReply { stream, reply } in self.router.replies[self.replies_checked..].iter().copied() {
             let ProxyReply::Member { lease, send_by, .. } = reply else {
                 self.leases.remove(&stream);
                 continue;
             };
-            assert!(send_by <= self.router.now.plus(LIMITS.send_within), "step {step}: {send_by:?}");
+            let latest = self.router.now.plus(LIMITS.send_within);
+            assert!(send_by <= latest, "step {step}: {send_by:?} is later than {latest:?}");
             self.members_assigned += 1;
             if let Some(write) = self.calls[&stream] {
                 let executions = self.possible_executions.entry(write).or_default();
@@ -459,7 +468,7 @@
             }
             self.leases.insert(stream, lease);
         }
-        self.replies_seen = self.router.replies.len();
+        self.replies_checked = self.router.replies.len();
     }
 }
 
@@ -473,7 +482,8 @@
     println!("{members_assigned} members assigned, {retries} of them to earlier writes; {restarts} restarts");
     assert!(
         members_assigned > 5000 && retries > 100 && restarts > 5,
-        "too few members assigned, retries or restarts"
+        "{members_assigned} members assigned, {retries} retries and {restarts} restarts: \
+         expected more than 5000, 100 and 5"
     );
     proxies.router.advance(3000);
     let in_use = proxies.router.coordinator.usage();
--- a/crates/extproc/tests/instance_owners.rs
+++ b/crates/extproc/tests/instance_owners.rs
@@ -21,7 +21,7 @@
 fn an_id_keeps_its_owner_when_the_instance_list_changes() {
     let before = InstanceOwners::new(vec![list(0, &["a", "b", "c"])]);
     let after = InstanceOwners::new(vec![list(5000, &["a", "b", "c", "d"]), list(0, &["a", "b", "c"])]);
-    let mut counts: BTreeMap<String, u32> = BTreeMap::new();
+    let mut owned: BTreeMap<String, u32> = BTreeMap::new();
     let mut moved = 0;
     for n in 0..4000 {
         assert_eq!(
@@ -31,12 +31,15 @@
         );
         let old = before.owner(id(5000, n)).unwrap();
         let new = after.owner(id(5000, n)).unwrap();
-        assert!(old == new || new == "d", "an id may only move to the added instance");
+        assert!(old == new || new == "d", "id {n} moved from {old} to {new}, not to the added instance d");
         moved += u32::from(old != new);
-        *counts.entry(new.to_string()).or_default() += 1;
+        *owned.entry(new.to_string()).or_default() += 1;
     }
-    assert!(counts.len() == 4 && counts.values().all(|n| (850..1150).contains(n)), "{counts:?}");
-    assert_eq!(moved, counts["d"]);
+    assert!(
+        owned.len() == 4 && owned.values().all(|n| (850..1150).contains(n)),
+        "ids by instance, expected 4 instances with 850 to 1149 each: {owned:?}"
+    );
+    assert_eq!(moved, owned["d"]);
     assert_eq!(InstanceOwners::default().owner(id(1, 1)), None);
     let owners = InstanceOwners::new(vec![list(1000, &["a"])]);
     assert_eq!(owners.owner(id(999, 1)), None, "the id was created before the first list became valid");
--- a/crates/extproc/tests/write_registry.rs
+++ b/crates/extproc/tests/write_registry.rs
@@ -79,24 +79,27 @@
         registry.assigned(*write);
     }
     let Verdict::Full { retry_after } = registry.admit(at(2000), write_id(at(1990), 99)) else {
-        panic!("a full registry accepted a write")
+        panic!("a registry with 10 of 10 entries did not reject a write as full")
     };
     assert!(
         writes.iter().all(|write| registry.admit(at(2000), *write) == Verdict::Decided),
         "an entry was removed"
     );
-    let then = at(2000).plus(retry_after);
+    let retry_at = at(2000).plus(retry_after);
     assert_eq!(
-        registry.admit(then, write_id(then, 100)),
+        registry.admit(retry_at, write_id(retry_at, 100)),
         Verdict::New,
         "an entry is free after the given time"
     );
-    assert!(retry_after < WINDOW.plus(Time::ms(500)), "{retry_after:?}");
+    assert!(
+        retry_after < WINDOW.plus(Time::ms(500)),
+        "retry after {retry_after:?}, not within 500 ms after the window of {WINDOW:?}"
+    );
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Advances the time, in milliseconds.
+    /// Advances the time by this many milliseconds.
     AdvanceTime(u16),
     /// Calls for a write, by its number. The id of a new write was created `age_ms` ago, or is in the future
     /// if that is negative.
@@ -204,7 +207,11 @@
             Verdict::Pending => prop_assert_eq!(*actual, ActualState::Pending(self.process)),
             _ => {}
         }
-        prop_assert!(self.registry.len() <= MODEL_ENTRIES, "{} entries", self.registry.len());
+        prop_assert!(
+            self.registry.len() <= MODEL_ENTRIES,
+            "{} entries, more than {MODEL_ENTRIES}",
+            self.registry.len()
+        );
         Ok(())
     }
 
@@ -235,17 +242,17 @@
 fn no_process_decides_a_write_that_an_earlier_process_may_have_executed() {
     let config = Config { cases: 1000, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[18; 32]));
-    let decisions = std::cell::Cell::new(0u32);
+    let accepted = std::cell::Cell::new(0u32);
     let result = runner.run(&steps(), |steps| {
         let mut model = Model::new();
         for step in steps {
             model.step(step)?;
         }
-        let decided =
+        let in_model =
             model.writes.values().filter(|(_, actual)| *actual != ActualState::NotExecuted).count() as u32;
-        decisions.set(decisions.get() + decided);
+        accepted.set(accepted.get() + in_model);
         Ok(())
     });
     assert_eq!(result.map_err(|error| error.to_string()), Ok(()));
-    assert!(decisions.get() > 500, "only {} writes were accepted", decisions.get());
+    assert!(accepted.get() > 500, "only {} writes were accepted", accepted.get());
 }
