--- a/crates/extproc/src/write_registry.rs
+++ b/crates/extproc/src/write_registry.rs
@@ -63,7 +63,7 @@
 pub struct WriteRegistry {
     started_at: Time,
     /// Time after the creation of an id during which the id is accepted.
-    window: Time,
+    id_window: Time,
     /// Maximum difference between this router's clock and the clocks of the creators of ids.
     skew: Time,
     max_entries: usize,
@@ -75,12 +75,12 @@
 
 impl WriteRegistry {
     /// Creates the registry of a process that has just started, for at most `max_entries` ids at a time. An
-    /// id is accepted for `window` after its creation.
-    pub fn new(started_at: Time, window: Time, skew: Time, max_entries: usize) -> WriteRegistry {
-        let window = Time(window.0.max(SLOTS_PER_WINDOW));
+    /// id is accepted for `id_window` after its creation.
+    pub fn new(started_at: Time, id_window: Time, skew: Time, max_entries: usize) -> WriteRegistry {
+        let id_window = Time(id_window.0.max(SLOTS_PER_WINDOW));
         WriteRegistry {
             started_at,
-            window,
+            id_window,
             skew,
             max_entries,
             states: BTreeMap::new(),
@@ -91,7 +91,7 @@
     /// Removes the entries whose ids are too old to be accepted.
     pub fn expire(&mut self, now: Time) {
         // A slot is removed only when the window of its newest id has ended by every clock within the skew.
-        let oldest_slot = self.slot(now.minus(self.window).minus(self.skew).minus(self.skew));
+        let oldest_slot = self.slot(now.minus(self.id_window).minus(self.skew).minus(self.skew));
         while let Some(first) = self.wheel.first_entry().filter(|entry| *entry.key() < oldest_slot) {
             for id in first.remove() {
                 self.states.remove(&id);
@@ -157,7 +157,7 @@
         if created_at > now.plus(self.skew) {
             return Some(UnusableId::InFuture);
         }
-        if now.since(created_at) > self.window.plus(self.skew) {
+        if now.since(created_at) > self.id_window.plus(self.skew) {
             return Some(UnusableId::TooOld);
         }
         // An id whose write an earlier process decided was created before this process started. By the clock
@@ -172,7 +172,7 @@
     fn first_expiry(&self) -> Time {
         let next_slot = self.wheel.first_key_value().map_or(0, |(slot, _)| slot + 1);
         let slot_end = Time(next_slot.saturating_mul(self.slot_span().0));
-        slot_end.plus(self.window).plus(self.skew).plus(self.skew).plus(self.slot_span())
+        slot_end.plus(self.id_window).plus(self.skew).plus(self.skew).plus(self.slot_span())
     }
 
     /// Returns the slot of a time.
@@ -182,7 +182,7 @@
 
     /// Returns the span of time that a slot covers.
     fn slot_span(&self) -> Time {
-        Time(self.window.0 / SLOTS_PER_WINDOW)
+        Time(self.id_window.0 / SLOTS_PER_WINDOW)
     }
 
     fn set(&mut self, id: WriteId, state: WriteState) {
--- a/crates/policy/src/policy/admission.rs
+++ b/crates/policy/src/policy/admission.rs
@@ -217,8 +217,8 @@
     }
 
     /// Returns whether the client may safely retry: the request has not been executed, is idempotent, or has
-    /// an idempotency key that is valid at all members and whose deduplication window has not ended when a
-    /// client that waits for the longest Retry-After retries.
+    /// an idempotency key whose scope is all members and whose deduplication window will not have ended when
+    /// the client retries after the longest Retry-After.
     fn is_retry_harmless(&self, request: &PendingRequest) -> bool {
         let class = &self.settings.classes[request.class];
         let Some(first) = request.first_possible_execution() else { return true };
--- a/crates/policy/src/policy/load.rs
+++ b/crates/policy/src/policy/load.rs
@@ -24,7 +24,7 @@
 /// trip.
 const CONCURRENCY_CUT: f64 = 0.7;
 
-/// The largest fraction of itself by which a concurrency limit grows per response.
+/// A concurrency limit grows by at most this fraction of its value per response.
 const MAX_CONCURRENCY_GROWTH: f64 = 0.3;
 
 /// A concurrency limit grows only while at least this fraction of it is in flight.
--- a/crates/policy/src/policy/selection.rs
+++ b/crates/policy/src/policy/selection.rs
@@ -14,7 +14,7 @@
 /// A known log position older than this is outdated; a read may be sent to the member to learn a newer one,
 /// even if the read is likely to be rejected. In a fleet of more than
 /// [`SMALL_FLEET_ROUTERS`](super::SMALL_FLEET_ROUTERS) routers the limit is proportionally longer, so that
-/// all routers together don't send more such reads than those of a small fleet.
+/// all routers together send no more of these reads than the routers of a small fleet.
 const POSITION_FRESHNESS: Time = Time::ms(100);
 
 /// Time constant, in seconds, of the decay of a member's failure rate between outcomes of attempts.
@@ -31,11 +31,12 @@
 
 /// The factor from [`Settings::price_cross_zone`] to the relative cost added to an attempt in another zone.
 /// Both are dimensionless: a price of 0.05 adds 1.5, which multiplies the cost by 2.5.
-const CROSS_ZONE_COST: f64 = 30.0;
+const CROSS_ZONE_COST_FACTOR: f64 = 30.0;
 
-/// The cost factor of a member that is ejected for lag from other reads. It is below 1, so that eventual
-/// reads prefer this member.
-const LAGGING_MEMBER_COST: f64 = 0.5;
+/// The cost of a member that may get the read although its breaker is not closed, usually because the member
+/// was ejected for lag, is multiplied by this. The factor is below 1, so that reads that need no freshness
+/// prefer the member.
+const LAGGING_MEMBER_COST_FACTOR: f64 = 0.5;
 
 /// The lower bound of a member's success rate in the cost.
 const MIN_SUCCESS_RATE: f64 = 0.1;
@@ -92,7 +93,7 @@
             WhenBehind::ServeStale => PositionBasis::Known,
             WhenBehind::Reject | WhenBehind::Wait(_) => PositionBasis::Estimated,
         };
-        let long = self.is_long_read(request);
+        let is_long = self.is_long_read(request);
         let mut scan = ReplicaScan::default();
         let mut lowest_cost = f64::INFINITY;
         for (id, member) in self.members.in_group(request.request.group) {
@@ -107,7 +108,7 @@
                 continue;
             }
             let noise = rng.f64();
-            let cost = match long {
+            let cost = match is_long {
                 true => self.long_read_cost(id, member),
                 false => self.read_cost(request, member, noise),
             };
@@ -149,20 +150,21 @@
         has_capacity && !excluded && member.draining_since.is_none()
     }
 
-    /// Returns the cost of an attempt at the member, in terms of requests in flight. `noise` breaks ties.
+    /// Returns the cost of a read that is not long at the member: the requests in flight there, multiplied by
+    /// factors for latency, failures, weight, warm-up, zone and lag. `noise`, from 0 to 1, breaks ties.
     fn read_cost(&self, request: &PendingRequest, member: &Member, noise: f64) -> f64 {
         // A member that fails fast has few requests in flight, so its failure rate raises its cost.
         let failure_rate = member.failure_rate.at(self.now, FAILURE_RATE_DECAY_S);
         let success_rate = (1.0 - failure_rate).max(MIN_SUCCESS_RATE);
         let relative_latency = 1.0 + self.excess_latency(member) / self.service_times.get(request.class);
         let slowness = relative_latency.max(MIN_LATENCY_FACTOR) / (success_rate * success_rate);
-        let queue = f64::from(member.in_flight) + IDLE_COST + noise + self.connection_cost(member);
-        let mut cost = queue * slowness / (member.weight * self.warm_up_fraction(member));
+        let load = f64::from(member.in_flight) + IDLE_COST + noise + self.connection_cost(member);
+        let mut cost = load * slowness / (member.weight * self.warm_up_fraction(member));
         if member.zone != self.settings.zone {
-            cost *= 1.0 + CROSS_ZONE_COST * self.settings.price_cross_zone;
+            cost *= 1.0 + CROSS_ZONE_COST_FACTOR * self.settings.price_cross_zone;
         }
         if member.breaker != Breaker::Closed {
-            cost *= LAGGING_MEMBER_COST;
+            cost *= LAGGING_MEMBER_COST_FACTOR;
         }
         cost
     }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -90,7 +90,7 @@
     floor: Time,
     deadline: Time,
     attempts: Vec<CheckedAttempt>,
-    /// Whether the router has served, rejected or failed it, or its client is gone.
+    /// Whether the router has served, rejected or failed it, or its client no longer waits.
     completed: bool,
 }
 
--- a/crates/session/src/config.rs
+++ b/crates/session/src/config.rs
@@ -7,7 +7,7 @@
 /// [`SessionConfig`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PlatformFloors {
-    /// The read names the position of its session's last write. A session whose read names none is taken to
+    /// The read names the position of its session's last write. A session whose read names none is assumed to
     /// have written nothing.
     #[default]
     FromRequest,
@@ -18,7 +18,7 @@
 /// The floor of a session that sends neither a token nor an `after` position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DefaultFloor {
-    /// No floor, as in the platform's rules: such a session is taken to have written nothing. An `after`
+    /// No floor, as in the platform's rules: such a session is assumed to have written nothing. An `after`
     /// position without a token is the floor, but at most the time at which the read arrived, and remembered
     /// writes do not apply.
     Platform,
--- a/crates/session/src/key.rs
+++ b/crates/session/src/key.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// The keys in force. One of them signs, and all of them verify.
+/// The keys that a router accepts. One of them signs, and all of them verify.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyRing {
     /// The key that signs and verifies.
@@ -66,7 +66,7 @@
 }
 
 impl KeyRing {
-    /// Returns the key with this number, if it is in force.
+    /// Returns the key with this number, or `None` if the ring does not contain it.
     pub fn find(&self, id: KeyId) -> Option<&Key> {
         std::iter::once(&self.signing).chain(&self.verifying).find(|key| key.id == id)
     }
--- a/crates/session/src/sessions.rs
+++ b/crates/session/src/sessions.rs
@@ -127,7 +127,7 @@
         let evicted = if names_floor { None } else { Some(remembered.evicted) };
         let remembered = remembered.exact.max(evicted).unwrap_or_default();
         let mut position = tracked.floors.get(request.group).max(after).max(remembered);
-        // An unsettled write may have committed at any position up to `limit`.
+        // An unsettled write may have committed at any position up to the limit, which applies below.
         if self.unsettled.contains_key(&(request.group, tracked.key)) {
             position = Time(u64::MAX);
         }
--- a/crates/session/src/token.rs
+++ b/crates/session/src/token.rs
@@ -60,7 +60,7 @@
     /// The token cannot be decoded, or its version is unknown.
     #[error("the token cannot be decoded")]
     Malformed,
-    /// The key that signed the token is not in force.
+    /// The key that signed the token is not in the key ring.
     #[error("the token's key is unknown")]
     UnknownKey,
     /// The signature does not match the token's content and the session's name.
