--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -134,7 +134,7 @@
 /// A tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// The tenant's quota over all routers, in requests per second.
+    /// The tenant's quota over all routers, in requests per second. The decisions don't use it.
     pub quota_per_s: f64,
 }
 
@@ -177,7 +177,7 @@
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// The fraction of its value that a request over its tenant's quota keeps.
+    /// The fraction of its value that a request over its tenant's quota keeps. The decisions don't use it.
     pub over_quota_weight: f64,
     /// Whether the endpoint list has to be polled because service discovery does not push it.
     pub poll_endpoint_list: bool,
@@ -185,11 +185,13 @@
     pub list_role: ListRole,
     /// Whether the weights in the endpoint list are used; without them, all members have weight 1.
     pub use_weights: bool,
-    /// Whether every response reports a log position.
+    /// Whether every response reports a log position. The decisions don't use this: they use each position
+    /// that is reported.
     pub responses_report_position: bool,
     /// Whether health checks report a log position.
     pub probes_report_position: bool,
-    /// Whether health checks report the role.
+    /// Whether health checks report the role. The decisions don't use this: they use each role that is
+    /// reported.
     pub probes_report_role: bool,
     /// What members do with reads for which their log positions are too far behind.
     pub when_behind: WhenBehind,
@@ -233,7 +235,7 @@
     /// The price of wasted work, one of the `prices` in the settings (see
     /// [`price_cross_zone`](Self::price_cross_zone)). It is multiplied by the work of database hosts that
     /// served no reply (health checks and connection startups included), divided by the work offered. It is
-    /// dimensionless.
+    /// dimensionless. The decisions don't use it.
     pub price_waste: f64,
 }
 
@@ -407,7 +409,7 @@
         attempts: u32,
     },
     /// The first part of an attempt's response was sent to the client: from now on, no other attempt can
-    /// serve the request.
+    /// serve the request. The decisions ignore this event.
     ResponseStarted(RequestId, Attempt),
     /// An attempt ended.
     Outcome(Outcome),
@@ -429,7 +431,7 @@
     },
     /// The system clock was set: log positions reported earlier may be wrong by any amount.
     ClockSet,
-    /// A message from a peer.
+    /// A message from a peer. The decisions ignore it.
     Message(RouterId, Vec<u8>),
 }
 
@@ -455,6 +457,6 @@
     WatchEndpoints,
     /// Poll the endpoint list once.
     PollEndpoints,
-    /// Write a line to the log.
+    /// Write a line to the log. [`Policy`](crate::Policy) does not return this action.
     Log(String),
 }
