--- a/crates/config/src/settings/mod.rs
+++ b/crates/config/src/settings/mod.rs
@@ -114,7 +114,7 @@
         max_attempts: bounds.max_attempts,
         hedging_allowed: bounds.hedging,
         cancel_allowed: bounds.cancel,
-        conn_idle: Time(bounds.idle_timeout_ns),
+        connection_idle_timeout: Time(bounds.idle_timeout_ns),
         probes_allowed: bounds.probes,
         send_retry_after: bounds.retry_after,
         max_retry_after: Time(bounds.max_retry_after_ns),
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -202,7 +202,7 @@
     /// Whether attempts may be cancelled.
     pub cancel_allowed: bool,
     /// The idle timeout after which a host closes a connection.
-    pub conn_idle: Time,
+    pub connection_idle_timeout: Time,
     /// Whether health checks are allowed.
     pub probes_allowed: bool,
     /// Whether a rejected client is given a Retry-After.
--- a/crates/policy/src/policy/connections.rs
+++ b/crates/policy/src/policy/connections.rs
@@ -29,7 +29,7 @@
     /// subset of the members; the subsets of all routers cover the group evenly. A router uses other members
     /// when the preferred ones have more requests in flight or a higher latency.
     pub(super) fn connection_cost(&self, member: &Member) -> f64 {
-        let open_for = self.settings.conn_idle.times(OPEN_CONNECTION_FRACTION);
+        let open_for = self.settings.connection_idle_timeout.times(OPEN_CONNECTION_FRACTION);
         let likely_open = self.now.since(member.responded_at) < open_for;
         let cost_factor = if likely_open { 0.0 } else { 1.0 - self.shared_work_fraction() };
         cost_factor * (MISSING_CONNECTION_COST + member.affinity_bias)
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -62,7 +62,7 @@
         max_attempts: 6,
         hedging_allowed: true,
         cancel_allowed: true,
-        conn_idle: Time::ms(15_000),
+        connection_idle_timeout: Time::ms(15_000),
         probes_allowed: true,
         send_retry_after: true,
         max_retry_after: Time::ms(500),
