--- a/crates/extproc/src/coordinator.rs
+++ b/crates/extproc/src/coordinator.rs
@@ -272,7 +272,7 @@
         let lease = self.leases.grant(Lease { stream, request, attempt, member, granted_at, expires_at });
         call.leased = Some(LeasedStream { stream, lease });
         if let Some(write) = call.write {
-            self.writes.assigned(write);
+            self.writes.mark_assigned(write);
         }
         let send_by = send_by.min(expires_at);
         out.push(Output::Reply(stream, ProxyReply::Member { lease, member, send_by }));
@@ -363,9 +363,9 @@
         let Some(write) = call.write else { return };
         self.by_write.remove(&write);
         if not_executed {
-            self.writes.not_executed(write);
+            self.writes.mark_not_executed(write);
         } else {
-            self.writes.possibly_executed(write);
+            self.writes.mark_possibly_executed(write);
         }
     }
 }
--- a/crates/extproc/src/write_registry.rs
+++ b/crates/extproc/src/write_registry.rs
@@ -100,8 +100,8 @@
     }
 
     /// Decides on a call for a write. After [`Verdict::New`] and [`Verdict::Retry`] the write is pending
-    /// until [`WriteRegistry::assigned`], [`WriteRegistry::not_executed`] or
-    /// [`WriteRegistry::possibly_executed`] is called for it.
+    /// until [`WriteRegistry::mark_assigned`], [`WriteRegistry::mark_not_executed`] or
+    /// [`WriteRegistry::mark_possibly_executed`] is called for it.
     pub fn admit(&mut self, now: Time, id: WriteId) -> Verdict {
         self.expire(now);
         if let Some(state) = self.states.get_mut(&id) {
@@ -126,19 +126,19 @@
     }
 
     /// Records that a member has been assigned to a write.
-    pub fn assigned(&mut self, id: WriteId) {
-        self.set(id, WriteState::Assigned);
+    pub fn mark_assigned(&mut self, id: WriteId) {
+        self.set_state(id, WriteState::Assigned);
     }
 
     /// Records that a write has completed and is proved not to have executed, because no member was assigned
     /// or no assigned member executed it.
-    pub fn not_executed(&mut self, id: WriteId) {
-        self.set(id, WriteState::NotExecuted);
+    pub fn mark_not_executed(&mut self, id: WriteId) {
+        self.set_state(id, WriteState::NotExecuted);
     }
 
     /// Records that a write has completed, and has executed or may still execute.
-    pub fn possibly_executed(&mut self, id: WriteId) {
-        self.set(id, WriteState::PossiblyExecuted);
+    pub fn mark_possibly_executed(&mut self, id: WriteId) {
+        self.set_state(id, WriteState::PossiblyExecuted);
     }
 
     /// Returns the number of registered writes.
@@ -185,7 +185,7 @@
         Time(self.id_window.0 / SLOTS_PER_WINDOW)
     }
 
-    fn set(&mut self, id: WriteId, state: WriteState) {
+    fn set_state(&mut self, id: WriteId, state: WriteState) {
         if let Some(entry) = self.states.get_mut(&id) {
             *entry = state;
         }
--- a/crates/extproc/tests/write_registry.rs
+++ b/crates/extproc/tests/write_registry.rs
@@ -33,15 +33,15 @@
         Verdict::Pending,
         "a second call while the first waits for a member"
     );
-    registry.assigned(write);
+    registry.mark_assigned(write);
     assert_eq!(registry.admit(at(1020), write), Verdict::Decided, "a call after a member was assigned");
-    registry.not_executed(write);
+    registry.mark_not_executed(write);
     assert_eq!(registry.admit(at(1030), write), Verdict::Retry);
     assert_eq!(registry.admit(at(1031), write), Verdict::Pending);
-    registry.not_executed(write);
+    registry.mark_not_executed(write);
     assert_eq!(registry.admit(at(1040), write), Verdict::Retry, "no member was assigned");
-    registry.assigned(write);
-    registry.possibly_executed(write);
+    registry.mark_assigned(write);
+    registry.mark_possibly_executed(write);
     for ms in [1050, 5000, 10_999, 11_040] {
         assert_eq!(registry.admit(at(ms), write), Verdict::Decided, "at {ms} ms");
     }
@@ -76,7 +76,7 @@
     let writes: Vec<WriteId> = (0..10).map(|n| write_id(at(1000 + n * 100), n)).collect();
     for write in &writes {
         assert_eq!(registry.admit(at(2000), *write), Verdict::New);
-        registry.assigned(*write);
+        registry.mark_assigned(*write);
     }
     let Verdict::Full { retry_after } = registry.admit(at(2000), write_id(at(1990), 99)) else {
         panic!("a registry with 10 of 10 entries did not reject a write as full")
@@ -165,28 +165,28 @@
                     ActualState::Pending(self.process),
                     ActualState::Assigned(self.process),
                 ) {
-                    self.registry.assigned(id);
+                    self.registry.mark_assigned(id);
                 }
             }
             Step::Reject(write) => {
                 if let Some(id) =
                     self.replace(write, ActualState::Pending(self.process), ActualState::NotExecuted)
                 {
-                    self.registry.not_executed(id);
+                    self.registry.mark_not_executed(id);
                 }
             }
             Step::End { write, not_executed: true } => {
                 if let Some(id) =
                     self.replace(write, ActualState::Assigned(self.process), ActualState::NotExecuted)
                 {
-                    self.registry.not_executed(id);
+                    self.registry.mark_not_executed(id);
                 }
             }
             Step::End { write, not_executed: false } => {
                 if let Some(id) =
                     self.replace(write, ActualState::Assigned(self.process), ActualState::PossiblyExecuted)
                 {
-                    self.registry.possibly_executed(id);
+                    self.registry.mark_possibly_executed(id);
                 }
             }
             Step::Restart => self.restart(),
