--- a/crates/extproc/src/coordinator.rs
+++ b/crates/extproc/src/coordinator.rs
@@ -2,7 +2,7 @@
 //! coordinator produces events for it, and its actions are applied to the coordinator.
 
 use crate::lease_table::{EndedLease, IgnoredReports, Lease, LeaseId, LeaseOutcome, LeaseTable, StreamId};
-use crate::messages::{DecisionRequest, LeaseUsage, Output, ProxyLimits, ProxyReply, RejectReason};
+use crate::messages::{DecisionRequest, InvalidCallReason, LeaseUsage, Output, ProxyLimits, ProxyReply};
 use crate::write_id::WriteId;
 use crate::write_registry::{Verdict, WriteRegistry};
 use basalthill_policy::api::{
@@ -14,7 +14,7 @@
 /// The bit that is set in the ids of proxies' requests. It distinguishes them from clients' requests, so that
 /// one decision module can serve both.
 const PROXY_REQUEST_BIT: u64 = 1 << 63;
-/// The stream of a lease whose attempt was not assigned to any stream.
+/// The placeholder for the stream of an attempt that was declined, and so was not assigned to any stream.
 const NO_STREAM: StreamId = StreamId(0);
 
 /// An open request. One or more streams have called for it.
@@ -26,7 +26,7 @@
     leased: Option<LeasedStream>,
     /// The id of the write, if the request is a non-idempotent write.
     write: Option<WriteId>,
-    /// Number of attempts so far.
+    /// Number of attempts so far, including those that were declined.
     attempts: u16,
     deadline: Time,
 }
@@ -78,7 +78,7 @@
         LeaseCoordinator {
             limits,
             effects: settings.classes.iter().map(|class| class.effect).collect(),
-            writes: WriteRegistry::new(now, limits.id_window, limits.skew, limits.max_remembered_writes),
+            writes: WriteRegistry::new(now, limits.id_window, limits.skew, limits.max_registered_writes),
             leases: LeaseTable::default(),
             calls: BTreeMap::new(),
             by_stream: BTreeMap::new(),
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Returns whether a request is that of a proxy. All other requests are those of clients.
+    /// Returns whether a request came from a proxy. All other requests came from clients.
     pub fn owns(id: RequestId) -> bool {
         id.0 & PROXY_REQUEST_BIT != 0
     }
@@ -136,8 +136,9 @@
         self.attempt_ended(now, ended, is_served, out);
     }
 
-    /// Handles the closing of a stream. If the stream has a lease, the request may have been sent. A stream
-    /// that waits for a member stops waiting, and a request for which no other stream waits is abandoned.
+    /// Handles the closing of a stream. If the stream has a lease, the lease ends and the request is
+    /// completed, since the request may have been sent. If the stream waits for a member, it stops waiting,
+    /// and a request for which no other stream waits is abandoned.
     pub fn stream_closed(&mut self, now: Time, stream: StreamId, out: &mut Vec<Output>) {
         let Some(id) = self.by_stream.remove(&stream) else { return };
         let ended = self.leases.close_stream(stream);
@@ -168,12 +169,12 @@
         self.leases.next_expiry()
     }
 
-    /// Returns the numbers of open calls, leases and registered writes.
+    /// Returns the numbers of open calls, leases in use and registered writes.
     pub fn usage(&self) -> LeaseUsage {
         LeaseUsage {
             open_calls: self.calls.len().max(self.by_stream.len()).max(self.by_write.len()),
             leases: self.leases.len(),
-            remembered_writes: self.writes.len(),
+            registered_writes: self.writes.len(),
         }
     }
 
@@ -191,12 +192,12 @@
         request: &DecisionRequest,
     ) -> Result<Admission, ProxyReply> {
         let class = usize::from(request.class.0);
-        let effect = *self.effects.get(class).ok_or(ProxyReply::Invalid(RejectReason::UnknownClass))?;
+        let effect = *self.effects.get(class).ok_or(ProxyReply::Invalid(InvalidCallReason::UnknownClass))?;
         if self.by_stream.contains_key(&stream) {
-            return Err(ProxyReply::Invalid(RejectReason::StreamBusy));
+            return Err(ProxyReply::Invalid(InvalidCallReason::StreamBusy));
         }
         if request.deadline <= now {
-            return Err(ProxyReply::Invalid(RejectReason::DeadlinePassed));
+            return Err(ProxyReply::Invalid(InvalidCallReason::DeadlinePassed));
         }
         if self.by_stream.len() >= self.limits.max_open_calls {
             return Err(ProxyReply::Rejected { retry_after: None });
@@ -205,7 +206,7 @@
         if effect != Effect::NonIdempotent {
             return Ok(Admission::New(None));
         }
-        let write = request.id.ok_or(ProxyReply::Invalid(RejectReason::MissingId))?;
+        let write = request.id.ok_or(ProxyReply::Invalid(InvalidCallReason::MissingId))?;
         match self.writes.admit(now, write) {
             Verdict::New | Verdict::Retry => Ok(Admission::New(Some(write))),
             Verdict::Pending => {
@@ -214,7 +215,7 @@
             }
             Verdict::Decided => Err(ProxyReply::AlreadyDecided),
             Verdict::Full { retry_after } => Err(ProxyReply::Rejected { retry_after: Some(retry_after) }),
-            Verdict::Unusable(reason) => Err(ProxyReply::Invalid(RejectReason::UnusableId(reason))),
+            Verdict::Unusable(reason) => Err(ProxyReply::Invalid(InvalidCallReason::UnusableId(reason))),
         }
     }
 
@@ -271,7 +272,7 @@
         let lease = self.leases.grant(Lease { stream, request, attempt, member, granted_at, expires_at });
         call.leased = Some(LeasedStream { stream, lease });
         if let Some(write) = call.write {
-            self.writes.assigned(write);
+            self.writes.mark_assigned(write);
         }
         let send_by = send_by.min(expires_at);
         out.push(Output::Reply(stream, ProxyReply::Member { lease, member, send_by }));
@@ -281,8 +282,8 @@
         }
     }
 
-    /// Reports to the decision module that an attempt was not sent, because no stream waits for a member, or
-    /// because the request's deadline or the assignment's `send_until` has passed.
+    /// Reports to the decision module that an attempt was not sent, because the request is not open, no
+    /// stream waits for a member, or the request's deadline or the assignment's `send_until` has passed.
     fn decline(&mut self, now: Time, assignment: Assignment, out: &mut Vec<Output>) {
         let Assignment { request, member, .. } = assignment;
         let attempt = match self.calls.get_mut(&request) {
@@ -300,8 +301,9 @@
             granted_at: now,
             expires_at: now,
         };
-        let is_last = !self.calls.contains_key(&request);
-        self.attempt_ended(now, EndedLease::without_response(lease, Status::NotSent), is_last, out);
+        let request_completed = !self.calls.contains_key(&request);
+        let ended = EndedLease::without_response(lease, Status::NotSent);
+        self.attempt_ended(now, ended, request_completed, out);
     }
 
     /// Cancels an attempt of a request. The attempt may still execute.
@@ -315,7 +317,13 @@
 
     /// Reports the outcome of an attempt to the decision module. If the request is still open, the attempt's
     /// stream waits for the next member.
-    fn attempt_ended(&mut self, now: Time, ended: EndedLease, is_last: bool, out: &mut Vec<Output>) {
+    fn attempt_ended(
+        &mut self,
+        now: Time,
+        ended: EndedLease,
+        request_completed: bool,
+        out: &mut Vec<Output>,
+    ) {
         let lease = ended.lease;
         if let Some(call) = self.calls.get_mut(&lease.request) {
             if call.leased.take().is_some() {
@@ -328,7 +336,7 @@
             member: lease.member,
             status: ended.status,
             elapsed: now.since(lease.granted_at),
-            request_completed: is_last,
+            request_completed,
             replication: ended.replication,
             report: ReplicationState::default(),
         })));
@@ -355,9 +363,9 @@
         let Some(write) = call.write else { return };
         self.by_write.remove(&write);
         if not_executed {
-            self.writes.not_executed(write);
+            self.writes.mark_not_executed(write);
         } else {
-            self.writes.possibly_executed(write);
+            self.writes.mark_possibly_executed(write);
         }
     }
 }
--- a/crates/extproc/src/messages.rs
+++ b/crates/extproc/src/messages.rs
@@ -12,12 +12,13 @@
     /// Maximum number of open calls.
     pub max_open_calls: usize,
     /// Maximum number of registered write ids.
-    pub max_remembered_writes: usize,
+    pub max_registered_writes: usize,
     /// Time after the creation of a write id during which the id is accepted.
     pub id_window: Time,
     /// Maximum difference between this router's clock and the clocks of the creators of write ids.
     pub skew: Time,
-    /// Time after the reply within which a proxy must begin to send; it must not send later.
+    /// Time after the reply with the member within which the proxy must begin to send the request. After this
+    /// time, the proxy must not send it.
     pub send_within: Time,
 }
 
@@ -29,7 +30,7 @@
     /// Number of leases in use.
     pub leases: usize,
     /// Number of registered write ids.
-    pub remembered_writes: usize,
+    pub registered_writes: usize,
 }
 
 /// A proxy's call for a decision.
@@ -62,7 +63,8 @@
         lease: LeaseId,
         /// The member to send the request to.
         member: MemberId,
-        /// The time before which the proxy must begin to send; it must not send later.
+        /// The time before which the proxy must begin to send the request. From this time on, the proxy must
+        /// not send it.
         send_by: Time,
     },
     /// The request is rejected, and no attempt of it has executed.
@@ -72,15 +74,15 @@
     },
     /// The request has failed, and an attempt of it may have executed.
     Failed,
-    /// Another call has been assigned a member for this write, which may execute or has executed.
+    /// Another call has been assigned a member for this write, so the write has executed or may execute.
     AlreadyDecided,
     /// The call is invalid.
-    Invalid(RejectReason),
+    Invalid(InvalidCallReason),
 }
 
 /// The reason why a call is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RejectReason {
+pub enum InvalidCallReason {
     /// The settings contain no class with this id.
     UnknownClass,
     /// The call is for a non-idempotent write and has no id, which must be a UUID of version 7.
--- a/crates/extproc/src/write_registry.rs
+++ b/crates/extproc/src/write_registry.rs
@@ -29,13 +29,13 @@
 pub enum Verdict {
     /// This is the first call for the write, which is handed to the decision module.
     New,
-    /// Another call for the write waits for a member. One of the waiting calls gets it.
+    /// Another call for the write waits for a member. One of the waiting calls gets the member.
     Pending,
     /// All earlier attempts of the write are proved not to have executed: the write is handed to the decision
     /// module as a retry.
     Retry,
-    /// A member was assigned to the write, which may execute or has executed. No further call gets a member
-    /// for it.
+    /// A member was assigned to the write, so the write has executed or may execute. No further call gets a
+    /// member for it.
     Decided,
     /// The id of the write is not accepted.
     Unusable(UnusableId),
@@ -63,24 +63,24 @@
 pub struct WriteRegistry {
     started_at: Time,
     /// Time after the creation of an id during which the id is accepted.
-    window: Time,
+    id_window: Time,
     /// Maximum difference between this router's clock and the clocks of the creators of ids.
     skew: Time,
     max_entries: usize,
     states: BTreeMap<WriteId, WriteState>,
-    /// The ids by the slot of their creation time, oldest first. An entry never changes its slot, and is
-    /// removed together with the slot.
+    /// The ids by the slot of their creation time, oldest first. An id never changes its slot, and its entry
+    /// is removed together with the slot.
     wheel: BTreeMap<u64, Vec<WriteId>>,
 }
 
 impl WriteRegistry {
     /// Creates the registry of a process that has just started, for at most `max_entries` ids at a time. An
-    /// id is accepted for `window` after its creation.
-    pub fn new(started_at: Time, window: Time, skew: Time, max_entries: usize) -> WriteRegistry {
-        let window = Time(window.0.max(SLOTS_PER_WINDOW));
+    /// id is accepted for `id_window` after its creation.
+    pub fn new(started_at: Time, id_window: Time, skew: Time, max_entries: usize) -> WriteRegistry {
+        let id_window = Time(id_window.0.max(SLOTS_PER_WINDOW));
         WriteRegistry {
             started_at,
-            window,
+            id_window,
             skew,
             max_entries,
             states: BTreeMap::new(),
@@ -90,8 +90,8 @@
 
     /// Removes the entries whose ids are too old to be accepted.
     pub fn expire(&mut self, now: Time) {
-        // A slot is removed only when even its newest id is out of its window, by any clock within the skew.
-        let oldest_slot = self.slot(now.minus(self.window).minus(self.skew).minus(self.skew));
+        // A slot is removed only when the window of its newest id has ended by every clock within the skew.
+        let oldest_slot = self.slot(now.minus(self.id_window).minus(self.skew).minus(self.skew));
         while let Some(first) = self.wheel.first_entry().filter(|entry| *entry.key() < oldest_slot) {
             for id in first.remove() {
                 self.states.remove(&id);
@@ -100,8 +100,8 @@
     }
 
     /// Decides on a call for a write. After [`Verdict::New`] and [`Verdict::Retry`] the write is pending
-    /// until [`WriteRegistry::assigned`], [`WriteRegistry::not_executed`] or
-    /// [`WriteRegistry::possibly_executed`] is called for it.
+    /// until [`WriteRegistry::mark_assigned`], [`WriteRegistry::mark_not_executed`] or
+    /// [`WriteRegistry::mark_possibly_executed`] is called for it.
     pub fn admit(&mut self, now: Time, id: WriteId) -> Verdict {
         self.expire(now);
         if let Some(state) = self.states.get_mut(&id) {
@@ -114,7 +114,7 @@
                 }
             };
         }
-        if let Some(reason) = self.unusable(now, id) {
+        if let Some(reason) = self.unusable_reason(now, id) {
             return Verdict::Unusable(reason);
         }
         if self.states.len() >= self.max_entries {
@@ -126,19 +126,19 @@
     }
 
     /// Records that a member has been assigned to a write.
-    pub fn assigned(&mut self, id: WriteId) {
-        self.set(id, WriteState::Assigned);
+    pub fn mark_assigned(&mut self, id: WriteId) {
+        self.set_state(id, WriteState::Assigned);
     }
 
     /// Records that a write has completed and is proved not to have executed, because no member was assigned
     /// or no assigned member executed it.
-    pub fn not_executed(&mut self, id: WriteId) {
-        self.set(id, WriteState::NotExecuted);
+    pub fn mark_not_executed(&mut self, id: WriteId) {
+        self.set_state(id, WriteState::NotExecuted);
     }
 
     /// Records that a write has completed, and has executed or may still execute.
-    pub fn possibly_executed(&mut self, id: WriteId) {
-        self.set(id, WriteState::PossiblyExecuted);
+    pub fn mark_possibly_executed(&mut self, id: WriteId) {
+        self.set_state(id, WriteState::PossiblyExecuted);
     }
 
     /// Returns the number of registered writes.
@@ -152,16 +152,16 @@
     }
 
     /// Returns the reason why an unregistered id is not accepted, or `None` if it is accepted.
-    fn unusable(&self, now: Time, id: WriteId) -> Option<UnusableId> {
+    fn unusable_reason(&self, now: Time, id: WriteId) -> Option<UnusableId> {
         let created_at = id.created_at();
         if created_at > now.plus(self.skew) {
             return Some(UnusableId::InFuture);
         }
-        if now.since(created_at) > self.window.plus(self.skew) {
+        if now.since(created_at) > self.id_window.plus(self.skew) {
             return Some(UnusableId::TooOld);
         }
-        // An id that an earlier process decided was created, by any clock, at most the skew after this
-        // process started.
+        // An id whose write an earlier process decided was created before this process started. By the clock
+        // of its creator, that is at most the skew after the start.
         if created_at <= self.started_at.plus(self.skew) {
             return Some(UnusableId::BeforeStart);
         }
@@ -172,7 +172,7 @@
     fn first_expiry(&self) -> Time {
         let next_slot = self.wheel.first_key_value().map_or(0, |(slot, _)| slot + 1);
         let slot_end = Time(next_slot.saturating_mul(self.slot_span().0));
-        slot_end.plus(self.window).plus(self.skew).plus(self.skew).plus(self.slot_span())
+        slot_end.plus(self.id_window).plus(self.skew).plus(self.skew).plus(self.slot_span())
     }
 
     /// Returns the slot of a time.
@@ -182,10 +182,10 @@
 
     /// Returns the span of time that a slot covers.
     fn slot_span(&self) -> Time {
-        Time(self.window.0 / SLOTS_PER_WINDOW)
+        Time(self.id_window.0 / SLOTS_PER_WINDOW)
     }
 
-    fn set(&mut self, id: WriteId, state: WriteState) {
+    fn set_state(&mut self, id: WriteId, state: WriteState) {
         if let Some(entry) = self.states.get_mut(&id) {
             *entry = state;
         }
--- a/crates/extproc/tests/coordinator.rs
+++ b/crates/extproc/tests/coordinator.rs
@@ -5,8 +5,8 @@
 mod common;
 
 use basalthill_extproc::{
-    DecisionRequest, LeaseCoordinator, LeaseId, LeaseOutcome, LeaseUsage, Output, ProxyLimits, ProxyReply,
-    RejectReason, StreamId, UnusableId, WriteId,
+    DecisionRequest, InvalidCallReason, LeaseCoordinator, LeaseId, LeaseOutcome, LeaseUsage, Output,
+    ProxyLimits, ProxyReply, StreamId, UnusableId, WriteId,
 };
 use basalthill_policy::api::*;
 use basalthill_policy::Policy;
@@ -18,7 +18,7 @@
 const PRIMARY: MemberId = MemberId(1);
 const LIMITS: ProxyLimits = ProxyLimits {
     max_open_calls: 60,
-    max_remembered_writes: 200,
+    max_registered_writes: 200,
     id_window: Time::ms(10_000),
     skew: Time::ms(50),
     send_within: Time::ms(200),
@@ -28,8 +28,8 @@
     let class = |consistency, effect| Class {
         consistency,
         effect,
-        scope: KeyScope::Group,
-        window: Time(0),
+        key_scope: KeyScope::Group,
+        deduplication_window: Time(0),
         latency_objective: Time::ms(400),
         client_timeout: Time::ms(1500),
         priority_weight: 1.0,
@@ -45,9 +45,9 @@
         list_role: ListRole::Late,
         when_behind: WhenBehind::Reject,
         max_attempts: 5,
-        hedging: false,
-        cancel: true,
-        retry_after: true,
+        hedging_allowed: false,
+        cancel_allowed: true,
+        send_retry_after: true,
         max_retry_after: Time::ms(300),
         drain_grace: Time::ms(1000),
         slow_start_capacity: 0.2,
@@ -110,7 +110,8 @@
         router
     }
 
-    /// Passes events to the decision module and its actions to the coordinator until no output is left.
+    /// Records the replies, and passes events to the decision module and its actions to the coordinator,
+    /// until no output is left.
     fn handle(&mut self, outputs: Vec<Output>) {
         let mut queue = VecDeque::from(outputs);
         while let Some(output) = queue.pop_front() {
@@ -201,8 +202,8 @@
     }
 }
 
-fn usage(open_calls: usize, leases: usize, remembered_writes: usize) -> LeaseUsage {
-    LeaseUsage { open_calls, leases, remembered_writes }
+fn usage(open_calls: usize, leases: usize, registered_writes: usize) -> LeaseUsage {
+    LeaseUsage { open_calls, leases, registered_writes }
 }
 
 #[test]
@@ -297,11 +298,11 @@
     let mut router = TestRouter::running();
     let now = router.now;
     let id_at = |created_at| Some(write_id(created_at, 1));
-    let unusable = RejectReason::UnusableId;
+    let unusable = InvalidCallReason::UnusableId;
     let cases = [
-        (ClassId(9), None, 900, RejectReason::UnknownClass),
-        (WRITE, None, 900, RejectReason::MissingId),
-        (WRITE, id_at(now), 0, RejectReason::DeadlinePassed),
+        (ClassId(9), None, 900, InvalidCallReason::UnknownClass),
+        (WRITE, None, 900, InvalidCallReason::MissingId),
+        (WRITE, id_at(now), 0, InvalidCallReason::DeadlinePassed),
         (WRITE, id_at(START.minus(Time::ms(100))), 900, unusable(UnusableId::BeforeStart)),
         (WRITE, id_at(now.plus(Time::ms(99))), 900, unusable(UnusableId::InFuture)),
         (WRITE, id_at(START.minus(Time::ms(20_000))), 900, unusable(UnusableId::TooOld)),
@@ -313,7 +314,7 @@
     router.request(50, READ, None, 900);
     router.lease(50);
     router.request(50, READ, None, 900);
-    let busy = ProxyReply::Invalid(RejectReason::StreamBusy);
+    let busy = ProxyReply::Invalid(InvalidCallReason::StreamBusy);
     assert_eq!(router.last_reply(50), Some(busy), "a stream has one open call");
     // The number of open calls is limited, and calls are completed by their deadlines.
     for stream in 100..200 {
@@ -322,7 +323,10 @@
     let rejection = Some(ProxyReply::Rejected { retry_after: None });
     let rejected = (100..200).filter(|stream| router.last_reply(*stream) == rejection).count();
     let in_use = router.coordinator.usage();
-    assert!(rejected >= 40 && in_use.open_calls <= LIMITS.max_open_calls, "{rejected} rejected, {in_use:?}");
+    assert!(
+        rejected >= 40 && in_use.open_calls <= LIMITS.max_open_calls,
+        "{rejected} of 100 rejected, expected at least 40; in use: {in_use:?}, limits: {LIMITS:?}"
+    );
     router.advance(3000);
     assert_eq!(router.coordinator.usage(), usage(0, 0, 0));
 }
@@ -340,8 +344,9 @@
     leases: BTreeMap<u64, LeaseId>,
     last_stream: u64,
     /// Number of replies that have been checked.
-    replies_seen: usize,
+    replies_checked: usize,
     members_assigned: u32,
+    /// Number of members that were assigned to another write than the newest one.
     retries: i32,
     restarts: u32,
 }
@@ -356,7 +361,7 @@
             calls: BTreeMap::new(),
             leases: BTreeMap::new(),
             last_stream: 0,
-            replies_seen: 0,
+            replies_checked: 0,
             members_assigned: 0,
             retries: 0,
             restarts: 0,
@@ -376,8 +381,11 @@
         }
         self.check_replies(step);
         let in_use = self.router.coordinator.usage();
-        assert!(in_use.open_calls <= LIMITS.max_open_calls, "step {step}: {in_use:?}");
-        assert!(in_use.remembered_writes <= LIMITS.max_remembered_writes, "step {step}: {in_use:?}");
+        assert!(in_use.open_calls <= LIMITS.max_open_calls, "step {step}: {in_use:?}, limits: {LIMITS:?}");
+        assert!(
+            in_use.registered_writes <= LIMITS.max_registered_writes,
+            "step {step}: {in_use:?}, limits: {LIMITS:?}"
+        );
     }
 
     /// Calls for a read, a new write or one of the last thirty writes, on a new stream.
@@ -440,16 +448,17 @@
         self.restarts += 1;
         self.router = TestRouter::new(self.router.now.plus(Time::ms(1)), self.router.seed + 1);
         self.leases.clear();
-        self.replies_seen = 0;
+        self.replies_checked = 0;
     }
 
     fn check_replies(&mut self, step: u64) {
-        for SentReply { stream, reply } in self.router.replies[self.replies_seen..].iter().copied() {
+        for SentReply { stream, reply } in self.router.replies[self.replies_checked..].iter().copied() {
             let ProxyReply::Member { lease, send_by, .. } = reply else {
                 self.leases.remove(&stream);
                 continue;
             };
-            assert!(send_by <= self.router.now.plus(LIMITS.send_within), "step {step}: {send_by:?}");
+            let latest = self.router.now.plus(LIMITS.send_within);
+            assert!(send_by <= latest, "step {step}: {send_by:?} is later than {latest:?}");
             self.members_assigned += 1;
             if let Some(write) = self.calls[&stream] {
                 let executions = self.possible_executions.entry(write).or_default();
@@ -459,7 +468,7 @@
             }
             self.leases.insert(stream, lease);
         }
-        self.replies_seen = self.router.replies.len();
+        self.replies_checked = self.router.replies.len();
     }
 }
 
@@ -473,7 +482,8 @@
     println!("{members_assigned} members assigned, {retries} of them to earlier writes; {restarts} restarts");
     assert!(
         members_assigned > 5000 && retries > 100 && restarts > 5,
-        "too few members assigned, retries or restarts"
+        "{members_assigned} members assigned, {retries} retries and {restarts} restarts: \
+         expected more than 5000, 100 and 5"
     );
     proxies.router.advance(3000);
     let in_use = proxies.router.coordinator.usage();
--- a/crates/extproc/tests/write_registry.rs
+++ b/crates/extproc/tests/write_registry.rs
@@ -33,15 +33,15 @@
         Verdict::Pending,
         "a second call while the first waits for a member"
     );
-    registry.assigned(write);
+    registry.mark_assigned(write);
     assert_eq!(registry.admit(at(1020), write), Verdict::Decided, "a call after a member was assigned");
-    registry.not_executed(write);
+    registry.mark_not_executed(write);
     assert_eq!(registry.admit(at(1030), write), Verdict::Retry);
     assert_eq!(registry.admit(at(1031), write), Verdict::Pending);
-    registry.not_executed(write);
+    registry.mark_not_executed(write);
     assert_eq!(registry.admit(at(1040), write), Verdict::Retry, "no member was assigned");
-    registry.assigned(write);
-    registry.possibly_executed(write);
+    registry.mark_assigned(write);
+    registry.mark_possibly_executed(write);
     for ms in [1050, 5000, 10_999, 11_040] {
         assert_eq!(registry.admit(at(ms), write), Verdict::Decided, "at {ms} ms");
     }
@@ -76,27 +76,30 @@
     let writes: Vec<WriteId> = (0..10).map(|n| write_id(at(1000 + n * 100), n)).collect();
     for write in &writes {
         assert_eq!(registry.admit(at(2000), *write), Verdict::New);
-        registry.assigned(*write);
+        registry.mark_assigned(*write);
     }
     let Verdict::Full { retry_after } = registry.admit(at(2000), write_id(at(1990), 99)) else {
-        panic!("a full registry accepted a write")
+        panic!("a registry with 10 of 10 entries did not reject a write as full")
     };
     assert!(
         writes.iter().all(|write| registry.admit(at(2000), *write) == Verdict::Decided),
         "an entry was removed"
     );
-    let then = at(2000).plus(retry_after);
+    let retry_at = at(2000).plus(retry_after);
     assert_eq!(
-        registry.admit(then, write_id(then, 100)),
+        registry.admit(retry_at, write_id(retry_at, 100)),
         Verdict::New,
         "an entry is free after the given time"
     );
-    assert!(retry_after < WINDOW.plus(Time::ms(500)), "{retry_after:?}");
+    assert!(
+        retry_after < WINDOW.plus(Time::ms(500)),
+        "retry after {retry_after:?}, not within 500 ms after the window of {WINDOW:?}"
+    );
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Advances the time, in milliseconds.
+    /// Advances the time by this many milliseconds.
     AdvanceTime(u16),
     /// Calls for a write, by its number. The id of a new write was created `age_ms` ago, or is in the future
     /// if that is negative.
@@ -162,28 +165,28 @@
                     ActualState::Pending(self.process),
                     ActualState::Assigned(self.process),
                 ) {
-                    self.registry.assigned(id);
+                    self.registry.mark_assigned(id);
                 }
             }
             Step::Reject(write) => {
                 if let Some(id) =
                     self.replace(write, ActualState::Pending(self.process), ActualState::NotExecuted)
                 {
-                    self.registry.not_executed(id);
+                    self.registry.mark_not_executed(id);
                 }
             }
             Step::End { write, not_executed: true } => {
                 if let Some(id) =
                     self.replace(write, ActualState::Assigned(self.process), ActualState::NotExecuted)
                 {
-                    self.registry.not_executed(id);
+                    self.registry.mark_not_executed(id);
                 }
             }
             Step::End { write, not_executed: false } => {
                 if let Some(id) =
                     self.replace(write, ActualState::Assigned(self.process), ActualState::PossiblyExecuted)
                 {
-                    self.registry.possibly_executed(id);
+                    self.registry.mark_possibly_executed(id);
                 }
             }
             Step::Restart => self.restart(),
@@ -204,7 +207,11 @@
             Verdict::Pending => prop_assert_eq!(*actual, ActualState::Pending(self.process)),
             _ => {}
         }
-        prop_assert!(self.registry.len() <= MODEL_ENTRIES, "{} entries", self.registry.len());
+        prop_assert!(
+            self.registry.len() <= MODEL_ENTRIES,
+            "{} entries, more than {MODEL_ENTRIES}",
+            self.registry.len()
+        );
         Ok(())
     }
 
@@ -235,17 +242,17 @@
 fn no_process_decides_a_write_that_an_earlier_process_may_have_executed() {
     let config = Config { cases: 1000, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[18; 32]));
-    let decisions = std::cell::Cell::new(0u32);
+    let accepted = std::cell::Cell::new(0u32);
     let result = runner.run(&steps(), |steps| {
         let mut model = Model::new();
         for step in steps {
             model.step(step)?;
         }
-        let decided =
+        let in_model =
             model.writes.values().filter(|(_, actual)| *actual != ActualState::NotExecuted).count() as u32;
-        decisions.set(decisions.get() + decided);
+        accepted.set(accepted.get() + in_model);
         Ok(())
     });
     assert_eq!(result.map_err(|error| error.to_string()), Ok(()));
-    assert!(decisions.get() > 500, "only {} writes were accepted", decisions.get());
+    assert!(accepted.get() > 500, "only {} writes were accepted", accepted.get());
 }
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -61,9 +61,9 @@
     ClassId(u16);
     /// A tenant: an index into [`Settings::tenants`].
     TenantId(u16);
-    /// A session.
+    /// A session: a number that stands for the session's name, such as a hash of the name.
     SessionKey(u64);
-    /// A zone.
+    /// A zone. Each member and each router is in one; attempts across zones may have a price.
     ZoneId(u16);
     /// The number of an attempt within its request, counted from 0 in the order in which they were sent.
     Attempt(u16);
@@ -116,11 +116,12 @@
     /// Whether a request that may have been executed may be repeated.
     pub effect: Effect,
     /// The members among which repeats are discarded; used for [`Effect::IdempotentByKey`] only.
-    pub scope: KeyScope,
+    pub key_scope: KeyScope,
     /// The deduplication window, from the first attempt that may have been executed; repeats within it are
     /// discarded.
-    pub window: Time,
-    /// The span within which a reply has its full value.
+    pub deduplication_window: Time,
+    /// The span, counted from when the client first sent the request, within which a reply has its full
+    /// value.
     pub latency_objective: Time,
     /// How long a client waits in total, including its retries.
     pub client_timeout: Time,
@@ -133,7 +134,7 @@
 /// A tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// The tenant's quota over all routers, in requests per second.
+    /// The tenant's quota over all routers, in requests per second. The decisions don't use it.
     pub quota_per_s: f64,
 }
 
@@ -152,11 +153,11 @@
 /// How reliably the endpoint list names the primary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ListRole {
-    /// It is updated, but some seconds late.
+    /// The list names the primary, but is updated some seconds after the primary changes.
     Late,
-    /// It names the primary as of the start and is not updated.
+    /// The list names the primary as of the start and is not updated.
     Start,
-    /// It does not name the primary.
+    /// The list does not name the primary.
     #[default]
     None,
 }
@@ -176,34 +177,36 @@
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// The fraction of its value that a request over its tenant's quota keeps.
+    /// The fraction of its value that a request over its tenant's quota keeps. The decisions don't use it.
     pub over_quota_weight: f64,
     /// Whether the endpoint list has to be polled because service discovery does not push it.
     pub poll_endpoint_list: bool,
     /// How reliably the endpoint list names the primary.
     pub list_role: ListRole,
     /// Whether the weights in the endpoint list are used; without them, all members have weight 1.
-    pub weights: bool,
-    /// Whether every response reports a log position.
-    pub positions: bool,
+    pub use_weights: bool,
+    /// Whether every response reports a log position. The decisions don't use this: they use each position
+    /// that is reported.
+    pub responses_report_position: bool,
     /// Whether health checks report a log position.
-    pub probe_positions: bool,
-    /// Whether health checks report the role.
-    pub probe_roles: bool,
+    pub probes_report_position: bool,
+    /// Whether health checks report the role. The decisions don't use this: they use each role that is
+    /// reported.
+    pub probes_report_role: bool,
     /// What members do with reads for which their log positions are too far behind.
     pub when_behind: WhenBehind,
     /// The maximum number of attempts of a request.
     pub max_attempts: u32,
     /// Whether two attempts of a request may be in flight at once.
-    pub hedging: bool,
+    pub hedging_allowed: bool,
     /// Whether attempts may be cancelled.
-    pub cancel: bool,
+    pub cancel_allowed: bool,
     /// The idle timeout after which a host closes a connection.
-    pub conn_idle: Time,
+    pub connection_idle_timeout: Time,
     /// Whether health checks are allowed.
-    pub probes: bool,
+    pub probes_allowed: bool,
     /// Whether a rejected client is given a Retry-After.
-    pub retry_after: bool,
+    pub send_retry_after: bool,
     /// The longest Retry-After that clients comply with.
     pub max_retry_after: Time,
     /// How long attempts may still be sent to a member after the router was notified that the member is
@@ -232,7 +235,7 @@
     /// The price of wasted work, one of the `prices` in the settings (see
     /// [`price_cross_zone`](Self::price_cross_zone)). It is multiplied by the work of database hosts that
     /// served no reply (health checks and connection startups included), divided by the work offered. It is
-    /// dimensionless.
+    /// dimensionless. The decisions don't use it.
     pub price_waste: f64,
 }
 
@@ -386,11 +389,11 @@
         /// The request.
         request: Request,
         /// The fraction of the limits' tokens that is available, 0 to 1.
-        open_fraction: f64,
+        available_fraction: f64,
         /// How long after a rejection by these limits the client may retry.
         retry_after: Time,
     },
-    /// The rest of the fleet-wide budgets that this router may use until the next such event.
+    /// How much of the fleet-wide budgets this router may use until the next such event.
     Budgets {
         /// Attempts after the first of a request; `None` without such a budget.
         retries: Option<u32>,
@@ -406,7 +409,7 @@
         attempts: u32,
     },
     /// The first part of an attempt's response was sent to the client: from now on, no other attempt can
-    /// serve the request.
+    /// serve the request. The decisions ignore this event.
     ResponseStarted(RequestId, Attempt),
     /// An attempt ended.
     Outcome(Outcome),
@@ -428,7 +431,7 @@
     },
     /// The system clock was set: log positions reported earlier may be wrong by any amount.
     ClockSet,
-    /// A message from a peer.
+    /// A message from a peer. The decisions ignore it.
     Message(RouterId, Vec<u8>),
 }
 
@@ -454,6 +457,6 @@
     WatchEndpoints,
     /// Poll the endpoint list once.
     PollEndpoints,
-    /// Write a line to the log.
+    /// Write a line to the log. [`Policy`](crate::Policy) does not return this action.
     Log(String),
 }
--- a/crates/policy/src/policy/endpoints.rs
+++ b/crates/policy/src/policy/endpoints.rs
@@ -60,11 +60,12 @@
         });
         member.group = endpoint.group;
         member.zone = endpoint.zone;
-        member.weight = if self.settings.weights && endpoint.weight > 0.0 { endpoint.weight } else { 1.0 };
+        member.weight =
+            if self.settings.use_weights && endpoint.weight > 0.0 { endpoint.weight } else { 1.0 };
         if endpoint.started > member.started_at {
             member.consecutive_failures = 0;
             member.draining_since = None;
-            member.restart(endpoint.started, now);
+            member.record_restart(endpoint.started, now);
         }
         match endpoint.state {
             EndpointState::Ready => member.draining_since = None,
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -5,11 +5,11 @@
 use basalthill_policy::api::*;
 use common::*;
 
-fn request_under_limits(router: &mut TestRouter, class: ClassId, open_fraction: f64) -> RequestId {
+fn request_under_limits(router: &mut TestRouter, class: ClassId, available_fraction: f64) -> RequestId {
     router.last_request_id += 1;
     let request = plain_request(RequestId(router.last_request_id), class, router.now.plus(Time::ms(1500)));
     let id = request.id;
-    router.handle_event(Event::LimitedRequest { request, open_fraction, retry_after: Time::ms(120) });
+    router.handle_event(Event::LimitedRequest { request, available_fraction, retry_after: Time::ms(120) });
     id
 }
 
@@ -19,7 +19,7 @@
     let id = router.request(BOUNDED, 0);
     assert!(router.actions.contains(&Action::Reject(id, Some(Time::ms(500)))), "a group without members");
     let mut settings = test_settings();
-    settings.retry_after = false;
+    settings.send_retry_after = false;
     let mut router = TestRouter::with_cached_list(settings, vec![endpoint(1, 1, true)]);
     let id = router.request(IDEMPOTENT_BY_KEY, 0);
     assert!(router.actions.contains(&Action::Reject(id, None)));
@@ -99,8 +99,8 @@
     let delayed = (0..10).filter(|n| served(&mut router, 300 + 60 * n)).count();
     assert_eq!(delayed, 0, "each of these requests has waited for longer than its latency objective");
     (0..20).for_each(|_| assert!(served(&mut router, 1500)));
-    let short = (0..20).filter(|n| served(&mut router, if n % 4 == 0 { 1500 } else { 220 })).count();
-    assert!(short >= 18, "{short} of 20 sent: only the first with a new timeout counts as delayed");
+    let sent = (0..20).filter(|n| served(&mut router, if n % 4 == 0 { 1500 } else { 220 })).count();
+    assert!(sent >= 18, "{sent} of 20 sent: only the first with a new timeout counts as delayed");
 }
 
 #[test]
@@ -154,7 +154,9 @@
     let (low, high) =
         (request_under_limits(&mut router, EVENTUAL, 0.2), request_under_limits(&mut router, BOUNDED, 0.2));
     assert!(
-        router.is_rejected(low) && !router.attempts.contains_key(&low) && router.attempts.contains_key(&high)
+        router.is_rejected(low) && !router.attempts.contains_key(&low) && router.attempts.contains_key(&high),
+        "expected a rejection of {low:?} and an attempt of {high:?} only, attempts: {:?}",
+        router.attempts
     );
     // Half of the tokens is available: all requests are admitted.
     let low = request_under_limits(&mut router, EVENTUAL, 0.5);
--- a/crates/policy/tests/freshness.rs
+++ b/crates/policy/tests/freshness.rs
@@ -63,16 +63,16 @@
     }
     assert!(
         matches!(read(waits, 50).0, Some(2 | 3)),
-        "the read waits at the replica for the log to be applied"
+        "the read is sent to a replica, which delays it until it has applied the log up to the floor"
     );
-    let (first, then) = read(WhenBehind::Reject, 50);
+    let (at_arrival, later) = read(WhenBehind::Reject, 50);
     assert!(
-        first.is_none() && matches!(then, Some(2 | 3)),
-        "queued until a replica is fresh enough: {first:?}, {then:?}"
+        at_arrival.is_none() && matches!(later, Some(2 | 3)),
+        "queued until a replica is fresh enough: {at_arrival:?} at arrival, then {later:?}"
     );
-    let (first, then) = read(WhenBehind::ServeStale, 50);
+    let (at_arrival, later) = read(WhenBehind::ServeStale, 50);
     assert_eq!(
-        (first, then),
+        (at_arrival, later),
         (None, Some(1)),
         "only a reported position suffices, and the read stops waiting once the estimate reaches the floor"
     );
@@ -83,7 +83,7 @@
     // Guards against a replica that gets no reads although it has caught up, because its recorded position is
     // outdated, as in simulated runs of the deployments jb-ffb-trips and kk-harvest.
     let mut settings = test_settings();
-    settings.probe_positions = false;
+    settings.probes_report_position = false;
     let mut router = TestRouter::new(settings);
     router.replicas_respond_with_lag([2500, 2500]);
     router.advance(700);
@@ -99,7 +99,7 @@
 #[test]
 fn no_outdated_replica_gets_reads_while_another_is_fresh() {
     let mut settings = test_settings();
-    settings.probe_positions = false;
+    settings.probes_report_position = false;
     let mut router = TestRouter::new(settings);
     router.replicas_respond_with_lag([5000, 10]);
     router.advance(700);
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -76,7 +76,9 @@
 struct CheckedAttempt {
     member: MemberId,
     sent_at: Time,
+    /// When it times out: the end of its timeout, or the request's deadline if that is earlier.
     expires_at: Time,
+    /// How it ended; `None` while it is in flight.
     status: Option<Status>,
 }
 
@@ -88,6 +90,7 @@
     floor: Time,
     deadline: Time,
     attempts: Vec<CheckedAttempt>,
+    /// Whether the router has served, rejected or failed it, or its client no longer waits.
     completed: bool,
 }
 
@@ -165,13 +168,16 @@
                 };
                 let (completed, may_have_executed) = (
                     request.completed,
-                    request.attempts.iter().any(|t| t.status.is_none_or(|s| !s.proves_not_executed())),
+                    request
+                        .attempts
+                        .iter()
+                        .any(|attempt| attempt.status.is_none_or(|status| !status.proves_not_executed())),
                 );
                 request.completed = true;
                 let late = self.now > request.deadline.plus(Time::ms(20));
                 let idempotent = request.class.effect == Effect::Idempotent;
-                let deduplicated =
-                    request.class.effect == Effect::IdempotentByKey && request.class.scope == KeyScope::All;
+                let deduplicated = request.class.effect == Effect::IdempotentByKey
+                    && request.class.key_scope == KeyScope::All;
                 if completed || late || (may_have_executed && !idempotent && !deduplicated) {
                     self.add_violation(format!(
                         "rejected {id:?}: already completed {completed}, late {late}, \
@@ -180,7 +186,8 @@
                 }
                 if after.is_some_and(|t| t > self.settings.max_retry_after) {
                     self.add_violation(format!(
-                        "rejected {id:?} with a Retry-After above the longest allowed one"
+                        "rejected {id:?} with the Retry-After {after:?}, above the maximum of {:?}",
+                        self.settings.max_retry_after
                     ));
                 }
             }
@@ -220,20 +227,23 @@
             broken_rules.push("the member is in another group".into());
         }
         if request.attempts.len() >= self.settings.max_attempts as usize {
-            broken_rules.push("the maximum number of attempts is exceeded".into());
+            broken_rules.push(format!("the maximum of {} attempts is exceeded", self.settings.max_attempts));
         }
-        let in_flight = request.attempts.iter().any(|t| t.status.is_none());
-        if in_flight && !self.settings.hedging {
+        let in_flight = request.attempts.iter().any(|attempt| attempt.status.is_none());
+        if in_flight && !self.settings.hedging_allowed {
             broken_rules.push("a hedge is not allowed".into());
         }
-        let first = request.attempts.iter().find(|t| t.status.is_none_or(|s| !s.proves_not_executed()));
-        if let Some(first) = first {
+        let first_possible_execution = request
+            .attempts
+            .iter()
+            .find(|attempt| attempt.status.is_none_or(|status| !status.proves_not_executed()));
+        if let Some(first) = first_possible_execution {
             match request.class.effect {
                 Effect::Idempotent => {}
                 Effect::NonIdempotent => {
                     broken_rules.push("the request is not idempotent and may have been executed".into())
                 }
-                Effect::IdempotentByKey if now.since(first.sent_at) > request.class.window => {
+                Effect::IdempotentByKey if now.since(first.sent_at) > request.class.deduplication_window => {
                     broken_rules.push("the deduplication window has passed".into())
                 }
                 Effect::IdempotentByKey => {}
@@ -280,7 +290,8 @@
             // time of 80 ms.
             if recent > 8 + 3 * self.served_by_warm {
                 broken_rules.push(format!(
-                    "the member is warming up and got {recent} attempts in the overload window"
+                    "the member is warming up and got {recent} attempts in the overload window, more than {}",
+                    8 + 3 * self.served_by_warm
                 ));
             }
         }
@@ -342,6 +353,7 @@
     }
 
     /// Advances the clock by ten milliseconds, ends the attempts that time out, and fires the router's timer.
+    /// A request that is not completed within 20 ms after its deadline is a violation.
     fn tick(&mut self) {
         self.now = self.now.plus(Time::ms(10));
         for (id, number) in self.attempts_in_flight() {
@@ -351,12 +363,12 @@
         }
         self.event(Event::Timer(0));
         let now = self.now;
-        let lost = self
+        let overdue = self
             .requests
             .iter()
             .filter(|(_, request)| !request.completed && now > request.deadline.plus(Time::ms(20)));
-        let lost: Vec<RequestId> = lost.map(|(id, _)| *id).collect();
-        for id in lost {
+        let overdue: Vec<RequestId> = overdue.map(|(id, _)| *id).collect();
+        for id in overdue {
             self.add_violation(format!("{id:?} was not completed within 20 ms after its deadline"));
             if let Some(request) = self.requests.get_mut(&id) {
                 request.completed = true;
@@ -530,13 +542,13 @@
         1 => WhenBehind::Reject,
         _ => WhenBehind::Wait(Time::ms(100)),
     };
-    settings.hedging = flags & 4 == 0;
-    settings.probe_positions = flags & 8 == 0;
-    settings.probe_roles = flags & 8 == 0;
+    settings.hedging_allowed = flags & 4 == 0;
+    settings.probes_report_position = flags & 8 == 0;
+    settings.probes_report_role = flags & 8 == 0;
     if flags & 16 != 0 {
-        settings.classes[usize::from(IDEMPOTENT_BY_KEY.0)].scope = KeyScope::All;
+        settings.classes[usize::from(IDEMPOTENT_BY_KEY.0)].key_scope = KeyScope::All;
     }
-    settings.classes[usize::from(IDEMPOTENT_BY_KEY.0)].window = Time::ms(300);
+    settings.classes[usize::from(IDEMPOTENT_BY_KEY.0)].deduplication_window = Time::ms(300);
     if flags & 32 != 0 {
         settings.max_attempts = 3;
     }
