--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -7,11 +7,13 @@
 const PAGE_LEN: usize = PAYLOAD_CAPACITY - 40;
 /// The most bytes that one character takes in UTF-8.
 const MAX_CHAR_LEN: usize = 4;
-/// The bytes of padding in a request. A response is never longer than the padding of its request, so that a
-/// forged sender address can't be used to amplify traffic.
-pub const PADDING: usize = MAX_DATAGRAM - 60;
+/// The bytes of padding in a request. The remaining 60 bytes are for the other fields of the request and for
+/// the datagram's header and authentication code. The text of a response is never longer than the padding of
+/// its request, so that a forged sender address can't be used to amplify traffic.
+pub const PADDING_LEN: usize = MAX_DATAGRAM - 60;
 
-/// Splits lines into pages. Lines that are longer than a page are truncated.
+/// Splits lines into pages. A line is truncated after a quarter of `PAGE_LEN` characters, so that it fits on
+/// a page whatever its characters.
 pub fn paginate(lines: &[String]) -> Vec<String> {
     let mut pages = vec![String::new()];
     for line in lines {
@@ -29,10 +31,11 @@
 
 /// Returns the request for a page.
 pub fn request(id: u64, page: u16) -> Payload {
-    Payload::Status(StatusMessage::Request { id, page, padding: vec![0; PADDING] })
+    Payload::Status(StatusMessage::Request { id, page, padding: vec![0; PADDING_LEN] })
 }
 
-/// Returns the response to a request; `None` for any other message, and for a page that does not exist.
+/// Returns the response to a request. Returns `None` for any other message, if the page does not exist, and
+/// if the text of the page is longer than the padding of the request.
 pub fn response(message: &StatusMessage, lines: impl FnOnce() -> Vec<String>) -> Option<Payload> {
     let StatusMessage::Request { id, page, padding } = message else { return None };
     let pages = paginate(&lines());
