--- a/crates/fleet/src/swim/mod.rs
+++ b/crates/fleet/src/swim/mod.rs
@@ -11,7 +11,8 @@
 //! - A router that misses acknowledgements, or has to refute a suspicion, assumes that it is slow itself and
 //!   lengthens its timeouts. A router whose process was suspended suspects no peer for acknowledgements
 //!   missed in that time.
-//! - A suspect is notified of the suspicion with the next packet that is sent to it.
+//! - A router that receives a packet from a peer that it considers suspect, dead or left notifies the peer, so
+//!   that the peer can refute this.
 //!
 //! The roster is configured: routers do not have to join, and dead ones are pinged periodically, so that
 //! membership recovers after a partition heals.
@@ -35,8 +36,8 @@
 pub const PERIOD: Time = Time::ms(250);
 /// If a ping is not acknowledged within this time, other routers are requested to ping the target.
 const ACK_TIMEOUT: Time = Time::ms(90);
-/// The number of routers that are requested to ping a target (SWIM's `k`), and of further suspecting routers
-/// at which the suspicion timeout is shortest.
+/// The number of routers that are requested to ping a target (SWIM's `k`). With this number of suspecting
+/// routers, the suspicion timeout is at its minimum.
 const INDIRECT_PROBES: usize = 3;
 /// The largest value of Lifeguard's local health multiplier.
 const MAX_HEALTH_SCORE: u32 = 8;
--- a/crates/fleet/src/swim/probe.rs
+++ b/crates/fleet/src/swim/probe.rs
@@ -15,7 +15,7 @@
     pub target: NodeId,
     /// When other routers are requested to ping the target as well.
     pub indirect_at: Time,
-    /// When the target is suspected for lack of an acknowledgement.
+    /// When the target is suspected if it has not acknowledged the ping.
     pub times_out_at: Time,
     /// Whether other routers have been requested to ping the target.
     pub indirect_sent: bool,
