--- a/crates/fleet/src/fleet/receive.rs
+++ b/crates/fleet/src/fleet/receive.rs
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Handles a packet whose signature has been verified.
+    /// Handles a packet whose authentication code has been verified.
     pub fn receive_packet(&mut self, now: Time, packet: Packet, effects: &mut Vec<Effect>) {
         match self.accept_packet(now, &packet, effects) {
             Ok(sender) => self.handle_messages(now, &sender, &packet.messages, effects),
@@ -58,7 +58,8 @@
         }
         let knows_receiver_incarnation = packet.to_incarnation != 0;
         if knows_receiver_incarnation && packet.to_incarnation != self.swim.incarnation() {
-            // Every packet carries the sender's incarnation, so the content of the message does not matter.
+            // The packet itself tells the sender this router's incarnation, so the content of the message does
+            // not matter.
             self.correct(now, packet, Message::Ack { number: 0 }, effects);
             return Err(DropReason::OtherIncarnation);
         }
@@ -118,8 +119,9 @@
                 | Message::IndirectAck { .. }
                 | Message::Gossip(_) => self.swim.receive(now, sender.id.node, message, &mut outputs),
                 Message::StaleIncarnation { latest } => {
+                    let name = self.config.roster.name(sender.id.node);
                     effects.push(Effect::Log(format!(
-                        "fleet: a peer knows a later incarnation {latest} of this router; taking a newer one"
+                        "fleet: {name} knows a later incarnation {latest} of this router; taking a newer one"
                     )));
                     self.swim.supersede_incarnation(*latest);
                 }
--- a/crates/fleet/src/fleet/status_lines.rs
+++ b/crates/fleet/src/fleet/status_lines.rs
@@ -14,7 +14,7 @@
     /// votes or units are withheld.
     pub fn status_lines(&self, now: Time) -> Vec<String> {
         let mut lines = vec![self.router_line()];
-        lines.extend(self.swim.peers().map(|(id, view)| self.member_line(now, id, view)));
+        lines.extend(self.swim.peers().map(|(id, view)| self.peer_line(now, id, view)));
         lines.extend(self.leases.claims().map(|(owner, claim)| self.lease_line(now, *owner, claim)));
         lines.extend(self.accounts.iter().map(|(key, _)| self.limit_line(now, *key)));
         lines.extend(self.datagram_lines());
@@ -32,7 +32,7 @@
         )
     }
 
-    fn member_line(&self, now: Time, id: NodeId, view: &PeerView) -> String {
+    fn peer_line(&self, now: Time, id: NodeId, view: &PeerView) -> String {
         let ago = |at: Time| format!("{:.1} s", now.since(at).secs());
         let withheld = match self.links.mismatch(id) {
             ConfigMismatch { roster: true, .. } => " withheld: another list of names",
