--- a/crates/fleet/src/account/coordinator.rs
+++ b/crates/fleet/src/account/coordinator.rs
@@ -11,7 +11,7 @@
 
 /// The number of periods after which a reported demand of a peer no longer counts.
 const DEMAND_VALID_PERIODS: f64 = 5.0;
-/// The largest headroom of a router, as a number of requests of the burst.
+/// The largest headroom of a router: the units that allow this number of requests of the burst.
 const MAX_HEADROOM_REQUESTS: f64 = 4.0;
 
 /// The demand that a peer has reported.
--- a/crates/fleet/src/account/mod.rs
+++ b/crates/fleet/src/account/mod.rs
@@ -37,7 +37,7 @@
 /// The headroom, in tokens, below which a low fill level counts as scarcity.
 const SCARCE_HEADROOM_TOKENS: f64 = 0.5;
 
-/// The capacity that the limits on a request leave for it.
+/// The capacity that is available to a request under the limits that count it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Availability {
     /// The lowest fill level of the token buckets of these limits. A bucket with a token counts as full while
@@ -76,7 +76,7 @@
     /// Whether there is always demand for at least one token. Budgets need it, because their tokens are
     /// requested only once they are available.
     pub has_standing_demand: bool,
-    /// The number before that of the first loan request.
+    /// The first loan request has the number after this one.
     pub loan_number_base: u32,
     /// How long loans are valid.
     pub timing: Timing,
@@ -128,9 +128,9 @@
     pub demand: u64,
     /// Slots in use.
     pub in_use: u64,
-    /// Requests admitted, or slots occupied, since the start.
+    /// Requests admitted, or slots occupied, since the account was opened.
     pub admitted: u64,
-    /// Requests rejected, or slots missing, since the start.
+    /// Requests rejected, or attempts for which no slot was free, since the account was opened.
     pub rejected: u64,
     /// The next time at which units expire or lent units become available again.
     pub next_expiry: Option<Time>,
--- a/crates/fleet/src/fleet/accounts.rs
+++ b/crates/fleet/src/fleet/accounts.rs
@@ -14,7 +14,8 @@
 use basalthill_policy::api::Time;
 use std::collections::BTreeMap;
 
-/// The most accounts for members that peers report on but this router does not know.
+/// Limits the accounts that are opened for members that peers report on but this router does not know. Such
+/// an account is opened only while there are fewer accounts than this number plus the number of known members.
 const MAX_UNKNOWN_MEMBER_ACCOUNTS: usize = 4096;
 
 /// The loan requests of an account are numbered from the time between the start of the router and the opening
@@ -83,8 +84,8 @@
     }
 
     /// Returns the account of a key, settled. If there is no account because this router does not know the
-    /// member, one is opened, provided that the key belongs to a limit at each member and
-    /// `MAX_UNKNOWN_MEMBER_ACCOUNTS` is not exceeded.
+    /// member, one is opened, provided that the key belongs to a limit at each member and that
+    /// `MAX_UNKNOWN_MEMBER_ACCOUNTS` allows a further account.
     pub fn settled_or_open(
         &mut self,
         now: Time,
@@ -116,8 +117,8 @@
         slots_free_at: Time,
     ) -> QuotaAccount {
         let is_rate = matches!(limit.bounds, Bounds::Rate { .. });
-        // Tokens are spent at once, so a rate's reserve is usable immediately, and loans of it do not have to
-        // outlast any use.
+        // Tokens are spent at once, so a rate's reserve is usable immediately, and the spans of its loans do
+        // not have to include the time for which a unit is in use.
         let reserve_from = if is_rate { now } else { slots_free_at };
         let timing = if is_rate {
             Timing { lease: config.timing.lease, ..Timing::new(config.timing.drift, Time(0)) }
--- a/crates/fleet/src/fleet/links.rs
+++ b/crates/fleet/src/fleet/links.rs
@@ -52,8 +52,8 @@
         link.last_sequence
     }
 
-    /// Records a packet from an incarnation of a peer. Returns whether no packet with its sequence number has
-    /// been recorded before.
+    /// Records a packet from an incarnation of a peer. Returns whether its sequence number is new; a number
+    /// below the replay window counts as not new.
     pub fn accept(&mut self, from: NodeId, incarnation: u64, sequence: u64) -> bool {
         let link = self.links.entry(from).or_default();
         if incarnation != link.incarnation {
--- a/crates/fleet/src/fleet/mod.rs
+++ b/crates/fleet/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! One router's part in the fleet. Its inputs are datagrams, ticks and queries of the limits; its outputs are
-//! datagrams and log lines.
+//! The state of one router of the fleet. Its inputs are datagrams, ticks and queries of the limits; its outputs
+//! are datagrams and log lines.
 //!
 //! [`Fleet`] dispatches each input to the module that owns the state: `links` has the sequence numbers of
 //! each peer, `quota_leases` the votes and claims, `accounts` the quota accounts, `outbox` the messages to be
@@ -50,7 +50,7 @@
 /// steps derived from its seed and id, so that the rounds of different routers do not coincide.
 const ROUND_OFFSET_STEPS: u64 = 1000;
 
-/// One router's part in the fleet.
+/// The state of one router of the fleet.
 pub struct Fleet {
     me: NodeId,
     config: FleetConfig,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Returns the limits in force.
+    /// Returns the limits of the current configuration.
     pub fn limits(&self) -> &[Limit] {
         &self.config.limits
     }
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum VoteDenied {
     /// The requested span is longer than [`MAX_LEASE`].
-    #[error("the requested span {0:?} exceeds the longest lease")]
+    #[error("the requested span {0:?} exceeds the longest lease of {max:?}", max = MAX_LEASE)]
     SpanTooLong(Time),
     /// The voter has just started: votes of its earlier incarnation may still be valid.
     #[error("the voter has just started; votes of its earlier incarnation may still be valid")]
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -2,7 +2,7 @@
 //! links between them fail. The crate uses no clock and does no I/O: the caller passes in received datagrams
 //! with their time, and sends the datagrams that the crate returns.
 //!
-//! [`Fleet`] is one router's part of it and combines the modules:
+//! [`Fleet`] is the state of one router of the fleet and combines the modules:
 //!
 //! - [`roster`] is the list of routers from the settings, [`limit`] defines the limits, and [`timing`] how
 //!   long leases and loans are valid.
@@ -13,7 +13,7 @@
 //!   routers, and [`ledger`] records how many units a router has, and until when. [`account`] combines them
 //!   for one limit; [`token_bucket`] and [`slots`] spend the units.
 //!
-//! `docs/design/fleet.md` argues why the units in use never exceed a limit.
+//! `docs/design/fleet.md` explains why the units in use never exceed a limit.
 
 pub mod account;
 pub mod codec;
--- a/crates/fleet/src/limit.rs
+++ b/crates/fleet/src/limit.rs
@@ -50,7 +50,7 @@
     Rate {
         /// Requests per second.
         per_s: f64,
-        /// Requests that may arrive at once after a pause.
+        /// Requests that may be admitted at once after a pause.
         burst: f64,
     },
     /// The number of attempts that may be in flight at a time.
@@ -95,15 +95,15 @@
 }
 
 /// Tags of the variants of [`Bounds`] in the digest of a limit.
-const RATE_DIGEST: u64 = 1;
-const CONCURRENT_DIGEST: u64 = 2;
+const RATE_TAG: u64 = 1;
+const CONCURRENT_TAG: u64 = 2;
 
 impl Limit {
     /// Returns a digest of the limit. Different limits have different digests, except for collisions.
     pub fn digest(&self) -> u64 {
         let (kind, first, second) = match self.bounds {
-            Bounds::Rate { per_s, burst } => (RATE_DIGEST, per_s.to_bits(), burst.to_bits()),
-            Bounds::Concurrent(slots) => (CONCURRENT_DIGEST, u64::from(slots), 0),
+            Bounds::Rate { per_s, burst } => (RATE_TAG, per_s.to_bits(), burst.to_bits()),
+            Bounds::Concurrent(slots) => (CONCURRENT_TAG, u64::from(slots), 0),
         };
         let subject = match &self.subject {
             Subject::Tenant(name) => stable_hash(name.as_bytes()) ^ 1,
@@ -125,7 +125,7 @@
     }
 }
 
-/// What units are counted for: a limit, or a limit at one member.
+/// Identifies what the units of an account belong to: a limit, or a limit at one member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LimitKey {
     /// The hash of the limit's name.
--- a/crates/fleet/src/loan.rs
+++ b/crates/fleet/src/loan.rs
@@ -130,7 +130,7 @@
 }
 
 impl Borrowing {
-    /// Creates an empty borrowing whose first request has the number after `number`.
+    /// Creates an empty borrowing whose first request has the number `number + 1`.
     pub fn numbered_from(number: u32) -> Borrowing {
         Borrowing { number, ..Borrowing::default() }
     }
@@ -249,7 +249,8 @@
     /// Removes loans that have expired.
     pub fn expire(&mut self, now: Time, ledger: &mut Ledger) {
         if self.schedule.has_expired(now) {
-            // The ledger rounds the end of a debit up to a tick, so its entry expires up to one tick later.
+            // Cancelling the debit makes the units available now. The ledger rounds the end of a debit up to
+            // a tick, so without this they would become available up to one tick later.
             self.change(ledger, |schedule| schedule.expire(now));
         }
     }
--- a/crates/fleet/src/packet.rs
+++ b/crates/fleet/src/packet.rs
@@ -19,7 +19,8 @@
 /// The largest size of a datagram, in bytes. It fits in an Ethernet frame without fragmentation, even inside
 /// a tunnel.
 pub const MAX_DATAGRAM: usize = 1200;
-/// Bytes reserved for the signature and for the fields of a packet other than its messages.
+/// Bytes reserved for the datagram's header and authentication code, and for the fields of a packet other
+/// than its messages.
 const PACKET_OVERHEAD: usize = 80;
 /// The most bytes that the messages of a packet may take.
 pub const PAYLOAD_CAPACITY: usize = MAX_DATAGRAM - PACKET_OVERHEAD;
@@ -32,7 +33,7 @@
     Alive,
     /// The peer did not acknowledge a ping.
     Suspect,
-    /// The peer did not refute its suspicion in time.
+    /// The peer did not refute a suspicion in time.
     Dead,
     /// The peer has reported that it shuts down.
     Left,
