--- a/crates/fleet/tests/limits.rs
+++ b/crates/fleet/tests/limits.rs
@@ -172,8 +172,8 @@
             before >= 0.95 && after >= 0.95,
             "{before} of the rate is used before the partition, {after} after it"
         );
-        // With two groups, one group has a majority of the voters on each quota; with three, possibly none
-        // has.
+        // With two groups, one of them has a majority of the voters on each quota. With three, there may be
+        // quotas for which no group has a majority.
         assert!(
             during >= if groups.len() == 2 { 0.93 } else { 0.25 },
             "{during} of the rate is used during the partition"
@@ -188,7 +188,8 @@
     for second in 0..30 {
         fleet.links.cut.clear();
         if second % 2 == 0 {
-            // The first four routers receive nothing from the others, which receive their datagrams.
+            // Cuts the links from the last four routers to the first four. Datagrams in the other direction
+            // arrive.
             fleet.links.cut.extend((0..4).flat_map(|a| (4..8).map(move |b| (b, a))));
         }
         fleet.run_until(seconds(f64::from(second) + 1.0));
@@ -555,8 +556,8 @@
             match fault {
                 Fault::Partition(bits) => {
                     let group_of = |n: usize| (bits >> (2 * (n % 32)) & 3) as usize % 3;
-                    let members = |group| (0..routers).filter(|n| group_of(*n) == group).collect();
-                    fleet.links.partition(&[members(0), members(1), members(2)]);
+                    let routers_of = |group| (0..routers).filter(|n| group_of(*n) == group).collect();
+                    fleet.links.partition(&[routers_of(0), routers_of(1), routers_of(2)]);
                 }
                 Fault::Heal => fleet.links.cut.clear(),
                 Fault::Kill(n) => fleet.kill(n % routers),
--- a/crates/fleet/tests/model/loans.rs
+++ b/crates/fleet/tests/model/loans.rs
@@ -110,7 +110,7 @@
                     return Some(());
                 }
                 if incarnation > lender.known_incarnation {
-                    // This is what `QuotaAccount` does when its peer has restarted.
+                    // `QuotaAccount::forget_peer` does the same when a peer has restarted.
                     lender.known_incarnation = incarnation;
                     lender.lending = Lending::default();
                 }
--- a/crates/fleet/tests/model/main.rs
+++ b/crates/fleet/tests/model/main.rs
@@ -17,8 +17,8 @@
 const DRIFT: f64 = 1.0 / 3.0;
 /// The span of loans and votes, by the clock of the borrower or the candidate.
 const SPAN: Time = Time::ms(60);
-/// The number of states that a checked model has to exceed. With fewer, its bounds are too narrow for the
-/// result to mean anything.
+/// The number of states that a checked model has to exceed. A model with fewer states is bounded too narrowly
+/// to cover the orders of events that matter.
 const MIN_STATES: usize = 100_000;
 
 /// Explores all states of a model and asserts its properties.
