--- a/crates/client/src/core/attempts.rs
+++ b/crates/client/src/core/attempts.rs
@@ -95,8 +95,8 @@
         (random << (u64::BITS - ATTEMPT_ID_RANDOM_BITS)) ^ self.last_id ^ (self.counters.attempts << 3)
     }
 
-    /// Opens connections until as many are being opened as requests are ready, as far as the reconnect gate
-    /// and the routers allow.
+    /// Opens connections, as far as the reconnect gate and the routers allow, until the number of connections
+    /// that are being opened has reached the number of ready requests.
     fn open_connections(&mut self, now: Instant) {
         if self.connections.starting_count() >= self.requests.ready_count() {
             return;
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Abandons the attempt that a request has in flight, if there is one, and closes its connection: a late
-    /// response must not be taken for the response to the next request.
+    /// Abandons the attempt that a request has in flight, if there is one, and closes its connection, so that
+    /// a late response is not taken for the response to the next request.
     pub(super) fn abandon_attempt(&mut self, now: Instant, id: RequestId) {
         let Some(connection_id) = self.requests.take_connection(id) else { return };
         let Some(connection) = self.remove_connection(connection_id) else { return };
--- a/crates/client/src/core/exchange.rs
+++ b/crates/client/src/core/exchange.rs
@@ -96,8 +96,7 @@
                 ResponseProgress::Incomplete
             }
             ServerMessage::SessionToken(token) => {
-                // A router may send a token as early as when it forwards the statement. So the router has
-                // read the statement.
+                // A router sends a token when it forwards the statement or later, so it has read the statement.
                 self.has_response_started = true;
                 ResponseProgress::SessionToken(token)
             }
--- a/crates/client/src/core/reconnect_gate.rs
+++ b/crates/client/src/core/reconnect_gate.rs
@@ -4,8 +4,8 @@
 
 use std::time::{Duration, Instant};
 
-/// Maximum delay, as a fraction of a waiting request's remaining time.
-const SLACK_FRACTION: f64 = 0.5;
+/// Maximum delay, as a fraction of the remaining time of the first waiting request.
+const MAX_REMAINING_FRACTION: f64 = 0.5;
 /// Maximum number of times that the spread is doubled while routers reject connections.
 const MAX_DOUBLINGS: u32 = 3;
 
@@ -56,7 +56,7 @@
     pub(super) fn admits(&mut self, now: Instant, remaining: Duration, rng: &mut fastrand::Rng) -> bool {
         let was_connection_lost = std::mem::take(&mut self.was_connection_lost);
         if was_connection_lost && !self.is_closed(now) {
-            let spread = self.current_spread().min(remaining.mul_f64(SLACK_FRACTION));
+            let spread = self.current_spread().min(remaining.mul_f64(MAX_REMAINING_FRACTION));
             self.opens_at = Some(now + spread.mul_f64(rng.f64()));
         }
         !self.is_closed(now)
--- a/crates/client/src/core/requests.rs
+++ b/crates/client/src/core/requests.rs
@@ -27,8 +27,8 @@
     ready_at: Instant,
     /// Whether the request occupies one of its session's slots for requests in flight.
     has_session_slot: bool,
-    /// The session tokens in the statement of the latest attempt, or the token received since then that
-    /// replaced them.
+    /// The session tokens in the statement of the latest attempt. If a token was received since the attempt
+    /// was started, it has replaced them.
     sent_tokens: Vec<String>,
 }
 
--- a/crates/client/src/core/retry_budget.rs
+++ b/crates/client/src/core/retry_budget.rs
@@ -12,7 +12,7 @@
 #[derive(Debug)]
 pub(super) struct RetryBudget {
     /// Number of retries that each request adds; a fraction of one.
-    deposit: f64,
+    retries_per_request: f64,
     /// Maximum of `balance`, in retries.
     capacity: f64,
     /// Number of retries in the bucket.
@@ -23,7 +23,7 @@
     /// Creates a full budget.
     pub(super) fn new(config: &Config) -> RetryBudget {
         RetryBudget {
-            deposit: config.retry_ratio,
+            retries_per_request: config.retry_ratio,
             capacity: config.retry_budget_capacity,
             balance: config.retry_budget_capacity,
         }
@@ -31,7 +31,7 @@
 
     /// Adds the fraction of a retry that each new request earns.
     pub(super) fn deposit(&mut self) {
-        self.balance = (self.balance + self.deposit).min(self.capacity);
+        self.balance = (self.balance + self.retries_per_request).min(self.capacity);
     }
 
     /// Removes one retry from the budget, unless less than the reserve for higher priorities would remain.
--- a/crates/client/src/protocol.rs
+++ b/crates/client/src/protocol.rs
@@ -8,8 +8,8 @@
 };
 
 /// Maximum length of a message's body, in bytes. A value of 64 KiB takes 128 KiB in text form, as
-/// hexadecimal digits; the rest is for the fields before it.
-const MAX_MESSAGE_BYTES: usize = 160 * 1024;
+/// hexadecimal digits; the rest is for the other fields of the message.
+const MAX_BODY_LEN: usize = 160 * 1024;
 /// Body of the AuthenticationOk message, with which the router requires no authentication.
 const AUTHENTICATION_OK: [u8; 4] = [0; 4];
 /// Name of the parameter whose ParameterStatus messages carry session tokens.
@@ -85,8 +85,7 @@
     /// Returns an error if the bytes are not a message that a router may send.
     pub(crate) fn next_message(&mut self) -> Result<Option<ServerMessage>, ProtocolError> {
         loop {
-            let Some(MessageHeader { kind, body_len }) = self.buffer.message_header(MAX_MESSAGE_BYTES)?
-            else {
+            let Some(MessageHeader { kind, body_len }) = self.buffer.message_header(MAX_BODY_LEN)? else {
                 return Ok(None);
             };
             let end = HEADER_LEN + body_len;
