--- a/crates/client/tests/core/retries.rs
+++ b/crates/client/tests/core/retries.rs
@@ -14,8 +14,7 @@
 #[test]
 fn retry_waits_for_retry_after_and_never_past_the_deadline() {
     let window = |earliest_ms, latest_ms| Some(RetryWindow { earliest_ms, latest_ms });
-    // The rejection's detail and the window of the retry; `None` if the request is completed
-    // immediately.
+    // The rejection's detail and the window of the retry; `None` if the request is completed immediately.
     let cases = [
         (Some("100"), window(100, 151)),
         (Some("0"), window(20, 31)),
--- a/crates/client/tests/core/sessions.rs
+++ b/crates/client/tests/core/sessions.rs
@@ -35,7 +35,10 @@
     submit_write(&mut harness, &session);
     let connection = harness.accept_connection();
     let first = &harness.sent[0].text;
-    assert!(first.contains(",session=anne") && !first.contains("token"));
+    assert!(
+        first.contains(",session=anne") && !first.contains("token"),
+        "expected the session's name and no token in {first:?}"
+    );
     // A token sent ahead of the response, then the response's token, which replaces it.
     harness.receive(connection, &session_token("early"));
     assert_eq!(session.tokens(), ["early"]);
@@ -46,7 +49,7 @@
         submit_write(&mut harness, &session);
     }
     accept_until_sent(&mut harness, 9);
-    assert_eq!(harness.sent.len(), 9, "the first statement and eight of the twenty");
+    assert_eq!(harness.sent.len(), 9, "expected the first statement and eight of the twenty");
     let mut responses = 0;
     while harness.reports.len() < 21 {
         let connection = harness.sent[1 + responses].connection;
--- a/crates/client/tests/core/simulation.rs
+++ b/crates/client/tests/core/simulation.rs
@@ -18,7 +18,7 @@
     Connected(ConnectionId),
     Disconnected(ConnectionId, DisconnectReason),
     Received(ConnectionId, Vec<u8>),
-    /// The remaining bytes of a statement were handed to the operating system.
+    /// The remaining bytes of a statement, `written` in number, were handed to the operating system.
     Written {
         connection: ConnectionId,
         written: usize,
@@ -134,7 +134,7 @@
                 self.submit();
                 submit_at += Duration::from_millis(self.rng.u64(..30));
                 if self.rng.u64(..12) == 0 {
-                    self.cancel_any();
+                    self.cancel_random_request();
                 }
             } else if next_event == Some(next) {
                 let (_, event) = self.events.pop_first().expect("no event is scheduled");
@@ -194,7 +194,7 @@
     }
 
     /// Cancels a random request, which may have ended already.
-    fn cancel_any(&mut self) {
+    fn cancel_random_request(&mut self) {
         let index = self.rng.usize(..self.keys.len());
         let (id, key) = self.keys.iter().nth(index).expect("no request at the index");
         let request = self.requests.get_mut(key).expect("unknown request");
--- a/crates/client/tests/core/validation.rs
+++ b/crates/client/tests/core/validation.rs
@@ -35,8 +35,12 @@
     let id = harness.submit(request.deadline(harness.now + 900 * MS));
     let connection = harness.accept_connection();
     let statement = &harness.sent[0].text;
-    assert!(statement.starts_with("SELECT v FROM records WHERE k = 'o''x'' /* id=7 */' /* id="));
+    let expected_start = "SELECT v FROM records WHERE k = 'o''x'' /* id=7 */' /* id=";
+    assert!(statement.starts_with(expected_start), "{statement:?} does not start with {expected_start:?}");
     harness.receive(connection, &error("22023", None));
     let outcome = harness.outcome(id);
-    assert!(matches!(outcome, Some(RequestOutcome::Invalid(invalid)) if invalid.code() == "22023"));
+    assert!(
+        matches!(outcome, Some(RequestOutcome::Invalid(invalid)) if invalid.code() == "22023"),
+        "expected Invalid with code 22023, got {outcome:?}"
+    );
 }
