--- a/crates/config/src/local_settings/fleet.rs
+++ b/crates/config/src/local_settings/fleet.rs
@@ -33,12 +33,12 @@
 /// The maximum age in the fleet's key ring. It has no effect: only session tokens expire by their age,
 /// datagrams don't.
 const NO_MAX_AGE: Time = Time(0);
-/// The key in the errors of a limit as a whole.
-const LIMIT: &str = "fleet.limit";
+/// The key in errors that concern a limit as a whole.
+const LIMIT_KEY: &str = "fleet.limit";
 /// The properties that select what a limit counts. Each limit has exactly one of them.
-const SUBJECTS: [&str; 5] = ["tenant", "class", "group", "each-member", "budget"];
-/// The properties that say how much a limit allows.
-const BOUNDS: [&str; 4] = ["per-s", "burst", "at-once", "alone-percent"];
+const SUBJECT_PROPERTIES: [&str; 5] = ["tenant", "class", "group", "each-member", "budget"];
+/// The properties that say how much a limit allows, and which part of it each router keeps for itself.
+const BOUND_PROPERTIES: [&str; 4] = ["per-s", "burst", "at-once", "alone-percent"];
 
 /// Reads the section.
 pub(super) fn read(reader: &KdlReader, node: &KdlNode) -> Result<FleetSettings, ConfigError> {
@@ -124,11 +124,11 @@
             }
         }
         if limits.iter().any(|other| excludes(other, &limit)) {
-            return Err(reader.node_error(node, LIMIT, Problem::SubjectHasLimit));
+            return Err(reader.node_error(node, LIMIT_KEY, Problem::SubjectHasLimit));
         }
         if limits.iter().any(|other| other.name == limit.name) {
             let problem = Problem::DuplicateName { name: limit.name };
-            return Err(reader.node_error(node, LIMIT, problem));
+            return Err(reader.node_error(node, LIMIT_KEY, problem));
         }
         limits.push(limit);
     }
@@ -151,8 +151,8 @@
 const NO_BURST: f64 = 0.0;
 
 fn read_limit(reader: &KdlReader, node: &KdlNode) -> Result<Limit, ConfigError> {
-    reader.check_entries(node, LIMIT, 1, &[&SUBJECTS[..], &BOUNDS].concat())?;
-    let name = reader.text(node, LIMIT, 0)?.to_string();
+    reader.check_entries(node, LIMIT_KEY, 1, &[&SUBJECT_PROPERTIES[..], &BOUND_PROPERTIES].concat())?;
+    let name = reader.text(node, LIMIT_KEY, 0)?.to_string();
     let subject = read_subject(reader, node)?;
     let per_s = reader.number(node, "fleet.limit.per-s", "per-s", 0.001..=1e9)?;
     let burst = reader.number(node, "fleet.limit.burst", "burst", 1.0..=1e9)?;
@@ -161,23 +161,24 @@
     let bounds = match (per_s, at_once, burst) {
         (Some(per_s), None, burst) => Bounds::Rate { per_s, burst: burst.unwrap_or(NO_BURST) },
         (None, Some(attempts), None) => Bounds::Concurrent(attempts as u32),
-        _ => return Err(reader.node_error(node, LIMIT, Problem::NotOneBound)),
+        _ => return Err(reader.node_error(node, LIMIT_KEY, Problem::NotOneBound)),
     };
     let counts_members = subject == Subject::EachMember;
     let counts_attempts = matches!(bounds, Bounds::Concurrent(_));
     if counts_members != counts_attempts {
-        return Err(reader.node_error(node, LIMIT, Problem::BoundDoesNotFitSubject));
+        return Err(reader.node_error(node, LIMIT_KEY, Problem::BoundDoesNotFitSubject));
     }
     let reserved_fraction = alone_percent.unwrap_or(DEFAULT_ALONE_PERCENT) / 100.0;
     Ok(Limit { name, subject, bounds, reserved_fraction })
 }
 
 fn read_subject(reader: &KdlReader, node: &KdlNode) -> Result<Subject, ConfigError> {
-    let found: Vec<&str> = SUBJECTS.into_iter().filter(|name| node.entry(*name).is_some()).collect();
+    let found: Vec<&str> =
+        SUBJECT_PROPERTIES.into_iter().filter(|name| node.entry(*name).is_some()).collect();
     let [property] = found[..] else {
-        return Err(reader.node_error(node, LIMIT, Problem::NotOneSubject));
+        return Err(reader.node_error(node, LIMIT_KEY, Problem::NotOneSubject));
     };
-    let key = format!("{LIMIT}.{property}");
+    let key = format!("{LIMIT_KEY}.{property}");
     match property {
         "tenant" => Ok(Subject::Tenant(reader.text(node, &key, property)?.into())),
         "class" => Ok(Subject::Class(reader.text(node, &key, property)?.into())),
--- a/crates/config/src/local_settings/kdl_reader.rs
+++ b/crates/config/src/local_settings/kdl_reader.rs
@@ -10,8 +10,8 @@
 /// The largest value of a setting in milliseconds.
 const MAX_MS: i128 = 60_000;
 
-/// Reads the nodes of a file. It needs the text of the file to convert the offset of a node to line and
-/// column.
+/// Reads the nodes of a file. The reader needs the text of the file to convert the offset of a node to its
+/// line and column.
 pub(super) struct KdlReader<'a> {
     text: &'a str,
 }
--- a/crates/config/src/local_settings/mod.rs
+++ b/crates/config/src/local_settings/mod.rs
@@ -15,7 +15,7 @@
 use kdl_reader::KdlReader;
 use std::path::Path;
 
-/// The content of the file. The default is what applies without a file.
+/// The content of the file. The default values apply if there is no file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LocalSettings {
     /// The settings of session consistency; `None` if only the platform's rules apply.
--- a/crates/config/src/router/mod.rs
+++ b/crates/config/src/router/mod.rs
@@ -165,8 +165,9 @@
         variable: &'static str,
         in_file: Option<String>,
     ) -> Result<String, ConfigError> {
-        let file_wins = self.phase == LoadPhase::Reload && key == "discovery" && in_file.is_some();
-        let in_environment = (self.variable)(variable).filter(|value| !value.is_empty() && !file_wins);
+        let file_has_precedence = self.phase == LoadPhase::Reload && key == "discovery" && in_file.is_some();
+        let in_environment =
+            (self.variable)(variable).filter(|value| !value.is_empty() && !file_has_precedence);
         if in_environment.is_some() && in_file.is_some() && in_environment != in_file {
             self.overridden_keys.push(key.to_string());
         }
--- a/crates/config/src/router/resource_limits.rs
+++ b/crates/config/src/router/resource_limits.rs
@@ -35,9 +35,9 @@
     }
 
     /// Returns the number of clients at which each new client causes the eviction of the client that has been
-    /// idle for longest. All client programs together can open no more connections than a third of
-    /// `sockets`. Many send one request and then leave their connection open: without evictions below that
-    /// number, idle connections would use up the third, and clients with a request could not connect.
+    /// idle for longest. All clients together can have at most `sockets / 3` connections open. Many clients
+    /// send one request and then leave their connection open. Without evictions below that limit, idle
+    /// connections would reach it, and clients with a request could not connect.
     pub fn client_eviction_threshold(&self) -> usize {
         self.sockets / 4
     }
--- a/crates/config/src/router/timeouts.rs
+++ b/crates/config/src/router/timeouts.rs
@@ -34,26 +34,27 @@
 /// its first byte to its last.
 pub const CLIENT_MESSAGE_TIMEOUT: Time = Time::ms(2000);
 
-/// The longest time for which a router may be suspended between reading its clock and writing to a host. What
-/// it writes still has to arrive within the grace period of a draining host, so the router uses a grace
-/// period that is shorter by this time.
+/// The longest time for which a router may be suspended between reading its clock and writing to a host. The
+/// query still has to arrive within the grace period of a draining host, so the router uses a grace period
+/// that is shorter by this time.
 pub const MAX_SCHEDULING_DELAY: Time = Time::ms(150);
 
 /// The time within which a client must accept a reply; after it, the router closes the connection.
 pub const CLIENT_WRITE_TIMEOUT: Time = Time::ms(5000);
 
-/// The number of consecutive unsupported commands after which a client's connection is closed.
+/// The number of unsupported or invalid commands, without a served request in between, after which a client's
+/// connection is closed.
 pub const MAX_CLIENT_FAULTS: u32 = 16;
 
 /// The time after its start at which a router counts as ready even if it has received no endpoint list.
 pub const READY_TIMEOUT: Time = Time::ms(5000);
 
-/// The time for which requests are accepted as usual after the signal to stop: the load balancer in front of
-/// the router still sends requests to it.
+/// The time for which requests are accepted as usual after the signal to stop, because the load balancer in
+/// front of the router still sends requests to the router.
 pub const STOP_GRACE: Time = Time::ms(500);
 
 /// The longest client timeout that a shutdown waits for.
-const MAX_SHUTDOWN_DEADLINE: Time = Time::ms(3000);
+const MAX_AWAITED_CLIENT_TIMEOUT: Time = Time::ms(3000);
 
 /// The time for which the shutdown continues after the longest client timeout.
 const SHUTDOWN_MARGIN: Time = Time::ms(500);
@@ -64,5 +65,5 @@
 pub fn shutdown_timeout(deployment: &Deployment) -> Time {
     let classes = deployment.settings.classes.iter();
     let longest = classes.map(|class| class.client_timeout).max().unwrap_or_default();
-    longest.min(MAX_SHUTDOWN_DEADLINE).plus(SHUTDOWN_MARGIN)
+    longest.min(MAX_AWAITED_CLIENT_TIMEOUT).plus(SHUTDOWN_MARGIN)
 }
--- a/crates/config/src/settings/mod.rs
+++ b/crates/config/src/settings/mod.rs
@@ -33,8 +33,8 @@
     pub settings: Settings,
     /// Where session floors come from according to the platform's rules.
     pub platform_floors: PlatformFloors,
-    /// The time from which log positions count in the simulator's frames. On sockets, positions are Unix
-    /// times.
+    /// The time that log positions in the simulator's frames are relative to. On connections to hosts,
+    /// positions are Unix times.
     pub position_epoch: Time,
     /// The columns of a load report.
     pub report_columns: Vec<String>,
--- a/crates/config/tests/local_settings.rs
+++ b/crates/config/tests/local_settings.rs
@@ -40,7 +40,7 @@
     assert_eq!(sessions.snapshot, None);
     let bare = parse("sessions floor=\"connection\"").unwrap().sessions.unwrap();
     assert_eq!((bare.config.keys, bare.config.token_delivery), (None, TokenDelivery::Never));
-    let assert_same = |a: &Time, b: &Time| assert_eq!(a, b, "the file shows the defaults");
+    let assert_same = |a: &Time, b: &Time| assert_eq!(a, b, "the shipped file must show the default");
     assert_same(&bare.config.skew, &sessions.config.skew);
     assert_same(&bare.config.settle_time, &sessions.config.settle_time);
     assert_same(&bare.config.lead, &sessions.config.lead);
