--- a/crates/config/src/router/mod.rs
+++ b/crates/config/src/router/mod.rs
@@ -57,7 +57,7 @@
 
 impl RouterConfig {
     /// Returns the keys whose values differ in a reloaded configuration and take effect only after a restart.
-    pub fn needs_restart(&self, reloaded: &RouterConfig) -> Vec<&'static str> {
+    pub fn keys_requiring_restart(&self, reloaded: &RouterConfig) -> Vec<&'static str> {
         let differs = [
             ("name", self.name != reloaded.name),
             ("listen", self.listen != reloaded.listen),
--- a/crates/config/tests/router.rs
+++ b/crates/config/tests/router.rs
@@ -106,10 +106,10 @@
     let mut file = valid_file();
     (file["seed"], file["discovery"]) = (json!("1"), json!("127.0.0.1:1"));
     file["known"]["version"] = json!(2);
-    assert!(started.needs_restart(&load(&file).unwrap()).is_empty());
+    assert!(started.keys_requiring_restart(&load(&file).unwrap()).is_empty());
     (file["listen"], file["limits"]["sockets"]) = (json!("127.0.0.1:1"), json!(600));
     file["settings"]["profiles"][0]["aim"] = json!(500);
-    assert_eq!(started.needs_restart(&load(&file).unwrap()), ["listen", "limits", "settings"]);
+    assert_eq!(started.keys_requiring_restart(&load(&file).unwrap()), ["listen", "limits", "settings"]);
 }
 
 #[test]
--- a/crates/router/src/transport/reload.rs
+++ b/crates/router/src/transport/reload.rs
@@ -9,7 +9,7 @@
 /// Applies the settings that can change in a running router, and logs a warning for each changed setting that
 /// needs a restart.
 pub fn apply(driver: &Rc<Driver>, started: &RouterConfig, reloaded: &RouterConfig) {
-    for key in started.needs_restart(reloaded) {
+    for key in started.keys_requiring_restart(reloaded) {
         tracing::warn!(key, "configuration: {key} has changed, which needs a restart; the old value stays");
     }
     driver.clients.set_close_notice(reloaded.local_settings.close_notice);
