--- a/crates/fleet/src/account/coordinator.rs
+++ b/crates/fleet/src/account/coordinator.rs
@@ -114,7 +114,7 @@
         let number_base = self.config.loan_number_base;
         let deposit = self.borrowed.entry(from).or_insert_with(|| Borrowing::numbered_from(number_base));
         if let Some(offer) = report.surplus {
-            let span = self.config.timing.deposit;
+            let span = self.config.timing.deposit_span;
             deposit.receive_grant(offer.number, offer.units, span, &mut self.ledger);
         }
         let loan = self.lent.entry(from).or_default();
@@ -136,7 +136,7 @@
     fn grant(&mut self, now: Time, peer: NodeId, demand: u64) -> u64 {
         self.coordination.record_demand(now, peer, demand);
         let allotted = self.allot(now, demand).units;
-        let until = now.plus(self.config.timing.lender_span(self.config.timing.grant));
+        let until = now.plus(self.config.timing.lender_span(self.config.timing.grant_span));
         let releasing = self.leases.releasing_units(now);
         let loan = self.lent.entry(peer).or_default();
         let available = loan.available(now, until, &self.ledger).saturating_sub(releasing);
@@ -148,7 +148,7 @@
     /// Requests a new deposit from a peer. Units held beyond the peer's latest deposit are returned as far as
     /// they are not in use.
     fn request_deposit(&mut self, now: Time, peer: NodeId) -> LoanRequest {
-        let free = self.ledger.minimum(now, now.plus(self.config.timing.grant)).max(0) as u64;
+        let free = self.ledger.minimum(now, now.plus(self.config.timing.grant_span)).max(0) as u64;
         let number_base = self.config.loan_number_base;
         let deposit = self.borrowed.entry(peer).or_insert_with(|| Borrowing::numbered_from(number_base));
         let units = deposit.units_at(now);
@@ -164,7 +164,7 @@
 
     /// Returns the allotment of a router whose demand beyond its own units is `demand`.
     fn allot(&self, now: Time, demand: u64) -> Allotment {
-        let until = now.plus(self.config.timing.lender_span(self.config.timing.grant));
+        let until = now.plus(self.config.timing.lender_span(self.config.timing.grant_span));
         let lent: u64 = self.lent.values().map(|loan| loan.units_at(now)).sum();
         let own_use = self.own_leased_use(now);
         let withheld = own_use + self.leases.releasing_units(now);
--- a/crates/fleet/src/account/loans.rs
+++ b/crates/fleet/src/account/loans.rs
@@ -58,7 +58,7 @@
     /// Returns the units that this router has for the whole span of a deposit, without those borrowed from
     /// the coordinator and including those now lent to it.
     fn units_without_loan(&mut self, now: Time, coordinator: NodeId) -> u64 {
-        let until = now.plus(self.config.timing.lender_span(self.config.timing.deposit));
+        let until = now.plus(self.config.timing.lender_span(self.config.timing.deposit_span));
         let deposit = self.lent.entry(coordinator).or_default();
         let available = deposit.available(now, until, &self.ledger);
         let just_before_end = until.minus(Time(1));
@@ -69,7 +69,7 @@
     /// Lends up to `units` to the coordinator, if it has requested a deposit.
     fn offer_surplus(&mut self, now: Time, coordinator: NodeId, units: u64) -> Option<SurplusOffer> {
         let request = self.deposit_request.take().filter(|request| request.coordinator == coordinator)?;
-        let until = now.plus(self.config.timing.lender_span(self.config.timing.deposit));
+        let until = now.plus(self.config.timing.lender_span(self.config.timing.deposit_span));
         let releasing = self.leases.releasing_units(now);
         let deposit = self.lent.entry(coordinator).or_default();
         let available = deposit.available(now, until, &self.ledger).saturating_sub(releasing);
@@ -82,7 +82,12 @@
     /// request for a new deposit is answered with the next report.
     pub fn receive_response(&mut self, now: Time, coordinator: NodeId, response: &QuotaResponse) {
         if let Some(loan) = self.borrowed.get_mut(&coordinator) {
-            loan.receive_grant(response.number, response.granted, self.config.timing.grant, &mut self.ledger);
+            loan.receive_grant(
+                response.number,
+                response.granted,
+                self.config.timing.grant_span,
+                &mut self.ledger,
+            );
         }
         self.coordination.headroom = response.headroom;
         let deposit = self.lent.entry(coordinator).or_default();
@@ -97,7 +102,7 @@
     /// such as the deposits that a former coordinator still holds. Returns the reductions to be sent to the
     /// lenders.
     pub fn return_surplus(&mut self, now: Time, coordinator: NodeId) -> Vec<LoanReturn> {
-        let usable = self.ledger.minimum(now, now.plus(self.config.timing.grant)).max(0) as u64;
+        let usable = self.ledger.minimum(now, now.plus(self.config.timing.grant_span)).max(0) as u64;
         let usable = usable.saturating_sub(self.leases.releasing_units(now));
         let demand = self.demand_units().saturating_sub(self.reserve(now));
         let mut surplus = usable.saturating_sub(demand);
--- a/crates/fleet/src/fleet/accounts.rs
+++ b/crates/fleet/src/fleet/accounts.rs
@@ -121,7 +121,7 @@
         // not have to include the time for which a unit is in use.
         let reserve_from = if is_rate { now } else { slots_free_at };
         let timing = if is_rate {
-            Timing { lease: config.timing.lease, ..Timing::new(config.timing.drift, Time(0)) }
+            Timing { lease_span: config.timing.lease_span, ..Timing::new(config.timing.drift, Time(0)) }
         } else {
             config.timing
         };
--- a/crates/fleet/src/fleet/config.rs
+++ b/crates/fleet/src/fleet/config.rs
@@ -27,7 +27,7 @@
     /// Returns a digest of the limits and of the timing that all routers must agree on.
     pub(super) fn limits_digest(&self) -> u32 {
         let limits = self.limits.iter().map(Limit::digest);
-        let times = [self.timing.drift.to_bits(), self.timing.lease.0];
+        let times = [self.timing.drift.to_bits(), self.timing.lease_span.0];
         limits.chain(times).fold(0, |digest, part| mix_bits(digest ^ part)) as u32
     }
 
--- a/crates/fleet/src/fleet/mod.rs
+++ b/crates/fleet/src/fleet/mod.rs
@@ -145,8 +145,8 @@
         if config == self.config {
             return;
         }
-        let deposit = self.config.timing.lender_span(self.config.timing.deposit);
-        let leases_from = now.plus(deposit.max(self.config.max_use));
+        let deposit_span = self.config.timing.lender_span(self.config.timing.deposit_span);
+        let leases_from = now.plus(deposit_span.max(self.config.max_use));
         let old = std::mem::replace(&mut self.config, config);
         self.membership_version += 1;
         self.limits_digest = self.config.limits_digest();
--- a/crates/fleet/src/fleet/quota_leases.rs
+++ b/crates/fleet/src/fleet/quota_leases.rs
@@ -34,7 +34,7 @@
     /// Returns whether a peer from or about which nothing was ever received counts as unavailable: more than
     /// a lease's span has passed since this router started.
     fn unheard_are_unavailable(&self) -> bool {
-        self.now.since(self.started_at) > self.config.timing.lease
+        self.now.since(self.started_at) > self.config.timing.lease_span
     }
 
     fn is_unavailable(&self, node: NodeId) -> bool {
@@ -220,7 +220,7 @@
     /// Requests votes for each claim whose lease is not valid or is due for renewal.
     fn request_votes(&mut self, context: &RoundContext, accounts: &mut AccountTable, outbox: &mut Outbox) {
         let now = context.now;
-        let span = context.config.timing.lease;
+        let span = context.config.timing.lease_span;
         let candidate = NodeIncarnation { node: self.me, incarnation: context.swim.incarnation() };
         for (owner, claim) in &mut self.claims {
             let is_own = *owner == self.me;
--- a/crates/fleet/src/timing.rs
+++ b/crates/fleet/src/timing.rs
@@ -10,11 +10,11 @@
     /// The time between two rounds. In each, a router reports its demand.
     pub period: Time,
     /// The span of a loan from a coordinator to a router with demand, by the borrower's clock.
-    pub grant: Time,
+    pub grant_span: Time,
     /// The span of a deposit, a loan of a router's surplus to the coordinator, by the coordinator's clock.
-    pub deposit: Time,
+    pub deposit_span: Time,
     /// The span of the lease on an owner's quotas, by the clock of the router that holds it.
-    pub lease: Time,
+    pub lease_span: Time,
 }
 
 /// The time between two rounds.
@@ -31,10 +31,10 @@
     /// spent at once. Each kind of lease or loan is some rounds longer than the loans that are made from it,
     /// so that one lost datagram does not interrupt the use of units.
     pub fn new(drift: f64, max_use: Time) -> Timing {
-        let grant = max_use.plus(GRANT_MARGIN);
-        let deposit = grant.plus(ROUND_PERIOD.times(DEPOSIT_MARGIN_ROUNDS));
-        let lease = deposit.plus(ROUND_PERIOD.times(LEASE_MARGIN_ROUNDS));
-        Timing { drift, period: ROUND_PERIOD, grant, deposit, lease }
+        let grant_span = max_use.plus(GRANT_MARGIN);
+        let deposit_span = grant_span.plus(ROUND_PERIOD.times(DEPOSIT_MARGIN_ROUNDS));
+        let lease_span = deposit_span.plus(ROUND_PERIOD.times(LEASE_MARGIN_ROUNDS));
+        Timing { drift, period: ROUND_PERIOD, grant_span, deposit_span, lease_span }
     }
 
     /// Returns the span for which a lender counts units as lent when the borrower measures `span` by its own
--- a/crates/fleet/tests/model/main.rs
+++ b/crates/fleet/tests/model/main.rs
@@ -39,7 +39,7 @@
 }
 
 fn timing() -> Timing {
-    Timing { drift: DRIFT, period: Time::ms(10), grant: SPAN, deposit: SPAN, lease: SPAN }
+    Timing { drift: DRIFT, period: Time::ms(10), grant_span: SPAN, deposit_span: SPAN, lease_span: SPAN }
 }
 
 /// Returns a clock's time after one step of true time, at the rate with this index.
--- a/crates/lab/src/fleet_limits/gossip_cost.rs
+++ b/crates/lab/src/fleet_limits/gossip_cost.rs
@@ -41,7 +41,7 @@
         reserved_fraction: 0.1,
     };
     let timing = Timing::new(0.01, Time(0));
-    let vote_quarantine = timing.lender_span(timing.lease);
+    let vote_quarantine = timing.lender_span(timing.lease_span);
     FleetConfig {
         roster: numbered_roster(routers),
         limits: vec![limit],
--- a/crates/router/src/routing/fleet_limits.rs
+++ b/crates/router/src/routing/fleet_limits.rs
@@ -41,7 +41,7 @@
         limits: fleet.limits.clone(),
         timing: Timing::new(fleet.drift, max_use),
         max_use,
-        vote_quarantine: any_limits.lender_span(any_limits.lease),
+        vote_quarantine: any_limits.lender_span(any_limits.lease_span),
     }
 }
 
