--- a/crates/client/src/core/exchange.rs
+++ b/crates/client/src/core/exchange.rs
@@ -96,7 +96,8 @@
                 ResponseProgress::Incomplete
             }
             ServerMessage::SessionToken(token) => {
-                // A router sends a token when it forwards the statement or later, so it has read the statement.
+                // A router sends a token when it forwards the statement or later, so it has read the
+                // statement.
                 self.has_response_started = true;
                 ResponseProgress::SessionToken(token)
             }
--- a/crates/client/src/request.rs
+++ b/crates/client/src/request.rs
@@ -153,10 +153,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidRequest {
     /// The class is empty or has characters that can't be encoded in the statement's comment.
-    #[error("{code}: class {0:?} is empty or has characters that a statement's comment can't hold", code = INVALID_PARAMETER_VALUE)]
+    #[error(
+        "{code}: class {0:?} is empty or has characters that a statement's comment can't hold",
+        code = INVALID_PARAMETER_VALUE
+    )]
     Class(String),
     /// The tenant has characters that can't be encoded in the statement's comment.
-    #[error("{code}: tenant {0:?} has characters that a statement's comment can't hold", code = INVALID_PARAMETER_VALUE)]
+    #[error(
+        "{code}: tenant {0:?} has characters that a statement's comment can't hold",
+        code = INVALID_PARAMETER_VALUE
+    )]
     Tenant(String),
     /// The key contains a zero byte.
     #[error("{code}: a key must not contain a zero byte", code = INVALID_PARAMETER_VALUE)]
--- a/crates/client/tests/core/reconnects.rs
+++ b/crates/client/tests/core/reconnects.rs
@@ -46,7 +46,8 @@
 
 #[test]
 fn full_routers_double_the_spread_of_reconnects() {
-    // The waits after the third rejection. By default, the spread is 1 s before any doubling, and so 8 s then.
+    // The waits after the third rejection. By default, the spread is 1 s before any doubling, so it is 8 s
+    // then.
     let mut third_waits = Vec::new();
     for seed in 0..200 {
         let mut harness = Harness::new(Config { seed, ..config(1) });
