--- a/crates/fleet/src/fleet/accounts.rs
+++ b/crates/fleet/src/fleet/accounts.rs
@@ -15,7 +15,8 @@
 use std::collections::BTreeMap;
 
 /// Limits the accounts that are opened for members that peers report on but this router does not know. Such
-/// an account is opened only while there are fewer accounts than this number plus the number of known members.
+/// an account is opened only while there are fewer accounts than this number plus the number of known
+/// members.
 const MAX_UNKNOWN_MEMBER_ACCOUNTS: usize = 4096;
 
 /// The loan requests of an account are numbered from the time between the start of the router and the opening
--- a/crates/fleet/src/fleet/admission.rs
+++ b/crates/fleet/src/fleet/admission.rs
@@ -1,4 +1,5 @@
-//! The interface for admission control: what is available under the limits, and what has been used of it.
+//! The interface for admission control: queries of the capacity that is available under the limits, and
+//! records of its use.
 
 use super::Fleet;
 use crate::account::{AccountStats, Availability};
--- a/crates/fleet/src/fleet/mod.rs
+++ b/crates/fleet/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! The state of one router of the fleet. Its inputs are datagrams, ticks and queries of the limits; its outputs
-//! are datagrams and log lines.
+//! The state of one router of the fleet. Its inputs are datagrams, ticks and queries of the limits; its
+//! outputs are datagrams and log lines.
 //!
 //! [`Fleet`] dispatches each input to the module that owns the state: `links` has the sequence numbers of
 //! each peer, `quota_leases` the votes and claims, `accounts` the quota accounts, `outbox` the messages to be
@@ -32,14 +32,14 @@
 pub use config::FleetConfig;
 pub use counters::Counters;
 
-/// What the caller has to do after an input.
+/// An action that the caller has to perform after an input.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Send a datagram.
     Send {
-        /// The address.
+        /// The receiver's UDP address.
         to: SocketAddr,
-        /// The bytes.
+        /// The encoded and authenticated datagram.
         datagram: Vec<u8>,
     },
     /// Write a line to the log.
@@ -70,8 +70,8 @@
 }
 
 impl Fleet {
-    /// Creates a router that has just started. Its incarnation must be larger than those of its earlier
-    /// starts; a Unix time in milliseconds is suitable. The seed determines all random choices.
+    /// Creates the state of a router that has just started. Its incarnation must be larger than those of its
+    /// earlier starts; a Unix time in milliseconds is suitable. The seed determines all random choices.
     pub fn new(
         now: Time,
         name: &str,
@@ -118,7 +118,7 @@
         &self.counters
     }
 
-    /// Counts datagrams that the caller dropped before passing them on.
+    /// Counts datagrams that the caller has dropped without passing them to the fleet.
     pub fn count_dropped(&mut self, reason: DropReason, count: u64) {
         self.counters.count_dropped(reason, count);
     }
--- a/crates/fleet/src/fleet/quota_leases.rs
+++ b/crates/fleet/src/fleet/quota_leases.rs
@@ -18,7 +18,7 @@
 
 /// The state of other modules that a round depends on.
 pub struct RoundContext<'a> {
-    /// The time.
+    /// The time of the round.
     pub now: Time,
     /// When this router started.
     pub started_at: Time,
@@ -110,7 +110,7 @@
         self.claims = BTreeMap::from([(self.me, LeaseClaim::new(roster.voters(self.me)))]);
     }
 
-    /// Discards what is cached about the owners for which this router is a voter, because the roster may have
+    /// Discards the cache of the owners for which this router is a voter, because the roster may have
     /// changed.
     pub fn forget_voters(&mut self) {
         self.is_voter_for.clear();
--- a/crates/fleet/src/fleet/receive.rs
+++ b/crates/fleet/src/fleet/receive.rs
@@ -9,7 +9,7 @@
 use crate::swim::SwimOutput;
 use basalthill_policy::api::Time;
 
-/// The sender of a packet, with what determines which of its messages are accepted.
+/// The sender of a packet, and the properties that determine which of its messages are accepted.
 #[derive(Clone, Copy, Debug)]
 struct Sender {
     id: NodeIncarnation,
@@ -19,7 +19,7 @@
 }
 
 impl Fleet {
-    /// Handles a received datagram. One that does not pass the checks is dropped and counted.
+    /// Handles a received datagram. A datagram that does not pass the checks is dropped and counted.
     pub fn receive_datagram(&mut self, now: Time, datagram: &[u8], effects: &mut Vec<Effect>) {
         match self.codec.decode(datagram) {
             Ok(Payload::Packet(packet)) => self.receive_packet(now, packet, effects),
@@ -58,8 +58,8 @@
         }
         let knows_receiver_incarnation = packet.to_incarnation != 0;
         if knows_receiver_incarnation && packet.to_incarnation != self.swim.incarnation() {
-            // The packet itself tells the sender this router's incarnation, so the content of the message does
-            // not matter.
+            // The packet itself tells the sender this router's incarnation, so the content of the message
+            // does not matter.
             self.correct(now, packet, Message::Ack { number: 0 }, effects);
             return Err(DropReason::OtherIncarnation);
         }
--- a/crates/fleet/src/loan.rs
+++ b/crates/fleet/src/loan.rs
@@ -1,13 +1,14 @@
 //! Loans of units between two routers, over links that lose, delay, duplicate and reorder datagrams.
 //!
 //! The borrower sends requests with increasing numbers. Each states how many units of the current loan the
-//! borrower retains; it stops using the others before it sends the request. The lender responds to the latest
-//! request. The borrower measures the span of a loan from the time at which it sent the request, the lender
-//! from the later time at which it responded; the lender's span is also longer by the largest difference that
-//! the drift of their clocks allows. Both record the same schedule: after a request, no more than the
-//! retained units; after a grant, the granted units until the end of the grant, and retained units beyond
-//! those until their own end. The lender records it first, whether or not its response arrives, and each of
-//! its end times is later. So at any time the borrower uses no more units than the lender has deducted.
+//! borrower retains; the borrower stops using the others before it sends the request. The lender responds to
+//! the latest request. The borrower measures the span of a loan from the time at which it sent the request,
+//! the lender from the later time at which it responded; the lender's span is also longer by the largest
+//! difference that the drift of their clocks allows. Both record the same schedule: after a request, no more
+//! than the retained units; after a grant, the granted units until the end of the grant, and retained units
+//! beyond those until their own end. The lender records a grant first, whether or not its response arrives,
+//! and each end time in the lender's schedule is later. So at any time the borrower uses no more units than
+//! the lender has deducted.
 //!
 //! The borrower ignores responses to all requests but its latest. The lender ignores requests that are not
 //! newer than the last one. A borrower that restarts has lost its loans, and they expire at the lender. A
--- a/crates/fleet/src/packet.rs
+++ b/crates/fleet/src/packet.rs
@@ -228,7 +228,7 @@
     Status(StatusMessage),
 }
 
-/// Returns the number of bytes that a message takes in a packet.
+/// Returns the number of bytes that a message takes in a packet; `usize::MAX` if it can't be encoded.
 pub fn encoded_len(message: &Message) -> usize {
     postcard::to_allocvec(message).map_or(usize::MAX, |bytes| bytes.len())
 }
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/roster.rs
@@ -52,7 +52,7 @@
 
 /// The largest number of voters on the lease of an owner's quotas, including the owner. Seven voters tolerate
 /// three failures.
-pub const VOTERS_PER_NODE: usize = 7;
+pub const MAX_VOTERS: usize = 7;
 
 impl Roster {
     /// Creates a roster of these routers.
@@ -120,7 +120,7 @@
         let mut weighted: Vec<(u64, NodeId)> =
             self.ids().filter(|id| *id != owner).map(|id| (rendezvous_weight(id, owner.0), id)).collect();
         weighted.sort_unstable_by(|a, b| b.cmp(a));
-        let other_voters = (VOTERS_PER_NODE - 1).min(others / 2 * 2);
+        let other_voters = (MAX_VOTERS - 1).min(others / 2 * 2);
         let chosen = weighted.into_iter().take(other_voters).map(|(_, id)| id);
         std::iter::once(owner).chain(chosen).collect()
     }
--- a/crates/fleet/src/swim/gossip.rs
+++ b/crates/fleet/src/swim/gossip.rs
@@ -5,7 +5,7 @@
 
 /// The number of packets that carry an update, per decimal logarithm of the fleet's size.
 const TRANSMISSION_FACTOR: f64 = 4.0;
-/// The number of packets that carry an update in addition, because many packets are sent to the same few
+/// The number of additional packets that carry an update, because many packets are sent to the same few
 /// peers.
 const EXTRA_TRANSMISSIONS: u32 = 4;
 /// The most updates in one packet.
--- a/crates/fleet/src/swim/mod.rs
+++ b/crates/fleet/src/swim/mod.rs
@@ -11,8 +11,8 @@
 //! - A router that misses acknowledgements, or has to refute a suspicion, assumes that it is slow itself and
 //!   lengthens its timeouts. A router whose process was suspended suspects no peer for acknowledgements
 //!   missed in that time.
-//! - A router that receives a packet from a peer that it considers suspect, dead or left notifies the peer, so
-//!   that the peer can refute this.
+//! - A router that receives a packet from a peer that it considers suspect, dead or left notifies the peer,
+//!   so that the peer can refute this.
 //!
 //! The roster is configured: routers do not have to join, and dead ones are pinged periodically, so that
 //! membership recovers after a partition heals.
@@ -44,7 +44,7 @@
 /// The most notifications that a router sends when it shuts down; gossip spreads the update further.
 const LEAVE_REPORTS: usize = 2 * INDIRECT_PROBES;
 
-/// What the caller has to do after an input.
+/// An action that the caller has to perform, or a change that it has to apply, after an input.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SwimOutput {
     /// Send a message.
@@ -125,12 +125,12 @@
         self.probe_order.clear();
     }
 
-    /// Returns what is known about the peers, by id.
+    /// Returns the views of all peers, in ascending order of their ids.
     pub fn peers(&self) -> impl Iterator<Item = (NodeId, &PeerView)> {
         self.peers.iter().map(|(id, view)| (*id, view))
     }
 
-    /// Returns what is known about a peer.
+    /// Returns the view of a peer; `None` if the router is not on the roster or is this router itself.
     pub fn peer(&self, id: NodeId) -> Option<&PeerView> {
         self.peers.get(&id)
     }
@@ -195,7 +195,8 @@
         self.gossip.push(self.own_update(PeerState::Alive));
     }
 
-    /// Records that a packet was received from `from` in this incarnation.
+    /// Records that a packet was received from an incarnation of `from`. If this router considers the peer
+    /// suspect, dead or left, notifies it.
     pub fn record_contact(
         &mut self,
         now: Time,
--- a/crates/fleet/src/swim/peer_view.rs
+++ b/crates/fleet/src/swim/peer_view.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// What a router knows about a peer.
+/// A router's view of a peer, based on membership updates and on packets received from the peer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerView {
     /// Its state; `None` if no packet from it and no update on it has been received.
