--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -131,8 +131,8 @@
     }
 }
 
-/// A request that was sent to the thread. Dropping the call before its report was received cancels the
-/// request.
+/// A request that has been sent to the thread. Dropping the call before its report has been received cancels
+/// the request.
 struct Call {
     client: Client,
     id: CallId,
--- a/crates/client/src/config.rs
+++ b/crates/client/src/config.rs
@@ -38,11 +38,11 @@
     /// connection because it is full, the maximum is doubled, up to three times, until a connection completes
     /// its startup.
     pub reconnect_spread: Duration,
-    /// A connection that was idle for this long is closed. Routers close idle connections after two seconds,
-    /// so this should be shorter.
+    /// A connection that has been idle for this time is closed. Routers close idle connections after two
+    /// seconds, so this should be shorter.
     pub idle_timeout: Duration,
-    /// A connection is closed after a random time between 0.5 and 1.5 times this, as soon as it is idle, so
-    /// that load returns to routers that were restarted.
+    /// A connection is closed after a random time between 0.5 and 1.5 times this lifetime, as soon as the
+    /// connection is idle, so that load returns to routers that have restarted.
     pub connection_lifetime: Duration,
     /// A connection that has not completed its startup within this time is closed and counts as failed.
     pub connect_timeout: Duration,
--- a/crates/client/src/core/connections.rs
+++ b/crates/client/src/core/connections.rs
@@ -16,7 +16,7 @@
     Startup,
     /// Ready for a statement.
     Idle,
-    /// A statement is being sent, or was sent and its response is not complete.
+    /// A statement is being sent, or has been sent and its response is not complete.
     Busy(Exchange),
 }
 
@@ -31,8 +31,8 @@
     pub(super) decoder: MessageDecoder,
     /// End of the connection's lifetime: it is closed the first time that it becomes idle after this.
     expires_at: Instant,
-    /// The time at which the connection is closed because its startup has taken too long, or because it was
-    /// idle for too long. `None` while it is busy.
+    /// The time at which the connection is closed because its startup has taken too long, or because it
+    /// has been idle for too long. `None` while it is busy.
     timeout: Option<Instant>,
 }
 
--- a/crates/client/src/core/exchange.rs
+++ b/crates/client/src/core/exchange.rs
@@ -12,17 +12,17 @@
     request: RequestId,
     /// Length of the statement, in bytes.
     statement_bytes: usize,
-    /// Number of bytes of the statement that were not yet handed to the operating system.
+    /// Number of bytes of the statement that have not been handed to the operating system.
     unwritten_bytes: usize,
-    /// The response's row, once it was received.
+    /// The response's row; `None` until it has been received.
     row: Option<ColumnValue>,
-    /// Whether CommandComplete was received.
+    /// Whether CommandComplete has been received.
     is_complete: bool,
-    /// The outcome of the attempt according to an ErrorResponse, once one was received.
+    /// The outcome of the attempt according to an ErrorResponse; `None` until one has been received.
     error: Option<AttemptOutcome>,
     /// Set together with `error` if the ErrorResponse says that the statement itself is invalid.
     invalid: Option<InvalidRequest>,
-    /// Whether a message was received that shows that the router has read the statement.
+    /// Whether a message has been received that shows that the router has read the statement.
     has_response_started: bool,
 }
 
@@ -79,7 +79,7 @@
         self.unwritten_bytes = self.unwritten_bytes.saturating_sub(bytes);
     }
 
-    /// Returns whether none, a part or all of the statement was handed to the operating system.
+    /// Returns whether none, a part or all of the statement has been handed to the operating system.
     pub(super) fn write_progress(&self) -> WriteProgress {
         match self.unwritten_bytes {
             0 => WriteProgress::Complete,
--- a/crates/client/src/core/mod.rs
+++ b/crates/client/src/core/mod.rs
@@ -147,7 +147,8 @@
     }
 
     /// Records that another `bytes` bytes of the connection's statement were handed to the operating system.
-    /// Has no effect while the connection has no statement, as after the startup message was written.
+    /// Has no effect while the connection has no statement, for example when the bytes are those of the
+    /// startup message.
     pub fn handle_written(&mut self, id: ConnectionId, bytes: usize) {
         if let Some(connection) = self.connections.get_mut(id) {
             if let ConnectionState::Busy(exchange) = &mut connection.state {
--- a/crates/client/src/core/reconnect_gate.rs
+++ b/crates/client/src/core/reconnect_gate.rs
@@ -14,8 +14,8 @@
 pub(super) struct ReconnectGate {
     /// The configured upper limit of the delay, before any doubling.
     spread: Duration,
-    /// Whether a connection was lost since the latest delay was chosen. The delay is chosen when a request
-    /// next needs a connection, since it depends on that request's remaining time.
+    /// Whether a connection has been lost since the latest delay was chosen. The next delay is chosen when a
+    /// request needs a connection, since the delay depends on that request's remaining time.
     was_connection_lost: bool,
     /// The end of the latest delay: no connection is opened before this time.
     opens_at: Option<Instant>,
--- a/crates/client/src/core/requests.rs
+++ b/crates/client/src/core/requests.rs
@@ -27,8 +27,8 @@
     ready_at: Instant,
     /// Whether the request occupies one of its session's slots for requests in flight.
     has_session_slot: bool,
-    /// The session tokens in the statement of the latest attempt. If a token was received since the attempt
-    /// was started, it has replaced them.
+    /// The session tokens in the statement of the latest attempt. A token that is received after the start of
+    /// the attempt replaces them.
     sent_tokens: Vec<String>,
 }
 
@@ -78,9 +78,9 @@
         }
     }
 
-    /// Occupies one of the session's slots for requests in flight and returns what the statement must carry
-    /// for the session; returns `None` if no slot is free. A slot occupied for an earlier attempt is freed
-    /// first. A request without a session needs no slot.
+    /// Occupies one of the session's slots for requests in flight and returns the session's name and tokens,
+    /// which the statement must carry. Returns `None` if no slot is free. A slot occupied for an earlier
+    /// attempt is freed first. A request without a session needs no slot.
     pub(super) fn acquire_session_slot(&mut self) -> Option<SessionContext> {
         let Some(session) = &self.request.session else {
             self.sent_tokens.clear();
--- a/crates/client/src/core/routers.rs
+++ b/crates/client/src/core/routers.rs
@@ -45,7 +45,7 @@
     /// Number of ejections since a connection to the router last completed its startup.
     ejections: u32,
     breaker: CircuitBreaker,
-    /// The time before which no new connection is opened, because the router has rejected one as it was full.
+    /// The time before which no new connection is opened, because the router was full and rejected one.
     full_until: Option<Instant>,
 }
 
--- a/crates/client/src/driver/connection.rs
+++ b/crates/client/src/driver/connection.rs
@@ -20,16 +20,16 @@
 pub(super) struct Connection {
     /// The socket while it is open. The connection's task ends when it finds no socket here.
     stream: RefCell<Option<Rc<Async<TcpStream>>>>,
-    /// Messages that were not yet handed to the operating system, in order.
+    /// Messages with bytes that have not been handed to the operating system, in order.
     unwritten: RefCell<VecDeque<UnwrittenMessage>>,
-    /// Wakes the connection's task when there are unwritten messages or the connection was closed.
+    /// Wakes the connection's task when there are unwritten messages or the connection has been closed.
     task_waker: RefCell<Option<Waker>>,
 }
 
-/// A message of which some bytes were not yet handed to the operating system.
+/// A message with bytes that have not been handed to the operating system.
 struct UnwrittenMessage {
     bytes: Vec<u8>,
-    /// Number of bytes that were handed to the operating system.
+    /// Number of bytes that have been handed to the operating system.
     written: usize,
     /// No byte may be written at or after this time.
     deadline: Option<Instant>,
@@ -98,7 +98,8 @@
         total
     }
 
-    /// Waits until there are unwritten messages and the socket is writable, or the connection was closed.
+    /// Waits until there are unwritten messages and the socket is writable, or the connection has been
+    /// closed.
     async fn writable(&self, stream: &Async<TcpStream>) {
         future::poll_fn(|context| {
             if self.unwritten.borrow().is_empty() && self.is_open() {
@@ -120,7 +121,7 @@
 enum SocketEvent {
     /// A read has returned this number of bytes, which is 0 at the end of the stream, or an error.
     Read(io::Result<usize>),
-    /// There are unwritten messages and the socket is writable, or the connection was closed.
+    /// There are unwritten messages and the socket is writable, or the connection has been closed.
     Writable,
 }
 
--- a/crates/client/src/driver/mod.rs
+++ b/crates/client/src/driver/mod.rs
@@ -37,7 +37,7 @@
     Cancel { client: ClientId, call: CallId },
     /// Sends the client's counters and table sizes to `reply`.
     Inspect { client: ClientId, reply: Sender<Inspection> },
-    /// Stops a client whose last handle was dropped.
+    /// Stops a client whose last handle has been dropped.
     RemoveClient { client: ClientId },
 }
 
--- a/crates/client/src/outcome.rs
+++ b/crates/client/src/outcome.rs
@@ -32,14 +32,15 @@
     Stopped,
 }
 
-/// How much of a statement was handed to the operating system.
+/// How much of a statement has been handed to the operating system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteProgress {
-    /// No byte of the statement was handed to the operating system.
+    /// No byte of the statement has been handed to the operating system.
     Unsent,
-    /// Part of the statement was handed to the operating system. Routers don't run incomplete statements.
+    /// Part of the statement has been handed to the operating system. Routers don't run incomplete
+    /// statements.
     Partial,
-    /// The whole statement was handed to the operating system, so the router may have run it.
+    /// The whole statement has been handed to the operating system, so the router may have run it.
     Complete,
 }
 
--- a/crates/client/src/protocol.rs
+++ b/crates/client/src/protocol.rs
@@ -77,8 +77,8 @@
         self.buffer.extend(bytes);
     }
 
-    /// Returns the next message that the client handles, or `None` if it was not received completely. Skips
-    /// other messages.
+    /// Returns the next message that the client handles, or `None` if it has not been received
+    /// completely. Skips other messages.
     ///
     /// # Errors
     ///
--- a/crates/client/src/session.rs
+++ b/crates/client/src/session.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 /// Maximum number of a session's requests in flight. The token of a response replaces the tokens that were
-/// sent with its request, so this also limits the number of stored tokens.
+/// sent with the request, so this also limits the number of stored tokens.
 pub(crate) const MAX_IN_FLIGHT: usize = 8;
 
 /// First byte of an exported session: the version of the format.
@@ -123,8 +123,8 @@
         Session::with_tokens(&name, texts)
     }
 
-    /// Occupies one of the session's [`MAX_IN_FLIGHT`] slots and returns what the request must send; returns
-    /// `None` if no slot is free.
+    /// Occupies one of the session's [`MAX_IN_FLIGHT`] slots and returns the name and the tokens that the
+    /// request must send. Returns `None` if no slot is free.
     pub(crate) fn start_request(&self) -> Option<SessionContext> {
         let mut state = self.state();
         if state.in_flight >= MAX_IN_FLIGHT {
--- a/crates/client/tests/core/sessions.rs
+++ b/crates/client/tests/core/sessions.rs
@@ -15,7 +15,7 @@
     harness.submit(request.deadline(harness.now + 9000 * MS));
 }
 
-/// Completes the startup of open connections until `statements` statements were sent.
+/// Completes the startup of open connections until `statements` statements have been sent.
 fn accept_until_sent(harness: &mut Harness, statements: usize) {
     while harness.sent.len() < statements {
         let open: Vec<ConnectionId> = harness.connections.keys().copied().collect();
--- a/crates/client/tests/core/simulation.rs
+++ b/crates/client/tests/core/simulation.rs
@@ -375,8 +375,8 @@
         }
     }
 
-    /// Checks that a request is completed once, by its deadline, and with an outcome that agrees with what
-    /// routers have received.
+    /// Checks that a request is completed once, by its deadline, and with an outcome that agrees with the
+    /// statements that routers have received.
     fn complete(&mut self, id: RequestId, report: &RequestReport) {
         self.completed += 1;
         let key = &self.keys[&id];
