--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -28,7 +28,7 @@
     },
 }
 
-/// A problem with a key, with the value that was found and what is allowed.
+/// A problem with a key, with the value that was found and the values that are allowed.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Problem {
     /// The text is not valid JSON or KDL; the message is the parser's.
@@ -181,7 +181,7 @@
         /// The name of the tenant or class.
         name: String,
     },
-    /// A limit has no property that selects what it counts, or several.
+    /// A limit has none or several of the properties that select what it counts.
     #[error("takes exactly one of tenant, class, group, each-member, budget")]
     NotOneSubject,
     /// A flag that may only be `#true` is `#false`.
--- a/crates/wire/src/buffer.rs
+++ b/crates/wire/src/buffer.rs
@@ -10,7 +10,7 @@
 /// consumed bytes only once there are this many, since the bytes after them have to be moved.
 const RETAINED_CAPACITY: usize = 4096;
 
-/// The header of a message that was received completely.
+/// The header of a message that has been received completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MessageHeader {
     /// The message's type byte.
@@ -19,7 +19,7 @@
     pub body_len: usize,
 }
 
-/// A buffer of bytes that were received and not yet consumed.
+/// A buffer of bytes that have been received and not yet consumed.
 #[derive(Debug, Default)]
 pub struct MessageBuffer {
     bytes: Vec<u8>,
@@ -68,12 +68,12 @@
         }
     }
 
-    /// Returns the header of the next message, or `None` if the message was not received completely.
+    /// Returns the header of the next message, or `None` if the message has not been received completely.
     ///
     /// # Errors
     ///
     /// Returns [`ProtocolError::MessageLength`] if the length field is below its own length or the body is
-    /// longer than `max_body_len`. This is detected as soon as the header was received.
+    /// longer than `max_body_len`. This is detected as soon as the header has been received.
     pub fn message_header(&self, max_body_len: usize) -> Result<Option<MessageHeader>, ProtocolError> {
         let unread = self.unread();
         let Some(&[kind, a, b, c, d]) = unread.first_chunk::<HEADER_LEN>() else { return Ok(None) };
