--- a/crates/fleet/src/fleet/receive.rs
+++ b/crates/fleet/src/fleet/receive.rs
@@ -87,7 +87,7 @@
             limits: packet.limits_digest != self.limits_digest,
         };
         if self.links.set_mismatch(packet.from, mismatch) {
-            let what = match mismatch {
+            let description = match mismatch {
                 ConfigMismatch { roster: true, .. } => {
                     "has a different list of routers: no votes or units are exchanged with it"
                 }
@@ -95,7 +95,7 @@
                 _ => "has the same list of routers and the same limits",
             };
             let name = self.config.roster.name(packet.from);
-            effects.push(Effect::Log(format!("fleet: {name} {what}")));
+            effects.push(Effect::Log(format!("fleet: {name} {description}")));
         }
         mismatch
     }
@@ -229,10 +229,10 @@
                         }
                     }
                     let roster = &self.config.roster;
-                    let what = describe_change(state, restarted);
+                    let description = describe_change(state, restarted);
                     let name = roster.name(node);
                     let reporter = roster.name(reporter);
-                    effects.push(Effect::Log(format!("fleet: {name} {what}, reported by {reporter}")));
+                    effects.push(Effect::Log(format!("fleet: {name} {description}, reported by {reporter}")));
                 }
             }
         }
--- a/crates/fleet/src/limit.rs
+++ b/crates/fleet/src/limit.rs
@@ -125,7 +125,7 @@
     }
 }
 
-/// Identifies what the units of an account belong to: a limit, or a limit at one member.
+/// The key of an account: identifies a limit, or a limit at one member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LimitKey {
     /// The hash of the limit's name.
--- a/crates/fleet/src/packet.rs
+++ b/crates/fleet/src/packet.rs
@@ -48,7 +48,7 @@
     /// Its incarnation. A new one begins each time its process starts.
     pub incarnation: u64,
     /// The number of suspicions that the peer has refuted in this incarnation. Together with `incarnation` it
-    /// is what SWIM calls the incarnation number.
+    /// forms the incarnation number of the SWIM paper.
     pub refutations: u32,
     /// Its state.
     pub state: PeerState,
--- a/crates/fleet/src/swim/mod.rs
+++ b/crates/fleet/src/swim/mod.rs
@@ -240,7 +240,7 @@
         }
     }
 
-    /// Applies an update, and gossips it further if it takes precedence over what is known.
+    /// Applies an update, and gossips it further if it takes precedence over the known state.
     pub fn apply_update(&mut self, now: Time, update: MembershipUpdate, outputs: &mut Vec<SwimOutput>) {
         if update.node == self.me {
             self.refute(update, outputs);
