--- a/crates/fleet/src/swim/mod.rs
+++ b/crates/fleet/src/swim/mod.rs
@@ -36,8 +36,8 @@
 pub const PERIOD: Time = Time::ms(250);
 /// If a ping is not acknowledged within this time, other routers are requested to ping the target.
 const ACK_TIMEOUT: Time = Time::ms(90);
-/// The number of routers that are requested to ping a target (SWIM's `k`). With this number of suspecting
-/// routers, the suspicion timeout is at its minimum.
+/// The number of routers that are requested to ping a target (SWIM's `k`). The suspicion timeout is at its
+/// minimum when this number of further routers suspect the peer in addition to the first.
 const INDIRECT_PROBES: usize = 3;
 /// The largest value of Lifeguard's local health multiplier.
 const MAX_HEALTH_SCORE: u32 = 8;
