--- a/crates/client/src/core/reconnect_gate.rs
+++ b/crates/client/src/core/reconnect_gate.rs
@@ -4,8 +4,8 @@
 
 use std::time::{Duration, Instant};
 
-/// Maximum delay, as a fraction of a waiting request's remaining time.
-const SLACK_FRACTION: f64 = 0.5;
+/// Maximum delay, as a fraction of the remaining time of the first waiting request.
+const MAX_REMAINING_FRACTION: f64 = 0.5;
 /// Maximum number of times that the spread is doubled while routers reject connections.
 const MAX_DOUBLINGS: u32 = 3;
 
@@ -14,8 +14,8 @@
 pub(super) struct ReconnectGate {
     /// The configured upper limit of the delay, before any doubling.
     spread: Duration,
-    /// Whether a connection was lost since the latest delay was chosen. The delay is chosen when a request
-    /// next needs a connection, since it depends on that request's remaining time.
+    /// Whether a connection has been lost since the latest delay was chosen. The next delay is chosen when a
+    /// request needs a connection, since the delay depends on that request's remaining time.
     was_connection_lost: bool,
     /// The end of the latest delay: no connection is opened before this time.
     opens_at: Option<Instant>,
@@ -56,7 +56,7 @@
     pub(super) fn admits(&mut self, now: Instant, remaining: Duration, rng: &mut fastrand::Rng) -> bool {
         let was_connection_lost = std::mem::take(&mut self.was_connection_lost);
         if was_connection_lost && !self.is_closed(now) {
-            let spread = self.current_spread().min(remaining.mul_f64(SLACK_FRACTION));
+            let spread = self.current_spread().min(remaining.mul_f64(MAX_REMAINING_FRACTION));
             self.opens_at = Some(now + spread.mul_f64(rng.f64()));
         }
         !self.is_closed(now)
--- a/crates/fleet/src/fleet/quota_leases.rs
+++ b/crates/fleet/src/fleet/quota_leases.rs
@@ -18,7 +18,7 @@
 
 /// The state of other modules that a round depends on.
 pub struct RoundContext<'a> {
-    /// The time.
+    /// The time of the round.
     pub now: Time,
     /// When this router started.
     pub started_at: Time,
@@ -34,7 +34,7 @@
     /// Returns whether a peer from or about which nothing was ever received counts as unavailable: more than
     /// a lease's span has passed since this router started.
     fn unheard_are_unavailable(&self) -> bool {
-        self.now.since(self.started_at) > self.config.timing.lease
+        self.now.since(self.started_at) > self.config.timing.lease_span
     }
 
     fn is_unavailable(&self, node: NodeId) -> bool {
@@ -110,7 +110,7 @@
         self.claims = BTreeMap::from([(self.me, LeaseClaim::new(roster.voters(self.me)))]);
     }
 
-    /// Discards what is cached about the owners for which this router is a voter, because the roster may have
+    /// Discards the cache of the owners for which this router is a voter, because the roster may have
     /// changed.
     pub fn forget_voters(&mut self) {
         self.is_voter_for.clear();
@@ -220,7 +220,7 @@
     /// Requests votes for each claim whose lease is not valid or is due for renewal.
     fn request_votes(&mut self, context: &RoundContext, accounts: &mut AccountTable, outbox: &mut Outbox) {
         let now = context.now;
-        let span = context.config.timing.lease;
+        let span = context.config.timing.lease_span;
         let candidate = NodeIncarnation { node: self.me, incarnation: context.swim.incarnation() };
         for (owner, claim) in &mut self.claims {
             let is_own = *owner == self.me;
--- a/crates/fleet/src/fleet/receive.rs
+++ b/crates/fleet/src/fleet/receive.rs
@@ -9,7 +9,7 @@
 use crate::swim::SwimOutput;
 use basalthill_policy::api::Time;
 
-/// The sender of a packet, with what determines which of its messages are accepted.
+/// The sender of a packet, and the properties that determine which of its messages are accepted.
 #[derive(Clone, Copy, Debug)]
 struct Sender {
     id: NodeIncarnation,
@@ -19,7 +19,7 @@
 }
 
 impl Fleet {
-    /// Handles a received datagram. One that does not pass the checks is dropped and counted.
+    /// Handles a received datagram. A datagram that does not pass the checks is dropped and counted.
     pub fn receive_datagram(&mut self, now: Time, datagram: &[u8], effects: &mut Vec<Effect>) {
         match self.codec.decode(datagram) {
             Ok(Payload::Packet(packet)) => self.receive_packet(now, packet, effects),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Handles a packet whose signature has been verified.
+    /// Handles a packet whose authentication code has been verified.
     pub fn receive_packet(&mut self, now: Time, packet: Packet, effects: &mut Vec<Effect>) {
         match self.accept_packet(now, &packet, effects) {
             Ok(sender) => self.handle_messages(now, &sender, &packet.messages, effects),
@@ -58,7 +58,8 @@
         }
         let knows_receiver_incarnation = packet.to_incarnation != 0;
         if knows_receiver_incarnation && packet.to_incarnation != self.swim.incarnation() {
-            // Every packet carries the sender's incarnation, so the content of the message does not matter.
+            // The packet itself tells the sender this router's incarnation, so the content of the message
+            // does not matter.
             self.correct(now, packet, Message::Ack { number: 0 }, effects);
             return Err(DropReason::OtherIncarnation);
         }
@@ -86,7 +87,7 @@
             limits: packet.limits_digest != self.limits_digest,
         };
         if self.links.set_mismatch(packet.from, mismatch) {
-            let what = match mismatch {
+            let description = match mismatch {
                 ConfigMismatch { roster: true, .. } => {
                     "has a different list of routers: no votes or units are exchanged with it"
                 }
@@ -94,7 +95,7 @@
                 _ => "has the same list of routers and the same limits",
             };
             let name = self.config.roster.name(packet.from);
-            effects.push(Effect::Log(format!("fleet: {name} {what}")));
+            effects.push(Effect::Log(format!("fleet: {name} {description}")));
         }
         mismatch
     }
@@ -118,8 +119,9 @@
                 | Message::IndirectAck { .. }
                 | Message::Gossip(_) => self.swim.receive(now, sender.id.node, message, &mut outputs),
                 Message::StaleIncarnation { latest } => {
+                    let name = self.config.roster.name(sender.id.node);
                     effects.push(Effect::Log(format!(
-                        "fleet: a peer knows a later incarnation {latest} of this router; taking a newer one"
+                        "fleet: {name} knows a later incarnation {latest} of this router; taking a newer one"
                     )));
                     self.swim.supersede_incarnation(*latest);
                 }
@@ -227,10 +229,10 @@
                         }
                     }
                     let roster = &self.config.roster;
-                    let what = describe_change(state, restarted);
+                    let description = describe_change(state, restarted);
                     let name = roster.name(node);
                     let reporter = roster.name(reporter);
-                    effects.push(Effect::Log(format!("fleet: {name} {what}, reported by {reporter}")));
+                    effects.push(Effect::Log(format!("fleet: {name} {description}, reported by {reporter}")));
                 }
             }
         }
--- a/crates/fleet/src/loan.rs
+++ b/crates/fleet/src/loan.rs
@@ -1,13 +1,14 @@
 //! Loans of units between two routers, over links that lose, delay, duplicate and reorder datagrams.
 //!
 //! The borrower sends requests with increasing numbers. Each states how many units of the current loan the
-//! borrower retains; it stops using the others before it sends the request. The lender responds to the latest
-//! request. The borrower measures the span of a loan from the time at which it sent the request, the lender
-//! from the later time at which it responded; the lender's span is also longer by the largest difference that
-//! the drift of their clocks allows. Both record the same schedule: after a request, no more than the
-//! retained units; after a grant, the granted units until the end of the grant, and retained units beyond
-//! those until their own end. The lender records it first, whether or not its response arrives, and each of
-//! its end times is later. So at any time the borrower uses no more units than the lender has deducted.
+//! borrower retains; the borrower stops using the others before it sends the request. The lender responds to
+//! the latest request. The borrower measures the span of a loan from the time at which it sent the request,
+//! the lender from the later time at which it responded; the lender's span is also longer by the largest
+//! difference that the drift of their clocks allows. Both record the same schedule: after a request, no more
+//! than the retained units; after a grant, the granted units until the end of the grant, and retained units
+//! beyond those until their own end. The lender records a grant first, whether or not its response arrives,
+//! and each end time in the lender's schedule is later. So at any time the borrower uses no more units than
+//! the lender has deducted.
 //!
 //! The borrower ignores responses to all requests but its latest. The lender ignores requests that are not
 //! newer than the last one. A borrower that restarts has lost its loans, and they expire at the lender. A
@@ -130,7 +131,7 @@
 }
 
 impl Borrowing {
-    /// Creates an empty borrowing whose first request has the number after `number`.
+    /// Creates an empty borrowing whose first request has the number `number + 1`.
     pub fn numbered_from(number: u32) -> Borrowing {
         Borrowing { number, ..Borrowing::default() }
     }
@@ -249,7 +250,8 @@
     /// Removes loans that have expired.
     pub fn expire(&mut self, now: Time, ledger: &mut Ledger) {
         if self.schedule.has_expired(now) {
-            // The ledger rounds the end of a debit up to a tick, so its entry expires up to one tick later.
+            // Cancelling the debit makes the units available now. The ledger rounds the end of a debit up to
+            // a tick, so without this they would become available up to one tick later.
             self.change(ledger, |schedule| schedule.expire(now));
         }
     }
--- a/crates/fleet/src/swim/mod.rs
+++ b/crates/fleet/src/swim/mod.rs
@@ -11,7 +11,8 @@
 //! - A router that misses acknowledgements, or has to refute a suspicion, assumes that it is slow itself and
 //!   lengthens its timeouts. A router whose process was suspended suspects no peer for acknowledgements
 //!   missed in that time.
-//! - A suspect is notified of the suspicion with the next packet that is sent to it.
+//! - A router that receives a packet from a peer that it considers suspect, dead or left notifies the peer,
+//!   so that the peer can refute this.
 //!
 //! The roster is configured: routers do not have to join, and dead ones are pinged periodically, so that
 //! membership recovers after a partition heals.
@@ -35,15 +36,15 @@
 pub const PERIOD: Time = Time::ms(250);
 /// If a ping is not acknowledged within this time, other routers are requested to ping the target.
 const ACK_TIMEOUT: Time = Time::ms(90);
-/// The number of routers that are requested to ping a target (SWIM's `k`), and of further suspecting routers
-/// at which the suspicion timeout is shortest.
+/// The number of routers that are requested to ping a target (SWIM's `k`). The suspicion timeout is at its
+/// minimum when this number of further routers suspect the peer in addition to the first.
 const INDIRECT_PROBES: usize = 3;
 /// The largest value of Lifeguard's local health multiplier.
 const MAX_HEALTH_SCORE: u32 = 8;
 /// The most notifications that a router sends when it shuts down; gossip spreads the update further.
 const LEAVE_REPORTS: usize = 2 * INDIRECT_PROBES;
 
-/// What the caller has to do after an input.
+/// An action that the caller has to perform, or a change that it has to apply, after an input.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SwimOutput {
     /// Send a message.
@@ -124,12 +125,12 @@
         self.probe_order.clear();
     }
 
-    /// Returns what is known about the peers, by id.
+    /// Returns the views of all peers, in ascending order of their ids.
     pub fn peers(&self) -> impl Iterator<Item = (NodeId, &PeerView)> {
         self.peers.iter().map(|(id, view)| (*id, view))
     }
 
-    /// Returns what is known about a peer.
+    /// Returns the view of a peer; `None` if the router is not on the roster or is this router itself.
     pub fn peer(&self, id: NodeId) -> Option<&PeerView> {
         self.peers.get(&id)
     }
@@ -194,7 +195,8 @@
         self.gossip.push(self.own_update(PeerState::Alive));
     }
 
-    /// Records that a packet was received from `from` in this incarnation.
+    /// Records that a packet was received from an incarnation of `from`. If this router considers the peer
+    /// suspect, dead or left, notifies it.
     pub fn record_contact(
         &mut self,
         now: Time,
@@ -238,7 +240,7 @@
         }
     }
 
-    /// Applies an update, and gossips it further if it takes precedence over what is known.
+    /// Applies an update, and gossips it further if it takes precedence over the known state.
     pub fn apply_update(&mut self, now: Time, update: MembershipUpdate, outputs: &mut Vec<SwimOutput>) {
         if update.node == self.me {
             self.refute(update, outputs);
--- a/crates/router/src/routing/fleet_limits.rs
+++ b/crates/router/src/routing/fleet_limits.rs
@@ -41,7 +41,7 @@
         limits: fleet.limits.clone(),
         timing: Timing::new(fleet.drift, max_use),
         max_use,
-        vote_quarantine: longest_timing.lender_span(longest_timing.lease),
+        vote_quarantine: longest_timing.lender_span(longest_timing.lease_span),
     }
 }
 
