--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -29,7 +29,7 @@
 }
 
 impl Reply {
-    /// Returns whether the router rejected the request without sending it to a host: with the SQLSTATE of
+    /// Returns whether the router rejected the request: whether the reply is an error with the SQLSTATE
     /// `too_many_connections` or `cannot_connect_now`.
     pub fn is_rejection(&self) -> bool {
         matches!(self, Reply::Error(sqlstate, _) if sqlstate == "53300" || sqlstate == "57P03")
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Waits until the router sends a byte or closes or resets the connection. Returns false if it sent a
-    /// byte, or if none of these happened within the read timeout of the socket.
+    /// Waits until the router closes or resets the connection. Returns false if the router sends a byte
+    /// instead, or if nothing happens within the read timeout of the socket.
     pub fn wait_for_close(&mut self) -> bool {
         let result = self.stream.read(&mut [0]);
         matches!(result, Ok(0)) || matches!(result, Err(e) if e.kind() == ErrorKind::ConnectionReset)
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -38,7 +38,8 @@
     Indented,
 }
 
-/// What discovery publishes, the requests that it has received, and how it responds to the next ones.
+/// The lines that discovery publishes, the requests that it has received, and how it responds to the next
+/// requests.
 #[derive(Debug, Default)]
 pub struct DiscoveryState {
     /// Lines that a watch sends: the complete list, then all lines published since.
--- a/crates/standin/src/group/member.rs
+++ b/crates/standin/src/group/member.rs
@@ -50,9 +50,9 @@
         response
     }
 
-    /// Waits until the member executes fewer than `max_concurrent` statements, then counts one more. Returns
-    /// false if a change of the group's state after [`CAPACITY_WAIT`] still leaves no capacity, or after
-    /// [`crate::TIMEOUT`].
+    /// Waits until the member executes fewer than `max_concurrent` statements, then counts one more. Capacity
+    /// is checked after each change of the group's state. Returns false if there is still none at the first
+    /// check after [`CAPACITY_WAIT`], or after [`crate::TIMEOUT`].
     fn reserve_capacity(&self, max_concurrent: usize) -> bool {
         let deadline = Instant::now() + CAPACITY_WAIT;
         let reserved = self.state.wait(|s| match s.executing[self.index] < max_concurrent {
--- a/crates/standin/src/harness.rs
+++ b/crates/standin/src/harness.rs
@@ -114,9 +114,9 @@
                 Some(proxy) => (0..config.routers).map(|m| proxy.link_addr(n, m)).collect(),
                 None => direct_addrs.clone(),
             };
-            let own = config.limits.as_ref().map(|limits| fleet_settings(config, n, &peers, limits));
-            let own = own.map(|text| write_unique_file(folder, "harness.kdl", &text)).transpose()?;
-            harness.start_router(program, n, own)?;
+            let text = config.limits.as_ref().map(|limits| fleet_settings(config, n, &peers, limits));
+            let settings = text.map(|text| write_unique_file(folder, "harness.kdl", &text)).transpose()?;
+            harness.start_router(program, n, settings)?;
         }
         Ok(harness)
     }
@@ -240,8 +240,8 @@
             // Statements of clients have a comment, and health checks don't.
             let is_request = text.contains("/*");
             if is_request {
-                let now = concurrent.fetch_add(1, Ordering::SeqCst) + 1;
-                max_seen.fetch_max(now, Ordering::SeqCst);
+                let executing = concurrent.fetch_add(1, Ordering::SeqCst) + 1;
+                max_seen.fetch_max(executing, Ordering::SeqCst);
                 std::thread::sleep(service_time);
                 concurrent.fetch_sub(1, Ordering::SeqCst);
             }
@@ -268,7 +268,7 @@
 }
 
 /// Returns the site settings (JSON). The longest deadlines are shortened to 1.5 s, so that the units of a
-/// limit that a router held when it was killed soon become available again.
+/// limit that a killed router owned soon become available again.
 fn platform_settings(config: &HarnessConfig) -> String {
     let probes = config.host_behavior != HostBehavior::ServeThenClose;
     SETTINGS
--- a/crates/standin/src/link_faults.rs
+++ b/crates/standin/src/link_faults.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Returns the delay of each delivered copy of a datagram; none if the datagram is lost. `random_below`
+    /// Returns the delay of each delivered copy of a datagram; empty if the datagram is lost. `random_below`
     /// returns a random number below its argument.
     pub fn deliveries(
         &self,
--- a/crates/standin/src/simulated_fleet.rs
+++ b/crates/standin/src/simulated_fleet.rs
@@ -63,8 +63,8 @@
     pub links: LinkFaults,
     /// What an observer outside the routers has recorded.
     pub observations: Observations,
-    /// Whether the units that all routers may use are summed after each tick. The cost of this grows with the
-    /// square of the number of routers.
+    /// Whether the units that all routers may use are summed after each tick. The cost of the sums grows with
+    /// the square of the number of routers.
     pub tracks_allocated_units: bool,
     config: FleetConfig,
     codec: DatagramCodec,
@@ -103,7 +103,8 @@
 
 impl SimulatedFleet {
     /// Creates a fleet of the routers in the roster of `config`, none of which is started. Requests without
-    /// permits count under `rate_limit`, and requests with permits under `concurrency_limit`.
+    /// permits count under `rate_limit`, and requests with permits under `concurrency_limit`. `longest_use`
+    /// is the longest time for which a router holds a permit, by its own clock.
     pub fn new(
         config: FleetConfig,
         rate_limit: Option<LimitKey>,
@@ -397,11 +398,11 @@
         if !is_granted {
             return;
         }
-        // The request completes within `longest`, the true time after which a router with the fastest allowed
-        // clock would reclaim the permit. Routers with slower clocks would reclaim it later.
-        let longest = (longest_use.0 as f64 / (1.0 + self.config.timing.drift)) as u64;
-        let shortest = longest / SHORTEST_USE_DIVISOR;
-        let until = self.now.plus(Time(shortest + self.rng.u64(..longest - shortest)));
+        // The request completes within `longest_ns`, the true time after which a router with the fastest
+        // allowed clock would reclaim the permit. Routers with slower clocks would reclaim it later.
+        let longest_ns = (longest_use.0 as f64 / (1.0 + self.config.timing.drift)) as u64;
+        let shortest_ns = longest_ns / SHORTEST_USE_DIVISOR;
+        let until = self.now.plus(Time(shortest_ns + self.rng.u64(..longest_ns - shortest_ns)));
         self.open_permits.insert(permit);
         self.observations.permits.push(Permit { from: self.now, until, router });
         self.schedule(until, Event::PermitRelease { router, permit });
--- a/crates/standin/src/simulated_fleet/observations.rs
+++ b/crates/standin/src/simulated_fleet/observations.rs
@@ -56,8 +56,8 @@
 /// result is negative if they never exceed it.
 pub fn rate_excess(mut admitted: Vec<Time>, per_s: f64, burst: f64) -> f64 {
     admitted.sort_unstable();
-    // Tokens of a token bucket with this rate and burst. Unlike in a rate limiter, they go below zero by the
-    // number of excess requests.
+    // Tokens of a token bucket with this rate and burst. Unlike in a rate limiter, their number falls below
+    // zero by the number of excess requests.
     let mut tokens = burst;
     let mut last = Time(0);
     let mut worst = -burst;
