--- a/crates/router/tests/at_most_once.rs
+++ b/crates/router/tests/at_most_once.rs
@@ -1,6 +1,6 @@
-//! A write runs at most once, by the host's own record: when the host closes connections before, at and after
-//! the last byte of a request, and when the deduplication window is shorter than a connect. A host that is
-//! slow to connect does not delay requests to other hosts.
+//! A write runs at most once, according to the host's record: when the host closes connections before, at and
+//! after the last byte of a request, and when the deduplication window is shorter than the time to connect. A
+//! host that is slow to connect does not delay requests to other hosts.
 
 mod common;
 
@@ -23,7 +23,7 @@
 const STARTUP_RESPONSE: &[u8] = b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I";
 /// The ReadyForQuery message, which ends a host's response.
 const READY_FOR_QUERY: &[u8] = b"Z\0\0\0\x05I";
-/// The least number of bytes that [`DisconnectingHost`] reads of a longer statement, to recognize health
+/// The minimum number of bytes that [`DisconnectingHost`] reads of a longer statement, to recognize health
 /// checks.
 const STATEMENT_PREFIX_LEN: usize = 64;
 
@@ -144,17 +144,17 @@
     host.wait_for_statement("id=short").unwrap();
     // The host closed the connection after the last byte of the write. The connections for retries complete
     // their startup only after the deduplication window.
-    host.record.change(|host| host.withhold_startup_response = true);
+    host.record.change(|record| record.withhold_startup_response = true);
     std::thread::sleep(window + Duration::from_millis(100));
-    host.record.change(|host| host.withhold_startup_response = false);
+    host.record.change(|record| record.withhold_startup_response = false);
     assert!(matches!(client.read_reply().unwrap(), Reply::Error(..)));
     assert_eq!(router.client().query(&write("after")).unwrap(), row(b"x"));
-    let seen = host.record.lock();
-    let attempts: Vec<_> = seen.statements.iter().filter(|s| s.text.contains("id=short")).collect();
+    let record = host.record.lock();
+    let attempts: Vec<_> = record.statements.iter().filter(|s| s.text.contains("id=short")).collect();
     let span = attempts.last().unwrap().received_at - attempts[0].received_at;
     assert!(
         span < window,
-        "{} attempts, the last {span:?} after the first, window {window:?}",
+        "{} attempts, the last one {span:?} after the first, deduplication window {window:?}",
         attempts.len()
     );
 }
@@ -163,7 +163,7 @@
 fn slow_connecting_host_does_not_delay_requests_to_other_hosts() {
     let slow = primary_with_row(b"x");
     let quick = primary_with_row(b"x");
-    slow.record.change(|host| host.withhold_startup_response = true);
+    slow.record.change(|record| record.withhold_startup_response = true);
     let members = [
         Endpoint::new("s-1", quick.addr, 2, "active", "source"),
         Endpoint::new("s-2", slow.addr, 3, "active", "source"),
@@ -187,21 +187,25 @@
             "the request fails by its deadline"
         );
     }
-    assert_eq!(slow.statement_count("INSERT"), 0);
+    assert_eq!(
+        slow.statement_count("INSERT"),
+        0,
+        "a write was sent to a host that has not completed a startup"
+    );
 }
 
-/// The deadline in a forwarded statement is the time left when the statement is written, not the time left
-/// when its connection was opened.
+/// The deadline in a forwarded statement is the time that remains when the statement is written, not the time
+/// that remained when its connection was opened.
 #[test]
 fn late_connection_forwards_only_the_remaining_deadline() {
     let host = primary_host(|_| Response::RowThenClose(b"x".to_vec()));
     let router = RouterThread::with_settings(host.addr, &with_long_connect_timeout(SETTINGS));
     let mut client = router.client();
-    host.record.change(|host| host.withhold_startup_response = true);
+    host.record.change(|record| record.withhold_startup_response = true);
     let started_at = Instant::now();
     client.send(&write("late")).unwrap();
     std::thread::sleep(Duration::from_millis(600));
-    host.record.change(|host| host.withhold_startup_response = false);
+    host.record.change(|record| record.withhold_startup_response = false);
     let statement = host.wait_for_statement("id=late").unwrap();
     let (_, rest) = statement.text.split_once(",d=").unwrap();
     let (deadline_ms, _) = rest.split_once(',').unwrap();
--- a/crates/router/tests/client_edge_cases.rs
+++ b/crates/router/tests/client_edge_cases.rs
@@ -39,8 +39,9 @@
 /// reply.
 fn cancel(addr: SocketAddr, key: &[u8]) {
     let mut client = Client::connect_without_startup(addr).unwrap();
+    // The length of the message (16) and the code of a CancelRequest (80877102).
     client.stream.write_all(&[&[0, 0, 0, 16, 4, 210, 22, 46], key].concat()).unwrap();
-    assert!(client.wait_for_close());
+    assert!(client.wait_for_close(), "the router did not close the connection of a cancel request");
 }
 
 /// Waits until all connections that the host has accepted are closed.
@@ -50,8 +51,8 @@
 }
 
 /// Starts a host that closes each connection after one response, and a router that has sent it one write.
-/// From then on the host accepts connections without responding to their startup message, so that the next
-/// request waits for its host connection.
+/// After this write, the host accepts connections without responding to their startup messages, so that the
+/// next request waits for its host connection.
 fn start_with_withheld_startup_responses() -> (Host, RouterThread) {
     let host = Host::start(|text| match text {
         "SHOW vitals" => {
@@ -62,23 +63,23 @@
     .unwrap();
     let settings = SETTINGS.replace("\"connectTimeout\": 250000000", "\"connectTimeout\": 2000000000");
     let router = RouterThread::with_settings(host.addr, &settings);
-    // The router may reuse a connection until it is closed, so each close is awaited. The first health check
-    // opens the first connection.
+    // The router may reuse a connection until the host has closed it, so each close is awaited. The first
+    // health check opens the first connection.
     host.wait_for_statement("SHOW vitals").unwrap();
     wait_for_no_open_connection(&host);
     assert_eq!(router.client().query(&write_statement("first")).unwrap(), row(b"x"));
     wait_for_no_open_connection(&host);
-    host.record.change(|s| s.withhold_startup_response = true);
+    host.record.change(|record| record.withhold_startup_response = true);
     (host, router)
 }
 
 /// Connects a client that sends a write, and waits until the host has accepted the connection for it. The
 /// client has not read anything yet.
 fn send_waiting_write(host: &Host, router: &RouterThread, id: &str) -> Client {
-    let before = host.record.lock().accepted;
+    let accepted_before = host.record.lock().accepted;
     let mut client = Client::connect_without_startup(router.addr).unwrap();
     client.stream.write_all(&[startup(), query(&write_statement(id))].concat()).unwrap();
-    host.record.wait(|s| (s.accepted > before).then_some(())).unwrap();
+    host.record.wait(|record| (record.accepted > accepted_before).then_some(())).unwrap();
     client
 }
 
@@ -88,13 +89,13 @@
     let (host, router) = start_with_withheld_startup_responses();
     let client = send_waiting_write(&host, &router, "gone");
     disconnect(client);
-    // From 100 ms after a client has disconnected, nothing may be sent to a host for it.
+    // Nothing may be sent to a host for a client that disconnected 100 ms ago or earlier.
     std::thread::sleep(Duration::from_millis(100));
-    host.record.change(|s| s.withhold_startup_response = false);
+    host.record.change(|record| record.withhold_startup_response = false);
     assert_eq!(router.client().query(&write_statement("after")).unwrap(), row(b"x"));
     host.wait_for_statement("id=after").unwrap();
     std::thread::sleep(Duration::from_millis(50));
-    assert_eq!(host.statement_count("id=gone"), 0, "a disconnected client's write is never sent");
+    assert_eq!(host.statement_count("id=gone"), 0, "a disconnected client's write was sent to the host");
 }
 
 #[test]
@@ -122,9 +123,9 @@
 fn a_cancelled_write_gets_its_reply_immediately_and_is_never_sent() {
     let (host, router) = start_with_withheld_startup_responses();
     let (mut client, key) = connect_with_cancel_key(router.addr);
-    let before = host.record.lock().accepted;
+    let accepted_before = host.record.lock().accepted;
     client.send(&write_statement("cancelled")).unwrap();
-    host.record.wait(|s| (s.accepted > before).then_some(())).unwrap();
+    host.record.wait(|record| (record.accepted > accepted_before).then_some(())).unwrap();
     // Neither a key with a wrong secret nor the key of no connection cancels the request.
     cancel(router.addr, &[&key[..4], &[key[4] ^ 1], &key[5..]].concat());
     cancel(router.addr, &[0; 8]);
@@ -133,13 +134,13 @@
     assert_eq!(error_code(&client.read_reply().unwrap()), "57014");
     assert!(cancelled_at.elapsed() < Duration::from_millis(1500), "{:?}", cancelled_at.elapsed());
     std::thread::sleep(Duration::from_millis(100));
-    host.record.change(|s| s.withhold_startup_response = false);
+    host.record.change(|record| record.withhold_startup_response = false);
     assert_eq!(
         client.query(&write_statement("after")).unwrap(),
         row(b"x"),
         "the client's connection stays open"
     );
-    assert_eq!(host.statement_count("id=cancelled"), 0);
+    assert_eq!(host.statement_count("id=cancelled"), 0, "a cancelled write was sent to the host");
     // A cancel request without an open request has no effect.
     cancel(router.addr, &key);
     wait_for_no_open_connection(&host);
@@ -174,13 +175,13 @@
             client
         })
         .collect();
-    let before = host.statement_count("id=left");
+    let sent_before = host.statement_count("id=left");
     for client in clients.drain(..) {
         drop(client);
-        disconnected_at.change(|w| w.push(Instant::now()));
+        disconnected_at.change(|times| times.push(Instant::now()));
         std::thread::sleep(Duration::from_millis(5));
     }
-    host.record.change(|s| s.withhold_startup_response = false);
+    host.record.change(|record| record.withhold_startup_response = false);
     let started_at = Instant::now();
     assert_eq!(router.client().query(&write_statement("after")).unwrap(), row(b"x"));
     assert!(
@@ -190,15 +191,15 @@
     );
     std::thread::sleep(Duration::from_millis(200));
     is_active.store(false, Ordering::Relaxed);
-    let seen = host.record.lock();
-    let late = seen.statements.iter().filter(|s| {
-        let left = s.text.split("id=left").nth(1).and_then(|t| t[..2].parse::<usize>().ok());
-        left.is_some_and(|n| s.received_at > disconnected_at.lock()[n] + Duration::from_millis(100))
+    let record = host.record.lock();
+    let late = record.statements.iter().filter(|s| {
+        let client = s.text.split("id=left").nth(1).and_then(|t| t[..2].parse::<usize>().ok());
+        client.is_some_and(|n| s.received_at > disconnected_at.lock()[n] + Duration::from_millis(100))
     });
     assert_eq!(
         late.count(),
         0,
-        "writes were sent over 100 ms after their clients disconnected; {before} were sent before"
+        "writes were sent over 100 ms after their clients disconnected; {sent_before} were sent before"
     );
 }
 
@@ -218,11 +219,12 @@
     let request = query(&write_statement("partial"));
     partial.stream.write_all(&request[..60]).unwrap();
     router.stop();
-    // All idle connections are closed together, so this one shows when the others are being closed.
+    // All idle connections are closed together, so the close of this one shows when the others are being
+    // closed.
     assert!(sentinel.wait_for_close());
     partial.stream.write_all(&request[60..]).unwrap();
     for (n, client) in idle.iter_mut().enumerate() {
-        // The write may fail on a connection that is already closed; the request has no reply then either.
+        // Writing fails if the connection is already closed; the request then has no reply either.
         let _ = client.stream.write_all(&query(&write_statement(&format!("cross{n:02}"))));
     }
     assert_eq!(partial.read_reply().unwrap(), row(b"x"), "a request that had begun to arrive is completed");
@@ -236,7 +238,8 @@
             "client {n} must get a reply if and only if its request was forwarded"
         );
     }
-    assert!(router.stopped.wait(|o| o.then_some(())).is_some());
+    let stopped = router.stopped.wait(|stopped| stopped.then_some(()));
+    assert!(stopped.is_some(), "the router did not stop within {TIMEOUT:?}");
 }
 
 #[test]
@@ -272,8 +275,10 @@
     assert_eq!(sentinel.query(&write_statement("before")).unwrap(), row(b"x"));
     let started_at = Instant::now();
     router.stop();
-    assert!(router.stopped.wait(|o| o.then_some(())).is_some());
-    // Half a second of grace period, and half a second for connections that are being closed.
+    let stopped = router.stopped.wait(|stopped| stopped.then_some(()));
+    assert!(stopped.is_some(), "the router did not stop within {TIMEOUT:?}");
+    // The grace period takes 0.5 s, and connections that are being closed take up to 0.5 s; the rest of the
+    // bound allows for a busy machine.
     assert!(started_at.elapsed() < Duration::from_millis(2500), "{:?}", started_at.elapsed());
     is_active.store(false, Ordering::Relaxed);
 }
@@ -294,7 +299,8 @@
     assert_eq!(error_code(&client.read_reply().unwrap()), "53300");
     assert!(client.wait_for_close());
     assert_eq!(host.statement_count("id=2"), 0);
-    assert!(router.stopped.wait(|o| o.then_some(())).is_some());
+    let stopped = router.stopped.wait(|stopped| stopped.then_some(()));
+    assert!(stopped.is_some(), "the router did not stop within {TIMEOUT:?}");
 }
 
 /// The timeout of a pipelined command starts with the arrival of its last byte. A command that expires while
@@ -341,7 +347,7 @@
         });
         std::thread::sleep(Duration::from_micros(50 * (round % 20)));
         let id = format!("cross{round:02}");
-        let served = existing.query(&write_statement(&id)).is_ok_and(|a| a == row(b"x"));
+        let served = existing.query(&write_statement(&id)).is_ok_and(|reply| reply == row(b"x"));
         let sent = host.statement_count(&format!("id={id}"));
         assert_eq!(sent, usize::from(served), "round {round}");
         unserved += usize::from(!served);
@@ -350,7 +356,7 @@
     assert!(unserved < 40, "no request arrived before its connection was closed");
 }
 
-/// A slow reader and a slow sender do not delay other clients, and are disconnected in time.
+/// A slow reader and a slow sender do not delay other clients, and the router disconnects both.
 #[test]
 fn slow_clients_do_not_delay_other_clients() {
     let value = vec![7; 60_000];
@@ -375,8 +381,10 @@
         assert!(started_at.elapsed() < Duration::from_secs(1), "{:?}", started_at.elapsed());
         std::thread::sleep(Duration::from_millis(20));
     }
-    // Both the slow reader and the slow sender are disconnected in time.
-    assert!(slow_sender.stream.read_to_end(&mut Vec::new()).is_ok());
+    assert!(
+        slow_sender.stream.read_to_end(&mut Vec::new()).is_ok(),
+        "the slow sender's connection was reset, or was not closed within {TIMEOUT:?}"
+    );
     let (started_at, mut is_disconnected) = (Instant::now(), false);
     while !is_disconnected && started_at.elapsed() < TIMEOUT {
         std::thread::sleep(Duration::from_millis(100));
--- a/crates/router/tests/pipelines.rs
+++ b/crates/router/tests/pipelines.rs
@@ -139,7 +139,8 @@
     let addr = router.addr;
     let pipelines = [("report", 1, 0), ("write", 2, 20_000)].map(|(class, client_number, bytes)| {
         std::thread::spawn(move || {
-            // The router closes a connection without a first request in time, so the client connects last.
+            // The router closes a connection whose first request does not arrive in time, so the client
+            // encodes its commands before it connects.
             let large = "9f".repeat(bytes.max(1));
             let commands: Vec<u8> = (0..500)
                 .flat_map(|n| query(&statement(class, client_number, n).replace("9f03", &large)))
@@ -165,8 +166,11 @@
         })
     });
     let rows = pipelines.map(|p| p.join().unwrap());
-    assert!(rows.iter().all(|rows| *rows > 400), "{rows:?} of 500 are served");
-    assert!(slow_reader.join().unwrap());
+    assert!(
+        rows.iter().all(|rows| *rows > 400),
+        "{rows:?} of 500 commands were served, expected more than 400 of each pipeline"
+    );
+    assert!(slow_reader.join().unwrap(), "the slow reader did not get the rows of all its 20 commands");
     is_active.store(false, Ordering::Relaxed);
     let max_latency = others.join().unwrap();
     assert!(max_latency < Duration::from_secs(1), "a request of another client took {max_latency:?}");
@@ -218,11 +222,11 @@
         (0..400).map(|n| (read_row_or_error(&mut client, "write", 6, n), signalled_at.elapsed())).collect();
     assert!(client.wait_for_close());
     assert!(router.wait_for_exit().unwrap().success());
-    // Once its connections are closed, the host has recorded all that the router sent.
+    // Once its connections are closed, the host has recorded every statement that the router sent.
     let closed = host.record.wait(|record| (record.open == 0).then_some(()));
     assert!(closed.is_some(), "{} connections of the host are still open", host.record.lock().open);
-    // The shutdown has a time limit. On a slow machine it passes before all commands are served: the outcome
-    // of the request in flight is then unknown, and those that wait are rejected.
+    // The shutdown has a time limit, which on a slow machine expires before all commands are served: the
+    // outcome of the request in flight is then unknown, and the commands that wait are rejected.
     let limit = Duration::from_nanos(shutdown_timeout(&deployment_settings()).0);
     let first_error = replies.iter().position(|(error, _)| error.is_some()).unwrap_or(replies.len());
     for (n, (error, replied_after)) in replies.iter().enumerate().skip(first_error) {
@@ -230,12 +234,15 @@
         match error.as_deref() {
             Some("58000") if n == first_error => {
                 assert!(received <= 1, "command {n}: 58000, but the host has received it {received} times");
-                assert!(*replied_after >= limit, "command {n}: 58000 after {replied_after:?} of {limit:?}");
+                assert!(
+                    *replied_after >= limit,
+                    "command {n}: 58000 after {replied_after:?}, limit {limit:?}"
+                );
             }
             Some("53300") => {
                 assert_eq!(received, 0, "command {n}: 53300, but the host has received it {received} times");
             }
-            Some(code) => panic!("command {n}: {code}, and command {first_error} got the first error"),
+            Some(code) => panic!("command {n}: {code}, after the first error at command {first_error}"),
             None => panic!("command {n}: a row, although command {first_error} got an error"),
         }
     }
@@ -280,7 +287,7 @@
     });
 }
 
-/// What became of the requests that a client wrote completely on accepted connections.
+/// The outcomes of the requests that a client wrote completely on accepted connections.
 #[derive(Default)]
 struct PipelineCounts {
     /// The number of replies, whether in time or late.
@@ -370,10 +377,10 @@
     assert!(ready.iter().filter(|t| **t < Duration::from_secs(10)).count() >= 9, "{ready:?}");
     is_active.store(false, Ordering::Relaxed);
     let counts: Vec<PipelineCounts> = clients.into_iter().map(|c| c.join().unwrap()).collect();
-    let sum = |f: fn(&PipelineCounts) -> usize| counts.iter().map(f).sum::<usize>();
-    assert_eq!(sum(|f| f.late), 0, "of {} answered", sum(|f| f.answered));
+    let sum = |count: fn(&PipelineCounts) -> usize| counts.iter().map(count).sum::<usize>();
+    assert_eq!(sum(|c| c.late), 0, "late replies of {}", sum(|c| c.answered));
     assert!(
-        counts.iter().all(|f| f.answered > 0 && f.closed <= 2),
+        counts.iter().all(|c| c.answered > 0 && c.closed <= 2),
         "a client got no reply, or lost more than two connections to the kill"
     );
 }
@@ -411,11 +418,11 @@
         });
     };
     all_serve(&routers, "at the start");
-    discovery.state.change(|t| t.withhold_responses = true);
+    discovery.state.change(|state| state.withhold_responses = true);
     routers.iter_mut().for_each(|r| r.kill().unwrap());
     routers.iter_mut().for_each(|r| r.restart().unwrap());
     all_serve(&routers, "after a restart without a response from discovery");
-    discovery.state.change(|t| t.withhold_responses = false);
+    discovery.state.change(|state| state.withhold_responses = false);
     let moved = Discovery::start(just_started(endpoint_list(
         9,
         true,
@@ -451,7 +458,7 @@
         })
         .collect();
     let discovery = Discovery::start(endpoint_list(1, true, &members)).unwrap();
-    discovery.state.change(|t| t.next_responses.extend([ResponseMode::Indented; 8]));
+    discovery.state.change(|state| state.next_responses.extend([ResponseMode::Indented; 8]));
     let settings = SETTINGS.replace("\"balancers\": 2", "\"balancers\": 1024");
     let router = start_router("n1", "null", discovery.addr, 256, &settings);
     let mut client = Client::connect(router.addr).unwrap();
@@ -464,6 +471,6 @@
     router.wait_for_log("1024 members").unwrap();
     let (memory, descriptors) = (router.resident_kib().unwrap(), router.descriptors().unwrap());
     println!("idle with 1024 hosts: {memory} KiB, {descriptors} descriptors");
-    // The bound is for a debug build with its symbols; the list takes some hundred bytes per host.
+    // The bound is for a debug build with its symbols; the list takes a few hundred bytes per host.
     assert!(memory < 32 * 1024 && descriptors < 64, "{memory} KiB, {descriptors} descriptors");
 }
--- a/crates/router/tests/reconnect.rs
+++ b/crates/router/tests/reconnect.rs
@@ -1,5 +1,6 @@
-//! Many clients lose their router at the same time. They spread their reconnects to the other router over the
-//! slack of their requests, no write reaches a host after its deadline, and no write runs twice.
+//! Many clients lose their router at the same time. They spread their reconnects to the other router over up
+//! to half of their requests' remaining time, no write reaches a host after its deadline, and no write runs
+//! twice.
 
 use basalthill_client::{Client, Config, Request, RequestOutcome, Runtime};
 use basalthill_standin::connect_recorder;
@@ -41,13 +42,13 @@
                 })
             });
             let requests: Vec<_> = requests.collect();
-            requests.into_iter().map(|a| a.join().unwrap()).collect::<Vec<RequestOutcome>>()
+            requests.into_iter().map(|request| request.join().unwrap()).collect::<Vec<RequestOutcome>>()
         })
     };
-    // All clients have a connection. About half of them lose it at the same time, and all clients send a
-    // request right after that.
+    // All clients have a connection. About half of them lose their connection at the same time, and all
+    // clients send a request directly afterwards.
     let served = |outcomes: &[RequestOutcome]| {
-        outcomes.iter().filter(|e| matches!(e, RequestOutcome::Served(_))).count()
+        outcomes.iter().filter(|outcome| matches!(outcome, RequestOutcome::Served(_))).count()
     };
     assert_eq!(served(&round(0, 100 * MS)), CLIENTS as usize);
     deployment.routers[0].kill().unwrap();
@@ -66,9 +67,9 @@
         connects.len(),
         (0..6).map(|n| within(n * 100, n * 100 + 100)).collect::<Vec<_>>()
     );
-    // The outcome of a request is unknown if its client wrote it to the old connection before it noticed the
-    // kill. All other requests are served.
-    let unknown = outcomes.iter().filter(|e| **e == RequestOutcome::MayHaveRun).count();
+    // The outcome of a request is unknown if its client wrote the request to the old connection before the
+    // close of that connection was detected. All other requests are served.
+    let unknown = outcomes.iter().filter(|outcome| **outcome == RequestOutcome::MayHaveRun).count();
     assert_eq!(
         served(&outcomes) + unknown,
         CLIENTS as usize,
@@ -97,13 +98,13 @@
         connects_since(restarted_at)
     );
     for host in &deployment.group.hosts {
-        let seen = host.record.lock();
-        for statement in &seen.statements {
+        let record = host.record.lock();
+        for statement in &record.statements {
             let (text, at) = (&statement.text, &statement.received_at);
             let Some(key) = text.split('\'').nth(1) else { continue };
             let deadline: u64 = key.rsplit('-').next().unwrap().parse().unwrap();
-            assert!(*at <= epoch + Duration::from_micros(deadline), "{text}");
-            assert!(deployment.group.committed_values(key).len() <= 1, "{text}");
+            assert!(*at <= epoch + Duration::from_micros(deadline), "received after its deadline: {text}");
+            assert!(deployment.group.committed_values(key).len() <= 1, "committed more than once: {text}");
         }
     }
 }
--- a/crates/router/tests/system_call_faults.rs
+++ b/crates/router/tests/system_call_faults.rs
@@ -71,8 +71,8 @@
     ]);
 }
 
-/// Clients occupy descriptors until the process reaches the system's limit, which is below the router's own
-/// budget; then they disconnect.
+/// Clients occupy descriptors until the process reaches the system's limit, which is below the descriptor
+/// budget that the router is configured with; then the clients disconnect.
 #[test]
 fn descriptor_exhaustion_delays_a_request_and_is_no_fault_of_a_member() {
     let deployment = Deployment::start(
@@ -98,7 +98,7 @@
         }
     };
     serve_others();
-    assert!(router.descriptors().unwrap() >= 64);
+    assert!(router.descriptors().unwrap() >= 64, "the router has not reached the limit of 64 descriptors");
     let write = "INSERT INTO records (k, v) VALUES ('a', '\\x01') RETURNING v";
     waiting.send(&format!("{write} /* id=a1,c=write,t=acme,d=1500,cluster=2 */")).unwrap();
     serve_others();
@@ -108,8 +108,8 @@
 }
 
 /// Starts a router while the system clock is ahead by `ahead_ms` (behind if negative), and then corrects the
-/// clock. Asserts that reads with a staleness bound of 0.5 s skip a replica that lags by 0.8 s until the
-/// replica has caught up. (The replica is not ejected, which would take a lag of 1 s.)
+/// clock. Asserts that a replica that lags by 0.8 s serves no reads with a staleness bound of 0.5 s until it
+/// has caught up. (The replica is not ejected, since that requires a lag of 1 s.)
 fn assert_reads_stay_fresh_after_clock_set(ahead_ms: i64) {
     let clock_offset = write_unique_file(Path::new(TEST_DIR), "clock-ahead", "").unwrap();
     std::fs::write(&clock_offset, ahead_ms.to_ne_bytes()).unwrap();
@@ -140,13 +140,13 @@
     let discovery = Discovery::start(known.clone()).unwrap();
     let settings = SETTINGS.replace("\"await\"", "\"none\"").replace("[3000000000", "[500000000");
     let text = format!(r#"{{"seed":"1","known":{known},"settings":{settings}}}"#);
-    let start = RouterOptions {
+    let options = RouterOptions {
         program: wrapper_script(&commands),
         config: write_unique_file(Path::new(TEST_DIR), "router.json", &text).unwrap(),
         settings: None,
         discovery: discovery.addr,
     };
-    let router = RouterProcess::start("n1", start).unwrap();
+    let router = RouterProcess::start("n1", options).unwrap();
     let mut client = Client::connect(router.addr).unwrap();
     assert!(matches!(client.query(&read_statement(0)), Ok(Reply::Row(_))));
     std::fs::write(&clock_offset, 0i64.to_ne_bytes()).unwrap();
