--- a/crates/router/tests/routing/attempts.rs
+++ b/crates/router/tests/routing/attempts.rs
@@ -16,7 +16,7 @@
         effects.extend(harness.advance_ms(1000));
         assert_eq!(client_replies(&effects), [(1, Reply::Failed)], "{result:?}");
         assert!(started_attempts(&effects).is_empty(), "{result:?}: {effects:?}");
-        harness.assert_drained();
+        harness.assert_no_open_request();
     }
 }
 
@@ -50,8 +50,8 @@
             "{result:?}: {replies:?}"
         );
         let retries = started_attempts(&all_effects).len();
-        assert!(retries <= 2, "at most three attempts with the first: {retries} retries");
-        harness.assert_drained();
+        assert!(retries <= 2, "{retries} retries, expected at most two after the first attempt");
+        harness.assert_no_open_request();
     }
 }
 
@@ -99,7 +99,7 @@
     let late = harness.advance_ms(20);
     assert!(aborts(&late, id), "{late:?}");
     assert_eq!(client_replies(&late), [(1, Reply::Failed)]);
-    harness.assert_drained();
+    harness.assert_no_open_request();
 }
 
 #[test]
@@ -115,6 +115,7 @@
                 "no retry, as any other host would return the same error"
             );
         }
+        // The primary still gets requests.
         harness.start_attempt(9, "write");
     }
 }
--- a/crates/router/tests/routing/harness.rs
+++ b/crates/router/tests/routing/harness.rs
@@ -23,7 +23,7 @@
 /// The seed of the router's random number generator.
 const SEED: u64 = 7;
 
-/// A router with one primary and one replica, and the present time.
+/// A router with one primary and one replica, and the simulated time.
 pub struct RouterHarness {
     pub router: Router,
     pub now: Time,
@@ -97,7 +97,7 @@
         effects
     }
 
-    /// Returns the milliseconds until a point in time, rounded down.
+    /// Returns the number of milliseconds from now until `time`, rounded down.
     pub fn ms_until(&self, time: Time) -> u64 {
         time.since(self.now).0 / 1_000_000
     }
@@ -140,9 +140,9 @@
         self.input(Input::ExchangeFinished(id, result))
     }
 
-    /// Asserts that no request is open, and that no timer is set except those of health checks and the
-    /// policy's periodic one.
-    pub fn assert_drained(&self) {
+    /// Asserts that no request is open, and that no timers are set except those of health checks and the
+    /// policy's periodic timer.
+    pub fn assert_no_open_request(&self) {
         let outstanding = self.router.outstanding();
         let Outstanding { requests, probes, timers } = outstanding;
         assert_eq!((requests, timers - probes), (0, 1), "{outstanding:?}");
--- a/crates/router/tests/routing/invariants.rs
+++ b/crates/router/tests/routing/invariants.rs
@@ -42,7 +42,7 @@
             harness.finish(exchange.id, ExchangeResult::NotSent);
         }
     }
-    harness.assert_drained();
+    harness.assert_no_open_request();
     assert_eq!(harness.router.unanswered(), 0);
 }
 
@@ -178,8 +178,8 @@
         let rejected = matches!(reply, Reply::Rejected { .. });
         let is_write = client.class == "write";
         prop_assert!(!(is_write && ran && rejected), "a write that may have run was rejected");
-        let before = self.clients.get_mut(&number).and_then(|client| client.reply.replace(reply));
-        prop_assert_eq!(before, None, "a second reply");
+        let earlier_reply = self.clients.get_mut(&number).and_then(|client| client.reply.replace(reply));
+        prop_assert_eq!(earlier_reply, None, "a second reply");
         Ok(())
     }
 
@@ -196,7 +196,7 @@
     fn check_completed(&self) -> Result<(), TestCaseError> {
         for (number, client) in &self.clients {
             let settled = client.reply.is_some() || client.disconnected;
-            prop_assert!(settled, "{} of client {} has no reply", client.class, number);
+            prop_assert!(settled, "the {} request of client {} has no reply", client.class, number);
         }
         prop_assert_eq!(self.harness.router.unanswered(), 0);
         prop_assert_eq!(self.harness.router.outstanding().requests, 0);
@@ -213,8 +213,9 @@
         steps in proptest::collection::vec((step(), exchange_result()), 1..120)
     ) {
         let mut checked = CheckedRouter::new();
-        let drain = (0..200).map(|_| (Step::Advance(100), None));
-        for (step, result) in steps.into_iter().chain(drain) {
+        // Beyond the longest deadline of a request.
+        let completion = (0..200).map(|_| (Step::Advance(100), None));
+        for (step, result) in steps.into_iter().chain(completion) {
             let mut effects = checked.execute(step);
             while !effects.is_empty() {
                 effects = checked.check_effects(effects, result.as_ref())?;
--- a/crates/router/tests/routing/proxies.rs
+++ b/crates/router/tests/routing/proxies.rs
@@ -25,7 +25,8 @@
 
 impl RouterHarness {
     /// Sends a proxy's request for a member, for a write whose id was generated now. Returns the effects.
-    fn proxy_requests(&mut self, stream: u64) -> Vec<Effect> {
+    fn send_proxy_request(&mut self, stream: u64) -> Vec<Effect> {
+        // A UUID of version 7 (RFC 9562); its first 48 bits are the time in milliseconds.
         let id = u128::from(self.unix_ms()) << 80 | 7 << 76 | 2 << 62 | u128::from(stream);
         let request = DecisionRequest {
             id: WriteId::new(id),
@@ -40,15 +41,15 @@
         self.input(Input::Proxy(StreamId(stream), ProxyMessage::Request(request)))
     }
 
-    /// Sends a proxy's request for a member, and returns the lease that it is granted.
-    fn proxy_is_granted(&mut self, stream: u64) -> GrantedLease {
-        let effects = self.proxy_requests(stream);
+    /// Sends a proxy's request for a member, and returns the lease that the proxy is granted.
+    fn obtain_lease(&mut self, stream: u64) -> GrantedLease {
+        let effects = self.send_proxy_request(stream);
         granted(&effects).expect("no lease was granted")
     }
 
     /// Sends a proxy's report of how the attempt under a lease ended and of the member's role. Returns the
     /// effects.
-    fn proxy_reports(
+    fn report_lease_outcome(
         &mut self,
         stream: u64,
         lease: LeaseId,
@@ -77,17 +78,17 @@
 #[test]
 fn proxies_and_clients_use_one_policy_and_its_member_state() {
     let mut harness = RouterHarness::ready();
-    assert!(harness.proxy_requests(1).is_empty(), "proxies are not served by default");
+    assert!(harness.send_proxy_request(1).is_empty(), "proxies are not served by default");
     harness.advance_ms(10);
     harness.router.serve_proxies(harness.now, PROXY_LIMITS);
     harness.advance_ms(10);
-    let GrantedLease { lease, addr, send_by } = harness.proxy_is_granted(1);
+    let GrantedLease { lease, addr, send_by } = harness.obtain_lease(1);
     assert_eq!((addr, send_by), (address(PRIMARY), harness.now.plus(Time::ms(200))));
-    assert!(harness.proxy_reports(1, lease, LeaseOutcome::Served, Role::Primary).is_empty());
+    assert!(harness.report_lease_outcome(1, lease, LeaseOutcome::Served, Role::Primary).is_empty());
     assert_eq!(harness.router.lease_usage(), usage(0, 0, 1));
     // The proxy's report that the member is not the primary applies to clients' requests too.
-    let lease = harness.proxy_is_granted(2).lease;
-    harness.proxy_reports(2, lease, LeaseOutcome::Misdirected, Role::Replica);
+    let lease = harness.obtain_lease(2).lease;
+    harness.report_lease_outcome(2, lease, LeaseOutcome::Misdirected, Role::Replica);
     let effects = harness.send_request(1, "write", "");
     assert!(!started_exchanges(&effects).iter().any(|e| e.goes_to(PRIMARY)), "{effects:?}");
 }
@@ -97,14 +98,14 @@
     let mut harness = RouterHarness::ready();
     harness.router.serve_proxies(harness.now, PROXY_LIMITS);
     harness.advance_ms(10);
-    let lease = harness.proxy_is_granted(1).lease;
+    let lease = harness.obtain_lease(1).lease;
     assert_eq!(harness.router.lease_usage(), usage(1, 1, 1));
     let effects = harness.advance_ms(900);
     let failed = |e: &&Effect| {
         matches!(e, Effect::ProxyReply { stream: StreamId(1), reply: ProxyReply::Failed, addr: None })
     };
     assert_eq!(effects.iter().filter(failed).count(), 1, "{effects:?}");
-    assert!(harness.proxy_reports(1, lease, LeaseOutcome::NotSent, Role::Primary).is_empty());
+    assert!(harness.report_lease_outcome(1, lease, LeaseOutcome::NotSent, Role::Primary).is_empty());
     harness.input(Input::Proxy(StreamId(1), ProxyMessage::StreamClosed));
     assert_eq!(harness.router.lease_usage(), usage(0, 0, 1));
     harness.advance_ms(11_000);
@@ -119,12 +120,12 @@
     let notified_at = harness.now;
     harness.advance_ms(900);
     // Within the grace period the primary still accepts writes.
-    let GrantedLease { addr, send_by, .. } = harness.proxy_is_granted(1);
+    let GrantedLease { addr, send_by, .. } = harness.obtain_lease(1);
     assert_eq!(addr, address(PRIMARY));
     assert!(send_by <= notified_at.plus(Time::ms(1000)), "{send_by:?}");
     assert!(send_by < harness.now.plus(Time::ms(200)), "the grace period ends before the usual time to send");
     harness.advance_ms(200);
-    let late = granted(&harness.proxy_requests(2));
+    let late = granted(&harness.send_proxy_request(2));
     assert!(
         late.is_none_or(|lease| lease.addr != address(PRIMARY)),
         "no lease at the primary after the grace period"
--- a/crates/router/tests/routing/requests.rs
+++ b/crates/router/tests/routing/requests.rs
@@ -25,9 +25,9 @@
     let effects = harness.finish(id, ExchangeResult::Response(QueryOutcome::Row(row(b"x")), reported));
     assert_eq!(client_replies(&effects), [(1, Reply::Served(row(b"x")))]);
     assert_eq!(harness.router.unanswered(), 0);
-    harness.assert_drained();
+    harness.assert_no_open_request();
     let effects = harness.finish(id, ExchangeResult::ConnectionLost);
-    assert!(client_replies(&effects).is_empty(), "a second result of the same attempt is ignored");
+    assert!(client_replies(&effects).is_empty(), "a second result of the same attempt got a reply");
 }
 
 /// The client's timeout counts from the arrival of the command's last byte, even if the command has waited in
@@ -38,10 +38,10 @@
     let arrived_at = harness.now.minus(Time::ms(300));
     let effects = harness.input(request(1, statement("write", ""), arrived_at));
     let [attempt] = &started_exchanges(&effects)[..] else { panic!("{effects:?}") };
-    let left_ms = harness.ms_until(attempt.deadline());
+    let remaining_ms = harness.ms_until(attempt.deadline());
     assert!(
-        (160..180).contains(&left_ms),
-        "the attempt's deadline is {left_ms} ms away, expected just less than the client's 180 ms"
+        (160..180).contains(&remaining_ms),
+        "the attempt's deadline is {remaining_ms} ms away, expected 160 to 180, the client's remaining time"
     );
     let replies = client_replies(&harness.advance_ms(180));
     assert_eq!(replies, [(1, Reply::Failed)], "the write may have run, and its deadline has passed");
@@ -56,10 +56,10 @@
     let arrived_at = harness.now.plus(Time::ms(500));
     let effects = harness.input(request(3, statement("write", ""), arrived_at));
     let [attempt] = &started_exchanges(&effects)[..] else { panic!("{effects:?}") };
-    let left_ms = harness.ms_until(attempt.deadline());
+    let remaining_ms = harness.ms_until(attempt.deadline());
     assert!(
-        (460..480).contains(&left_ms),
-        "the attempt's deadline is {left_ms} ms away, expected 460 to 480"
+        (460..480).contains(&remaining_ms),
+        "the attempt's deadline is {remaining_ms} ms away, expected 460 to 480"
     );
 }
 
@@ -69,7 +69,7 @@
     let effects = harness.input(Input::ClientDisconnected(ClientId(1)));
     assert!(aborts(&effects, id), "{effects:?}");
     assert!(client_replies(&effects).is_empty());
-    harness.assert_drained();
+    harness.assert_no_open_request();
     assert!(client_replies(&harness.finish(id, row_response(b"x"))).is_empty());
 }
 
@@ -80,7 +80,7 @@
     assert_eq!(harness.router.outstanding().requests, 1);
     let effects = harness.finish(id, row_response(b"x"));
     assert!(client_replies(&effects).is_empty());
-    harness.assert_drained();
+    harness.assert_no_open_request();
 }
 
 #[test]
@@ -93,7 +93,7 @@
     assert_eq!(error.code, "22023");
     let effects = harness.send_request(3, "view", ",cluster=9");
     assert!(matches!(&client_replies(&effects)[..], [(3, Reply::Invalid(_))]), "{effects:?}");
-    harness.assert_drained();
+    harness.assert_no_open_request();
 }
 
 #[test]
@@ -121,7 +121,7 @@
     assert_eq!(client_replies(&harness.input(Input::Shutdown)), [(1, Reply::Failed)]);
     let effects = harness.finish(id, row_response(b"x"));
     assert!(client_replies(&effects).is_empty());
-    harness.assert_drained();
+    harness.assert_no_open_request();
 }
 
 #[test]
@@ -164,7 +164,7 @@
 #[test]
 fn requests_before_the_first_endpoint_list_are_rejected_and_never_invalid() {
     let (mut harness, _) = RouterHarness::start(None);
-    // Just after the start, a request waits for the endpoint list, for at most 300 ms.
+    // Directly after the start, a request waits for the endpoint list, for at most 300 ms.
     let effects = harness.send_request(3, "write", "");
     assert!(client_replies(&effects).is_empty(), "{effects:?}");
     let effects = harness.advance_ms(300);
