--- a/crates/router/tests/client.rs
+++ b/crates/router/tests/client.rs
@@ -79,7 +79,7 @@
     assert_eq!(value(&seen.outcome), "4");
     let unknown_class = other.execute_blocking(Request::read("nothing", 2, "k"));
     let outcome = &unknown_class.outcome;
-    assert!(matches!(outcome, RequestOutcome::Invalid(why) if why.code() == "22023"), "{outcome:?}");
+    assert!(matches!(outcome, RequestOutcome::Invalid(error) if error.code() == "22023"), "{outcome:?}");
 }
 
 /// A write of the restart test.
@@ -134,7 +134,7 @@
             }
         }
     });
-    // Gives the hosts time to complete the writes in progress.
+    // The hosts need some time to complete the writes in progress.
     std::thread::sleep(100 * MS);
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
     for result in results.into_inner().unwrap() {
@@ -189,8 +189,8 @@
     assert!(matches!(report.outcome, RequestOutcome::Served(_)), "the client still works: {report:?}");
 }
 
-/// Calls `call`. Returns its result, and the longest time by which a sleep of another thread of this process
-/// exceeded its length during the call: how long the machine held the process up.
+/// Calls `call`. Returns its result, and the longest time by which another thread of this process slept too
+/// long during the call. That time is a measure of how long the machine delayed the process.
 fn measure_oversleep<T>(call: impl FnOnce() -> T) -> (T, Duration) {
     const SLEEP: Duration = Duration::from_millis(5);
     let ended_at = OnceLock::new();
@@ -236,7 +236,7 @@
             assert!(!matches!(report.outcome, RequestOutcome::Served(_)), "{report:?}");
             assert!(
                 elapsed < MAX_DURATION + oversleep,
-                "{address}, {idempotency:?}: {elapsed:?}; the process was held up for {oversleep:?}"
+                "{address}, {idempotency:?}: {elapsed:?}, limit {MAX_DURATION:?} and {oversleep:?} of delay"
             );
         }
     }
@@ -252,8 +252,8 @@
 
 /// Starts an emulated router that closes its first connection when a statement arrives, like a router that
 /// shuts down without having read the statement, and serves statements on all further connections. If
-/// `sends_close_notice`, it sends a close notice (SQLSTATE 57P01) before it closes the first one. Returns the
-/// router's address.
+/// `sends_close_notice`, it sends a close notice (SQLSTATE 57P01) before it closes the first connection.
+/// Returns the router's address.
 fn start_draining_router(sends_close_notice: bool) -> SocketAddr {
     const CLOSE_NOTICE: &[u8] = b"E\0\0\0\x1dSFATAL\0VFATAL\0C57P01\0Mx\0\0";
     const ROW: &[u8] = b"T\0\0\0\x06\0\x01D\0\0\0\x0b\0\x01\0\0\0\x01vC\0\0\0\x0dSELECT 1\0Z\0\0\0\x05I";
--- a/crates/router/tests/codec.rs
+++ b/crates/router/tests/codec.rs
@@ -159,6 +159,7 @@
     let startup_response = [message(b'R', &[0; 4]), ready.clone()].concat();
     let valid = row(b"x");
     let repeated_row = [&valid[..], &valid[..]].concat();
+    // A row consists of a RowDescription, a DataRow of 12 bytes and a CommandComplete of 14 bytes.
     let (described, rest) = valid.split_at(valid.len() - message(b'D', &[0, 1, 0, 0, 0, 1, b'x']).len() - 14);
     let (value, complete) = rest.split_at(rest.len() - 14);
     let cases: [(&str, Vec<u8>); 11] = [
@@ -173,7 +174,7 @@
         ("a malformed description", message(b'T', &[0, 1, 9, 9])),
         ("an unterminated completion", [described, value, &message(b'C', b"SELECT")].concat()),
         ("garbage after the row", [described, value, b"\x01\x02\x03"].concat()),
-        ("an unterminated line", vec![b'7'; 200]),
+        ("digits instead of a message", vec![b'7'; 200]),
         ("a description of 2 KB", [&b"T\0\0\x08\0\0\x01"[..], &[0; 2042]].concat()),
         ("an over-long message", vec![b'D', 0x7f, 0xff, 0xff, 0xff]),
     ];
@@ -200,8 +201,9 @@
 
 #[test]
 fn implausible_host_messages_are_rejected_by_their_header() {
-    // Only the headers are fed. The codec must fail on them: the announced bytes might never arrive, or fill
-    // the memory.
+    // Only the headers are fed. The codec must fail on them, since the announced bytes might never arrive, or
+    // might exhaust the memory.
+    // The RowDescription of a row.
     let described = &row(b"x")[..27];
     let headers: [(&str, &[u8]); 7] = [
         ("an unknown type", b"\x16"),
--- a/crates/router/tests/discovery_faults.rs
+++ b/crates/router/tests/discovery_faults.rs
@@ -14,8 +14,8 @@
 
 /// The time after which a list counts as received, from the point at which discovery could be reached.
 const LIST_TIMEOUT: Duration = Duration::from_secs(6);
-/// The drain grace period of the settings (1 s), which follows [`LIST_TIMEOUT`], and 50 ms. On real sockets
-/// the platform tolerates that much beyond each time limit of its settings, because of the machine's delays.
+/// The drain grace period of the settings (1 s), which starts when [`LIST_TIMEOUT`] has passed, plus 50 ms:
+/// on real sockets the platform tolerates this delay of the machine beyond each time limit of its settings.
 const DRAIN_GRACE: Duration = Duration::from_millis(1050);
 
 /// Returns an endpoint list in which `one` is draining and `two` is the new primary.
@@ -30,18 +30,18 @@
 /// Starts discovery with a list. Its first requests get these responses.
 fn discovery_with_responses(list: String, responses: &[ResponseMode]) -> Discovery {
     let discovery = Discovery::start(list).unwrap();
-    discovery.state.change(|t| t.next_responses.extend(responses));
+    discovery.state.change(|state| state.next_responses.extend(responses));
     discovery
 }
 
-/// Sends writes until the successor serves one, and for `after` from then on. Returns the time until the
-/// successor served the first one. A router without a free descriptor may close the connection; the next
-/// write then opens another.
+/// Sends writes until the successor has served a write, and then for another `after`. Returns the time until
+/// the successor served its first write. A router without a free descriptor may close the connection; the
+/// next write then opens another connection.
 fn time_until_failover(addr: SocketAddr, after: Duration) -> Duration {
     let (started_at, mut failover_time) = (Instant::now(), None);
     let mut client = None;
     let mut count = 0;
-    while failover_time.is_none_or(|m: Duration| started_at.elapsed() < m + after) {
+    while failover_time.is_none_or(|time: Duration| started_at.elapsed() < time + after) {
         assert!(
             started_at.elapsed() < 2 * LIST_TIMEOUT,
             "no write was served by the successor within {:?}",
@@ -66,14 +66,14 @@
 
 /// Returns when a host received its last write.
 fn last_write_received_at(host: &Host) -> Option<Instant> {
-    let seen = host.record.lock();
-    let writes = seen.statements.iter().filter(|s| s.text.contains("INSERT"));
+    let record = host.record.lock();
+    let writes = record.statements.iter().filter(|s| s.text.contains("INSERT"));
     writes.map(|s| s.received_at).max()
 }
 
-/// Asserts that a drain takes effect in time, by the record of the drained host. Discovery gets the drain
-/// while the first watch is sending an endless line, the requests after that watch fail as given, and clients
-/// occupy all the descriptors that the router grants them.
+/// Asserts that a drain takes effect in time, according to the record of the drained host. Discovery gets the
+/// drain while the first watch is sending an endless line, the requests after that watch get the responses
+/// `failures`, and clients occupy all the descriptors that the router grants them.
 fn assert_drain_takes_effect_after(failures: &[ResponseMode]) {
     let (one, two) = primary_and_successor();
     let known = primary_list(1, one.addr);
@@ -81,14 +81,18 @@
     let router = RouterThread::start(&known, discovery.addr, 64, SETTINGS);
     assert_eq!(router.client().query(&statement_text("write", "")).unwrap(), row(b"one"));
     let clients: Vec<_> = (0..80).map(|_| Client::connect_without_startup(router.addr).unwrap()).collect();
-    // From here on discovery has the list with the drain and could send it.
-    discovery.state.change(|t| t.next_responses.extend(failures));
+    // Discovery now has the list with the drain and could send it.
+    discovery.state.change(|state| state.next_responses.extend(failures));
     discovery.restart_watches(failover_list(2, true, &one, &two));
     let available_at = Instant::now();
     let failover_time = time_until_failover(router.addr, DRAIN_GRACE);
-    assert!(failover_time < LIST_TIMEOUT, "{failures:?}: {failover_time:?}");
+    assert!(failover_time < LIST_TIMEOUT, "{failures:?}: failover after {failover_time:?}");
     let last = last_write_received_at(&one).unwrap();
-    assert!(last < available_at + LIST_TIMEOUT + DRAIN_GRACE, "{failures:?}: {:?}", last - available_at);
+    assert!(
+        last < available_at + LIST_TIMEOUT + DRAIN_GRACE,
+        "{failures:?}: the drained host received a write {:?} after the drain",
+        last - available_at
+    );
     drop(clients);
 }
 
@@ -148,7 +152,7 @@
 }
 
 /// Discovery had the drain before the process started, so the grace period counts from the start of the
-/// process, even if the first request gets no response. None of it is left when the list arrives.
+/// process, even if the first request gets no response. It has ended when the list arrives.
 #[test]
 fn a_drain_from_before_the_start_has_no_grace_left_when_its_list_arrives_late() {
     let one = primary_with_row(b"one");
@@ -157,22 +161,22 @@
     let discovery = discovery_with_responses(leaving, &[ResponseMode::NoResponse]);
     let router = RouterThread::start(&known, discovery.addr, 64, SETTINGS);
     assert_eq!(router.client().query(&statement_text("write", "")).unwrap(), row(b"one"));
-    discovery.state.wait(|t| (t.requests.len() >= 2).then_some(())).unwrap();
+    discovery.state.wait(|state| (state.requests.len() >= 2).then_some(())).unwrap();
     let requested_again_at = Instant::now();
     while requested_again_at.elapsed() < DRAIN_GRACE {
         let _ = router.client().query(&statement_text("write", ""));
     }
-    // The assertion allows half the grace period for the list to arrive and for writes in flight.
+    // The bound allows half the grace period for the list to arrive and for writes in flight.
     let last = last_write_received_at(&one).unwrap();
     assert!(
         last < requested_again_at + DRAIN_GRACE / 2,
-        "{:?} after the second request",
+        "the draining host received a write {:?} after the second request to discovery",
         last - requested_again_at
     );
 }
 
-/// One discovery that serves all routers in turn could not send a full list after each request that it
-/// rejects. The router keeps its list, and its next request is for changes only.
+/// Discovery serves all routers in turn, and could not send a full list after each request that it rejects.
+/// So the router keeps its list, and its next request is for changes only.
 #[test]
 fn a_rejected_request_is_repeated_for_changes_only() {
     let (one, two) = primary_and_successor();
@@ -181,10 +185,14 @@
     let discovery = discovery_with_responses(list, &[ResponseMode::Unavailable; 3]);
     let settings = SETTINGS.replace("\"automatic\"", "\"subscribe\"");
     let router = RouterThread::start(&known, discovery.addr, 64, &settings);
-    let requests = discovery.state.wait(|t| (t.requests.len() >= 4).then(|| t.requests.clone())).unwrap();
+    let requests =
+        discovery.state.wait(|state| (state.requests.len() >= 4).then(|| state.requests.clone())).unwrap();
     assert!(requests.iter().all(|r| r.contains("watch=1") && r.contains("from=7")), "{requests:?}");
     time_until_failover(router.addr, 2 * DRAIN_GRACE);
-    assert!(two.statement_count("INSERT") > 0, "the change takes effect");
+    assert!(
+        two.statement_count("INSERT") > 0,
+        "the new primary has received no write: the change has not taken effect"
+    );
 }
 
 #[test]
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -80,7 +80,7 @@
     harness.partition(&[(0..4).collect(), (4..8).collect()]);
     sleep_ms(6000);
     harness.heal();
-    let healed = Instant::now();
+    let healed_at = Instant::now();
     sleep_ms(5000);
     harness.kill(3).expect("failed to kill router 3");
     harness.set_paused(0, true).expect("failed to suspend router 0");
@@ -91,7 +91,7 @@
     let arrivals = harness.arrivals("t=acme");
     let excess = rate_excess(&arrivals, RATE_PER_S, BURST + RATE_PER_S * ARRIVAL_JITTER_S);
     let before = rate(&arrivals, steady_since, steady_since + Duration::from_secs(4));
-    let after = rate(&arrivals, healed + Duration::from_secs(2), healed + Duration::from_secs(5));
+    let after = rate(&arrivals, healed_at + Duration::from_secs(2), healed_at + Duration::from_secs(5));
     let ClientTotals { served, rejected, failed } = clients.totals();
     println!("before {before:.0}/s after {after:.0}/s excess {excess:.1} {served} {rejected} {failed}");
     println!("{}", harness.status(Path::new(PROGRAM), 1).expect("failed to read the status"));
@@ -104,9 +104,9 @@
     );
     assert!(
         after >= 0.8 * RATE_PER_S,
-        "{after} requests per second from 2 s after it healed, expected 240 or more"
+        "{after} requests per second from 2 s after the partition healed, expected 240 or more"
     );
-    assert!(rejected > 500);
+    assert!(rejected > 500, "{rejected} requests rejected, expected more than 500");
 }
 
 const CONCURRENCY_LIMIT: &str = r#"limit "hosts" each-member=#true at-once=6 alone-percent=10"#;
@@ -151,7 +151,9 @@
         let mut all: Vec<u32> = clients
             .counts
             .iter()
-            .flat_map(|h| std::mem::take(&mut *h.latencies_us.lock().expect("the mutex is poisoned")))
+            .flat_map(|counts| {
+                std::mem::take(&mut *counts.latencies_us.lock().expect("the mutex is poisoned"))
+            })
             .collect();
         all.sort_unstable();
         all[all.len() * 99 / 100]
@@ -159,8 +161,9 @@
     let _ = p99();
     sleep_ms(2000);
     let p99_before = p99();
-    // Some of the datagrams sent here look like datagrams of the fleet up to their signature, the others do
-    // not. All are sent as fast as possible, with a pause of 0.8 ms after each batch of 100.
+    // Some of the datagrams sent here have the version of the fleet's datagrams but a wrong signature, the
+    // others have another version. All are sent as fast as possible, with a pause of 0.8 ms after each batch
+    // of 100.
     let to = harness.fleet_addr(0).expect("the router has no fleet address");
     let socket = std::net::UdpSocket::bind("127.0.0.1:0").expect("failed to bind a UDP socket");
     let until = Instant::now() + Duration::from_secs(2);
@@ -178,15 +181,15 @@
     sleep_ms(1000);
     let status = harness.status(Path::new(PROGRAM), 0).expect("failed to read the status");
     println!("p99 {p99_before} us, {p99_during} us with {sent} forged and foreign datagrams\n{status}");
-    let dropped = |why: &str| {
-        let of = |l: &str| l.strip_prefix("datagrams dropped ")?.split_once(": ")?.0.parse::<u64>().ok();
-        status.lines().filter(|l| l.ends_with(why)).find_map(of).unwrap_or(0)
+    let dropped = |reason: &str| {
+        let count = |l: &str| l.strip_prefix("datagrams dropped ")?.split_once(": ")?.0.parse::<u64>().ok();
+        status.lines().filter(|l| l.ends_with(reason)).find_map(count).unwrap_or(0)
     };
     assert!(dropped("forged") > sent / 10 && dropped("version") > sent / 10, "{status}");
     assert!(status.contains("alive 3"), "{status}");
     assert!(
         p99_during < 20 * p99_before.max(5000),
-        "p99 {p99_before} us before, {p99_during} us during the datagrams"
+        "p99 {p99_before} us before the datagrams, {p99_during} us while they were sent"
     );
     let ClientTotals { served, failed, .. } = clients.totals();
     assert!(served > 1000 && failed == 0, "{served} served, {failed} failed");
@@ -253,17 +256,18 @@
     );
 }
 
-/// Returns the arrival times of statements whose id had already arrived.
+/// Returns the times at which hosts received a statement with an id that a host had already received: the
+/// arrivals of retries.
 fn retry_arrivals(harness: &FleetHarness) -> Vec<Instant> {
     let mut all = Vec::new();
     for host in &harness.hosts {
-        let seen = host.host.record.lock();
+        let record = host.host.record.lock();
         let id = |text: &str| Some(text.split("id=").nth(1)?[..16].to_string());
-        all.extend(seen.statements.iter().filter_map(|s| Some((s.received_at, id(&s.text)?))));
+        all.extend(record.statements.iter().filter_map(|s| Some((s.received_at, id(&s.text)?))));
     }
     all.sort_unstable();
-    let mut known = BTreeSet::new();
-    all.into_iter().filter(|(_, id)| !known.insert(id.clone())).map(|(at, _)| at).collect()
+    let mut seen_ids = BTreeSet::new();
+    all.into_iter().filter(|(_, id)| !seen_ids.insert(id.clone())).map(|(at, _)| at).collect()
 }
 
 #[test]
--- a/crates/router/tests/shim/system_calls.c
+++ b/crates/router/tests/shim/system_calls.c
@@ -19,6 +19,7 @@
 #include <time.h>
 #include <unistd.h>
 
+/* A wrapped call. The interval is 0 before FAILING_CALLS is read, and negative if the call never fails. */
 struct call {
     const char *name;
     int error, interval;
@@ -40,7 +41,7 @@
     return 1;
 }
 
-/* The signal handler writes to a Unix socket pair, and nothing repeats a write that fails there. So send is
+/* The signal handler writes to a Unix socket pair, and a write that fails there is not repeated. So send is
    exempt on Unix sockets. */
 static int is_unix(int fd)
 {
@@ -49,6 +50,7 @@
     return !getsockopt(fd, SOL_SOCKET, SO_DOMAIN, &domain, &n) && domain == AF_UNIX;
 }
 
+/* Defines a wrapper of a C library function. A call for which `exempt` is true is never made to fail. */
 #define CALL(type, function, parameters, exempt, ...)                     \
     type function parameters                                         \
     {                                                                \
