--- a/crates/router/tests/platform.rs
+++ b/crates/router/tests/platform.rs
@@ -1,6 +1,6 @@
-//! Requirements of the platform on the router process, tested without the platform: the libraries that it
-//! loads, the system calls that it works without, the processes and threads that it starts, and that it is
-//! idle without requests.
+//! Requirements of the platform on the router process, tested without the platform: the process loads only
+//! allowed libraries, works without the denied system calls, starts no other processes and few threads, is
+//! idle without requests, and leaks neither memory nor descriptors.
 
 use basalthill_standin::client::{query, Client, Reply};
 use basalthill_standin::deployment::Deployment;
@@ -113,8 +113,8 @@
 fn the_router_serves_reloads_and_stops_without_the_system_calls_that_the_platform_denies() {
     let serve_reload_and_stop = || {
         deny_calls_as_on_the_platform();
-        assert!(std::net::TcpListener::bind("[::1]:0").is_err(), "the filter is in force");
-        assert!(std::os::unix::net::UnixDatagram::unbound().is_err(), "the filter is in force");
+        assert!(std::net::TcpListener::bind("[::1]:0").is_err(), "the filter allows an IPv6 socket");
+        assert!(std::os::unix::net::UnixDatagram::unbound().is_err(), "the filter allows a Unix socket");
         let test_dir = Path::new(env!("CARGO_TARGET_TMPDIR"));
         let mut deployment =
             Deployment::start(Path::new(PROGRAM), test_dir, 1, GroupBehavior::default(), None).unwrap();
@@ -139,7 +139,8 @@
         assert!(deployment.routers[0].wait_for_log("stopped").is_some());
         send_read(&deployment, 2);
     };
-    // The filter can't be removed from the thread that installs it, nor from what this thread starts.
+    // The filter can't be removed from the thread that installs it, nor from the threads and processes that
+    // this thread starts.
     std::thread::spawn(serve_reload_and_stop).join().unwrap();
 }
 
@@ -207,6 +208,7 @@
     let open_descriptors = || fs::read_dir(format!("/proc/{}/fd", router.pid())).unwrap().count();
     send_read(&deployment, 0);
     drop(misbehaving_clients(router.addr));
+    // `before` has the number of open descriptors and the resident memory in KiB after the first round.
     let (mut before, mut n) = ((0, 0), 0);
     for round in 0..4 {
         let clients = misbehaving_clients(router.addr);
@@ -222,7 +224,7 @@
         while round > 0 && open_descriptors() > before.0 + 8 {
             assert!(
                 Instant::now() < until,
-                "{} descriptors, {} before; limit 8 more",
+                "{} descriptors, {} after the first round; limit 8 more",
                 open_descriptors(),
                 before.0
             );
--- a/crates/router/tests/program.rs
+++ b/crates/router/tests/program.rs
@@ -60,7 +60,7 @@
         .unwrap()
 }
 
-/// Returns the address that a program prints after `words`. Its later output is read and dropped.
+/// Returns the address that a program prints after `words`. The output that follows is read and dropped.
 fn address_after(stream: impl Read + Send + 'static, words: &str) -> SocketAddr {
     let mut lines = BufReader::new(stream).lines();
     let line = lines.find_map(|line| line.unwrap().split_once(words).map(|(_, rest)| rest.to_string()));
@@ -73,7 +73,7 @@
     assert!(status.success());
 }
 
-/// A process that is killed on drop, so that it does not outlive a failed test.
+/// A process that is killed on drop, so that it does not keep running after a failed test.
 struct ChildGuard(Child);
 
 impl Drop for ChildGuard {
@@ -87,8 +87,8 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Starts the toy deployment of `examples/` with these further arguments. Returns it and the address of its
-/// discovery.
+/// Starts the toy deployment of `examples/` with these further arguments. Returns its process and the address
+/// of its discovery.
 fn start_toy_deployment(arguments: &[&str]) -> (ChildGuard, SocketAddr) {
     let toy = PathBuf::from(env!("CARGO_BIN_EXE_basalthill")).with_file_name("examples").join("toy");
     assert!(
@@ -266,8 +266,7 @@
         assert!(client.wait_for_close(), "client {n}");
     }
     assert_eq!(child.wait().unwrap().code(), Some(0));
-    // The earliest kill follows SIGTERM by the longest deadline, which counts as three seconds at most, and
-    // 0.7 s.
+    // The platform may kill the router after the longest deadline, limited to 3 s, plus 0.7 s.
     assert!(started_at.elapsed() < Duration::from_millis(3700), "{:?}", started_at.elapsed());
 }
 
@@ -331,7 +330,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // A process that outlives a failed test would keep the output of the tests open.
+    // A process that is still running after a failed test would keep the output of the tests open.
     let mut child = ChildGuard(child);
     let mut lines = BufReader::new(child.0.stderr.take().unwrap()).lines();
     let mut log_line_with =
@@ -357,18 +356,18 @@
     std::fs::remove_file(&path).unwrap();
     signal(&child.0, "HUP");
     log_line_with("stays in force");
-    // A file that is missing for a short time, as when it is being replaced, is still read.
+    // A file that is missing for a short time, for example while it is replaced, is still read.
     signal(&child.0, "HUP");
     std::thread::sleep(Duration::from_millis(200));
     replace_file(&path, &text(one.addr, "n1", SETTINGS));
     let line = log_line_with("configuration: ");
     assert!(line.contains("read again, discovery stays"), "{line}");
-    assert!(two.state.lock().requests.is_empty(), "nothing of an invalid file takes effect");
-    // After several signals at once the newest file is in effect.
+    assert!(two.state.lock().requests.is_empty(), "a discovery address from an invalid file was used");
+    // After several signals at once the latest file takes effect.
     replace_file(&path, &text(two.addr, "another", SETTINGS));
     (0..20).for_each(|_| signal(&child.0, "HUP"));
     log_line_with("name has changed, which needs a restart");
-    assert!(two.state.wait(|t| (!t.requests.is_empty()).then_some(())).is_some());
+    assert!(two.state.wait(|state| (!state.requests.is_empty()).then_some(())).is_some());
     assert_eq!(client.query("").unwrap(), Reply::Empty);
     signal(&child.0, "HUP");
     signal(&child.0, "TERM");
@@ -409,8 +408,8 @@
     assert_eq!(router.0.wait().unwrap().code(), Some(0));
 }
 
-/// Runs the second part of `examples/README.md`: replicas lag by 800 ms, and a session reads its write at
-/// once, also through a router that starts after the first one was killed.
+/// Runs the second part of `examples/README.md`: replicas lag by 800 ms, and a session reads its write
+/// immediately, also through a router that starts after the first router was killed.
 #[test]
 fn the_example_with_local_settings_gives_read_your_writes() {
     let root = repository_root();
--- a/crates/router/tests/shutdown_soak.rs
+++ b/crates/router/tests/shutdown_soak.rs
@@ -1,7 +1,7 @@
-//! Soak test of the graceful shutdown: clients use their connections up to the earliest kill, a series of
-//! signals arrives, and hosts hang. Some runs have many idle clients, some have system calls that fail
-//! transiently. Every request must get a complete reply in time. Otherwise its connection must be closed
-//! without a reply, and no host may have received the request.
+//! Soak test of the graceful shutdown: clients send requests until the platform may kill the router, a series
+//! of signals arrives, and hosts hang. Some runs have many idle clients, some have system calls that fail
+//! transiently. Every request must either get a complete reply in time, or have its connection closed without
+//! a reply; in the second case, no host may have received the request.
 //!
 //! SOAK_SEEDS sets the number of runs, SOAK_FIRST the seed of the first one.
 
@@ -19,8 +19,8 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// The time from SIGTERM to the earliest kill by the platform: the longest deadline, which counts as three
-/// seconds at most, and 0.7 s.
+/// The time from SIGTERM until the platform may kill the router: the longest deadline, limited to 3 s, plus
+/// 0.7 s.
 const KILL_AFTER: Duration = Duration::from_millis(3700);
 /// The time after SIGTERM during which clients open new connections.
 const CONNECT_PERIOD: Duration = Duration::from_millis(400);
@@ -37,7 +37,7 @@
     Duration::from_millis(rng.u64(..below))
 }
 
-/// Starts a host that serves most statements at once and some late, and never responds to others.
+/// Starts a host that serves most statements after 1 ms and some later, and never responds to the rest.
 fn host(rank: &'static str) -> Host {
     Host::start(move |text| {
         let report = vec![("rank", rank.into()), ("as_of", unix_ms().to_string())];
@@ -79,7 +79,7 @@
     unanswered: Vec<String>,
 }
 
-/// A client that sends requests until the earliest kill.
+/// A client that sends requests until the platform may kill the router.
 struct SoakClient {
     router: SocketAddr,
     term_at: Instant,
@@ -98,7 +98,7 @@
         self.report
     }
 
-    /// Sends requests until the connection is closed or the kill is due.
+    /// Sends requests until the connection is closed or the platform may kill the router.
     fn use_connection(&mut self, mut connection: Client) {
         connection.stream.set_read_timeout(Some(KILL_AFTER + LATENESS_TOLERANCE)).unwrap();
         let mut is_new = true;
@@ -174,7 +174,7 @@
     }
 }
 
-/// Returns the program to run, for each fourth seed with system calls that fail transiently.
+/// Returns the program to run. For every fourth seed, its system calls fail transiently.
 fn program(seed: u64) -> PathBuf {
     match seed % 4 {
         0 => program_with_failing_calls(&[
--- a/crates/router/tests/transport.rs
+++ b/crates/router/tests/transport.rs
@@ -20,7 +20,7 @@
     let host = primary_with_row(b"\x9f\x03");
     let router = RouterThread::with_primary(&host);
     let mut client = Client::connect_without_startup(router.addr).unwrap();
-    // Startup and the first query in one segment.
+    // The startup message and the first query are sent in one segment.
     client.stream.write_all(&[startup(), query(&statement_text("write", ""))].concat()).unwrap();
     client.read_until_ready().unwrap();
     assert_eq!(client.read_reply().unwrap(), row(b"\x9f\x03"));
@@ -56,6 +56,7 @@
     let host = primary_with_row(b"x");
     let router = RouterThread::with_primary(&host);
     let mut client = Client::connect_without_startup(router.addr).unwrap();
+    // The length of the message (8) and the code of an SSLRequest (80877103).
     client.stream.write_all(&[0, 0, 0, 8, 4, 210, 22, 47]).unwrap();
     let mut reply = [0];
     client.stream.read_exact(&mut reply).unwrap();
@@ -140,11 +141,11 @@
     for _ in 0..10 {
         let open = host.record.lock().open;
         assert_eq!(client.query(&statement_text("write", "").replace("id=9", "id=1")).unwrap(), row(b"last"));
-        host.record.wait(|s| (s.open < open.max(1)).then_some(())).unwrap();
+        host.record.wait(|record| (record.open < open.max(1)).then_some(())).unwrap();
         assert_eq!(
             client.query(&statement_text("write", "")).unwrap(),
             row(b"x"),
-            "no write is lost to a closed connection"
+            "a write was lost to a closed connection"
         );
     }
 }
@@ -152,13 +153,14 @@
 #[test]
 fn idle_host_connections_are_closed_before_the_configured_timeout() {
     let host = primary_with_row(b"x");
-    // Health checks would keep a connection busy.
+    // Probes are disabled, since health checks would keep a connection in use.
     let settings = SETTINGS.replace("\"connIdle\": 15000000000", "\"connIdle\": 1000000000");
     let settings = settings.replace("\"probes\": true", "\"probes\": false");
     let router = RouterThread::with_settings(host.addr, &settings);
     assert_eq!(router.client().query(&statement_text("write", "")).unwrap(), row(b"x"));
     assert_eq!(host.record.lock().open, 1);
-    assert!(host.record.wait(|s| (s.open == 0).then_some(())).is_some());
+    let closed = host.record.wait(|record| (record.open == 0).then_some(()));
+    assert!(closed.is_some(), "the idle host connection was not closed within {TIMEOUT:?}");
 }
 
 #[test]
@@ -170,7 +172,8 @@
     host.wait_for_statement("SELECT v").unwrap();
     let open = host.record.lock().open;
     client.stream.shutdown(Shutdown::Both).unwrap();
-    assert!(host.record.wait(|s| (s.open < open).then_some(())).is_some());
+    let closed = host.record.wait(|record| (record.open < open).then_some(()));
+    assert!(closed.is_some(), "the host connection of the read was not closed within {TIMEOUT:?}");
 }
 
 #[test]
@@ -183,8 +186,9 @@
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&statement_text("write", "").replace("id=9", &format!("id={n}"))).unwrap();
     }
-    host.record
-        .wait(|s| (s.statements.iter().filter(|s| s.text.contains("INSERT")).count() == 4).then_some(()));
+    host.record.wait(|record| {
+        (record.statements.iter().filter(|s| s.text.contains("INSERT")).count() == 4).then_some(())
+    });
     for client in &mut clients {
         assert_eq!(client.read_reply().unwrap(), row(&value));
     }
@@ -248,15 +252,15 @@
 
 #[test]
 fn a_client_mid_request_is_not_evicted_while_others_are_idle() {
-    // Guards against the eviction of clients that write a request in pieces, which happened in a long run
-    // with many clients. A request whose last piece was already written was lost with its connection.
+    // Guards against the eviction of clients that write a request in pieces: a request whose last piece has
+    // already been written would be lost with its connection.
     let host = primary_with_row(b"x");
     let router = RouterThread::with_descriptors(&host, 64);
     let send_write =
         |client: &mut Client| assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"x"));
     let mut slow = [router.client(), router.client()];
     send_write(&mut slow[0]);
-    // One client has already sent a request, the other has not. Each has written a part of its next one.
+    // One client has already sent a request, the other has not. Each has written a part of its next request.
     let request = query(&statement_text("write", ""));
     slow.iter_mut().for_each(|c| c.stream.write_all(&request[..40]).unwrap());
     let clients: Vec<Client> = (0..60)
@@ -326,7 +330,7 @@
     assert_eq!(error_code(&client.read_reply().unwrap()), "08P01");
     assert!(client.wait_for_close());
     assert_eq!(router.client().query(&statement_text("write", "")).unwrap(), row(b"x"));
-    assert_eq!(host.statement_count("INSERT"), 1, "no invalid command has reached a member");
+    assert_eq!(host.statement_count("INSERT"), 1, "a member must receive only the valid write");
 }
 
 #[test]
@@ -364,8 +368,9 @@
     host.release();
     assert_eq!(busy.read_reply().unwrap(), row(b"released"));
     assert!(busy.wait_for_close());
-    assert!(router.stopped.wait(|o| o.then_some(())).is_some());
-    assert!(TcpStream::connect(router.addr).is_err());
+    let stopped = router.stopped.wait(|stopped| stopped.then_some(()));
+    assert!(stopped.is_some(), "the router did not stop within {TIMEOUT:?}");
+    assert!(TcpStream::connect(router.addr).is_err(), "a stopped router accepted a connection");
 }
 
 #[test]
@@ -378,7 +383,8 @@
     router.stop();
     assert_eq!(error_code(&client.read_reply().unwrap()), "58000");
     assert!(client.wait_for_close());
-    assert!(router.stopped.wait(|o| o.then_some(())).is_some());
+    let stopped = router.stopped.wait(|stopped| stopped.then_some(()));
+    assert!(stopped.is_some(), "the router did not stop within {TIMEOUT:?}");
 }
 
 #[test]
@@ -390,7 +396,7 @@
     assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"one"));
     // After a malformed list the router keeps the known one, and reopens the watch for the full list.
     discovery.publish("{\"version\": nonsense".into());
-    let again = discovery.state.wait(|t| t.requests.get(1).cloned()).unwrap();
+    let again = discovery.state.wait(|state| state.requests.get(1).cloned()).unwrap();
     assert!(again.contains("watch=1") && !again.contains("from="), "{again}");
     assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"one"));
     // Another host replaces the first one. The watch is closed, and the next one starts with a full list.
@@ -412,12 +418,12 @@
 fn without_a_known_list_the_router_is_ready_after_the_first_list() {
     let host = primary_with_row(b"x");
     let discovery = Discovery::start(primary_list(1, host.addr)).unwrap();
-    discovery.state.change(|t| t.withhold_responses = true);
+    discovery.state.change(|state| state.withhold_responses = true);
     let router = RouterThread::start("null", discovery.addr, DEFAULT_DESCRIPTORS, SETTINGS);
     let mut client = Client::connect_without_startup(router.addr).unwrap();
     client.stream.write_all(&[startup(), query("")].concat()).unwrap();
-    discovery.state.wait(|t| (!t.requests.is_empty()).then_some(())).unwrap();
-    discovery.state.change(|t| t.withhold_responses = false);
+    discovery.state.wait(|state| (!state.requests.is_empty()).then_some(())).unwrap();
+    discovery.state.change(|state| state.withhold_responses = false);
     client.read_until_ready().unwrap();
     assert_eq!(client.read_reply().unwrap(), Reply::Empty);
     assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"x"));
@@ -432,9 +438,9 @@
     let settings = settings.replace("\"rules\": {", "\"rules\": {\"askEvery\": 20000000, ");
     let (router, discovery) =
         RouterThread::with_discovery(&primary_list(1, host.addr), DEFAULT_DESCRIPTORS, &settings);
-    // The stand-in sends nothing until the watch times out. A router that polled every 10 ms would have sent
-    // two hundred requests in this time.
-    let again = discovery.state.wait(|t| t.requests.get(1).cloned()).unwrap();
+    // The stand-in sends nothing until the watch times out. A router that polled every 10 ms, twice per poll
+    // interval (`askEvery`), would have sent two hundred requests in this time.
+    let again = discovery.state.wait(|state| state.requests.get(1).cloned()).unwrap();
     assert!(again.contains("watch=1") && again.contains("from=1"), "{again}");
     assert_eq!(router.client().query(&statement_text("write", "")).unwrap(), row(b"x"));
 }
@@ -474,7 +480,7 @@
     let (router, discovery) =
         RouterThread::with_discovery(&primary_list(7, host.addr), DEFAULT_DESCRIPTORS, SETTINGS);
     // The stand-in sends its list, and then nothing for longer than two keep-alive intervals.
-    let again = discovery.state.wait(|t| t.requests.get(1).cloned()).unwrap();
+    let again = discovery.state.wait(|state| state.requests.get(1).cloned()).unwrap();
     assert!(again.contains("watch=1") && again.contains("from=7"), "{again}");
     assert_eq!(
         router.client().query(&statement_text("write", "")).unwrap(),
@@ -523,18 +529,18 @@
     let (one, two) = primary_and_successor();
     let known = primary_list(70, one.addr);
     let old = Discovery::start(known.clone()).unwrap();
-    old.state.change(|t| t.withhold_responses = true);
+    old.state.change(|state| state.withhold_responses = true);
     // The new discovery's list has a lower version: versions of two discoveries can't be compared.
     let new =
         Discovery::start(endpoint_list(3, true, &[Endpoint::new("s-2", two.addr, 2, "active", "source")]))
             .unwrap();
     let router = RouterThread::start(&known, old.addr, DEFAULT_DESCRIPTORS, SETTINGS);
-    old.state.wait(|t| (!t.requests.is_empty()).then_some(())).unwrap();
+    old.state.wait(|state| (!state.requests.is_empty()).then_some(())).unwrap();
     let mut client = router.client();
     assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"one"));
     let reloaded_at = Instant::now();
     router.reload_with_discovery(old.addr, new.addr);
-    let request = new.state.wait(|t| t.requests.first().cloned()).unwrap();
+    let request = new.state.wait(|state| state.requests.first().cloned()).unwrap();
     assert!(
         request.contains("watch=1") && !request.contains("from="),
         "the full list is requested: {request}"
@@ -544,7 +550,7 @@
     let moved_to_two = (0..).find(|_| client.query(&statement_text("write", "")).unwrap() == row(b"two"));
     assert!(
         moved_to_two.is_some() && reloaded_at.elapsed() < Duration::from_secs(4),
-        "{:?}",
+        "the new primary served its first write {:?} after the reload, limit 4 s",
         reloaded_at.elapsed()
     );
     new.publish(endpoint_list(
@@ -557,7 +563,7 @@
     ));
     assert!(
         (0..100_000).any(|_| client.query(&statement_text("write", "")).unwrap() == row(b"one")),
-        "changes from the new discovery take effect"
+        "a change from the new discovery has not taken effect"
     );
 }
 
@@ -567,7 +573,7 @@
     let (router, old) =
         RouterThread::with_discovery(&primary_list(1, one.addr), DEFAULT_DESCRIPTORS, SETTINGS);
     let mut client = router.client();
-    old.state.wait(|t| (!t.requests.is_empty()).then_some(())).unwrap();
+    old.state.wait(|state| (!state.requests.is_empty()).then_some(())).unwrap();
     for _ in 0..3 {
         router.reload_with_discovery(old.addr, unreachable_address());
         assert_eq!(client.query(&statement_text("write", "")).unwrap(), row(b"one"));
@@ -580,8 +586,12 @@
             Endpoint::new("s-2", two.addr, 2, "active", "source"),
         ],
     ));
-    assert!((0..100_000).any(|_| client.query(&statement_text("write", "")).unwrap() == row(b"two")));
+    assert!(
+        (0..100_000).any(|_| client.query(&statement_text("write", "")).unwrap() == row(b"two")),
+        "a change from the old discovery has not taken effect"
+    );
     let mut router = router;
     router.stop();
-    assert!(router.stopped.wait(|o| o.then_some(())).is_some());
+    let stopped = router.stopped.wait(|stopped| stopped.then_some(()));
+    assert!(stopped.is_some(), "the router did not stop within {TIMEOUT:?}");
 }
