--- a/crates/lab/src/client_load/naive.rs
+++ b/crates/lab/src/client_load/naive.rs
@@ -1,5 +1,5 @@
-//! Naive clients, like those that small teams write: one connection, one request at a time, and retries
-//! without backoff.
+//! Naive clients, as applications without a client library have them: one connection, one request at a time,
+//! and retries without backoff.
 
 use super::{ClientKind, ClientRecord, CompletedRequest, LoadRun, NextRequest, RequestSchedule};
 use basalthill_standin::client::{Client, Reply};
--- a/crates/lab/src/cost.rs
+++ b/crates/lab/src/cost.rs
@@ -1,4 +1,4 @@
-//! Measures what session floors and session tokens cost per request.
+//! Measures the cost of session floors and session tokens per request.
 //!
 //! Three routers run with the same kind of group: one without local settings, one with floors that the router
 //! keeps in memory, and one with tokens. Each is under load in turn.
--- a/crates/lab/src/fleet_limits/gossip_cost.rs
+++ b/crates/lab/src/fleet_limits/gossip_cost.rs
@@ -1,5 +1,5 @@
-//! Simulates fleets of several sizes and measures what gossip costs each router, idle and with requests at
-//! every router.
+//! Simulates fleets of several sizes and measures the cost of gossip at each router, without requests and
+//! with requests at every router.
 
 use crate::results::{print_and_write_table, Table};
 use crate::{CommonOptions, Outcome};
@@ -59,18 +59,18 @@
 /// Runs the simulation for [`MEASURED_TIME`] and returns the cost of gossip in it. The CPU time is that of
 /// the whole simulation, divided by the number of routers.
 fn measure(fleet: &mut SimulatedFleet, routers: usize) -> GossipCost {
-    let datagrams = fleet.observations.datagrams;
-    let bytes = fleet.observations.bytes;
-    let by_router = datagrams_by_router(fleet, routers);
+    let datagrams_before = fleet.observations.datagrams;
+    let bytes_before = fleet.observations.bytes;
+    let sent_before = datagrams_by_router(fleet, routers);
     let started_at = Instant::now();
     fleet.run_until(fleet.now.plus(MEASURED_TIME));
     let cpu_us = started_at.elapsed().as_micros() as f64 / routers as f64 / MEASURED_S;
     let per_router_and_s = |now: u64, before: u64| (now - before) as f64 / routers as f64 / MEASURED_S;
     let sent = datagrams_by_router(fleet, routers);
-    let max_sent = sent.iter().zip(&by_router).map(|(now, before)| now - before).max().unwrap_or(0);
+    let max_sent = sent.iter().zip(&sent_before).map(|(now, before)| now - before).max().unwrap_or(0);
     GossipCost {
-        datagrams: per_router_and_s(fleet.observations.datagrams, datagrams),
-        bytes: per_router_and_s(fleet.observations.bytes, bytes),
+        datagrams: per_router_and_s(fleet.observations.datagrams, datagrams_before),
+        bytes: per_router_and_s(fleet.observations.bytes, bytes_before),
         cpu_us,
         max_datagrams: max_sent as f64 / MEASURED_S,
     }
--- a/crates/lab/src/fleet_limits/request_overhead.rs
+++ b/crates/lab/src/fleet_limits/request_overhead.rs
@@ -1,4 +1,4 @@
-//! Measures what a fleet costs per request. Of two pairs of routers, one has a fleet with a limit that is
+//! Measures the cost of a fleet per request. Of two pairs of routers, one has a fleet with a limit that is
 //! never reached and the other has no fleet; the pairs are under load in turn.
 
 use super::{
@@ -51,8 +51,8 @@
         self.idle_cpu = (cpu_time(&self.harness) - before) / 2;
     }
 
-    /// Runs one round under load. The CPU time that the routers use without load is subtracted, since a fleet
-    /// uses the same under any load.
+    /// Runs one round under load. The CPU time that the routers use without load is subtracted, since the CPU
+    /// time of a fleet's own work is the same under any load.
     fn run_round(&mut self) {
         let cpu_before = cpu_time(&self.harness);
         let served_before = self.clients.totals().served;
--- a/crates/lab/src/fleet_limits/through_faults.rs
+++ b/crates/lab/src/fleet_limits/through_faults.rs
@@ -1,4 +1,5 @@
-//! Measures the limit in each mode of enforcing it while links and routers fail at random.
+//! Measures how much of the limit is used, and by how much it is exceeded, in each [`LimitMode`] while links
+//! and routers fail at random.
 
 use super::{
     harness_config, router_addrs, start_harness, LimitMode, Options, LIMIT_PER_S, SETTLING_TIME,
@@ -23,7 +24,7 @@
 const FAULT_CYCLE: Duration = Duration::from_secs(8);
 /// Time in which the routers' quotas adapt to a change of the demand.
 const DEMAND_SETTLING_TIME: Duration = Duration::from_secs(3);
-/// The total demand at all routers, as a fraction of the limit: one above the limit and one below it.
+/// The total demand at all routers, as a fraction of the limit: a demand above the limit, and one below it.
 const HIGH_DEMAND: f64 = 1.5;
 const LOW_DEMAND: f64 = 0.7;
 /// Ratio of the demand at routers with an even number to the demand at the others.
--- a/crates/lab/src/overhead.rs
+++ b/crates/lab/src/overhead.rs
@@ -1,4 +1,4 @@
-//! Measures what the client library costs per request, compared with a plain loop over a socket. A stand-in
+//! Measures the cost of the client library per request, compared with a plain loop over a socket. A stand-in
 //! host responds without delay.
 
 use crate::results::{print_and_write_table, Table};
--- a/crates/lab/src/reconnect.rs
+++ b/crates/lab/src/reconnect.rs
@@ -51,7 +51,9 @@
     recovered_after: Option<Duration>,
     /// The fraction of requests served before their deadlines.
     served_fraction: f64,
+    /// Number of written keys that were committed more than once.
     repeated_writes: usize,
+    /// Number of statements that a host received after their deadline.
     late_statements: usize,
     /// For each bucket, its end in seconds since the load's start and the connects per second in it.
     connects_per_s: Vec<(f64, f64)>,
@@ -105,14 +107,14 @@
         std::thread::sleep(RESTART_AT - KILL_AT);
         drop(router.restart());
     })?;
-    let (killed, restarted, end) = (epoch + KILL_AT, epoch + RESTART_AT, epoch + LOAD_DURATION);
+    let (killed_at, restarted_at, end) = (epoch + KILL_AT, epoch + RESTART_AT, epoch + LOAD_DURATION);
     let connects = &record.connects;
     let host_counts = count_at_hosts(&deployment, epoch);
     Ok(KindResult {
-        peak_before: peak_in_window(connects, killed - SECOND * 2..killed, SECOND),
-        peak_while_down: peak_in_window(connects, killed..restarted, SECOND),
-        peak_after_restart: peak_in_window(connects, restarted..end, SECOND),
-        peak_bucket: peak_in_window(connects, killed..restarted, BUCKET),
+        peak_before: peak_in_window(connects, killed_at - SECOND * 2..killed_at, SECOND),
+        peak_while_down: peak_in_window(connects, killed_at..restarted_at, SECOND),
+        peak_after_restart: peak_in_window(connects, restarted_at..end, SECOND),
+        peak_bucket: peak_in_window(connects, killed_at..restarted_at, BUCKET),
         recovered_after: recovered_after(&record, epoch),
         served_fraction: record.served() as f64 / record.completed.len().max(1) as f64,
         repeated_writes: host_counts.repeated_writes,
@@ -127,8 +129,8 @@
 }
 
 /// Returns the time from the kill to the end of the last bucket before the restart in which requests were
-/// disturbed; zero if there is no such bucket. Returns `None` if it is the bucket directly before the
-/// restart.
+/// disturbed; zero if there is no such bucket. Returns `None` if requests were still disturbed in the bucket
+/// directly before the restart.
 fn recovered_after(record: &ClientRecord, epoch: Instant) -> Option<Duration> {
     let is_disturbed = |bucket: &u32| {
         let from = epoch + BUCKET * *bucket;
--- a/crates/sim/src/router.rs
+++ b/crates/sim/src/router.rs
@@ -43,8 +43,8 @@
         Router { policy, sessions, deployment, writes: BTreeMap::new() }
     }
 
-    /// Handles a request. `token_age` is the time since the last write of its session, if the request gives
-    /// it.
+    /// Handles a request. `token_age` is the time since the last write of its session, if the request
+    /// contains it.
     pub(crate) fn handle_request(
         &mut self,
         now: Time,
--- a/crates/sim/src/wire/decoder.rs
+++ b/crates/sim/src/wire/decoder.rs
@@ -33,8 +33,8 @@
 /// The column of a load report with the role: 1 for the primary, 0 for a replica.
 const ROLE_COLUMN: &str = "x1";
 
-/// Decodes frames. It stores the endpoint lists by number, which all instances share, and the format of the
-/// load reports of each instance.
+/// Decodes frames. It stores the endpoint lists by number, which all instances share, and the load report
+/// format of each instance.
 #[derive(Default)]
 pub struct Decoder {
     lists: BTreeMap<u8, Vec<Endpoint>>,
@@ -255,7 +255,7 @@
     let token_age_ms = cursor.f32()?;
     let client_retry = cursor.u8()? & CLIENT_RETRY_FLAG != 0;
     let request = Request { id, class, tenant, deadline, group, floor: Time(0), lead: Time(0), client_retry };
-    // Zero stands for no session, and for no token age.
+    // Zero means that the request has no session, or no token age.
     let session = (session_key != 0).then_some(SessionKey(session_key));
     let token_age = (token_age_ms > 0.0).then_some(Time((token_age_ms * 1e6) as u64));
     Ok(Incoming::Request { request, session, token_age })
@@ -277,8 +277,8 @@
     let weight = cursor.f32()?;
     let started_ns = cursor.u64()?;
     let started = (started_ns != 0).then_some(Time(started_ns));
-    // The router counts as notified of a change when the simulator's list arrives. A time in the future
-    // stands for the arrival.
+    // The router counts as notified of a change when the simulator's list arrives. A time in the future is
+    // treated as the time of arrival.
     let notified_at = Time(u64::MAX);
     Ok(Endpoint { member, zone, group, state, weight, primary, started, notified_at })
 }
--- a/crates/sim/src/wire/mod.rs
+++ b/crates/sim/src/wire/mod.rs
@@ -71,7 +71,7 @@
         request: Request,
         /// The session of the request, if it has one.
         session: Option<SessionKey>,
-        /// The time since the last write of the session, if the request gives it.
+        /// The time since the last write of the session, if the request contains it.
         token_age: Option<Time>,
     },
     /// Any other event, for the routing policy.
--- a/crates/sim/src/wire/reply.rs
+++ b/crates/sim/src/wire/reply.rs
@@ -28,7 +28,7 @@
     };
     match &action.action {
         Action::Send(id, member, timeout) => {
-            // Zero stands for no timeout.
+            // Zero means no timeout.
             let timeout = timeout.map_or(0, |timeout| timeout.0.max(1));
             put(1, &[&id.0.to_be_bytes(), &member.0.to_be_bytes(), &timeout.to_be_bytes()]);
         }
--- a/crates/sim/tests/golden.rs
+++ b/crates/sim/tests/golden.rs
@@ -118,6 +118,7 @@
         (1, Action::WatchEndpoints),
         (1, Action::PollEndpoints),
     ];
+    // The reply has a header of 8 bytes and a record of 32 bytes for each action.
     let out = reply(&actions);
     let codes: Vec<u8> = out[8..].chunks(32).map(|record| record[0]).collect();
     assert_eq!(codes, [2, 3, 4, 6, 7, 11, 12]);
@@ -208,7 +209,7 @@
     let mut input = start_frame(SETTINGS);
     input.extend(frame(2, &[], &[]));
     let (out, err, ok) = run_adapter(&input);
-    assert!(ok && err.is_empty());
+    assert!(ok && err.is_empty(), "{err}");
     assert_eq!(out, [reply(&[]), reply(&[])].concat());
 }
 
