--- a/crates/lab/src/fleet_limits.rs
+++ b/crates/lab/src/fleet_limits.rs
@@ -24,11 +24,11 @@
     #[arg(long, default_value_t = 3.0)]
     minutes: f64,
     /// Simulate the cost of gossip for fleets of several sizes, up to `--routers`.
-    #[arg(long)]
-    model: bool,
+    #[arg(long = "model")]
+    gossip_cost: bool,
     /// Start `--routers` router processes and measure them idle and under light load.
-    #[arg(long)]
-    crowd: bool,
+    #[arg(long = "crowd")]
+    many_routers: bool,
     /// Measure the cost of a request with the fleet on and off.
     #[arg(long)]
     overhead: bool,
@@ -109,9 +109,9 @@
 
 /// Runs the experiment that the options select.
 pub fn run(options: &Options, common: &CommonOptions) -> anyhow::Result<Outcome> {
-    if options.model {
+    if options.gossip_cost {
         gossip_cost::run(options.routers, common)
-    } else if options.crowd {
+    } else if options.many_routers {
         many_routers::run(options.routers, common)
     } else if options.overhead {
         request_overhead::run(common)
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -60,7 +60,8 @@
     /// replicas.
     Sessions(sessions::Options),
     /// Compares the bounded table of session floors with an unbounded ordered map.
-    Book(floor_table::Options),
+    #[command(name = "book")]
+    FloorTable(floor_table::Options),
     /// Measures the cost per request of session floors and session tokens.
     Cost(cost::Options),
     /// Kills and restarts a router; compares how clients of the library and naive clients reconnect.
@@ -95,7 +96,7 @@
 fn run(experiment: Experiment, common: &CommonOptions) -> anyhow::Result<Outcome> {
     match experiment {
         Experiment::Sessions(options) => sessions::run(&options, common),
-        Experiment::Book(options) => floor_table::run(&options, common),
+        Experiment::FloorTable(options) => floor_table::run(&options, common),
         Experiment::Cost(options) => cost::run(&options, common),
         Experiment::Reconnect(options) => reconnect::run(&options, common),
         Experiment::Overload(options) => overload::run(&options, common),
--- a/crates/lab/src/overload.rs
+++ b/crates/lab/src/overload.rs
@@ -21,8 +21,8 @@
     #[arg(long, default_value_t = 4)]
     slots: usize,
     /// The longest Retry-After that routers send, in milliseconds.
-    #[arg(long, default_value_t = 100)]
-    come_back_ms: u64,
+    #[arg(long = "come-back-ms", value_name = "COME_BACK_MS", default_value_t = 100)]
+    max_retry_after_ms: u64,
     /// Duration of the load, in seconds.
     #[arg(long, default_value_t = 8)]
     seconds: u64,
@@ -52,7 +52,7 @@
     let behavior = GroupBehavior {
         read_delay: READ_DELAY,
         max_concurrent: options.slots,
-        retry_after_ms: options.come_back_ms,
+        retry_after_ms: options.max_retry_after_ms,
         ..GroupBehavior::default()
     };
     let folder = std::env::temp_dir();
@@ -111,7 +111,7 @@
         "Real router processes and sockets, stand-in group of three hosts, each of which executes {} \
          statements of 20 ms concurrently: {} clients with {} reads per second each, one at a time, two \
          routers that send a Retry-After of at most {} ms, {} s.",
-        options.slots, options.clients, options.per_s, options.come_back_ms, options.seconds
+        options.slots, options.clients, options.per_s, options.max_retry_after_ms, options.seconds
     );
     print_and_write_table(common.out.as_deref(), "overload", &description, &table)?;
     let [no_retries, naive, library] = attempts[..] else {
