--- a/crates/lab/src/cost.rs
+++ b/crates/lab/src/cost.rs
@@ -36,7 +36,7 @@
 const CASES: [(Mode, &str); 3] = [
     (Mode::Off, "off, no floors"),
     (Mode::Router, "off, floors by the router's memory"),
-    (Mode::Tokens, "on, early ones too"),
+    (Mode::Tokens, "on, also before the reply"),
 ];
 
 /// A router in one of the modes, with the totals of its requests so far.
@@ -182,9 +182,9 @@
     let table = Table {
         headers: vec![
             "tokens",
-            "CPU of the router, us a request",
-            "median time, us",
-            "bytes with the client",
+            "router CPU per request, us",
+            "median latency, us",
+            "bytes per request, both directions",
         ],
         rows: CASES.iter().zip(&costs).map(|((_, name), cost)| cost.row(name)).collect(),
     };
--- a/crates/lab/src/fleet_limits.rs
+++ b/crates/lab/src/fleet_limits.rs
@@ -60,9 +60,9 @@
 
     fn name(self) -> &'static str {
         match self {
-            LimitMode::Fleet => "the fleet's limit",
-            LimitMode::FullEach => "each router the whole limit",
-            LimitMode::StaticFractions => "static shares",
+            LimitMode::Fleet => "limit of the fleet",
+            LimitMode::FullEach => "full limit at each router",
+            LimitMode::StaticFractions => "static fractions",
             LimitMode::Unlimited => "no limit",
         }
     }
--- a/crates/lab/src/fleet_limits/gossip_cost.rs
+++ b/crates/lab/src/fleet_limits/gossip_cost.rs
@@ -80,13 +80,13 @@
 pub fn run(max_routers: usize, common: &CommonOptions) -> anyhow::Result<Outcome> {
     let headers = vec![
         "routers",
-        "datagrams a second and router, idle",
-        "bytes",
-        "CPU, us a second",
-        "most of one router, datagrams",
-        "datagrams, asked",
-        "bytes, asked",
-        "CPU, us, asked",
+        "idle: datagrams per second and router",
+        "idle: bytes",
+        "idle: CPU, us",
+        "idle: datagrams of the busiest router",
+        "with requests: datagrams per second and router",
+        "with requests: bytes",
+        "with requests: CPU, us",
     ];
     let (mut rows, mut summary) = (Vec::new(), String::new());
     for routers in SIZES.into_iter().filter(|n| *n <= max_routers.max(SIZES[0])) {
--- a/crates/lab/src/fleet_limits/many_routers.rs
+++ b/crates/lab/src/fleet_limits/many_routers.rs
@@ -51,11 +51,11 @@
     if let Some(out) = &common.out {
         let headers = vec![
             "routers",
-            "alive at one",
-            "started in, s",
-            "CPU idle, us a second",
-            "at 2 requests a second",
-            "KiB",
+            "alive according to the first router",
+            "start, s",
+            "CPU idle, us per second and router",
+            "at 2 requests per second",
+            "largest resident memory, KiB",
         ];
         let row = vec![
             routers.to_string(),
--- a/crates/lab/src/fleet_limits/request_overhead.rs
+++ b/crates/lab/src/fleet_limits/request_overhead.rs
@@ -113,12 +113,12 @@
         ensure!(failed == 0, "{failed} requests failed with {}, expected none", pair.name);
     }
     let headers =
-        vec!["", "served", "p50, us", "p99, us", "CPU a request, us", "CPU a second and router at rest, us"];
+        vec!["", "served", "p50, us", "p99, us", "CPU per request, us", "CPU per second and idle router, us"];
     let table = Table { headers, rows: vec![with_fleet.row(), without.row()] };
     let description =
         "Real router processes, stand-in hosts: two pairs of routers, under load in turn for 3 s, six times \
          each; one pair has a fleet and a limit that is never reached. The CPU time of a request excludes \
-         what a router uses at rest.";
+         the CPU time of an idle router.";
     print_and_write_table(common.out.as_deref(), "fleet-overhead", description, &table)?;
     let (on, off) = (with_fleet.cpu_us_per_request(), without.cpu_us_per_request());
     let overhead = on / off - 1.0;
--- a/crates/lab/src/fleet_limits/through_faults.rs
+++ b/crates/lab/src/fleet_limits/through_faults.rs
@@ -264,16 +264,16 @@
 ) -> anyhow::Result<()> {
     let description = format!(
         "Real router processes and sockets, a proxy between them, stand-in hosts whose records are \
-         evaluated: {} routers, a rate limit of {LIMIT_PER_S} requests per second with a burst of as many, \
+         evaluated: {} routers, a rate limit of {LIMIT_PER_S} requests per second and the same burst, \
          seed {}, {} minutes for each row. Half of the routers get ten times the demand of the others; a \
          sixth of the time is without faults, a sixth at 0.7 of the limit, the rest with random partitions, \
-         kills, pauses and datagram loss. Most over the rate: arrivals in excess of rate times time, the \
-         highest over all windows of time; the bound is the burst and {ARRIVAL_SPREAD_S} s of the rate, \
-         the spread of arrivals at hosts.",
+         kills, pauses and datagram loss. Peak excess: arrivals in excess of rate times time, the maximum \
+         over all windows of time; the bound is the burst and {ARRIVAL_SPREAD_S} s of the rate, the spread \
+         of arrivals at hosts.",
         options.routers, common.seed, options.minutes
     );
-    let title = "Admitted, as a share of the limit";
-    let axes = Axes { title, x: "seconds", y: "share", y_range: 0.0..2.0 };
+    let title = "Admitted requests, as a fraction of the limit";
+    let axes = Axes { title, x: "seconds", y: "fraction of the limit", y_range: 0.0..2.0 };
     let chart = Chart { axes, lines };
     write_table_and_chart(common.out.as_deref(), "fleet-limits", &description, table, &chart)
 }
@@ -282,14 +282,14 @@
 /// [`MAX_EXCESS`].
 pub fn run(options: &Options, common: &CommonOptions) -> anyhow::Result<Outcome> {
     let headers = vec![
-        "how",
+        "mode",
         "admitted",
-        "most over the rate",
-        "of the limit used, no faults",
+        "peak excess",
+        "fraction of the limit used, no faults",
         "with faults",
-        "refused below the limit",
-        "recovered after a split, ms",
-        "bytes a second and router",
+        "fraction rejected below the limit",
+        "recovered after a partition, ms",
+        "bytes per second and router",
     ];
     let (mut rows, mut lines, mut fleet_result) = (Vec::new(), Vec::new(), None);
     for mode in LimitMode::ALL {
--- a/crates/lab/src/floor_table.rs
+++ b/crates/lab/src/floor_table.rs
@@ -178,8 +178,12 @@
 }
 
 fn measure_overflow(options: &Options, seed: u64) -> Overflow {
-    let headers =
-        vec!["replicas behind", "bytes a session", "reads that replicas may serve", "with an exact map"];
+    let headers = vec![
+        "replica lag",
+        "bytes per session",
+        "fraction of reads that replicas may serve",
+        "with an exact map",
+    ];
     let mut overflow = Overflow { table: Table { headers, rows: Vec::new() }, lines: Vec::new() };
     for lag in LAGS {
         let mut points = Vec::new();
@@ -195,7 +199,7 @@
             ]);
             points.push((bytes_per_session, fractions.with_table));
         }
-        let name = format!("replicas {:.3} s behind", lag.secs());
+        let name = format!("replica lag {:.3} s", lag.secs());
         overflow.lines.push(Line { name, points });
     }
     overflow
@@ -209,8 +213,8 @@
     let map = map_costs(options, &keys);
     let (table, exact_fraction) = table_costs(options, &keys, common.seed);
     let costs = Table {
-        headers: vec!["structure", "add, ns", "raise, ns", "look up, ns", "bytes a session"],
-        rows: vec![map.row("ordered map, grows for ever"), table.row("book, room for all")],
+        headers: vec!["structure", "add, ns", "raise, ns", "look up, ns", "bytes per session"],
+        rows: vec![map.row("unbounded ordered map"), table.row("floor table with entries for all")],
     };
     println!("{}", costs.to_markdown());
     let overflow = measure_overflow(options, common.seed);
@@ -221,8 +225,8 @@
         options.writes_per_s,
         costs.to_markdown()
     );
-    let title = "Reads that replicas may serve as the book overflows";
-    let axes = Axes { title, x: "bytes a session", y: "share", y_range: 0.0..1.0 };
+    let title = "Reads that replicas may serve, by size of the floor table";
+    let axes = Axes { title, x: "bytes per session", y: "fraction of reads", y_range: 0.0..1.0 };
     let chart = Chart { axes, lines: &overflow.lines };
     write_table_and_chart(common.out.as_deref(), "book", &description, &overflow.table, &chart)?;
     let Costs { add_ns, raise_ns, get_ns, bytes_per_session } = table;
--- a/crates/lab/src/overhead.rs
+++ b/crates/lab/src/overhead.rs
@@ -124,7 +124,7 @@
         let bare = measure_bare(&host, in_flight, options.requests);
         clear_statements();
         let library = measure_library(&host, in_flight, options.requests)?;
-        rows.push(bare.row(in_flight, "bare loop, a thread each", "-".into()));
+        rows.push(bare.row(in_flight, "socket loop, one thread each", "-".into()));
         rows.push(library.row(in_flight, "library", format!("{:.1}", library.allocations)));
         summaries
             .push(format!("bare_{in_flight}={:.0} library_{in_flight}={:.0}", bare.per_s, library.per_s));
@@ -135,7 +135,7 @@
         "p50, us",
         "p99, us",
         "requests/s",
-        "allocations a request, stand-in's too",
+        "allocations per request, including the stand-in's",
     ];
     let table = Table { headers, rows };
     let description = format!(
--- a/crates/lab/src/overload.rs
+++ b/crates/lab/src/overload.rs
@@ -101,10 +101,10 @@
         "clients",
         "requests/s",
         "served in time/s",
-        "tries a request",
-        "tries/s at the routers",
+        "attempts per request",
+        "attempts/s at the routers",
         "statements/s at the hosts",
-        "late at the hosts",
+        "statements received after their deadline",
     ];
     let table = Table { headers, rows };
     let description = format!(
--- a/crates/lab/src/reconnect.rs
+++ b/crates/lab/src/reconnect.rs
@@ -167,14 +167,14 @@
     let naive = measure(options, common, ClientKind::Naive)?;
     let headers = vec![
         "clients",
-        "connects, most in 1 s before the death",
-        "after it",
-        "most in 100 ms",
-        "most in 1 s after the return",
+        "peak connects in 1 s before the kill",
+        "in 1 s between kill and restart",
+        "in 100 ms between kill and restart",
+        "in 1 s after the restart",
         "recovered after, ms",
-        "served",
-        "writes run twice",
-        "statements at hosts after their deadline",
+        "fraction served",
+        "writes committed more than once",
+        "statements received after their deadline",
     ];
     let table = Table { headers, rows: vec![library.row("library"), naive.row("naive")] };
     println!("{}", table.to_markdown());
@@ -188,9 +188,9 @@
     let max_per_s =
         library.connects_per_s.iter().chain(&naive.connects_per_s).map(|p| p.1).fold(1.0, f64::max);
     let axes = Axes {
-        title: "Connects a second: a router dies at 4 s and returns at 7 s",
-        x: "s",
-        y: "connects a second",
+        title: "Connects per second: a router is killed at 4 s and restarted at 7 s",
+        x: "seconds",
+        y: "connects per second",
         y_range: 0.0..max_per_s * 1.05,
     };
     let chart = Chart { axes, lines: &[library.line("library"), naive.line("naive")] };
--- a/crates/lab/src/restart.rs
+++ b/crates/lab/src/restart.rs
@@ -105,8 +105,8 @@
     let without = measure(options, common, false)?;
     let with = measure(options, common, true)?;
     let table = Table {
-        headers: vec!["snapshot", "reads served", "by replicas"],
-        rows: vec![without.row("none"), with.row("kept at the stop")],
+        headers: vec!["snapshot", "reads served", "fraction served by replicas"],
+        rows: vec![without.row("none"), with.row("stored at the stop")],
     };
     let description = format!(
         "Real router process and sockets, stand-in group: {} sessions have each written once through one \
--- a/crates/lab/src/sessions.rs
+++ b/crates/lab/src/sessions.rs
@@ -176,7 +176,12 @@
          {} ms (mode for reads whose floor they have not applied: {:?}), seed {}. {}",
         options.routers, options.sessions, options.lag_ms, options.behind, common.seed, options.more
     );
-    let axes = Axes { title: "Session reads served within", x: "ms", y: "share", y_range: 0.0..1.0 };
+    let axes = Axes {
+        title: "Session reads by latency",
+        x: "latency, ms",
+        y: "fraction of reads",
+        y_range: 0.0..1.0,
+    };
     let chart = Chart { axes, lines };
     write_table_and_chart(common.out.as_deref(), &options.name, &description, table, &chart)
 }
@@ -203,11 +208,11 @@
         "reads",
         "kills",
         "stale",
-        "replica share",
+        "fraction served by replicas",
         "p50 ms",
         "p99 ms",
         "writes",
-        "of unknown end",
+        "writes of unknown outcome",
         "not served",
     ];
     write_results(options, common, &Table { headers, rows }, &lines)?;
