--- a/crates/lab/src/client_load.rs
+++ b/crates/lab/src/client_load.rs
@@ -35,7 +35,8 @@
     pub clients: usize,
     /// Requests per second of each client, on average, at random times.
     pub per_s: f64,
-    /// One in this many requests of each client is a write; if it is 0, all requests are reads.
+    /// The interval of writes among the requests of each client: with 3, every third request is a write; with
+    /// 0, all requests are reads.
     pub write_every: u64,
     /// The duration of the load.
     pub duration: Duration,
--- a/crates/lab/src/fleet_limits/gossip_cost.rs
+++ b/crates/lab/src/fleet_limits/gossip_cost.rs
@@ -119,7 +119,7 @@
     let table = Table { headers, rows };
     let description = format!(
         "Simulated, one thread for all routers, seed {}: one rate limit, idle, and with requests at every \
-         router. The CPU time includes the simulation's own work and both ends of each datagram.",
+         router. The CPU time includes the simulation's own work, and sending and receiving each datagram.",
         common.seed
     );
     print_and_write_table(common.out.as_deref(), "fleet-cost", &description, &table)?;
--- a/crates/lab/src/fleet_limits/through_faults.rs
+++ b/crates/lab/src/fleet_limits/through_faults.rs
@@ -20,7 +20,7 @@
 /// The maximum number of requests by which arrivals at hosts may exceed rate times time: the burst, which is
 /// the requests of one second, and the requests of [`ARRIVAL_SPREAD_S`].
 const MAX_EXCESS: f64 = LIMIT_PER_S + LIMIT_PER_S * ARRIVAL_SPREAD_S;
-/// Duration of a fault together with the fault-free time after it. Each takes half of it.
+/// Duration of a fault and the fault-free time after it, each of which takes half of this duration.
 const FAULT_CYCLE: Duration = Duration::from_secs(8);
 /// Time in which the routers' quotas adapt to a change of the demand.
 const DEMAND_SETTLING_TIME: Duration = Duration::from_secs(3);
--- a/crates/lab/src/sessions.rs
+++ b/crates/lab/src/sessions.rs
@@ -110,7 +110,8 @@
     name: String,
 }
 
-/// On average one read in this many is of the class `status`, whose reads must reflect all earlier writes.
+/// A read is of the class `status`, whose reads must reflect all earlier writes, with a probability of one in
+/// this number.
 const STATUS_EVERY: u64 = 8;
 /// The longest pause of a session before a read, in microseconds.
 const MAX_THINK_TIME_US: u64 = 8000;
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Limits that the routers of a fleet keep together, tested with router processes, faulty links between them,
-//! and hosts that record what they receive.
+//! Limits that the routers of a fleet enforce together, tested with router processes, faulty links between
+//! them, and hosts that record the statements they receive.
 
 use basalthill_standin::harness::{
     rate_excess, ClientTotals, FleetHarness, HarnessConfig, HostBehavior, PacedClients,
--- a/crates/router/tests/routing/requests.rs
+++ b/crates/router/tests/routing/requests.rs
@@ -52,7 +52,7 @@
     let replies = client_replies(&effects);
     assert!(matches!(replies[..], [(2, Reply::Rejected { retry_after_ms: Some(_) })]), "{effects:?}");
 
-    // An arrival time in the future gives no more than the full timeout.
+    // With an arrival time in the future, a request still gets at most its full timeout.
     let arrived_at = harness.now.plus(Time::ms(500));
     let effects = harness.input(request(3, statement("write", ""), arrived_at));
     let [attempt] = &started_exchanges(&effects)[..] else { panic!("{effects:?}") };
--- a/crates/router/tests/shutdown_soak.rs
+++ b/crates/router/tests/shutdown_soak.rs
@@ -121,8 +121,8 @@
         (first..first + count).map(|n| Request::random(&mut self.rng, self.number, n)).collect()
     }
 
-    /// Writes requests, on a new connection after the startup message, at once or in two pieces. Returns when
-    /// the last byte was written.
+    /// Writes requests in one or two pieces; on a new connection, the startup message precedes them. Returns
+    /// the time at which the last byte was written.
     fn send(&mut self, connection: &mut Client, requests: &[Request], is_new: bool) -> io::Result<Instant> {
         let mut bytes = if is_new { startup() } else { Vec::new() };
         bytes.extend(requests.iter().flat_map(|r| query(&r.text)));
--- a/crates/sim/src/adapter.rs
+++ b/crates/sim/src/adapter.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 
-/// Why the adapter stops before the end of its input. The `Display` form is one line. It has the index of the
-/// frame, unless writing the reply failed.
+/// Why the adapter stops before the end of its input. The `Display` form is one line. It contains the index
+/// of the frame, unless writing the reply failed.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
     /// A frame can't be read or decoded.
--- a/crates/sim/src/wire/decoder.rs
+++ b/crates/sim/src/wire/decoder.rs
@@ -50,7 +50,7 @@
 }
 
 impl Decoder {
-    /// Returns the length of a frame in bytes, which its first four bytes give.
+    /// Returns the length of a frame in bytes, as given in its first four bytes.
     pub fn frame_len(length_field: [u8; 4]) -> Result<usize, FrameError> {
         let len = u32::from_be_bytes(length_field) as usize;
         match len < FRAME_HEADER_LEN {
--- a/crates/sim/src/wire/error.rs
+++ b/crates/sim/src/wire/error.rs
@@ -30,7 +30,7 @@
     /// The number of records is so large that their total length overflows.
     #[error("record count is too large: the length of the records overflows")]
     RecordCountOverflow,
-    /// The records do not fit into the frame, or the frame has another length than its header says.
+    /// The records do not fit into the frame, or the length of the frame differs from the one in its header.
     #[error("frame of {frame_len} bytes can't hold {count} records")]
     RecordsExceedFrame {
         /// The length of the frame in bytes.
--- a/crates/standin/src/harness.rs
+++ b/crates/standin/src/harness.rs
@@ -27,7 +27,7 @@
 const LIMITS: &str = r#"{"sockets":4096,"memory_mb":192}"#;
 /// Text before the address of a router's fleet socket in the line that it logs when it opens the socket.
 const FLEET_LISTENING_MARKER: &str = "names, listens on ";
-/// With [`HostBehavior::FailSome`], one in this many requests fails.
+/// With [`HostBehavior::FailSome`], the interval of the requests that fail at each host: every third request.
 const FAIL_EVERY: usize = 3;
 
 /// Configuration of a fleet and its hosts.
--- a/crates/standin/src/host.rs
+++ b/crates/standin/src/host.rs
@@ -1,5 +1,5 @@
 //! A database host that speaks version 3 of the PostgreSQL frontend/backend protocol: startup without
-//! authentication, then simple queries. A function given by the test chooses the response to each query.
+//! authentication, then simple queries. The test supplies a function that returns the response to each query.
 
 use crate::pg_message::{
     body_len, message, AUTHENTICATION, BACKEND_KEY_DATA, COMMAND_COMPLETE, DATA_ROW, ERROR_RESPONSE,
--- a/crates/standin/src/simulated_fleet.rs
+++ b/crates/standin/src/simulated_fleet.rs
@@ -71,7 +71,7 @@
     nodes: Vec<Node>,
     /// Scheduled events by true time; events at the same time are in the order in which they were scheduled.
     queue: BTreeMap<(Time, u64), Event>,
-    /// The last number that an event or a permit was given.
+    /// The last number that was assigned to an event or a permit.
     last_number: u64,
     open_permits: BTreeSet<u64>,
     rng: Rng,
@@ -149,7 +149,7 @@
         self.nodes[router].core = None;
     }
 
-    /// Stops a router gracefully: it tells its peers that it leaves the fleet.
+    /// Stops a router gracefully: it announces to its peers that it leaves the fleet.
     pub fn stop(&mut self, router: usize) {
         let now = self.local_now(router);
         self.with_core(router, |core, effects| core.leave(now, effects));
