--- a/crates/lab/src/fleet_limits/gossip_cost.rs
+++ b/crates/lab/src/fleet_limits/gossip_cost.rs
@@ -56,8 +56,8 @@
     (0..routers).map(|n| fleet.core(n).map_or(0, |core| core.counters().sent)).collect()
 }
 
-/// Runs the simulation for [`MEASURED_TIME`] and returns the cost of gossip in it. The CPU time is that of
-/// the whole simulation, divided by the number of routers.
+/// Runs the simulation for [`MEASURED_TIME`] and returns the cost of gossip in it. The CPU time is the
+/// elapsed real time of the whole simulation, which runs on one thread, divided by the number of routers.
 fn measure(fleet: &mut SimulatedFleet, routers: usize) -> GossipCost {
     let datagrams_before = fleet.observations.datagrams;
     let bytes_before = fleet.observations.bytes;
--- a/crates/standin/src/group.rs
+++ b/crates/standin/src/group.rs
@@ -47,7 +47,8 @@
     /// slow machine appear overloaded to the routers.
     pub latency_objective_ms: u64,
     /// How many statements each member executes concurrently; 0 for no limit. A statement that has waited for
-    /// 500 ms is rejected.
+    /// 500 ms or longer is rejected at the next change of the group's state, and after [`crate::TIMEOUT`] at
+    /// the latest.
     pub max_concurrent: usize,
     /// Whether values are returned as `VALUE@SERIAL@RANK`, with the serial number of the commit and the rank
     /// of the member (`source` or `copy`), to compare them with the oracle.
--- a/crates/standin/src/group/member.rs
+++ b/crates/standin/src/group/member.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long a statement waits for capacity before it is rejected.
+/// How long a statement waits for capacity before it may be rejected.
 const CAPACITY_WAIT: Duration = Duration::from_millis(500);
 /// The longest time between two checks of how far the log has been applied, in milliseconds.
 const APPLY_POLL_MS: u64 = 2;
