--- a/crates/lab/src/fleet_limits/gossip_cost.rs
+++ b/crates/lab/src/fleet_limits/gossip_cost.rs
@@ -1,5 +1,5 @@
-//! Simulates fleets of several sizes and measures what gossip costs each router, idle and with requests at
-//! every router.
+//! Simulates fleets of several sizes and measures the cost of gossip at each router, without requests and
+//! with requests at every router.
 
 use crate::results::{print_and_write_table, Table};
 use crate::{CommonOptions, Outcome};
@@ -56,21 +56,21 @@
     (0..routers).map(|n| fleet.core(n).map_or(0, |core| core.counters().sent)).collect()
 }
 
-/// Runs the simulation for [`MEASURED_TIME`] and returns the cost of gossip in it. The CPU time is that of
-/// the whole simulation, divided by the number of routers.
+/// Runs the simulation for [`MEASURED_TIME`] and returns the cost of gossip in it. The CPU time is the
+/// elapsed real time of the whole simulation, which runs on one thread, divided by the number of routers.
 fn measure(fleet: &mut SimulatedFleet, routers: usize) -> GossipCost {
-    let datagrams = fleet.observations.datagrams;
-    let bytes = fleet.observations.bytes;
-    let by_router = datagrams_by_router(fleet, routers);
+    let datagrams_before = fleet.observations.datagrams;
+    let bytes_before = fleet.observations.bytes;
+    let sent_before = datagrams_by_router(fleet, routers);
     let started_at = Instant::now();
     fleet.run_until(fleet.now.plus(MEASURED_TIME));
     let cpu_us = started_at.elapsed().as_micros() as f64 / routers as f64 / MEASURED_S;
     let per_router_and_s = |now: u64, before: u64| (now - before) as f64 / routers as f64 / MEASURED_S;
     let sent = datagrams_by_router(fleet, routers);
-    let max_sent = sent.iter().zip(&by_router).map(|(now, before)| now - before).max().unwrap_or(0);
+    let max_sent = sent.iter().zip(&sent_before).map(|(now, before)| now - before).max().unwrap_or(0);
     GossipCost {
-        datagrams: per_router_and_s(fleet.observations.datagrams, datagrams),
-        bytes: per_router_and_s(fleet.observations.bytes, bytes),
+        datagrams: per_router_and_s(fleet.observations.datagrams, datagrams_before),
+        bytes: per_router_and_s(fleet.observations.bytes, bytes_before),
         cpu_us,
         max_datagrams: max_sent as f64 / MEASURED_S,
     }
@@ -80,13 +80,13 @@
 pub fn run(max_routers: usize, common: &CommonOptions) -> anyhow::Result<Outcome> {
     let headers = vec![
         "routers",
-        "datagrams a second and router, idle",
-        "bytes",
-        "CPU, us a second",
-        "most of one router, datagrams",
-        "datagrams, asked",
-        "bytes, asked",
-        "CPU, us, asked",
+        "idle: datagrams per second and router",
+        "idle: bytes",
+        "idle: CPU, us",
+        "idle: datagrams of the busiest router",
+        "with requests: datagrams per second and router",
+        "with requests: bytes",
+        "with requests: CPU, us",
     ];
     let (mut rows, mut summary) = (Vec::new(), String::new());
     for routers in SIZES.into_iter().filter(|n| *n <= max_routers.max(SIZES[0])) {
@@ -119,7 +119,7 @@
     let table = Table { headers, rows };
     let description = format!(
         "Simulated, one thread for all routers, seed {}: one rate limit, idle, and with requests at every \
-         router. The CPU time includes the simulation's own work and both ends of each datagram.",
+         router. The CPU time includes the simulation's own work, and sending and receiving each datagram.",
         common.seed
     );
     print_and_write_table(common.out.as_deref(), "fleet-cost", &description, &table)?;
--- a/crates/lab/src/fleet_limits/request_overhead.rs
+++ b/crates/lab/src/fleet_limits/request_overhead.rs
@@ -1,4 +1,4 @@
-//! Measures what a fleet costs per request. Of two pairs of routers, one has a fleet with a limit that is
+//! Measures the cost of a fleet per request. Of two pairs of routers, one has a fleet with a limit that is
 //! never reached and the other has no fleet; the pairs are under load in turn.
 
 use super::{
@@ -51,8 +51,8 @@
         self.idle_cpu = (cpu_time(&self.harness) - before) / 2;
     }
 
-    /// Runs one round under load. The CPU time that the routers use without load is subtracted, since a fleet
-    /// uses the same under any load.
+    /// Runs one round under load. The CPU time that the routers use without load is subtracted, since the CPU
+    /// time of a fleet's own work is the same under any load.
     fn run_round(&mut self) {
         let cpu_before = cpu_time(&self.harness);
         let served_before = self.clients.totals().served;
@@ -113,12 +113,12 @@
         ensure!(failed == 0, "{failed} requests failed with {}, expected none", pair.name);
     }
     let headers =
-        vec!["", "served", "p50, us", "p99, us", "CPU a request, us", "CPU a second and router at rest, us"];
+        vec!["", "served", "p50, us", "p99, us", "CPU per request, us", "CPU per second and idle router, us"];
     let table = Table { headers, rows: vec![with_fleet.row(), without.row()] };
     let description =
         "Real router processes, stand-in hosts: two pairs of routers, under load in turn for 3 s, six times \
          each; one pair has a fleet and a limit that is never reached. The CPU time of a request excludes \
-         what a router uses at rest.";
+         the CPU time of an idle router.";
     print_and_write_table(common.out.as_deref(), "fleet-overhead", description, &table)?;
     let (on, off) = (with_fleet.cpu_us_per_request(), without.cpu_us_per_request());
     let overhead = on / off - 1.0;
--- a/crates/lab/src/fleet_limits/through_faults.rs
+++ b/crates/lab/src/fleet_limits/through_faults.rs
@@ -1,4 +1,5 @@
-//! Measures the limit in each mode of enforcing it while links and routers fail at random.
+//! Measures how much of the limit is used, and by how much it is exceeded, in each [`LimitMode`] while links
+//! and routers fail at random.
 
 use super::{
     harness_config, router_addrs, start_harness, LimitMode, Options, LIMIT_PER_S, SETTLING_TIME,
@@ -19,11 +20,11 @@
 /// The maximum number of requests by which arrivals at hosts may exceed rate times time: the burst, which is
 /// the requests of one second, and the requests of [`ARRIVAL_SPREAD_S`].
 const MAX_EXCESS: f64 = LIMIT_PER_S + LIMIT_PER_S * ARRIVAL_SPREAD_S;
-/// Duration of a fault together with the fault-free time after it. Each takes half of it.
+/// Duration of a fault and the fault-free time after it, each of which takes half of this duration.
 const FAULT_CYCLE: Duration = Duration::from_secs(8);
 /// Time in which the routers' quotas adapt to a change of the demand.
 const DEMAND_SETTLING_TIME: Duration = Duration::from_secs(3);
-/// The total demand at all routers, as a fraction of the limit: one above the limit and one below it.
+/// The total demand at all routers, as a fraction of the limit: a demand above the limit, and one below it.
 const HIGH_DEMAND: f64 = 1.5;
 const LOW_DEMAND: f64 = 0.7;
 /// Ratio of the demand at routers with an even number to the demand at the others.
@@ -263,16 +264,16 @@
 ) -> anyhow::Result<()> {
     let description = format!(
         "Real router processes and sockets, a proxy between them, stand-in hosts whose records are \
-         evaluated: {} routers, a rate limit of {LIMIT_PER_S} requests per second with a burst of as many, \
+         evaluated: {} routers, a rate limit of {LIMIT_PER_S} requests per second and the same burst, \
          seed {}, {} minutes for each row. Half of the routers get ten times the demand of the others; a \
          sixth of the time is without faults, a sixth at 0.7 of the limit, the rest with random partitions, \
-         kills, pauses and datagram loss. Most over the rate: arrivals in excess of rate times time, the \
-         highest over all windows of time; the bound is the burst and {ARRIVAL_SPREAD_S} s of the rate, \
-         the spread of arrivals at hosts.",
+         kills, pauses and datagram loss. Peak excess: arrivals in excess of rate times time, the maximum \
+         over all windows of time; the bound is the burst and {ARRIVAL_SPREAD_S} s of the rate, the spread \
+         of arrivals at hosts.",
         options.routers, common.seed, options.minutes
     );
-    let title = "Admitted, as a share of the limit";
-    let axes = Axes { title, x: "seconds", y: "share", y_range: 0.0..2.0 };
+    let title = "Admitted requests, as a fraction of the limit";
+    let axes = Axes { title, x: "seconds", y: "fraction of the limit", y_range: 0.0..2.0 };
     let chart = Chart { axes, lines };
     write_table_and_chart(common.out.as_deref(), "fleet-limits", &description, table, &chart)
 }
@@ -281,14 +282,14 @@
 /// [`MAX_EXCESS`].
 pub fn run(options: &Options, common: &CommonOptions) -> anyhow::Result<Outcome> {
     let headers = vec![
-        "how",
+        "mode",
         "admitted",
-        "most over the rate",
-        "of the limit used, no faults",
+        "peak excess",
+        "fraction of the limit used, no faults",
         "with faults",
-        "refused below the limit",
-        "recovered after a split, ms",
-        "bytes a second and router",
+        "fraction rejected below the limit",
+        "recovered after a partition, ms",
+        "bytes per second and router",
     ];
     let (mut rows, mut lines, mut fleet_result) = (Vec::new(), Vec::new(), None);
     for mode in LimitMode::ALL {
--- a/crates/lab/src/sessions.rs
+++ b/crates/lab/src/sessions.rs
@@ -110,7 +110,8 @@
     name: String,
 }
 
-/// On average one read in this many is of the class `status`, whose reads must reflect all earlier writes.
+/// A read is of the class `status`, whose reads must reflect all earlier writes, with a probability of one in
+/// this number.
 const STATUS_EVERY: u64 = 8;
 /// The longest pause of a session before a read, in microseconds.
 const MAX_THINK_TIME_US: u64 = 8000;
@@ -176,7 +177,12 @@
          {} ms (mode for reads whose floor they have not applied: {:?}), seed {}. {}",
         options.routers, options.sessions, options.lag_ms, options.behind, common.seed, options.more
     );
-    let axes = Axes { title: "Session reads served within", x: "ms", y: "share", y_range: 0.0..1.0 };
+    let axes = Axes {
+        title: "Session reads by latency",
+        x: "latency, ms",
+        y: "fraction of reads",
+        y_range: 0.0..1.0,
+    };
     let chart = Chart { axes, lines };
     write_table_and_chart(common.out.as_deref(), &options.name, &description, table, &chart)
 }
@@ -203,11 +209,11 @@
         "reads",
         "kills",
         "stale",
-        "replica share",
+        "fraction served by replicas",
         "p50 ms",
         "p99 ms",
         "writes",
-        "of unknown end",
+        "writes of unknown outcome",
         "not served",
     ];
     write_results(options, common, &Table { headers, rows }, &lines)?;
--- a/crates/standin/src/group/member.rs
+++ b/crates/standin/src/group/member.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long a statement waits for capacity before it is rejected.
+/// How long a statement waits for capacity before it may be rejected.
 const CAPACITY_WAIT: Duration = Duration::from_millis(500);
 /// The longest time between two checks of how far the log has been applied, in milliseconds.
 const APPLY_POLL_MS: u64 = 2;
@@ -50,9 +50,9 @@
         response
     }
 
-    /// Waits until the member executes fewer than `max_concurrent` statements, then counts one more. Returns
-    /// false if a change of the group's state after [`CAPACITY_WAIT`] still leaves no capacity, or after
-    /// [`crate::TIMEOUT`].
+    /// Waits until the member executes fewer than `max_concurrent` statements, then counts one more. Capacity
+    /// is checked after each change of the group's state. Returns false if there is still none at the first
+    /// check after [`CAPACITY_WAIT`], or after [`crate::TIMEOUT`].
     fn reserve_capacity(&self, max_concurrent: usize) -> bool {
         let deadline = Instant::now() + CAPACITY_WAIT;
         let reserved = self.state.wait(|s| match s.executing[self.index] < max_concurrent {
