--- a/crates/router/tests/shim/system_calls.c
+++ b/crates/router/tests/shim/system_calls.c
@@ -2,7 +2,9 @@
    Failures: FAILING_CALLS lists calls by name, errno and interval. " recv=4/3 send=105/7" makes every third
    recv fail with errno 4 and every seventh send with errno 105.
    Clock: the file named by CLOCK_AHEAD_FILE contains the number of milliseconds by which the wall clock is
-   ahead, as a signed integer of eight bytes in native byte order. It is read at each call. */
+   ahead, as a signed integer of eight bytes in native byte order. It is mapped into memory and read at each
+   call. The file must not be truncated while the program runs, so a new value has to be written in place: if
+   the file is empty when it is read, SIGBUS kills the program. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
--- a/crates/router/tests/system_call_faults.rs
+++ b/crates/router/tests/system_call_faults.rs
@@ -12,7 +12,9 @@
 use basalthill_standin::router_process::{write_unique_file, RouterOptions, RouterProcess};
 use basalthill_standin::{unix_ms, SETTINGS, TIMEOUT};
 use common::shim::{build_library, program_with_failing_calls, wrapper_script, TEST_DIR};
+use std::fs::OpenOptions;
 use std::net::TcpStream;
+use std::os::unix::fs::FileExt;
 use std::path::Path;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -107,6 +109,14 @@
     assert!(matches!(reply, Ok(Reply::Row(_))), "{reply:?}");
 }
 
+/// Sets the clock of a running router, which has mapped the file at `clock_offset`, ahead by `ahead_ms`. The
+/// file is overwritten in place: `std::fs::write` would truncate it first, and the router would be killed by
+/// SIGBUS if it read its clock while the file is empty.
+fn set_clock_ahead(clock_offset: &Path, ahead_ms: i64) {
+    let file = OpenOptions::new().write(true).open(clock_offset).unwrap();
+    file.write_all_at(&ahead_ms.to_ne_bytes(), 0).unwrap();
+}
+
 /// Starts a router while the system clock is ahead by `ahead_ms` (behind if negative), and then corrects the
 /// clock. Asserts that reads with a staleness bound of 0.5 s skip a replica that lags by 0.8 s until the
 /// replica has caught up. (The replica is not ejected, which would take a lag of 1 s.)
@@ -149,7 +159,7 @@
     let router = RouterProcess::start("n1", start).unwrap();
     let mut client = Client::connect(router.addr).unwrap();
     assert!(matches!(client.query(&read_statement(0)), Ok(Reply::Row(_))));
-    std::fs::write(&clock_offset, 0i64.to_ne_bytes()).unwrap();
+    set_clock_ahead(&clock_offset, 0);
     for n in 1..40 {
         assert_eq!(
             client.query(&read_statement(n)).unwrap(),
