--- a/crates/router/src/routing/sessions.rs
+++ b/crates/router/src/routing/sessions.rs
@@ -62,8 +62,9 @@
     }
 
     /// Issues a token that covers a write whose first attempt is being sent, if the settings enable early
-    /// tokens. The client then has a token even if this router crashes. The attempt ends at `deadline` at the
-    /// latest.
+    /// tokens. The client's task writes the token to the socket later, and the statement may reach the host
+    /// first: if the router is killed in between, the write may commit, and the client has no token that
+    /// covers it. The attempt ends at `deadline` at the latest.
     pub(super) fn issue_early_token(
         &mut self,
         now: Time,
--- a/crates/session/src/config.rs
+++ b/crates/session/src/config.rs
@@ -59,8 +59,9 @@
     pub lead: Time,
     /// The kinds of reply that carry tokens.
     pub token_delivery: TokenDelivery,
-    /// Whether a token that covers a write is delivered when the write is sent, so that the client has a
-    /// token if this router exits before the reply.
+    /// Whether a token is queued for the client when the first attempt of a write starts. Once received, the
+    /// token covers the write even if this router exits before the reply. If this router is killed before it
+    /// has sent the token, the write may commit, and the client has no token that covers it.
     pub early_tokens: bool,
     /// The keys that sign and verify tokens. Without keys, tokens are neither delivered nor accepted.
     pub keys: Option<KeyRing>,
--- a/crates/session/src/sessions.rs
+++ b/crates/session/src/sessions.rs
@@ -137,9 +137,10 @@
         ReadFloor { position: position.min(limit), lead: config.lead, send_to_hosts: position > Time(0) }
     }
 
-    /// Issues a token that covers a write that is about to be sent, whatever the write's outcome, and even if
-    /// this router exits before it knows the outcome. The host responds by `deadline`, if at all. Returns
-    /// `None` for a read, or if early tokens, token delivery or keys are not configured.
+    /// Issues a token that covers a write that is about to be sent, whatever the write's outcome. Once the
+    /// client has received the token, this holds even if this router exits before it knows the outcome. The
+    /// host responds by `deadline`, if at all. Returns `None` for a read, or if early tokens, token delivery
+    /// or keys are not configured.
     pub fn early_token(
         &mut self,
         now: Time,
