--- a/crates/router/tests/common/shim.rs
+++ b/crates/router/tests/common/shim.rs
@@ -8,12 +8,17 @@
 /// The directory that the tests write their files to.
 pub const TEST_DIR: &str = env!("CARGO_TARGET_TMPDIR");
 
-/// Writes a shell script that runs `commands` and then executes the program. Returns the script's path.
+/// Writes a shell script that runs `commands` and then executes the program. Returns the script's path. A child
+/// process copies the script from a file that is never executed. If this process wrote it, a child that another
+/// thread forks could inherit the descriptor open for writing, and executing the script would fail (ETXTBSY).
 pub fn wrapper_script(commands: &str) -> PathBuf {
     let text = format!("#!/bin/sh\n{commands}\nexec {} \"$@\"\n", env!("CARGO_BIN_EXE_basalthill"));
-    let path = write_unique_file(Path::new(TEST_DIR), "program.sh", &text).unwrap();
-    std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o755)).unwrap();
-    path
+    let source = write_unique_file(Path::new(TEST_DIR), "program.txt", &text).unwrap();
+    std::fs::set_permissions(&source, std::fs::Permissions::from_mode(0o755)).unwrap();
+    let script = source.with_extension("sh");
+    let status = Command::new("cp").arg(&source).arg(&script).status().unwrap();
+    assert!(status.success(), "cp failed to copy the script");
+    script
 }
 
 /// Builds the preloaded library that wraps the system calls, and returns its path.
