--- a/crates/router/tests/common/shim.rs
+++ b/crates/router/tests/common/shim.rs
@@ -8,9 +8,10 @@
 /// The directory that the tests write their files to.
 pub const TEST_DIR: &str = env!("CARGO_TARGET_TMPDIR");
 
-/// Writes a shell script that runs `commands` and then executes the program. Returns the script's path. A child
-/// process copies the script from a file that is never executed. If this process wrote it, a child that another
-/// thread forks could inherit the descriptor open for writing, and executing the script would fail (ETXTBSY).
+/// Writes a shell script that runs `commands` and then executes the program. Returns the script's path. A
+/// child process copies the script from a file that is never executed. If this process wrote it, a child that
+/// another thread forks could inherit the descriptor open for writing, and executing the script would fail
+/// (ETXTBSY).
 pub fn wrapper_script(commands: &str) -> PathBuf {
     let text = format!("#!/bin/sh\n{commands}\nexec {} \"$@\"\n", env!("CARGO_BIN_EXE_basalthill"));
     let source = write_unique_file(Path::new(TEST_DIR), "program.txt", &text).unwrap();
